--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -11,13 +11,13 @@
 import structlog
 
 from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer
-from jasperwalk.control.fleet.late_orders import (
+from jasperwalk.control.fleet.replica import FleetReplica
+from jasperwalk.control.fleet.stale_orders import (
     LateOrderGuard,
     Leadership,
     OrderRefusal,
     ZoneOrder,
 )
-from jasperwalk.control.fleet.replica import FleetReplica
 from jasperwalk.control.fleet.versioned_state import OrderZone, ZoneOutcome
 from jasperwalk.observability.latency import LatencyCounts
 
--- a/tests/control/fleet/test_late_orders.py
+++ b/tests/control/fleet/test_late_orders.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jasperwalk.control.fleet.late_orders import (
+from jasperwalk.control.fleet.stale_orders import (
     CONFIRMATION_SECONDS,
     LateOrderGuard,
     Leadership,
--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.control.fleet.late_orders import LateOrderGuard
+from jasperwalk.control.fleet.stale_orders import LateOrderGuard
 from jasperwalk.control.fleet.versioned_state import VersionedState
 from tests.control.fleet.zone_order_model import play
 
--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -14,7 +14,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.consensus.outcomes import Proposed
-from jasperwalk.control.fleet.late_orders import LateOrderGuard, Leadership, ZoneOrder
+from jasperwalk.control.fleet.stale_orders import LateOrderGuard, Leadership, ZoneOrder
 from jasperwalk.control.fleet.versioned_state import (
     OrderZone,
     PutConfiguration,
