--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -15,10 +15,10 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import relay_server
-from jasperwalk.control.fleet import joining, operator_desk
+from jasperwalk.control.fleet import joining, operator_requests
 from jasperwalk.control.fleet.joining import JoinDesk, ask_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
-from jasperwalk.control.fleet.operator_desk import OperatorDesk
+from jasperwalk.control.fleet.operator_requests import OperatorDesk
 from jasperwalk.transport import client, http_connection, keep_alive
 from jasperwalk.transport import server as framed_server
 from jasperwalk.transport.client import connect
@@ -45,7 +45,7 @@
 def test_a_request_that_does_not_come_is_a_typed_refusal(monkeypatch, kind):
     monkeypatch.setattr(relay_server, "REQUEST_SECONDS", 0.05)
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.05)
-    monkeypatch.setattr(operator_desk, "REQUEST_SECONDS", 0.05)
+    monkeypatch.setattr(operator_requests, "REQUEST_SECONDS", 0.05)
 
     async def scenario():
         server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), DESKS)
