--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -16,7 +16,6 @@
 from jasperwalk.distribution.flush_queue import FlushQueue
 from jasperwalk.distribution.follower_events import REPLACED_KIND
 from jasperwalk.distribution.join_admission import JoinAdmission
-from jasperwalk.distribution.link_feeder import LinkFeeder
 from jasperwalk.distribution.publisher_events import (
     CloseReason,
     CloseSubscriber,
@@ -29,6 +28,7 @@
 from jasperwalk.distribution.subscriber_directory import SubscriberDirectory
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.distribution.update_encoder import UpdateEncoder
+from jasperwalk.distribution.update_selector import LinkFeeder
 from jasperwalk.messages import codec
 from jasperwalk.messages.distribution import (
     Acknowledge,
