--- a/src/jasperwalk/control/fleet/stale_orders.py
+++ b/src/jasperwalk/control/fleet/stale_orders.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class LateOrderGuard:
+class StaleOrderGuard:
     """What one replica knows of the orders that it has taken as a leader.
 
     `repeat_seconds` is how long operators repeat an order: a copy may be as late as that.
--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -13,9 +13,9 @@
 from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer
 from jasperwalk.control.fleet.replica import FleetReplica
 from jasperwalk.control.fleet.stale_orders import (
-    LateOrderGuard,
     Leadership,
     OrderRefusal,
+    StaleOrderGuard,
     ZoneOrder,
 )
 from jasperwalk.control.fleet.versioned_state import OrderZone, ZoneOutcome
@@ -96,7 +96,7 @@
     ) -> None:
         self._replica = replica
         self._known_zones = known_zones
-        self._guard = LateOrderGuard(repeat_seconds)
+        self._guard = StaleOrderGuard(repeat_seconds)
         self.counters = ZoneCounters()
         self.latency = LatencyCounts()
 
--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -4,9 +4,9 @@
 
 from jasperwalk.control.fleet.stale_orders import (
     CONFIRMATION_SECONDS,
-    LateOrderGuard,
     Leadership,
     OrderRefusal,
+    StaleOrderGuard,
     ZoneOrder,
 )
 
@@ -15,7 +15,7 @@
 
 
 def guard():
-    return LateOrderGuard(REPEAT)
+    return StaleOrderGuard(REPEAT)
 
 
 def take(one, drained, held, now, leadership=LEADING, waits=True, arrived_at=None):
--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.control.fleet.stale_orders import LateOrderGuard
+from jasperwalk.control.fleet.stale_orders import StaleOrderGuard
 from jasperwalk.control.fleet.versioned_state import VersionedState
 from tests.control.fleet.zone_order_model import play
 
@@ -42,14 +42,14 @@
 
 
 def test_mutant_an_order_that_reverses_a_new_one_does_not_pause(monkeypatch):
-    monkeypatch.setattr(LateOrderGuard, "pause_seconds", lambda *_: 0.0)
+    monkeypatch.setattr(StaleOrderGuard, "pause_seconds", lambda *_: 0.0)
     assert breaks_a_promise()
 
 
 def test_mutant_an_order_counts_whether_or_not_its_caller_waits(monkeypatch):
-    original = LateOrderGuard.take
+    original = StaleOrderGuard.take
     monkeypatch.setattr(
-        LateOrderGuard,
+        StaleOrderGuard,
         "take",
         lambda self, order, leadership, _waits, now: original(self, order, leadership, True, now),
     )
--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -14,7 +14,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.consensus.outcomes import Proposed
-from jasperwalk.control.fleet.stale_orders import LateOrderGuard, Leadership, ZoneOrder
+from jasperwalk.control.fleet.stale_orders import Leadership, StaleOrderGuard, ZoneOrder
 from jasperwalk.control.fleet.versioned_state import (
     OrderZone,
     PutConfiguration,
@@ -47,7 +47,7 @@
 class Node:
     """What the product keeps beside a replica's log."""
 
-    guard: LateOrderGuard
+    guard: StaleOrderGuard
     state: VersionedState = field(default_factory=VersionedState)
     applied: int = 0
     term: int = 0
@@ -61,7 +61,7 @@
         self.world = World(seed, 3)
         self.random = Random(f"operators {seed}")
         self.queue, self.number = [], 0
-        self.nodes = {each: Node(LateOrderGuard(REPEAT_SECONDS)) for each in self.world.replicas}
+        self.nodes = {each: Node(StaleOrderGuard(REPEAT_SECONDS)) for each in self.world.replicas}
         self.violations = []
         self.acknowledged = dict.fromkeys(ZONES)
         """Each zone's newest acknowledged order, None while a newer one is under way."""
@@ -107,7 +107,7 @@
             node.state, node.applied, node.guard = (
                 VersionedState(),
                 0,
-                LateOrderGuard(REPEAT_SECONDS),
+                StaleOrderGuard(REPEAT_SECONDS),
             )
             node.term = 0
         for data in replica.applied[node.applied :]:
