--- a/src/jasperwalk/control/fleet/operator_requests.py
+++ b/src/jasperwalk/control/fleet/operator_requests.py
@@ -26,7 +26,7 @@
 """Time within which an operator's command names what it wants."""
 
 
-class OperatorDesk:
+class OperatorRequestHandler:
     """Serves one request a connection."""
 
     def __init__(self, zone_orders: ZoneOrders) -> None:
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -19,7 +19,7 @@
 from jasperwalk.control.fleet.identity import open_identity, renew_identity
 from jasperwalk.control.fleet.joining import JoinDesk
 from jasperwalk.control.fleet.messages import HomedNodes, JoinReply, JoinRequest, JoinStatus
-from jasperwalk.control.fleet.operator_requests import OperatorDesk
+from jasperwalk.control.fleet.operator_requests import OperatorRequestHandler
 from jasperwalk.control.fleet.replica import FleetReplica, ReplicaRemoved
 from jasperwalk.control.fleet.settings import FleetControlSettings
 from jasperwalk.control.fleet.zone_orders import ZoneOrders
@@ -91,7 +91,7 @@
             ConnectionKind.PEER: self._serve_peer,
             ConnectionKind.SUBSCRIBER: self._homes.serve,
             ConnectionKind.REPORTER: JoinDesk(self._answer_join).serve,
-            ConnectionKind.OPERATOR: OperatorDesk(zone_orders).serve,
+            ConnectionKind.OPERATOR: OperatorRequestHandler(zone_orders).serve,
         }
         self._server = FramedServer(settings.replica_endpoint(), hello, handlers)
 
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -18,7 +18,7 @@
 from jasperwalk.control.fleet import joining, operator_requests
 from jasperwalk.control.fleet.joining import JoinDesk, ask_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
-from jasperwalk.control.fleet.operator_requests import OperatorDesk
+from jasperwalk.control.fleet.operator_requests import OperatorRequestHandler
 from jasperwalk.transport import client, http_connection, keep_alive
 from jasperwalk.transport import server as framed_server
 from jasperwalk.transport.client import connect
@@ -30,7 +30,7 @@
 ANY_PORT = Endpoint("127.0.0.1", 0)
 DESKS = {
     ConnectionKind.REPORTER: JoinDesk(lambda _request: None).serve,
-    ConnectionKind.OPERATOR: OperatorDesk(None).serve,
+    ConnectionKind.OPERATOR: OperatorRequestHandler(None).serve,
 }
 
 
