--- a/src/jasperwalk/control/fleet/joining.py
+++ b/src/jasperwalk/control/fleet/joining.py
@@ -58,7 +58,7 @@
     return reply if isinstance(reply, JoinReply) else None
 
 
-class JoinDesk:
+class JoinRequestHandler:
     """Answers join requests; `decide` looks at the member list and notes the request."""
 
     def __init__(self, decide: Callable[[JoinRequest], JoinReply]) -> None:
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -17,7 +17,7 @@
 from jasperwalk.control.fleet.directory import NodeDirectory
 from jasperwalk.control.fleet.home_links import HomeLinks, HomeView
 from jasperwalk.control.fleet.identity import open_identity, renew_identity
-from jasperwalk.control.fleet.joining import JoinDesk
+from jasperwalk.control.fleet.joining import JoinRequestHandler
 from jasperwalk.control.fleet.messages import HomedNodes, JoinReply, JoinRequest, JoinStatus
 from jasperwalk.control.fleet.operator_requests import OperatorRequestHandler
 from jasperwalk.control.fleet.replica import FleetReplica, ReplicaRemoved
@@ -90,7 +90,7 @@
         handlers = {
             ConnectionKind.PEER: self._serve_peer,
             ConnectionKind.SUBSCRIBER: self._homes.serve,
-            ConnectionKind.REPORTER: JoinDesk(self._answer_join).serve,
+            ConnectionKind.REPORTER: JoinRequestHandler(self._answer_join).serve,
             ConnectionKind.OPERATOR: OperatorRequestHandler(zone_orders).serve,
         }
         self._server = FramedServer(settings.replica_endpoint(), hello, handlers)
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -26,7 +26,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.tasks import cancel
 from jasperwalk.control.fleet import joining
-from jasperwalk.control.fleet.joining import JoinDesk, ask_to_join
+from jasperwalk.control.fleet.joining import JoinRequestHandler, ask_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
 from jasperwalk.control.peer_links import LinkTimes, PeerLink
 from jasperwalk.fleet.dialing import dial_first
@@ -146,7 +146,9 @@
 def test_asking_to_join_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
         not_leader = JoinReply(JoinStatus.NOT_LEADER, None, [])
-        server = await served({ConnectionKind.REPORTER: JoinDesk(lambda _: not_leader).serve})
+        server = await served(
+            {ConnectionKind.REPORTER: JoinRequestHandler(lambda _: not_leader).serve}
+        )
         request = JoinRequest(7, server.endpoint, False)
 
         async def join_again_and_again():
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -16,7 +16,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import relay_server
 from jasperwalk.control.fleet import joining, operator_requests
-from jasperwalk.control.fleet.joining import JoinDesk, ask_to_join
+from jasperwalk.control.fleet.joining import JoinRequestHandler, ask_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
 from jasperwalk.control.fleet.operator_requests import OperatorRequestHandler
 from jasperwalk.transport import client, http_connection, keep_alive
@@ -29,7 +29,7 @@
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
 DESKS = {
-    ConnectionKind.REPORTER: JoinDesk(lambda _request: None).serve,
+    ConnectionKind.REPORTER: JoinRequestHandler(lambda _request: None).serve,
     ConnectionKind.OPERATOR: OperatorRequestHandler(None).serve,
 }
 
@@ -128,7 +128,7 @@
         await never()
 
     async def scenario():
-        answering = {ConnectionKind.REPORTER: JoinDesk(lambda _request: reply).serve}
+        answering = {ConnectionKind.REPORTER: JoinRequestHandler(lambda _request: reply).serve}
         living = FramedServer(ANY_PORT, hello, answering)
         await living.start()
         silent = FramedServer(ANY_PORT, hello, {ConnectionKind.REPORTER: say_nothing})
