--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -28,7 +28,7 @@
 from jasperwalk.distribution.subscriber_directory import SubscriberDirectory
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.distribution.update_encoder import UpdateEncoder
-from jasperwalk.distribution.update_selector import LinkFeeder
+from jasperwalk.distribution.update_selector import UpdateSelector
 from jasperwalk.messages import codec
 from jasperwalk.messages.distribution import (
     Acknowledge,
@@ -55,7 +55,7 @@
     def __init__(self, source: VersionedTable, config: PublisherConfig) -> None:
         self._config = config
         self._encoder = UpdateEncoder(source, config)
-        self._feeder = LinkFeeder(self._encoder)
+        self._feeder = UpdateSelector(self._encoder)
         self._registrations = Registrations()
         self._subscribers = SubscriberDirectory()
         self._admission = JoinAdmission(config)
--- a/src/jasperwalk/distribution/update_selector.py
+++ b/src/jasperwalk/distribution/update_selector.py
@@ -7,7 +7,7 @@
 from jasperwalk.messages.distribution import Subscribe, SubscriberRole
 
 
-class LinkFeeder:
+class UpdateSelector:
     """Chooses between snapshot and delta, and follows agents from service to service."""
 
     def __init__(self, encoder: UpdateEncoder) -> None:
