--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -55,7 +55,7 @@
     def __init__(self, source: VersionedTable, config: PublisherConfig) -> None:
         self._config = config
         self._encoder = UpdateEncoder(source, config)
-        self._feeder = UpdateSelector(self._encoder)
+        self._selector = UpdateSelector(self._encoder)
         self._registrations = Registrations()
         self._subscribers = SubscriberDirectory()
         self._admission = JoinAdmission(config)
@@ -95,9 +95,9 @@
         link = SubscriberLink(subscriber_id, subscribe, self._config, now)
         effects = self._close_former_connection(link)
         self._subscribers.add(link)
-        if self._feeder.needs_snapshot(subscribe):
+        if self._selector.needs_snapshot(subscribe):
             self._admission.begin(subscriber_id, now)
-        self._feeder.arrived(link, now)
+        self._selector.arrived(link, now)
         effects.extend(self._heartbeat(link, now))
         if link in self._subscribers:
             effects.extend(self._notify_replicas(link))
@@ -229,7 +229,7 @@
             verdict = self._registrations.judge(subscribe, self._encoder.table.revision)
             if verdict is RegistrationVerdict.REPLACED:
                 return CloseReason.REPLACED
-        if self._feeder.needs_snapshot(subscribe) and not self._admission.has_room(now):
+        if self._selector.needs_snapshot(subscribe) and not self._admission.has_room(now):
             return CloseReason.TOO_MANY_SNAPSHOTS
         return None
 
@@ -337,15 +337,15 @@
 
     def _flush(self, link: SubscriberLink, now: float) -> list[PublisherEffect]:
         """Send what the link's budget and its outstanding updates allow."""
-        self._feeder.follow_scope(link, now)
+        self._selector.follow_scope(link, now)
         effects: list[PublisherEffect] = []
-        while self._feeder.has_update(link):
+        while self._selector.has_update(link):
             if len(link.outstanding) >= self._config.outstanding_limit:
                 break
             if not link.bucket.allows(now):
                 self._wake_later(link, now)
                 break
-            payload = self._feeder.next_payload(link, now)
+            payload = self._selector.next_payload(link, now)
             effects.append(self._send(link, payload))
         return effects
 
