--- a/src/jasperwalk/control/fleet/operator_requests.py
+++ b/src/jasperwalk/control/fleet/operator_requests.py
@@ -22,7 +22,7 @@
 from jasperwalk.messages import codec
 from jasperwalk.transport.framed import FramedConnection
 
-REQUEST_SECONDS = 2.0
+REQUEST_TIMEOUT_SECONDS = 2.0
 """Time within which an operator's command names what it wants."""
 
 
@@ -34,7 +34,9 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Answer a request; raises `MalformedMessage`, or `RequestTimeout` where none comes."""
-        request = OPERATOR_REQUEST_DECODER.decode(await connection.receive_request(REQUEST_SECONDS))
+        request = OPERATOR_REQUEST_DECODER.decode(
+            await connection.receive_request(REQUEST_TIMEOUT_SECONDS)
+        )
         await connection.send(codec.encode(await self._answer(request)))
 
     async def _answer(self, request: OperatorRequest) -> OperatorReply:
