--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.control.fleet.messages import HomedNodes, ReplicaBeat
+from jasperwalk.control.fleet.messages import HomedNodes, ReplicaHeartbeat
 from jasperwalk.fleet.messages import HOSTLESS, FleetUpdate, NodeRecord, NodeRole
 
 CLAIM_LIFETIME_SECONDS = 6.0
@@ -80,7 +80,7 @@
         own = self._claims[OWN_ID]
         return HomedNodes(self._life, own.sequence, True, list(own.records.values()), [])
 
-    def take_beat(self, sender: int, beat: ReplicaBeat, now: float) -> bool:
+    def take_beat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> bool:
         """Take a replica's sign of life; return True if its nodes must be asked for."""
         claims = self._claims.get(sender)
         if claims is None:
--- a/src/jasperwalk/control/fleet/messages.py
+++ b/src/jasperwalk/control/fleet/messages.py
@@ -12,7 +12,7 @@
 from jasperwalk.messages.codec import Decoder
 
 
-class ReplicaBeat(msgspec.Struct, frozen=True, array_like=True, tag=311):
+class ReplicaHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=311):
     """A replica to all others, at a steady pace.
 
     `life` names the sender's process. `leading` tells that it leads and has committed an
@@ -43,7 +43,7 @@
     """A replica missed a change: send all linked nodes."""
 
 
-ReplicaMessage = RaftPayload | LinkAlive | ReplicaBeat | HomedNodes | HomedNodesWanted
+ReplicaMessage = RaftPayload | LinkAlive | ReplicaHeartbeat | HomedNodes | HomedNodesWanted
 REPLICA_DECODER: Decoder[ReplicaMessage] = Decoder(ReplicaMessage)
 
 
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -32,7 +32,7 @@
     JoinRequest,
     JoinStatus,
     ReplicaAddress,
-    ReplicaBeat,
+    ReplicaHeartbeat,
     ReplicaMessage,
 )
 from jasperwalk.control.peer_links import LinkTimes, PeerNetwork
@@ -211,7 +211,7 @@
         match message:
             case RaftPayload():
                 self.runner.take(sender, message)
-            case ReplicaBeat():
+            case ReplicaHeartbeat():
                 self._take_beat(sender, message, now)
             case HomedNodes():
                 if self._directory.take_nodes(sender, message, now):
@@ -222,7 +222,7 @@
             case LinkAlive():
                 pass
 
-    def _take_beat(self, sender: int, beat: ReplicaBeat, now: float) -> None:
+    def _take_beat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> None:
         self._zones_in_force[sender] = ZonesInForce(beat.zones_in_force, now)
         if beat.leading:
             self._leader_sign = LeaderSign(sender, beat.version, beat.zones_revision, now)
@@ -238,7 +238,7 @@
 
     def _send_beat(self) -> None:
         version, zones_revision = self.applier.state.position()
-        beat = ReplicaBeat(
+        beat = ReplicaHeartbeat(
             life=self._life,
             leading=self.runner.is_settled,
             version=version,
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -4,7 +4,7 @@
     LOST_MEMORY_SECONDS,
     NodeDirectory,
 )
-from jasperwalk.control.fleet.messages import ReplicaBeat
+from jasperwalk.control.fleet.messages import ReplicaHeartbeat
 from jasperwalk.fleet.messages import HostPhase, NodeRecord, NodeRole
 
 
@@ -26,7 +26,7 @@
 
 
 def beat(life, sequence):
-    return ReplicaBeat(life=life, leading=False, version=0, sequence=sequence)
+    return ReplicaHeartbeat(life=life, leading=False, version=0, sequence=sequence)
 
 
 def test_an_announced_agent_is_told_once():
