--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -45,7 +45,7 @@
 PEER_LINK_TIMES = LinkTimes(
     connect_timeout=0.5, reconnect=0.15, alive_interval=0.25, silence_limit=0.9
 )
-HEARTBEAT_SECONDS = 0.12
+RAFT_HEARTBEAT_SECONDS = 0.12
 ELECTION_TIMEOUT_SECONDS = 0.7
 FIRST_ELECTION_SECONDS = 0.4
 BEAT_SECONDS = 0.25
@@ -141,7 +141,7 @@
         )
         raft = RaftConfig(
             initial_members=members,
-            heartbeat_interval_seconds=HEARTBEAT_SECONDS,
+            heartbeat_interval_seconds=RAFT_HEARTBEAT_SECONDS,
             election_timeout_seconds=ELECTION_TIMEOUT_SECONDS,
             first_election_seconds=FIRST_ELECTION_SECONDS,
         )
