--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -48,7 +48,7 @@
 RAFT_HEARTBEAT_SECONDS = 0.12
 ELECTION_TIMEOUT_SECONDS = 0.7
 FIRST_ELECTION_SECONDS = 0.4
-BEAT_SECONDS = 0.25
+REPLICA_HEARTBEAT_SECONDS = 0.25
 """Pace of the replicas' signs of life to each other."""
 CURRENT_SECONDS = 1.0
 """Age of the leader's sign of life, and of its quorum contact, up to which a replica counts
@@ -234,7 +234,7 @@
             self._send_beat()
             self._directory.expire(time.monotonic())
             self._on_change()
-            await asyncio.sleep(BEAT_SECONDS)
+            await asyncio.sleep(REPLICA_HEARTBEAT_SECONDS)
 
     def _send_beat(self) -> None:
         version, zones_revision = self.applier.state.position()
