--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -80,7 +80,7 @@
         own = self._claims[OWN_ID]
         return HomedNodes(self._life, own.sequence, True, list(own.records.values()), [])
 
-    def take_beat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> bool:
+    def on_heartbeat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> bool:
         """Take a replica's sign of life; return True if its nodes must be asked for."""
         claims = self._claims.get(sender)
         if claims is None:
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -226,7 +226,7 @@
         self._zones_in_force[sender] = ZonesInForce(beat.zones_in_force, now)
         if beat.leading:
             self._leader_sign = LeaderSign(sender, beat.version, beat.zones_revision, now)
-        if self._directory.take_beat(sender, beat, now):
+        if self._directory.on_heartbeat(sender, beat, now):
             self.network.send(sender, HomedNodesWanted())
 
     async def _beat(self) -> None:
