--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -212,7 +212,7 @@
             case RaftPayload():
                 self.runner.take(sender, message)
             case ReplicaHeartbeat():
-                self._take_beat(sender, message, now)
+                self._on_heartbeat(sender, message, now)
             case HomedNodes():
                 if self._directory.take_nodes(sender, message, now):
                     self.network.send(sender, HomedNodesWanted())
@@ -222,7 +222,7 @@
             case LinkAlive():
                 pass
 
-    def _take_beat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> None:
+    def _on_heartbeat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> None:
         self._zones_in_force[sender] = ZonesInForce(beat.zones_in_force, now)
         if beat.leading:
             self._leader_sign = LeaderSign(sender, beat.version, beat.zones_revision, now)
