--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -231,12 +231,12 @@
 
     async def _beat(self) -> None:
         while True:
-            self._send_beat()
+            self._send_heartbeat()
             self._directory.expire(time.monotonic())
             self._on_change()
             await asyncio.sleep(REPLICA_HEARTBEAT_SECONDS)
 
-    def _send_beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         version, zones_revision = self.applier.state.position()
         beat = ReplicaHeartbeat(
             life=self._life,
@@ -260,7 +260,7 @@
                 self._leading = self.runner.is_settled
                 event = "leadership-won" if self._leading else "leadership-lost"
                 logger.info(event, replica_id=self.replica_id, term=self.runner.term)
-                self._send_beat()
+                self._send_heartbeat()
             if self.is_current() != self._current:
                 self._current = not self._current
                 logger.info("replica-current", current=self._current, **self._position())
