--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -160,7 +160,13 @@
 
     async def run(self) -> None:
         """Serve until cancelled; raises `StorageError` or `ReplicaRemoved`."""
-        jobs = (self.runner.run(), self._beat(), self._watch(), self._join(), self._pilot())
+        jobs = (
+            self.runner.run(),
+            self._send_heartbeats(),
+            self._watch(),
+            self._join(),
+            self._pilot(),
+        )
         await run_together(jobs)
 
     async def close(self) -> None:
@@ -229,7 +235,7 @@
         if self._directory.on_heartbeat(sender, beat, now):
             self.network.send(sender, HomedNodesWanted())
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             self._send_heartbeat()
             self._directory.expire(time.monotonic())
