--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -80,13 +80,13 @@
         own = self._claims[OWN_ID]
         return HomedNodes(self._life, own.sequence, True, list(own.records.values()), [])
 
-    def on_heartbeat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> bool:
+    def on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> bool:
         """Take a replica's sign of life; return True if its nodes must be asked for."""
         claims = self._claims.get(sender)
         if claims is None:
             claims = self._claims[sender] = HomeClaims(0, 0, now)
         claims.last_contact_at = now
-        return (claims.life, claims.sequence) != (beat.life, beat.sequence)
+        return (claims.life, claims.sequence) != (heartbeat.life, heartbeat.sequence)
 
     def take_nodes(self, sender: int, news: HomedNodes, now: float) -> bool:
         """Take another replica's news; return True if a change before it was missed."""
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -228,11 +228,11 @@
             case LinkAlive():
                 pass
 
-    def _on_heartbeat(self, sender: int, beat: ReplicaHeartbeat, now: float) -> None:
-        self._zones_in_force[sender] = ZonesInForce(beat.zones_in_force, now)
-        if beat.leading:
-            self._leader_sign = LeaderSign(sender, beat.version, beat.zones_revision, now)
-        if self._directory.on_heartbeat(sender, beat, now):
+    def _on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> None:
+        self._zones_in_force[sender] = ZonesInForce(heartbeat.zones_in_force, now)
+        if heartbeat.leading:
+            self._leader_sign = LeaderSign(sender, heartbeat.version, heartbeat.zones_revision, now)
+        if self._directory.on_heartbeat(sender, heartbeat, now):
             self.network.send(sender, HomedNodesWanted())
 
     async def _send_heartbeats(self) -> None:
@@ -244,7 +244,7 @@
 
     def _send_heartbeat(self) -> None:
         version, zones_revision = self.applier.state.position()
-        beat = ReplicaHeartbeat(
+        heartbeat = ReplicaHeartbeat(
             life=self._life,
             leading=self.runner.is_settled,
             version=version,
@@ -253,7 +253,7 @@
             zones_in_force=self._own_zones_in_force(),
         )
         for replica_id in self.network.connected_ids():
-            self.network.send(replica_id, beat)
+            self.network.send(replica_id, heartbeat)
 
     async def _watch(self) -> None:
         """Tell the others at once of a change that nodes may be waiting for."""
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -25,7 +25,7 @@
     return {each.name for each in told.records if each.endpoint not in told.removed}
 
 
-def beat(life, sequence):
+def heartbeat(life, sequence):
     return ReplicaHeartbeat(life=life, leading=False, version=0, sequence=sequence)
 
 
@@ -73,11 +73,11 @@
     here, there = NodeDirectory(1), NodeDirectory(2)
     here.take_nodes(7, there.own_nodes(), 0.0)
     there.announce(node(1))
-    assert here.on_heartbeat(7, beat(2, there.sequence), 0.0) is True
+    assert here.on_heartbeat(7, heartbeat(2, there.sequence), 0.0) is True
     assert here.take_nodes(7, there.announce(node(2)), 0.0) is True
     assert names(here) == set()
     here.take_nodes(7, there.own_nodes(), 0.0)
-    assert here.on_heartbeat(7, beat(2, there.sequence), 0.0) is False
+    assert here.on_heartbeat(7, heartbeat(2, there.sequence), 0.0) is False
     assert names(here) == {"node-1", "node-2"}
 
 
@@ -86,7 +86,7 @@
     there.announce(node(1))
     here.take_nodes(7, there.own_nodes(), 0.0)
     restarted = NodeDirectory(3)
-    assert here.on_heartbeat(7, beat(3, 0), 1.0) is True
+    assert here.on_heartbeat(7, heartbeat(3, 0), 1.0) is True
     here.take_nodes(7, restarted.own_nodes(), 1.0)
     assert names(here) == set()
 
