--- a/src/jasperwalk/control/fleet/messages.py
+++ b/src/jasperwalk/control/fleet/messages.py
@@ -39,11 +39,11 @@
     removed: list[Endpoint]
 
 
-class HomedNodesWanted(msgspec.Struct, frozen=True, array_like=True, tag=313):
+class HomedNodesRequest(msgspec.Struct, frozen=True, array_like=True, tag=313):
     """A replica missed a change: send all linked nodes."""
 
 
-ReplicaMessage = RaftPayload | LinkAlive | ReplicaHeartbeat | HomedNodes | HomedNodesWanted
+ReplicaMessage = RaftPayload | LinkAlive | ReplicaHeartbeat | HomedNodes | HomedNodesRequest
 REPLICA_DECODER: Decoder[ReplicaMessage] = Decoder(ReplicaMessage)
 
 
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -27,7 +27,7 @@
 from jasperwalk.control.fleet.messages import (
     REPLICA_DECODER,
     HomedNodes,
-    HomedNodesWanted,
+    HomedNodesRequest,
     JoinReply,
     JoinRequest,
     JoinStatus,
@@ -221,9 +221,9 @@
                 self._on_heartbeat(sender, message, now)
             case HomedNodes():
                 if self._directory.take_nodes(sender, message, now):
-                    self.network.send(sender, HomedNodesWanted())
+                    self.network.send(sender, HomedNodesRequest())
                 self._on_change()
-            case HomedNodesWanted():
+            case HomedNodesRequest():
                 self.network.send(sender, self._directory.own_nodes())
             case LinkAlive():
                 pass
@@ -233,7 +233,7 @@
         if heartbeat.leading:
             self._leader_sign = LeaderSign(sender, heartbeat.version, heartbeat.zones_revision, now)
         if self._directory.on_heartbeat(sender, heartbeat, now):
-            self.network.send(sender, HomedNodesWanted())
+            self.network.send(sender, HomedNodesRequest())
 
     async def _send_heartbeats(self) -> None:
         while True:
