--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -35,7 +35,7 @@
 class HomeClaims:
     """What one replica says of the nodes linked to it."""
 
-    life: int
+    process_incarnation: int
     sequence: int
     last_contact_at: float
     records: dict[Endpoint, NodeRecord] = field(default_factory=dict)
@@ -44,9 +44,9 @@
 class NodeDirectory:
     """Merges the claims of all homes; sans-IO, time in seconds is a parameter."""
 
-    def __init__(self, life: int) -> None:
-        self._life = life
-        self._claims: dict[int, HomeClaims] = {OWN_ID: HomeClaims(life, 0, 0.0)}
+    def __init__(self, process_incarnation: int) -> None:
+        self._life = process_incarnation
+        self._claims: dict[int, HomeClaims] = {OWN_ID: HomeClaims(process_incarnation, 0, 0.0)}
         self._merged: dict[Endpoint, NodeRecord] = {}
         self._changed: dict[Endpoint, None] = {}
         self._lost: dict[Endpoint, LostNode] = {}
@@ -86,19 +86,25 @@
         if claims is None:
             claims = self._claims[sender] = HomeClaims(0, 0, now)
         claims.last_contact_at = now
-        return (claims.life, claims.sequence) != (heartbeat.life, heartbeat.sequence)
+        return (claims.process_incarnation, claims.sequence) != (
+            heartbeat.process_incarnation,
+            heartbeat.sequence,
+        )
 
     def take_nodes(self, sender: int, news: HomedNodes, now: float) -> bool:
         """Take another replica's news; return True if a change before it was missed."""
         claims = self._claims.setdefault(sender, HomeClaims(0, 0, now))
         claims.last_contact_at = now
         if not news.whole:
-            if news.life != claims.life or news.sequence != claims.sequence + 1:
+            if (
+                news.process_incarnation != claims.process_incarnation
+                or news.sequence != claims.sequence + 1
+            ):
                 return True
         else:
             listed = {record.endpoint for record in news.records}
             self._release(claims, [each for each in claims.records if each not in listed], now)
-        claims.life = news.life
+        claims.process_incarnation = news.process_incarnation
         claims.sequence = news.sequence
         self._release(claims, news.removed, now)
         for record in news.records:
--- a/src/jasperwalk/control/fleet/messages.py
+++ b/src/jasperwalk/control/fleet/messages.py
@@ -15,13 +15,13 @@
 class ReplicaHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=311):
     """A replica to all others, at a steady pace.
 
-    `life` names the sender's process. `leading` tells that it leads and has committed an
+    `process_incarnation` names the sender's process. `leading` tells that it leads and has committed an
     entry of its own term; `version` is the configuration it holds, `zones_revision` the drained
     zones, `zones_in_force` what every node that is linked to it goes by. `sequence` numbers the
     changes of those nodes.
     """
 
-    life: int
+    process_incarnation: int
     leading: bool
     version: int
     sequence: int
@@ -32,7 +32,7 @@
 class HomedNodes(msgspec.Struct, frozen=True, array_like=True, tag=312):
     """A replica's linked nodes: all of them (`whole`), or the one change before `sequence`."""
 
-    life: int
+    process_incarnation: int
     sequence: int
     whole: bool
     records: list[NodeRecord]
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -176,7 +176,7 @@
             seeds=seeds,
             founding=settings.founding,
             directory=self.directory,
-            life=self._life,
+            process_incarnation=self._life,
             random=self._random,
             on_change=self._publish,
             own_zones_in_force=self._homes.zones_in_force,
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -98,7 +98,7 @@
         seeds: list[Endpoint],
         founding: bool,
         directory: NodeDirectory,
-        life: int,
+        process_incarnation: int,
         random: Random,
         on_change: Callable[[], None],
         own_zones_in_force: Callable[[], int] = lambda: 0,
@@ -111,7 +111,7 @@
         self._seeds = seeds
         self._founding = founding
         self._directory = directory
-        self._life = life
+        self._life = process_incarnation
         self._autopilot = Autopilot()
         self._leader_sign = LeaderSign()
         self._on_change = on_change
@@ -245,7 +245,7 @@
     def _send_heartbeat(self) -> None:
         version, zones_revision = self.applier.state.position()
         heartbeat = ReplicaHeartbeat(
-            life=self._life,
+            process_incarnation=self._life,
             leading=self.runner.is_settled,
             version=version,
             sequence=self._directory.sequence,
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -25,8 +25,10 @@
     return {each.name for each in told.records if each.endpoint not in told.removed}
 
 
-def heartbeat(life, sequence):
-    return ReplicaHeartbeat(life=life, leading=False, version=0, sequence=sequence)
+def heartbeat(process_incarnation, sequence):
+    return ReplicaHeartbeat(
+        process_incarnation=process_incarnation, leading=False, version=0, sequence=sequence
+    )
 
 
 def test_an_announced_agent_is_told_once():
