--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -45,7 +45,7 @@
     """Merges the claims of all homes; sans-IO, time in seconds is a parameter."""
 
     def __init__(self, process_incarnation: int) -> None:
-        self._life = process_incarnation
+        self._process_incarnation = process_incarnation
         self._claims: dict[int, HomeClaims] = {OWN_ID: HomeClaims(process_incarnation, 0, 0.0)}
         self._merged: dict[Endpoint, NodeRecord] = {}
         self._changed: dict[Endpoint, None] = {}
@@ -62,7 +62,7 @@
         own.records[record.endpoint] = record
         self._merge(record)
         own.sequence += 1
-        return HomedNodes(self._life, own.sequence, False, [record], [])
+        return HomedNodes(self._process_incarnation, own.sequence, False, [record], [])
 
     def unlink(self, record: NodeRecord, now: float) -> HomedNodes | None:
         """Note that a node's link ended; None if a newer process took its place."""
@@ -73,12 +73,14 @@
         del own.records[record.endpoint]
         self._drop(record.endpoint, held, now)
         own.sequence += 1
-        return HomedNodes(self._life, own.sequence, False, [], [record.endpoint])
+        return HomedNodes(self._process_incarnation, own.sequence, False, [], [record.endpoint])
 
     def own_nodes(self) -> HomedNodes:
         """Return all nodes linked to this replica, for a replica that missed a change."""
         own = self._claims[OWN_ID]
-        return HomedNodes(self._life, own.sequence, True, list(own.records.values()), [])
+        return HomedNodes(
+            self._process_incarnation, own.sequence, True, list(own.records.values()), []
+        )
 
     def on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> bool:
         """Take a replica's sign of life; return True if its nodes must be asked for."""
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -51,11 +51,11 @@
     def __init__(self, settings: FleetControlSettings, interface: OperatorsInterface) -> None:
         self._settings = settings
         self._address = settings.advertised_endpoint()
-        self._life = secrets.randbits(LIFE_BITS)
-        self._random = random.Random(self._life)
+        self._process_incarnation = secrets.randbits(LIFE_BITS)
+        self._random = random.Random(self._process_incarnation)
         self._replica: FleetReplica | None = None
         self._renew = False
-        self.directory = NodeDirectory(self._life)
+        self.directory = NodeDirectory(self._process_incarnation)
         self._homes = HomeLinks(self.directory, self._home_view, self._notify_replicas)
         operators = settings.operators_endpoint()
         service = ConfigurationService(lambda: self._replica)
@@ -176,7 +176,7 @@
             seeds=seeds,
             founding=settings.founding,
             directory=self.directory,
-            process_incarnation=self._life,
+            process_incarnation=self._process_incarnation,
             random=self._random,
             on_change=self._publish,
             own_zones_in_force=self._homes.zones_in_force,
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -111,7 +111,7 @@
         self._seeds = seeds
         self._founding = founding
         self._directory = directory
-        self._life = process_incarnation
+        self._process_incarnation = process_incarnation
         self._autopilot = Autopilot()
         self._leader_sign = LeaderSign()
         self._on_change = on_change
@@ -245,7 +245,7 @@
     def _send_heartbeat(self) -> None:
         version, zones_revision = self.applier.state.position()
         heartbeat = ReplicaHeartbeat(
-            process_incarnation=self._life,
+            process_incarnation=self._process_incarnation,
             leading=self.runner.is_settled,
             version=version,
             sequence=self._directory.sequence,
