--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -36,7 +36,7 @@
 
 REOPEN_SECONDS = 0.4
 """Pause before a replica whose disk failed opens it again."""
-LIFE_BITS = 62
+INCARNATION_BITS = 62
 TRANSFER_TIMEOUT_SECONDS = 1.0
 
 OperatorsInterface = Callable[[ConfigurationService, ZoneOrders, int], HttpHandler]
@@ -51,7 +51,7 @@
     def __init__(self, settings: FleetControlSettings, interface: OperatorsInterface) -> None:
         self._settings = settings
         self._address = settings.advertised_endpoint()
-        self._process_incarnation = secrets.randbits(LIFE_BITS)
+        self._process_incarnation = secrets.randbits(INCARNATION_BITS)
         self._random = random.Random(self._process_incarnation)
         self._replica: FleetReplica | None = None
         self._renew = False
