--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -93,7 +93,7 @@
             heartbeat.sequence,
         )
 
-    def take_nodes(self, sender: int, news: HomedNodes, now: float) -> bool:
+    def merge_nodes(self, sender: int, news: HomedNodes, now: float) -> bool:
         """Take another replica's news; return True if a change before it was missed."""
         claims = self._claims.setdefault(sender, HomeClaims(0, 0, now))
         claims.last_contact_at = now
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -220,7 +220,7 @@
             case ReplicaHeartbeat():
                 self._on_heartbeat(sender, message, now)
             case HomedNodes():
-                if self._directory.take_nodes(sender, message, now):
+                if self._directory.merge_nodes(sender, message, now):
                     self.network.send(sender, HomedNodesRequest())
                 self._on_change()
             case HomedNodesRequest():
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -63,22 +63,22 @@
 
 def test_news_of_another_home_are_merged():
     here, there = NodeDirectory(1), NodeDirectory(2)
-    assert here.take_nodes(7, there.announce(node(1)), 0.0) is True
-    assert here.take_nodes(7, there.own_nodes(), 0.0) is False
-    assert here.take_nodes(7, there.announce(node(2)), 0.0) is False
+    assert here.merge_nodes(7, there.announce(node(1)), 0.0) is True
+    assert here.merge_nodes(7, there.own_nodes(), 0.0) is False
+    assert here.merge_nodes(7, there.announce(node(2)), 0.0) is False
     assert names(here) == {"node-1", "node-2"}
-    assert here.take_nodes(7, there.unlink(node(1), 0.0), 0.0) is False
+    assert here.merge_nodes(7, there.unlink(node(1), 0.0), 0.0) is False
     assert names(here) == {"node-2"}
 
 
 def test_a_missed_change_is_noticed_by_the_next_change_and_by_a_beat():
     here, there = NodeDirectory(1), NodeDirectory(2)
-    here.take_nodes(7, there.own_nodes(), 0.0)
+    here.merge_nodes(7, there.own_nodes(), 0.0)
     there.announce(node(1))
     assert here.on_heartbeat(7, heartbeat(2, there.sequence), 0.0) is True
-    assert here.take_nodes(7, there.announce(node(2)), 0.0) is True
+    assert here.merge_nodes(7, there.announce(node(2)), 0.0) is True
     assert names(here) == set()
-    here.take_nodes(7, there.own_nodes(), 0.0)
+    here.merge_nodes(7, there.own_nodes(), 0.0)
     assert here.on_heartbeat(7, heartbeat(2, there.sequence), 0.0) is False
     assert names(here) == {"node-1", "node-2"}
 
@@ -86,30 +86,30 @@
 def test_a_restarted_home_is_asked_for_everything():
     here, there = NodeDirectory(1), NodeDirectory(2)
     there.announce(node(1))
-    here.take_nodes(7, there.own_nodes(), 0.0)
+    here.merge_nodes(7, there.own_nodes(), 0.0)
     restarted = NodeDirectory(3)
     assert here.on_heartbeat(7, heartbeat(3, 0), 1.0) is True
-    here.take_nodes(7, restarted.own_nodes(), 1.0)
+    here.merge_nodes(7, restarted.own_nodes(), 1.0)
     assert names(here) == set()
 
 
 def test_a_node_that_moved_between_homes_stays_when_the_old_home_notices_late():
     here, old, new = NodeDirectory(1), NodeDirectory(2), NodeDirectory(3)
     old.announce(node(1))
-    here.take_nodes(7, old.own_nodes(), 0.0)
+    here.merge_nodes(7, old.own_nodes(), 0.0)
     new.announce(node(1))
-    here.take_nodes(8, new.own_nodes(), 1.0)
-    here.take_nodes(7, old.unlink(node(1), 0.0), 2.0)
+    here.merge_nodes(8, new.own_nodes(), 1.0)
+    here.merge_nodes(7, old.unlink(node(1), 0.0), 2.0)
     assert names(here) == {"node-1"}
 
 
 def test_a_restarted_node_at_a_new_home_is_not_overwritten_by_the_old_homes_removal():
     here, old, new = NodeDirectory(1), NodeDirectory(2), NodeDirectory(3)
     old.announce(node(1))
-    here.take_nodes(7, old.own_nodes(), 0.0)
+    here.merge_nodes(7, old.own_nodes(), 0.0)
     new.announce(node(1, incarnation=2, phase=HostPhase.DRAINING))
-    here.take_nodes(8, new.own_nodes(), 1.0)
-    here.take_nodes(7, old.unlink(node(1), 0.0), 2.0)
+    here.merge_nodes(8, new.own_nodes(), 1.0)
+    here.merge_nodes(7, old.unlink(node(1), 0.0), 2.0)
     (held,) = here.agents(2.0).records
     assert (held.incarnation, held.phase) == (2, HostPhase.DRAINING)
 
@@ -117,7 +117,7 @@
 def test_a_silent_homes_nodes_are_kept_until_they_had_time_to_move():
     here, there = NodeDirectory(1), NodeDirectory(2)
     there.announce(node(1))
-    here.take_nodes(7, there.own_nodes(), 0.0)
+    here.merge_nodes(7, there.own_nodes(), 0.0)
     here.expire(CLAIM_LIFETIME_SECONDS / 2)
     assert names(here) == {"node-1"}
     here.expire(CLAIM_LIFETIME_SECONDS + 0.1)
