--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -93,23 +93,23 @@
             heartbeat.sequence,
         )
 
-    def merge_nodes(self, sender: int, news: HomedNodes, now: float) -> bool:
+    def merge_nodes(self, sender: int, update: HomedNodes, now: float) -> bool:
         """Take another replica's news; return True if a change before it was missed."""
         claims = self._claims.setdefault(sender, HomeClaims(0, 0, now))
         claims.last_contact_at = now
-        if not news.whole:
+        if not update.whole:
             if (
-                news.process_incarnation != claims.process_incarnation
-                or news.sequence != claims.sequence + 1
+                update.process_incarnation != claims.process_incarnation
+                or update.sequence != claims.sequence + 1
             ):
                 return True
         else:
-            listed = {record.endpoint for record in news.records}
+            listed = {record.endpoint for record in update.records}
             self._release(claims, [each for each in claims.records if each not in listed], now)
-        claims.process_incarnation = news.process_incarnation
-        claims.sequence = news.sequence
-        self._release(claims, news.removed, now)
-        for record in news.records:
+        claims.process_incarnation = update.process_incarnation
+        claims.sequence = update.sequence
+        self._release(claims, update.removed, now)
+        for record in update.records:
             if claims.records.get(record.endpoint) != record:
                 claims.records[record.endpoint] = record
                 self._merge(record)
--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -191,8 +191,8 @@
             incarnation=record.incarnation,
             new_link=is_new,
         )
-        news = self._directory.announce(record)
-        self._notify_replicas(news)
+        update = self._directory.announce(record)
+        self._notify_replicas(update)
         if is_new:
             self._send_first(link, record, self._view())
         self.publish_fleet()
@@ -229,9 +229,9 @@
         if link.record is None:
             return
         logger.info("node-lost", node=link.record.name, reason=reason)
-        news = self._directory.unlink(link.record, time.monotonic())
-        if news is not None:
-            self._notify_replicas(news)
+        update = self._directory.unlink(link.record, time.monotonic())
+        if update is not None:
+            self._notify_replicas(update)
             self._list_standing(link.record.endpoint)
         self.publish_fleet()
 
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -219,9 +219,9 @@
         replica = self._replica
         return 0 if replica is None else len(replica.runner.membership.voter_ids())
 
-    def _notify_replicas(self, news: HomedNodes) -> None:
+    def _notify_replicas(self, update: HomedNodes) -> None:
         if self._replica is not None:
-            self._replica.notify_replicas(news)
+            self._replica.notify_replicas(update)
 
     def _answer_join(self, request: JoinRequest) -> JoinReply:
         if self._replica is None:
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -207,10 +207,10 @@
         ]
         return min([self._own_zones_in_force(), *fresh])
 
-    def notify_replicas(self, news: HomedNodes) -> None:
+    def notify_replicas(self, update: HomedNodes) -> None:
         """Pass news of the linked nodes on."""
         for replica_id in self.network.connected_ids():
-            self.network.send(replica_id, news)
+            self.network.send(replica_id, update)
 
     def _take(self, sender: int, message: ReplicaMessage) -> None:
         now = time.monotonic()
