--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -84,7 +84,7 @@
         self.links = HomeLinks(
             self.directory,
             lambda: HomeView(True, ROUTES, [], 0, self.zones, self.warm_ups),
-            lambda news: None,
+            lambda update: None,
             interval_seconds,
         )
         self.tasks = []
