--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -172,12 +172,12 @@
         if link not in self._links:
             raise ConnectionLost(reason="replaced by a newer link")
         if isinstance(message, Announce):
-            self._announced(link, message.record)
+            self._on_announce(link, message.record)
         else:
             link.zones_revision = message.zones_revision
         link.send(view.status())
 
-    def _announced(self, link: NodeLink, record: NodeRecord) -> None:
+    def _on_announce(self, link: NodeLink, record: NodeRecord) -> None:
         is_new = link.record is None
         if is_new:
             self._end_former_links(record)
