--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -164,7 +164,7 @@
             connection.abort()
         finally:
             self._links.discard(link)
-            self._forget(link, reason)
+            self._on_link_ended(link, reason)
 
     def _take(self, link: NodeLink, payload: bytes) -> None:
         message = NODE_DECODER.decode(payload)
@@ -225,7 +225,7 @@
                 former.record = None
                 former.connection.abort()
 
-    def _forget(self, link: NodeLink, reason: str) -> None:
+    def _on_link_ended(self, link: NodeLink, reason: str) -> None:
         if link.record is None:
             return
         logger.info("node-lost", node=link.record.name, reason=reason)
