--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -232,10 +232,10 @@
         update = self._directory.unlink(link.record, time.monotonic())
         if update is not None:
             self._notify_replicas(update)
-            self._list_standing(link.record.endpoint)
+            self._announce_remaining_link(link.record.endpoint)
         self.publish_fleet()
 
-    def _list_standing(self, endpoint: Endpoint) -> None:
+    def _announce_remaining_link(self, endpoint: Endpoint) -> None:
         """List the process whose link stands at an unlisted end point.
 
         Another process's announcement that came late had taken its place.
