--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -180,7 +180,7 @@
     def _on_announce(self, link: NodeLink, record: NodeRecord) -> None:
         is_new = link.record is None
         if is_new:
-            self._end_former_links(record)
+            self._close_previous_links(record)
         link.record = record
         logger.info(
             "node-announced",
@@ -213,7 +213,7 @@
             if link.record is not None and link.record.endpoint == endpoint
         ]
 
-    def _end_former_links(self, record: NodeRecord) -> None:
+    def _close_previous_links(self, record: NodeRecord) -> None:
         """End the links that the same process opened before: it has given them up.
 
         Their end must not unlist the node, nor may they still change its record.
