--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -319,9 +319,9 @@
             try:
                 send(link)
             except JasperwalkError as error:
-                self._give_up(link, error)
+                self._drop_link(link, error)
 
-    def _give_up(self, link: NodeLink, error: JasperwalkError) -> None:
+    def _drop_link(self, link: NodeLink, error: JasperwalkError) -> None:
         """End a link that takes nothing more; `serve` then forgets its node.
 
         It leaves the set at once: when many links end together, what is published about the
