--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -205,7 +205,7 @@
             link.send_routes(view.routes)
         link.send(self._directory.agents(time.monotonic()))
 
-    def _links_of(self, endpoint: Endpoint) -> list[NodeLink]:
+    def _links_at(self, endpoint: Endpoint) -> list[NodeLink]:
         """Return the links that have announced a node at `endpoint`."""
         return [
             link
@@ -218,7 +218,7 @@
 
         Their end must not unlist the node, nor may they still change its record.
         """
-        for former in self._links_of(record.endpoint):
+        for former in self._links_at(record.endpoint):
             if former.record is not None and former.record.incarnation == record.incarnation:
                 logger.info("node-link-replaced", node=record.name)
                 self._links.discard(former)
@@ -240,7 +240,7 @@
 
         Another process's announcement that came late had taken its place.
         """
-        for standing in self._links_of(endpoint):
+        for standing in self._links_at(endpoint):
             if standing.record is not None:
                 self._notify_replicas(self._directory.announce(standing.record))
 
