--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -296,8 +296,8 @@
             return
         self._published_position = position
         announced = [link for link in self._links if link.record is not None]
-        self._to_links(announced, lambda link: link.send_zones(view.zones))
-        self._to_links(
+        self._send_each(announced, lambda link: link.send_zones(view.zones))
+        self._send_each(
             announced, lambda link: link.send_warm_up(view.routes.version, view.warm_ups)
         )
 
@@ -307,14 +307,14 @@
             for link in self._links
             if link.record is not None and link.record.role is NodeRole.BALANCER
         ]
-        self._to_links(balancers, send)
+        self._send_each(balancers, send)
 
     def _send_to_all(self, links: Iterable[NodeLink], message: HomeStatus | FleetUpdate) -> None:
         """Send one message to several links, encoded once."""
         payload = codec.encode(message)
-        self._to_links(links, lambda link: link.connection.write(payload))
+        self._send_each(links, lambda link: link.connection.write(payload))
 
-    def _to_links(self, links: Iterable[NodeLink], send: Callable[[NodeLink], None]) -> None:
+    def _send_each(self, links: Iterable[NodeLink], send: Callable[[NodeLink], None]) -> None:
         for link in links:
             try:
                 send(link)
