--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -281,7 +281,7 @@
     def publish_routes(self) -> None:
         """Send the linked balancers the routes in force."""
         routes = self._view().routes
-        self._to_balancers(lambda link: link.send_routes(routes))
+        self._send_each_balancer(lambda link: link.send_routes(routes))
 
     def zones_in_force(self) -> int:
         """Return the zones' revision that every linked node goes by, or a newer one."""
@@ -301,7 +301,7 @@
             announced, lambda link: link.send_warm_up(view.routes.version, view.warm_ups)
         )
 
-    def _to_balancers(self, send: Callable[[NodeLink], None]) -> None:
+    def _send_each_balancer(self, send: Callable[[NodeLink], None]) -> None:
         balancers = [
             link
             for link in self._links
