--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -194,10 +194,10 @@
         update = self._directory.announce(record)
         self._notify_replicas(update)
         if is_new:
-            self._send_first(link, record, self._view())
+            self._send_initial_state(link, record, self._view())
         self.publish_fleet()
 
-    def _send_first(self, link: NodeLink, record: NodeRecord, view: HomeView) -> None:
+    def _send_initial_state(self, link: NodeLink, record: NodeRecord, view: HomeView) -> None:
         """Send a node that links up what it goes by: the zones come before what they restrict."""
         link.send_zones(view.zones)
         link.send_warm_up(view.routes.version, view.warm_ups)
