--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -156,7 +156,7 @@
             while True:
                 async with asyncio.timeout(NODE_SILENCE_SECONDS):
                     payload = await connection.receive()
-                self._take(link, payload)
+                self._handle_message(link, payload)
         except TimeoutError:
             connection.abort()
         except JasperwalkError as error:
@@ -166,7 +166,7 @@
             self._links.discard(link)
             self._on_link_ended(link, reason)
 
-    def _take(self, link: NodeLink, payload: bytes) -> None:
+    def _handle_message(self, link: NodeLink, payload: bytes) -> None:
         message = NODE_DECODER.decode(payload)
         view = self._view()
         if link not in self._links:
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -126,7 +126,7 @@
             name,
             identity.replica_id,
             CLUSTER_ID,
-            self._take,
+            self._handle_message,
             decoder=REPLICA_DECODER,
             times=PEER_LINK_TIMES,
         )
@@ -212,7 +212,7 @@
         for replica_id in self.network.connected_ids():
             self.network.send(replica_id, update)
 
-    def _take(self, sender: int, message: ReplicaMessage) -> None:
+    def _handle_message(self, sender: int, message: ReplicaMessage) -> None:
         now = time.monotonic()
         match message:
             case RaftPayload():
