--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -100,7 +100,7 @@
         self._selector.arrived(link, now)
         effects.extend(self._heartbeat(link, now))
         if link in self._subscribers:
-            effects.extend(self._notify_replicas(link))
+            effects.extend(self._send_replica_endpoints(link))
             effects.extend(self._flush(link, now))
         return effects
 
@@ -144,7 +144,7 @@
         self._replicas = ReplicaEndpoints(index=index, endpoints=endpoints)
         effects: list[PublisherEffect] = []
         for link in self._subscribers.all():
-            effects.extend(self._notify_replicas(link))
+            effects.extend(self._send_replica_endpoints(link))
         return effects
 
     def note_quorum_age(self, now: float, quorum_age: float) -> None:
@@ -289,7 +289,7 @@
         effects.append(self._send(link, payload))
         return effects
 
-    def _notify_replicas(self, link: SubscriberLink) -> list[PublisherEffect]:
+    def _send_replica_endpoints(self, link: SubscriberLink) -> list[PublisherEffect]:
         if self._replicas is None:
             return []
         return [self._send(link, codec.encode(self._replicas))]
