--- a/src/jasperwalk/control/fleet/committing.py
+++ b/src/jasperwalk/control/fleet/committing.py
@@ -34,7 +34,7 @@
     reason: str
 
 
-def refer(replica: FleetReplica) -> AskLeader | Unavailable:
+def refer_to_leader(replica: FleetReplica) -> AskLeader | Unavailable:
     """Return where the leader is, as far as this replica knows."""
     address = replica.leader_address()
     return Unavailable("no leader") if address is None else AskLeader(address)
--- a/src/jasperwalk/control/fleet/configurations.py
+++ b/src/jasperwalk/control/fleet/configurations.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer
+from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer_to_leader
 from jasperwalk.control.fleet.replica import FleetReplica
 from jasperwalk.control.fleet.versioned_state import (
     HeldConfiguration,
@@ -83,7 +83,7 @@
         if replica is None:
             return Unavailable("replica is starting")
         if not replica.runner.is_leader:
-            return refer(replica)
+            return refer_to_leader(replica)
         outcome = await commit(replica, command)
         if isinstance(outcome, PutOutcome):
             return Acknowledged(command.version, outcome.held_version)
@@ -95,7 +95,7 @@
         if replica is None:
             return Unavailable("replica is starting")
         if not replica.runner.is_leader:
-            return refer(replica)
+            return refer_to_leader(replica)
         if not replica.runner.is_settled or replica.runner.quorum_age() > READ_QUORUM_SECONDS:
             return Unavailable("no quorum")
         held = replica.applier.state.held
--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer
+from jasperwalk.control.fleet.committing import AskLeader, Unavailable, commit, refer_to_leader
 from jasperwalk.control.fleet.replica import FleetReplica
 from jasperwalk.control.fleet.stale_orders import (
     Leadership,
@@ -129,7 +129,7 @@
         if replica is None:
             return Unavailable("replica is starting")
         if not replica.runner.is_leader:
-            return refer(replica)
+            return refer_to_leader(replica)
         if zone not in replica.applier.state.zones.drained and zone not in self._known_zones():
             self.counters.zone_orders_unknown += 1
             return UnknownZone(zone[:LONGEST_NAME_CHARACTERS])
@@ -166,7 +166,7 @@
         if replica is None:
             return Unavailable("replica is starting")
         if not replica.is_current():
-            return refer(replica)
+            return refer_to_leader(replica)
         states = replica.applier.state.zones
         names = sorted({*self._known_zones(), *states.drained})
         listed = tuple(ZoneListed(name, states.drained.get(name, False)) for name in names)
