--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -11,7 +11,7 @@
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.pace import encode_pace
-from jasperwalk.scheduling.host_pace import RECKONING_SECONDS, HostPace
+from jasperwalk.scheduling.host_service_times import RECKONING_SECONDS, HostPace
 from jasperwalk.scheduling.slow_host import SlowHost
 
 SEED = 20261202
--- a/src/jasperwalk/agent/datagrams/pace_watch.py
+++ b/src/jasperwalk/agent/datagrams/pace_watch.py
@@ -10,7 +10,7 @@
 from jasperwalk.flows.frames import OpeningTerms, RefusalReason
 from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.scheduling.host_pace import HostPace
+from jasperwalk.scheduling.host_service_times import HostPace
 from jasperwalk.scheduling.slow_host import SlowHost
 
 
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Hashable
 
-from jasperwalk.scheduling.host_pace import HostPace
+from jasperwalk.scheduling.host_service_times import HostPace
 
 SLOW_FACTOR = 3.0
 """Slowness from which a host counts as slow: twice as long is usual for single requests."""
--- a/tests/scheduling/test_host_pace.py
+++ b/tests/scheduling/test_host_pace.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.scheduling.host_pace import (
+from jasperwalk.scheduling.host_service_times import (
     LEARNING_REQUESTS,
     MAXIMUM_OBSERVATIONS,
     MOST_KINDS,
