--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -16,7 +16,7 @@
 
 CLAIM_LIFETIME_SECONDS = 6.0
 """A silent replica's claims are kept this long: its nodes find another home meanwhile."""
-LOST_MEMORY_SECONDS = 5.0
+LOST_NODE_RETENTION_SECONDS = 5.0
 """An agent that left without deregistering is still listed to balancers that link up for this
 long: it may only be restarting, and its host holds flows meanwhile."""
 OWN_ID = 0
@@ -118,7 +118,7 @@
     def expire(self, now: float) -> None:
         """Forget the claims of replicas that have been silent for too long, and lost nodes."""
         for endpoint, lost in list(self._lost.items()):
-            if now - lost.at > LOST_MEMORY_SECONDS:
+            if now - lost.at > LOST_NODE_RETENTION_SECONDS:
                 del self._lost[endpoint]
         for replica_id, claims in list(self._claims.items()):
             silent = now - claims.last_contact_at > CLAIM_LIFETIME_SECONDS
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -1,7 +1,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.control.fleet.directory import (
     CLAIM_LIFETIME_SECONDS,
-    LOST_MEMORY_SECONDS,
+    LOST_NODE_RETENTION_SECONDS,
     NodeDirectory,
 )
 from jasperwalk.control.fleet.messages import ReplicaHeartbeat
@@ -139,7 +139,7 @@
     assert told.removals() == [(node(1).endpoint, 2.5)]
     assert told.records == [node(1)]
     assert told.removed == [node(1).endpoint]
-    directory.expire(10.0 + LOST_MEMORY_SECONDS + 0.1)
+    directory.expire(10.0 + LOST_NODE_RETENTION_SECONDS + 0.1)
     assert names(directory) == set()
 
 
