--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -28,7 +28,7 @@
     """A node that left without deregistering, and when."""
 
     record: NodeRecord
-    at: float
+    lost_at: float
 
 
 @dataclass
@@ -118,7 +118,7 @@
     def expire(self, now: float) -> None:
         """Forget the claims of replicas that have been silent for too long, and lost nodes."""
         for endpoint, lost in list(self._lost.items()):
-            if now - lost.at > LOST_NODE_RETENTION_SECONDS:
+            if now - lost.lost_at > LOST_NODE_RETENTION_SECONDS:
                 del self._lost[endpoint]
         for replica_id, claims in list(self._claims.items()):
             silent = now - claims.last_contact_at > CLAIM_LIFETIME_SECONDS
@@ -161,7 +161,7 @@
             whole=True,
             records=[*(each.record for each in lost), *held],
             removed=[each.record.endpoint for each in lost],
-            removed_seconds_ago=[now - each.at for each in lost],
+            removed_seconds_ago=[now - each.lost_at for each in lost],
         )
 
     def has_changes(self) -> bool:
