--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.datagrams.held_flow import HeldFlow
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.flows.codec import SocketAddress
-from jasperwalk.scheduling.requests_under_way import RequestsUnderWay
+from jasperwalk.scheduling.requests_in_flight import RequestsUnderWay
 
 LIFETIME_SLACK_SECONDS = 10.0
 
--- a/tests/scheduling/test_requests_under_way.py
+++ b/tests/scheduling/test_requests_under_way.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jasperwalk.scheduling.requests_under_way import (
+from jasperwalk.scheduling.requests_in_flight import (
     LONGEST_OVERDUE_SECONDS,
     ORDINARY_SECONDS,
     SHORTEST_OVERDUE_SECONDS,
