--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -105,10 +105,12 @@
                 return True
         else:
             listed = {record.endpoint for record in update.records}
-            self._release(claims, [each for each in claims.records if each not in listed], now)
+            self._remove_claims(
+                claims, [each for each in claims.records if each not in listed], now
+            )
         claims.process_incarnation = update.process_incarnation
         claims.sequence = update.sequence
-        self._release(claims, update.removed, now)
+        self._remove_claims(claims, update.removed, now)
         for record in update.records:
             if claims.records.get(record.endpoint) != record:
                 claims.records[record.endpoint] = record
@@ -124,9 +126,9 @@
             silent = now - claims.last_contact_at > CLAIM_LIFETIME_SECONDS
             if replica_id != OWN_ID and silent:
                 del self._claims[replica_id]
-                self._release(claims, list(claims.records), now)
+                self._remove_claims(claims, list(claims.records), now)
 
-    def _release(self, claims: HomeClaims, endpoints: Iterable[Endpoint], now: float) -> None:
+    def _remove_claims(self, claims: HomeClaims, endpoints: Iterable[Endpoint], now: float) -> None:
         for endpoint in endpoints:
             record = claims.records.pop(endpoint, None)
             if record is not None:
