--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -71,7 +71,7 @@
         if held is None or held.incarnation != record.incarnation:
             return None
         del own.records[record.endpoint]
-        self._drop(record.endpoint, held, now)
+        self._remove_claim(record.endpoint, held, now)
         own.sequence += 1
         return HomedNodes(self._process_incarnation, own.sequence, False, [], [record.endpoint])
 
@@ -132,7 +132,7 @@
         for endpoint in endpoints:
             record = claims.records.pop(endpoint, None)
             if record is not None:
-                self._drop(endpoint, record, now)
+                self._remove_claim(endpoint, record, now)
 
     def _merge(self, record: NodeRecord) -> None:
         self._lost.pop(record.endpoint, None)
@@ -140,7 +140,7 @@
             self._merged[record.endpoint] = record
             self._changed[record.endpoint] = None
 
-    def _drop(self, endpoint: Endpoint, record: NodeRecord, now: float) -> None:
+    def _remove_claim(self, endpoint: Endpoint, record: NodeRecord, now: float) -> None:
         """Forget a claim; another home's claim of the same node takes its place."""
         held = self._merged.get(endpoint)
         if held is None or held.incarnation != record.incarnation:
