--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -25,8 +25,8 @@
 from jasperwalk.agent.datagrams.host_packets import HostPackets
 from jasperwalk.agent.datagrams.host_watch import HostWatch
 from jasperwalk.agent.datagrams.load import LoadMeter
-from jasperwalk.agent.datagrams.pace_watch import PaceWatch
 from jasperwalk.agent.datagrams.parts import AgentParts
+from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.agent.datagrams.warm_up import WarmUpLimit
 from jasperwalk.errors import MalformedMessage
--- a/src/jasperwalk/agent/datagrams/host_watch.py
+++ b/src/jasperwalk/agent/datagrams/host_watch.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_response import HostResponse
-from jasperwalk.agent.datagrams.pace_watch import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
 from jasperwalk.observability.decisions import DecisionLog
 from jasperwalk.scheduling.request_outcomes import RequestOutcomes
 
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -13,7 +13,7 @@
 from jasperwalk.agent.datagrams.host_watch import HostWatch
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
-from jasperwalk.agent.datagrams.pace_watch import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
 from jasperwalk.agent.datagrams.warm_up import WarmUpLimit
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.codec import DatagramSender, PacketCodec
