--- a/src/jasperwalk/control/fleet/autopilot.py
+++ b/src/jasperwalk/control/fleet/autopilot.py
@@ -45,7 +45,7 @@
 
     joining: dict[int, JoiningReplica] = field(default_factory=dict)
 
-    def note_request(self, request: JoinRequest, now: float) -> None:
+    def record_request(self, request: JoinRequest, now: float) -> None:
         """Remember a replica that joins."""
         self.joining[request.replica_id] = JoiningReplica(request, now)
 
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -330,7 +330,7 @@
         membership = self.runner.membership
         if request.replica_id in membership.removed:
             return JoinStatus.REMOVED
-        self._autopilot.note_request(request, time.monotonic())
+        self._autopilot.record_request(request, time.monotonic())
         member = membership.find(request.replica_id)
         return JoinStatus.PENDING if member is None else JoinStatus.MEMBER
 
--- a/tests/control/fleet/test_autopilot.py
+++ b/tests/control/fleet/test_autopilot.py
@@ -35,7 +35,7 @@
 def pilot(*requests):
     made = Autopilot()
     for replica_id, at, founding in requests:
-        made.note_request(JoinRequest(replica_id, address(at), founding), 0.0)
+        made.record_request(JoinRequest(replica_id, address(at), founding), 0.0)
     return made
 
 
