--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -22,8 +22,8 @@
 from jasperwalk.agent.datagrams.flow_knowledge import FlowKnowledge
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
+from jasperwalk.agent.datagrams.host_monitor import HostWatch
 from jasperwalk.agent.datagrams.host_packets import HostPackets
-from jasperwalk.agent.datagrams.host_watch import HostWatch
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
