--- a/src/jasperwalk/control/fleet/autopilot.py
+++ b/src/jasperwalk/control/fleet/autopilot.py
@@ -56,7 +56,7 @@
 
         `contact_ages` holds the seconds since the last contact with each replica.
         """
-        self._forget_old_requests(now)
+        self._expire_requests(now)
         return (
             self._surplus_voter(membership, contact_ages)
             or self._promotion(membership, contact_ages)
@@ -64,7 +64,7 @@
             or self._stale_learner(membership, contact_ages)
         )
 
-    def _forget_old_requests(self, now: float) -> None:
+    def _expire_requests(self, now: float) -> None:
         for replica_id, joining_replica in list(self.joining.items()):
             if now - joining_replica.asked_at > REQUEST_LIFETIME_SECONDS:
                 del self.joining[replica_id]
