--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -12,9 +12,9 @@
 import structlog
 
 from jasperwalk.addresses import Endpoint
+from jasperwalk.agent.datagrams.announcement_handler import HostDesk
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostState
-from jasperwalk.agent.datagrams.host_desk import HostDesk
 from jasperwalk.agent.datagrams.host_presence import is_host_absent
 from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
--- a/tests/agent/datagrams/test_host_desk.py
+++ b/tests/agent/datagrams/test_host_desk.py
@@ -3,8 +3,8 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
+from jasperwalk.agent.datagrams.announcement_handler import AnnouncementOutcome, HostDesk
 from jasperwalk.agent.datagrams.host import HostAnnouncement, HostState
-from jasperwalk.agent.datagrams.host_desk import AnnouncementOutcome, HostDesk
 from jasperwalk.fleet.messages import HostPhase
 
 HOST = Endpoint("10.0.0.9", 8080)
--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -6,7 +6,7 @@
 from operator_calls import operator_calls
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.host_desk import AnnouncementOutcome
+from jasperwalk.agent.datagrams.announcement_handler import AnnouncementOutcome
 from jasperwalk.control.fleet.committing import AskLeader, Unavailable
 from jasperwalk.control.fleet.configurations import Acknowledged
 from jasperwalk.control.fleet.versioned_state import HeldConfiguration
