--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -58,7 +58,7 @@
 JOIN_SECONDS = (0.1, 0.15, 0.15, 0.15, 0.3)
 """Pauses before the first join requests: after a loss of power the leader is soon there."""
 JOIN_INTERVAL_SECONDS = 0.5
-AUTOPILOT_SECONDS = 0.1
+AUTOPILOT_INTERVAL_SECONDS = 0.1
 
 logger = structlog.get_logger(__name__)
 
@@ -337,7 +337,7 @@
     async def _pilot(self) -> None:
         """On the leader, keep the member list right."""
         while True:
-            await asyncio.sleep(AUTOPILOT_SECONDS)
+            await asyncio.sleep(AUTOPILOT_INTERVAL_SECONDS)
             if not self.runner.is_settled:
                 continue
             ages = self.runner.contact_ages()
