--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -165,7 +165,7 @@
             self._send_heartbeats(),
             self._watch(),
             self._join(),
-            self._pilot(),
+            self._manage_members(),
         )
         await run_together(jobs)
 
@@ -334,7 +334,7 @@
         member = membership.find(request.replica_id)
         return JoinStatus.PENDING if member is None else JoinStatus.MEMBER
 
-    async def _pilot(self) -> None:
+    async def _manage_members(self) -> None:
         """On the leader, keep the member list right."""
         while True:
             await asyncio.sleep(AUTOPILOT_INTERVAL_SECONDS)
