--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from jasperwalk.agent.datagrams.admission import COPIES_PASS, MAY_WAIT, WAITED
 from jasperwalk.agent.datagrams.held_flow import NO_BALANCER
+from jasperwalk.agent.datagrams.host_admission import COPIES_PASS, MAY_WAIT, WAITED
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.flows.codec import SocketAddress
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -14,7 +14,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from jasperwalk.agent.datagrams.admission import HostAdmission
 from jasperwalk.agent.datagrams.balancer_answers import BalancerAnswers
 from jasperwalk.agent.datagrams.caller_packets import CallerPackets
 from jasperwalk.agent.datagrams.counters import AgentCounters
@@ -22,6 +21,7 @@
 from jasperwalk.agent.datagrams.flow_knowledge import FlowKnowledge
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
+from jasperwalk.agent.datagrams.host_admission import HostAdmission
 from jasperwalk.agent.datagrams.host_monitor import HostWatch
 from jasperwalk.agent.datagrams.host_packets import HostPackets
 from jasperwalk.agent.datagrams.load import LoadMeter
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from jasperwalk.agent.datagrams.admission import HostAdmission, most_requests
 from jasperwalk.agent.datagrams.balancer_answers import BalancerAnswers
 from jasperwalk.agent.datagrams.counters import AgentCounters
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
+from jasperwalk.agent.datagrams.host_admission import HostAdmission, most_requests
 from jasperwalk.agent.datagrams.host_monitor import HostWatch
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from jasperwalk.agent.datagrams.admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import most_requests
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
--- a/tests/agent/datagrams/support.py
+++ b/tests/agent/datagrams/support.py
@@ -1,9 +1,9 @@
 """An agent, its host, and what left it."""
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.admission import most_requests
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostAnnouncement, HostState
+from jasperwalk.agent.datagrams.host_admission import most_requests
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
     FLAG_WAIT,
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -3,12 +3,12 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.admission import most_requests
 from jasperwalk.agent.datagrams.half_open import (
     LONGEST_EXPECTED_SECONDS,
     SHORTEST_EXPECTED_SECONDS,
     FollowUpTime,
 )
+from jasperwalk.agent.datagrams.host_admission import most_requests
 from jasperwalk.agent.datagrams.host_response import (
     HOST_SILENCE_SECONDS,
     RETURNS_IN_A_ROW,
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -9,7 +9,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import most_requests
 from jasperwalk.agent.datagrams.waiting_requests import YOUNG_CROWD_SECONDS
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
