--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class LeaderSign:
+class LeaderHeartbeat:
     """The last sign of life of a replica that leads."""
 
     replica_id: int = 0
@@ -113,7 +113,7 @@
         self._directory = directory
         self._process_incarnation = process_incarnation
         self._autopilot = Autopilot()
-        self._leader_sign = LeaderSign()
+        self._leader_sign = LeaderHeartbeat()
         self._on_change = on_change
         self._own_zones_in_force = own_zones_in_force
         self._zones_in_force: dict[int, ZonesInForce] = {}
@@ -231,7 +231,9 @@
     def _on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> None:
         self._zones_in_force[sender] = ZonesInForce(heartbeat.zones_in_force, now)
         if heartbeat.leading:
-            self._leader_sign = LeaderSign(sender, heartbeat.version, heartbeat.zones_revision, now)
+            self._leader_sign = LeaderHeartbeat(
+                sender, heartbeat.version, heartbeat.zones_revision, now
+            )
         if self._directory.on_heartbeat(sender, heartbeat, now):
             self.network.send(sender, HomedNodesRequest())
 
