--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -13,7 +13,7 @@
     RESCALE_HALF_LIVES,
     FairShares,
 )
-from tests.scheduling.rush_replay import SERVICE_SECONDS, FirstOfAll, Replay
+from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstOfAll, Replay
 
 RUSHING, CALM = 1, (2, 3, 4)
 GROUPS = (RUSHING, *CALM)
