--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -113,7 +113,7 @@
         self._directory = directory
         self._process_incarnation = process_incarnation
         self._autopilot = Autopilot()
-        self._leader_sign = LeaderHeartbeat()
+        self._leader_heartbeat = LeaderHeartbeat()
         self._on_change = on_change
         self._own_zones_in_force = own_zones_in_force
         self._zones_in_force: dict[int, ZonesInForce] = {}
@@ -180,7 +180,7 @@
             return False
         if self.runner.is_leader:
             return self.runner.is_settled
-        sign = self._leader_sign
+        sign = self._leader_heartbeat
         is_fresh = time.monotonic() - sign.received_at <= CURRENT_SECONDS
         is_leaders = sign.replica_id == self.runner.leader_id
         version, zones_revision = self.applier.state.position()
@@ -231,7 +231,7 @@
     def _on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> None:
         self._zones_in_force[sender] = ZonesInForce(heartbeat.zones_in_force, now)
         if heartbeat.leading:
-            self._leader_sign = LeaderHeartbeat(
+            self._leader_heartbeat = LeaderHeartbeat(
                 sender, heartbeat.version, heartbeat.zones_revision, now
             )
         if self._directory.on_heartbeat(sender, heartbeat, now):
