--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -33,7 +33,7 @@
         is_copy = flow is not None and not flow.has_ended()
         reason = self._refusal(tag, terms, now, key)
         reason = None if is_copy and reason in COPIES_PASS else reason
-        if reason in MAY_WAIT and not is_copy and self.waiting.lets_wait(key, packet, terms, now):
+        if reason in MAY_WAIT and not is_copy and self.waiting.try_enqueue(key, packet, terms, now):
             parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
             return
         if reason is not None:
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -32,7 +32,7 @@
     _crowded_since: float | None = None
     """When the first flow came that would be late, None where the last one would not be."""
 
-    def lets_wait(self, key: bytes, packet: bytes, terms: OpeningTerms, now: float) -> bool:
+    def try_enqueue(self, key: bytes, packet: bytes, terms: OpeningTerms, now: float) -> bool:
         """Put a flow that found no free host into the queue, where it may be served in time.
 
         A full queue lets the flow go that is least likely to be.
