--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -180,11 +180,11 @@
             return False
         if self.runner.is_leader:
             return self.runner.is_settled
-        sign = self._leader_heartbeat
-        is_fresh = time.monotonic() - sign.received_at <= CURRENT_SECONDS
-        is_leaders = sign.replica_id == self.runner.leader_id
+        heartbeat = self._leader_heartbeat
+        is_fresh = time.monotonic() - heartbeat.received_at <= CURRENT_SECONDS
+        is_leaders = heartbeat.replica_id == self.runner.leader_id
         version, zones_revision = self.applier.state.position()
-        is_caught_up = version >= sign.version and zones_revision >= sign.zones_revision
+        is_caught_up = version >= heartbeat.version and zones_revision >= heartbeat.zones_revision
         return is_fresh and is_leaders and is_caught_up
 
     def leader_address(self) -> Endpoint | None:
