--- a/bench/fair_shares.py
+++ b/bench/fair_shares.py
@@ -38,7 +38,7 @@
     bare = _median_time(lambda _now: next(iter(groups)))
     decisions: dict[str, Decision] = {
         "next": next_and_note,
-        "let-go": lambda now: shares.most_over(waiting, now),
+        "let-go": lambda now: shares.group_to_shed(waiting, now),
     }
     return [
         Figure(f"fair-shares.{name}.{count}-groups", _median_time(decide), "us", bare, BARE)
--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -73,7 +73,7 @@
         negligible = NEGLIGIBLE_SECONDS * self._unit(now)
         return min(groups, key=lambda group: self._used(group, negligible))
 
-    def most_over(self, waiting: Mapping[int, int], now: float) -> int:
+    def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
         """Return the group whose request is let go, because one too many waits.
 
         `waiting` holds how many requests of each group wait, the one that has just come included;
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -35,7 +35,7 @@
     def neediest(self, groups: Iterable[int], now: float) -> int:
         """Return the group that has had least of the host lately for its weight."""
 
-    def most_over(self, waiting: Mapping[int, int], now: float) -> int:
+    def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
         """Return the group furthest over its share of a queue with so many of each waiting."""
 
 
@@ -49,7 +49,7 @@
         """Return the first group."""
         return next(iter(groups))
 
-    def most_over(self, waiting: Mapping[int, int], now: float) -> int:
+    def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
         """Return the group with the most waiting."""
         return max(waiting, key=lambda group: waiting[group])
 
@@ -219,7 +219,7 @@
                 if lane.openings
             }
             if waiting:
-                group = self.shares.most_over(waiting, now)
+                group = self.shares.group_to_shed(waiting, now)
                 return self._lanes[priority][group].openings.least_promising()
         return None
 
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -22,7 +22,7 @@
     def neediest(self, groups, now):
         return next(iter(groups))
 
-    def most_over(self, waiting, now):
+    def group_to_shed(self, waiting, now):
         return next(iter(waiting))
 
 
@@ -44,7 +44,7 @@
         if len(self.waiting) <= WAITING_PER_SLOT * self.slots or self.busy < self.slots:
             return []
         oldest_first = Counter(group for group, _ in self.waiting)
-        over = self.shares.most_over(oldest_first, now)
+        over = self.shares.group_to_shed(oldest_first, now)
         gone = next(each for each in self.waiting if each[0] == over)
         self.waiting.remove(gone)
         return [gone]
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -188,34 +188,34 @@
 
 def test_a_rushing_group_loses_its_own_requests_first():
     shares = FairShares()
-    assert shares.most_over({2: 1, 1: 20, 3: 2}, 1.0) == 1
+    assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
     shares.note_served(2, 5.0, 1.0)
-    assert shares.most_over({2: 1, 1: 20, 3: 2}, 1.0) == 1
+    assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
 
 
 def test_the_only_group_loses_its_own():
-    assert FairShares().most_over({5: 9}, 1.0) == 5
+    assert FairShares().group_to_shed({5: 9}, 1.0) == 5
 
 
 def test_places_are_divided_by_weight():
     shares = FairShares({1: 3.0})
-    assert shares.most_over({1: 11, 2: 5}, 1.0) == 2
-    assert shares.most_over({1: 14, 2: 4}, 1.0) == 1
+    assert shares.group_to_shed({1: 11, 2: 5}, 1.0) == 2
+    assert shares.group_to_shed({1: 14, 2: 4}, 1.0) == 1
 
 
 def test_places_that_a_group_does_not_fill_are_divided_among_the_others():
-    assert FairShares({1: 3.0}).most_over({1: 12, 2: 5, 3: 1}, 1.0) == 2
+    assert FairShares({1: 3.0}).group_to_shed({1: 12, 2: 5, 3: 1}, 1.0) == 2
 
 
 def test_the_last_request_of_a_light_group_stays_while_another_has_more_over():
-    assert FairShares({1: 0.1}).most_over({1: 1, 2: 9}, 1.0) == 2
+    assert FairShares({1: 0.1}).group_to_shed({1: 1, 2: 9}, 1.0) == 2
 
 
 def test_of_equals_the_one_that_used_more_loses_its_request():
     shares = FairShares()
-    assert shares.most_over({2: 4, 1: 4}, 1.0) == 2
+    assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 2
     shares.note_served(1, 0.1, 1.0)
-    assert shares.most_over({2: 4, 1: 4}, 1.0) == 1
+    assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 1
 
 
 @given(
@@ -223,7 +223,7 @@
     weights=st.dictionaries(st.integers(0, 30), st.floats(0.001, 1000.0)),
 )
 def test_no_group_within_its_share_by_weight_loses_a_request(waiting, weights):
-    over = FairShares(weights).most_over(waiting, 1.0)
+    over = FairShares(weights).group_to_shed(waiting, 1.0)
     places = sum(waiting.values()) - 1
     total_weight = sum(weights.get(group, 1.0) for group in waiting)
     equal_share = places * weights.get(over, 1.0) / total_weight
