--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -163,7 +163,7 @@
         jobs = (
             self.runner.run(),
             self._send_heartbeats(),
-            self._watch(),
+            self._monitor_state(),
             self._join(),
             self._manage_members(),
         )
@@ -257,7 +257,7 @@
         for replica_id in self.network.connected_ids():
             self.network.send(replica_id, heartbeat)
 
-    async def _watch(self) -> None:
+    async def _monitor_state(self) -> None:
         """Tell the others at once of a change that nodes may be waiting for."""
         while True:
             await asyncio.sleep(WATCH_SECONDS)
