--- a/bench/fair_shares.py
+++ b/bench/fair_shares.py
@@ -31,7 +31,7 @@
     shares = _used_shares(groups)
 
     def next_and_note(now: float) -> int:
-        group = shares.neediest(groups, now)
+        group = shares.group_to_serve(groups, now)
         shares.note_served(group, REQUEST_SECONDS, now)
         return group
 
--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -64,7 +64,7 @@
         if len(self._use) > MOST_GROUPS:
             self._use.popitem(last=False)
 
-    def neediest(self, groups: Iterable[int], now: float) -> int:
+    def group_to_serve(self, groups: Iterable[int], now: float) -> int:
         """Return the group that used least of the host lately for its weight.
 
         `groups` are those that have a request waiting, at least one; the first of equals is
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -32,7 +32,7 @@
     def note_served(self, group: int, seconds: float, now: float) -> None:
         """Note that a request was begun that is expected to take so much of a slot's time."""
 
-    def neediest(self, groups: Iterable[int], now: float) -> int:
+    def group_to_serve(self, groups: Iterable[int], now: float) -> int:
         """Return the group that has had least of the host lately for its weight."""
 
     def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
@@ -45,7 +45,7 @@
     def note_served(self, group: int, seconds: float, now: float) -> None:
         """Keep nothing."""
 
-    def neediest(self, groups: Iterable[int], now: float) -> int:
+    def group_to_serve(self, groups: Iterable[int], now: float) -> int:
         """Return the first group."""
         return next(iter(groups))
 
@@ -169,7 +169,7 @@
             return None
         priority = self._priority_in_turn(priorities)
         groups = self._groups(priority, with_openings)
-        group = groups[0] if len(groups) == 1 else self.shares.neediest(groups, now)
+        group = groups[0] if len(groups) == 1 else self.shares.group_to_serve(groups, now)
         request = self._lanes[priority][group].take_next(with_openings, now + seconds)
         self._drop_if_empty(request)
         self.shares.note_served(group, seconds, now)
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -392,7 +392,7 @@
         host.open_with(port, FEEDS, FEED_TERMS, 0.5)
         host.ask(port, 1, 0.5)
         host.answer(port, FEEDS, 0.5)
-    assert host.agent.shares.neediest([FEED_TERMS.group, 99], 0.6) == 99
+    assert host.agent.shares.group_to_serve([FEED_TERMS.group, 99], 0.6) == 99
 
 
 def test_a_young_crowd_waits_and_a_lasting_one_is_refused_at_once():
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -19,7 +19,7 @@
     def note_served(self, group, seconds, now):
         pass
 
-    def neediest(self, groups, now):
+    def group_to_serve(self, groups, now):
         return next(iter(groups))
 
     def group_to_shed(self, waiting, now):
@@ -56,7 +56,7 @@
         begun = []
         while self.busy < self.slots and self.waiting:
             newest_first = list(dict.fromkeys(group for group, _ in reversed(self.waiting)))
-            group = self.shares.neediest(newest_first, now)
+            group = self.shares.group_to_serve(newest_first, now)
             request = next(each for each in reversed(self.waiting) if each[0] == group)
             self.waiting.remove(request)
             self.busy += 1
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -101,15 +101,15 @@
 def test_a_single_group_has_every_turn():
     shares = FairShares()
     for step in range(1000):
-        assert shares.neediest([7], 0.01 * step) == 7
+        assert shares.group_to_serve([7], 0.01 * step) == 7
         shares.note_served(7, 1.0, 0.01 * step)
 
 
 def test_equals_are_served_in_the_order_given():
     shares = FairShares()
-    assert shares.neediest([3, 1, 2], 5.0) == 3
+    assert shares.group_to_serve([3, 1, 2], 5.0) == 3
     shares.note_served(3, 0.05, 5.0)
-    assert shares.neediest([3, 1, 2], 5.0) == 1
+    assert shares.group_to_serve([3, 1, 2], 5.0) == 1
 
 
 def test_one_that_had_more_of_the_host_comes_later_though_it_had_fewer_requests():
@@ -117,24 +117,24 @@
     shares.note_served(1, 0.5, 1.0)
     for _ in range(4):
         shares.note_served(2, 0.1, 1.0)
-    assert shares.neediest([1, 2], 1.0) == 2
+    assert shares.group_to_serve([1, 2], 1.0) == 2
 
 
 def test_use_counts_half_after_a_half_life():
     shares = FairShares()
     shares.note_served(1, 0.4, 1.0)
     shares.note_served(2, 0.21, 1.0 + HALF_LIFE_SECONDS)
-    assert shares.neediest([2, 1], 1.0 + HALF_LIFE_SECONDS) == 1
+    assert shares.group_to_serve([2, 1], 1.0 + HALF_LIFE_SECONDS) == 1
     shares.note_served(1, 0.02, 1.0 + HALF_LIFE_SECONDS)
-    assert shares.neediest([2, 1], 1.0 + HALF_LIFE_SECONDS) == 2
+    assert shares.group_to_serve([2, 1], 1.0 + HALF_LIFE_SECONDS) == 2
 
 
 @pytest.mark.parametrize("idle_seconds", [20, 2000, 2_000_000])
 def test_use_of_long_ago_does_not_count(idle_seconds):
     shares = FairShares()
     shares.note_served(1, 5.0, 1.0)
-    assert shares.neediest([1, 2], 1.0) == 2
-    assert shares.neediest([1, 2], 1.0 + idle_seconds) == 1
+    assert shares.group_to_serve([1, 2], 1.0) == 2
+    assert shares.group_to_serve([1, 2], 1.0 + idle_seconds) == 1
 
 
 def test_an_idle_group_saves_nothing_up():
@@ -144,7 +144,7 @@
         for step in range(steps):
             shares.note_served(1, SERVICE_SECONDS, SERVICE_SECONDS * step)
         turns = 0
-        while shares.neediest([1, 2], SERVICE_SECONDS * (steps + turns)) == 2:
+        while shares.group_to_serve([1, 2], SERVICE_SECONDS * (steps + turns)) == 2:
             shares.note_served(2, SERVICE_SECONDS, SERVICE_SECONDS * (steps + turns))
             turns += 1
         return turns
@@ -164,14 +164,14 @@
         early.note_served(group, 0.1, now)
         late.note_served(group, 0.1, begun_at + now)
         order = [0, 1, 2, 3]
-        assert early.neediest(order, now) == late.neediest(order, begun_at + now)
+        assert early.group_to_serve(order, now) == late.group_to_serve(order, begun_at + now)
 
 
 def test_a_clock_that_steps_back_does_no_harm():
     shares = FairShares()
     shares.note_served(1, 0.1, 1e6)
     shares.note_served(2, 0.1, 0.0)
-    assert shares.neediest([1, 2], 0.0) == 2
+    assert shares.group_to_serve([1, 2], 0.0) == 2
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
@@ -180,7 +180,7 @@
     shares.note_served(2, 50 * LEAST_REQUEST_SECONDS, 1.0)
     for _ in range(51):
         shares.note_served(1, seconds, 1.0)
-    assert shares.neediest([1, 2], 1.0) == 2
+    assert shares.group_to_serve([1, 2], 1.0) == 2
 
 
 # Whose request is let go
@@ -238,8 +238,8 @@
     with_gone.note_served(9, 0.001, 0.0)
     for step in range(200):
         now = 0.05 * step
-        turn = without.neediest([1, 2], now)
-        assert with_gone.neediest([1, 2], now) == turn
+        turn = without.group_to_serve([1, 2], now)
+        assert with_gone.group_to_serve([1, 2], now) == turn
         without.note_served(turn, 0.05, now)
         with_gone.note_served(turn, 0.05, now)
 
@@ -250,7 +250,7 @@
         shares.note_served(1, 0.05, 0.05 * step)
     turns = []
     for step in range(400, 800):
-        turns.append(shares.neediest([1, 2], 0.05 * step))
+        turns.append(shares.group_to_serve([1, 2], 0.05 * step))
         shares.note_served(turns[-1], 0.05, 0.05 * step)
     assert turns[100:].count(1) == pytest.approx(150, abs=2)
 
@@ -269,5 +269,5 @@
     shares.note_served(1, 0.05, 0.0)
     for group in range(10, 9 + MOST_GROUPS):
         shares.note_served(group, 0.05, 0.0)
-    assert shares.neediest([1, 2], 0.0) == 2
-    assert shares.neediest([10, 1], 0.0) == 10
+    assert shares.group_to_serve([1, 2], 0.0) == 2
+    assert shares.group_to_serve([10, 1], 0.0) == 10
