--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -53,7 +53,7 @@
 CURRENT_SECONDS = 1.0
 """Age of the leader's sign of life, and of its quorum contact, up to which a replica counts
 as holding all that was acknowledged."""
-WATCH_SECONDS = 0.05
+STATE_CHECK_SECONDS = 0.05
 """Pace of looking whether leadership or being current has changed."""
 JOIN_SECONDS = (0.1, 0.15, 0.15, 0.15, 0.3)
 """Pauses before the first join requests: after a loss of power the leader is soon there."""
@@ -260,7 +260,7 @@
     async def _monitor_state(self) -> None:
         """Tell the others at once of a change that nodes may be waiting for."""
         while True:
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(STATE_CHECK_SECONDS)
             if self.runner.is_settled and self.runner.term != self._led_term:
                 self._led_term = self.runner.term
                 self._leads_since = time.monotonic()
