--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from jasperwalk.agent.datagrams.held_flow import NO_BALANCER
-from jasperwalk.agent.datagrams.host_admission import COPIES_PASS, MAY_WAIT, WAITED
+from jasperwalk.agent.datagrams.host_admission import COPY_EXEMPT_REFUSALS, MAY_WAIT, WAITED
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.flows.codec import SocketAddress
@@ -32,7 +32,7 @@
         flow = parts.table.get(key)
         is_copy = flow is not None and not flow.has_ended()
         reason = self._refusal(tag, terms, now, key)
-        reason = None if is_copy and reason in COPIES_PASS else reason
+        reason = None if is_copy and reason in COPY_EXEMPT_REFUSALS else reason
         if reason in MAY_WAIT and not is_copy and self.waiting.try_enqueue(key, packet, terms, now):
             parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
             return
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -13,7 +13,7 @@
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, OpeningTerms, RefusalReason
 from jasperwalk.scheduling.request_outcomes import RequestOutcomes
 
-COPIES_PASS = frozenset(
+COPY_EXEMPT_REFUSALS = frozenset(
     (RefusalReason.FULL, RefusalReason.RETURNED, RefusalReason.FAILING, RefusalReason.SLOW)
 )
 """Refusals that keep new flows from a host, but not copies of the opening of one that it has."""
