--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -50,7 +50,7 @@
 FIRST_ELECTION_SECONDS = 0.4
 REPLICA_HEARTBEAT_SECONDS = 0.25
 """Pace of the replicas' signs of life to each other."""
-CURRENT_SECONDS = 1.0
+MAX_CONTACT_AGE_SECONDS = 1.0
 """Age of the leader's sign of life, and of its quorum contact, up to which a replica counts
 as holding all that was acknowledged."""
 STATE_CHECK_SECONDS = 0.05
@@ -176,12 +176,12 @@
 
     def is_current(self) -> bool:
         """Tell whether this replica surely holds all that was acknowledged."""
-        if self.runner.quorum_age() > CURRENT_SECONDS:
+        if self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS:
             return False
         if self.runner.is_leader:
             return self.runner.is_settled
         heartbeat = self._leader_heartbeat
-        is_fresh = time.monotonic() - heartbeat.received_at <= CURRENT_SECONDS
+        is_fresh = time.monotonic() - heartbeat.received_at <= MAX_CONTACT_AGE_SECONDS
         is_leaders = heartbeat.replica_id == self.runner.leader_id
         version, zones_revision = self.applier.state.position()
         is_caught_up = version >= heartbeat.version and zones_revision >= heartbeat.zones_revision
@@ -203,7 +203,7 @@
         fresh = [
             each.revision
             for each in self._zones_in_force.values()
-            if now - each.received_at <= CURRENT_SECONDS
+            if now - each.received_at <= MAX_CONTACT_AGE_SECONDS
         ]
         return min([self._own_zones_in_force(), *fresh])
 
@@ -297,7 +297,7 @@
         pauses = chain(JOIN_SECONDS, repeat(JOIN_INTERVAL_SECONDS))
         for pause_seconds in pauses:
             await asyncio.sleep(pause_seconds)
-            lonely = self.runner.quorum_age() > CURRENT_SECONDS
+            lonely = self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS
             if self._identity.founders and not lonely:
                 continue
             if self.is_voter() and not lonely:
