--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -5,7 +5,11 @@
 from dataclasses import dataclass
 
 from jasperwalk.agent.datagrams.held_flow import NO_BALANCER
-from jasperwalk.agent.datagrams.host_admission import COPY_EXEMPT_REFUSALS, MAY_WAIT, WAITED
+from jasperwalk.agent.datagrams.host_admission import (
+    COPY_EXEMPT_REFUSALS,
+    QUEUEABLE_REFUSALS,
+    WAITED,
+)
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.flows.codec import SocketAddress
@@ -33,7 +37,11 @@
         is_copy = flow is not None and not flow.has_ended()
         reason = self._refusal(tag, terms, now, key)
         reason = None if is_copy and reason in COPY_EXEMPT_REFUSALS else reason
-        if reason in MAY_WAIT and not is_copy and self.waiting.try_enqueue(key, packet, terms, now):
+        if (
+            reason in QUEUEABLE_REFUSALS
+            and not is_copy
+            and self.waiting.try_enqueue(key, packet, terms, now)
+        ):
             parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
             return
         if reason is not None:
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -17,7 +17,7 @@
     (RefusalReason.FULL, RefusalReason.RETURNED, RefusalReason.FAILING, RefusalReason.SLOW)
 )
 """Refusals that keep new flows from a host, but not copies of the opening of one that it has."""
-MAY_WAIT = frozenset((RefusalReason.FULL, RefusalReason.WARMING_UP))
+QUEUEABLE_REFUSALS = frozenset((RefusalReason.FULL, RefusalReason.WARMING_UP))
 """Refusals that pass by themselves: the host ends a request, or a second ends."""
 WAITED = OpeningTerms(waits=True, repeatable=False, age_seconds=0.0)
 """Terms of a flow that has waited here: no other agent had room for it."""
