--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -55,7 +55,7 @@
 as holding all that was acknowledged."""
 STATE_CHECK_SECONDS = 0.05
 """Pace of looking whether leadership or being current has changed."""
-JOIN_SECONDS = (0.1, 0.15, 0.15, 0.15, 0.3)
+FIRST_JOIN_PAUSES_SECONDS = (0.1, 0.15, 0.15, 0.15, 0.3)
 """Pauses before the first join requests: after a loss of power the leader is soon there."""
 JOIN_INTERVAL_SECONDS = 0.5
 AUTOPILOT_INTERVAL_SECONDS = 0.1
@@ -294,7 +294,7 @@
 
     async def _join(self) -> None:
         """Ask to be taken in while this replica has no vote; learn of a removal."""
-        pauses = chain(JOIN_SECONDS, repeat(JOIN_INTERVAL_SECONDS))
+        pauses = chain(FIRST_JOIN_PAUSES_SECONDS, repeat(JOIN_INTERVAL_SECONDS))
         for pause_seconds in pauses:
             await asyncio.sleep(pause_seconds)
             lonely = self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS
