--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.datagrams.host_admission import (
     COPY_EXEMPT_REFUSALS,
     QUEUEABLE_REFUSALS,
-    WAITED,
+    QUEUED_FLOW_TERMS,
 )
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
@@ -63,7 +63,7 @@
             return
         self.waiting.clear(now)
         while parts.queue and parts.has_room(now):
-            takes_flows = self._refusal(parts.tag, WAITED, now) is None
+            takes_flows = self._refusal(parts.tag, QUEUED_FLOW_TERMS, now) is None
             seconds = parts.table.under_way.usual_seconds
             request = parts.queue.take_next(takes_flows, seconds, now)
             if request is None:
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -19,7 +19,7 @@
 """Refusals that keep new flows from a host, but not copies of the opening of one that it has."""
 QUEUEABLE_REFUSALS = frozenset((RefusalReason.FULL, RefusalReason.WARMING_UP))
 """Refusals that pass by themselves: the host ends a request, or a second ends."""
-WAITED = OpeningTerms(waits=True, repeatable=False, age_seconds=0.0)
+QUEUED_FLOW_TERMS = OpeningTerms(waits=True, repeatable=False, age_seconds=0.0)
 """Terms of a flow that has waited here: no other agent had room for it."""
 NO_ZONES = DrainedZones()
 
