--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -297,10 +297,10 @@
         pauses = chain(FIRST_JOIN_PAUSES_SECONDS, repeat(JOIN_INTERVAL_SECONDS))
         for pause_seconds in pauses:
             await asyncio.sleep(pause_seconds)
-            lonely = self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS
-            if self._identity.founders and not lonely:
+            is_isolated = self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS
+            if self._identity.founders and not is_isolated:
                 continue
-            if self.is_voter() and not lonely:
+            if self.is_voter() and not is_isolated:
                 continue
             request = JoinRequest(self.replica_id, self._address, self._founding)
             reply = await ask_to_join(request, self._name, CLUSTER_ID, self._others())
