--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -14,7 +14,7 @@
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import FrameKind, OpeningTerms, RefusalReason
-from jasperwalk.scheduling.waiting_request import UNNAMED_TERMS, WaitingRequest
+from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 
 @dataclass(eq=False, repr=False)
@@ -50,7 +50,7 @@
             return
         if not is_copy:
             self._admit(key, sender, now)
-            parts.note_begun(terms.route or UNNAMED_TERMS, now)
+            parts.note_begun(terms.route or DEFAULT_TERMS, now)
         parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
         parts.warm_up.note_passed(now)
         parts.to_host(packet)
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -10,7 +10,7 @@
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.request_scheduler import LONGEST_AGE_SECONDS, LONGEST_WAIT_SECONDS
-from jasperwalk.scheduling.waiting_request import UNNAMED_TERMS, WaitingRequest
+from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 WAITING_SHARE = 0.5
 """Part of its objective within which a new flow has to expect its answer in order to wait: the
@@ -42,7 +42,7 @@
             return True
         if not terms.waits or self._is_refused_at_once(terms, now):
             return False
-        route = terms.route or UNNAMED_TERMS
+        route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
         let_go = queue.let_go_least_promising(self._most(now), now)
         self._refuse([each for each in let_go if each is not request], now)
--- a/src/jasperwalk/scheduling/waiting_request.py
+++ b/src/jasperwalk/scheduling/waiting_request.py
@@ -7,7 +7,7 @@
 from jasperwalk.flows.terms import NO_TERMS, CarriedTerms, carried_terms
 
 NO_GROUP = 0
-UNNAMED_TERMS = carried_terms(NO_TERMS, NO_GROUP)
+DEFAULT_TERMS = carried_terms(NO_TERMS, NO_GROUP)
 """Terms of a request whose route names none, or is told none."""
 MAXIMUM_PACKETS = 16
 """Packets that a caller may have under way on one flow; more are copies."""
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -13,7 +13,7 @@
     MAXIMUM_HELD,
     RequestScheduler,
 )
-from jasperwalk.scheduling.waiting_request import MAXIMUM_PACKETS, UNNAMED_TERMS
+from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAXIMUM_PACKETS
 
 URGENT = CarriedTerms(1, 0.4, 3.0, 7)
 ORDINARY = CarriedTerms(2, 0.3, 2.5, 7)
@@ -64,7 +64,7 @@
 def test_without_an_objective_the_newest_goes_first():
     waiting = scheduler()
     for number in range(3):
-        add(waiting, f"{number}", UNNAMED_TERMS, number / 10)
+        add(waiting, f"{number}", DEFAULT_TERMS, number / 10)
     assert taken(waiting, 0.3) == ["2", "1", "0"]
 
 
@@ -135,7 +135,7 @@
 def test_a_request_of_an_open_flow_waits_until_its_limit():
     waiting = scheduler()
     hold(waiting, "open", ORDINARY, 1.0)
-    hold(waiting, "unnamed", UNNAMED_TERMS, 1.0)
+    hold(waiting, "unnamed", DEFAULT_TERMS, 1.0)
     assert [each.key for each in waiting.take_expired(1.001 + LONGEST_HOLD_SECONDS)] == [b"unnamed"]
     assert [each.key for each in waiting.take_expired(3.501)] == [b"open"]
 
@@ -171,7 +171,7 @@
     for step in range(500):
         now = step / 100
         name = f"{step}"
-        terms = drawn.choice([URGENT, ORDINARY, UNNAMED_TERMS, CarriedTerms(1, 0.2, 1.0, 9)])
+        terms = drawn.choice([URGENT, ORDINARY, DEFAULT_TERMS, CarriedTerms(1, 0.2, 1.0, 9)])
         if drawn.random() < 0.6:
             added.add(name.encode())
             drawn.choice([add, hold])(waiting, name, terms, now)
