--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -194,8 +194,8 @@
 
     def leads_since(self) -> float:
         """Return when this leader's term began as far as is known, now where it only begins."""
-        is_noted = self._led_term == self.runner.term
-        return self._leads_since if is_noted else time.monotonic()
+        is_recorded = self._led_term == self.runner.term
+        return self._leads_since if is_recorded else time.monotonic()
 
     def zones_in_force(self) -> int:
         """Return the zones' revision that every node linked to a living replica goes by."""
