--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -16,7 +16,7 @@
 """Part of its objective within which a new flow has to expect its answer in order to wait: the
 other part is for more urgent requests that come later, and for what takes longer than usual."""
 
-YOUNG_CROWD_SECONDS = LONGEST_WAIT_SECONDS
+MAX_BURST_SECONDS = LONGEST_WAIT_SECONDS
 """A crowd that lasts no longer than its flows may wait is worked off while they wait."""
 
 
@@ -65,7 +65,7 @@
             return False
         if self._crowded_since is None:
             self._crowded_since = now
-        if now - self._crowded_since <= YOUNG_CROWD_SECONDS:
+        if now - self._crowded_since <= MAX_BURST_SECONDS:
             return False
         return not self.parts.queue.order.has_less_urgent_opening(route.priority)
 
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.host_admission import most_requests
-from jasperwalk.agent.datagrams.waiting_requests import YOUNG_CROWD_SECONDS
+from jasperwalk.agent.datagrams.waiting_requests import MAX_BURST_SECONDS
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
     FLAG_WAIT,
@@ -278,7 +278,7 @@
 def test_a_flow_that_cannot_be_answered_in_time_is_refused_at_once():
     host = rush_host(FULL + 20)
     host.open_with(89, FEEDS, FEED_TERMS, 1.01, waits=True)
-    lasting = 1.02 + YOUNG_CROWD_SECONDS
+    lasting = 1.02 + MAX_BURST_SECONDS
     refused = host.open_with(90, FEEDS, FEED_TERMS, lasting, waits=True)
     assert refused is FrameKind.REFUSED
     assert host.open_with(91, HOLDS, HOLD_TERMS, lasting, waits=True) is FrameKind.ACCEPTED
@@ -399,7 +399,7 @@
     """After an outage all callers come back together, and are worked off within their time."""
     host = rush_host(FULL + 20)
     assert host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
-    at_end = 1.01 + YOUNG_CROWD_SECONDS
+    at_end = 1.01 + MAX_BURST_SECONDS
     assert host.open_with(91, FEEDS, FEED_TERMS, at_end - 0.01, waits=True) is FrameKind.ACCEPTED
     assert host.open_with(92, FEEDS, FEED_TERMS, at_end + 0.01, waits=True) is FrameKind.REFUSED
 
@@ -408,7 +408,7 @@
     host = rush_host(FULL + 20)
     host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True)
     host.agent.release_held(1.5)
-    later = 1.1 + YOUNG_CROWD_SECONDS
+    later = 1.1 + MAX_BURST_SECONDS
     assert host.open_with(91, FEEDS, FEED_TERMS, later, waits=True) is FrameKind.ACCEPTED
     for port in range(1, FULL + 21):
         host.ask(port, 3, later)
@@ -423,5 +423,5 @@
         host.open_with(port, HOLDS, HOLD_TERMS, 1.02, waits=True)
     lasting = 1.6
     host.open_with(88, FEEDS, FEED_TERMS, lasting, waits=True)
-    later = 1.05 + YOUNG_CROWD_SECONDS
+    later = 1.05 + MAX_BURST_SECONDS
     assert host.open_with(100, HOLDS, HOLD_TERMS, later, waits=True) is FrameKind.ACCEPTED
