--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -305,14 +305,14 @@
             request = JoinRequest(self.replica_id, self._address, self._founding)
             reply = await ask_to_join(request, self._name, CLUSTER_ID, self._others())
             if reply is not None:
-                self._take_reply(reply)
+                self._handle_join_reply(reply)
 
     def _others(self) -> list[Endpoint]:
         known = list(self.runner.endpoints().values())
         addresses = [*known, *(seed for seed in self._seeds if seed not in known)]
         return [address for address in addresses if address != self._address]
 
-    def _take_reply(self, reply: JoinReply) -> None:
+    def _handle_join_reply(self, reply: JoinReply) -> None:
         if reply.status is JoinStatus.REMOVED:
             logger.warning("replica-removed", replica_id=self.replica_id)
             raise ReplicaRemoved()
