--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -29,7 +29,7 @@
 
     parts: AgentParts
     pass_on: Callable[[WaitingRequest, float], None]
-    _crowded_since: float | None = None
+    _overloaded_since: float | None = None
     """When the first flow came that would be late, None where the last one would not be."""
 
     def try_enqueue(self, key: bytes, packet: bytes, terms: OpeningTerms, now: float) -> bool:
@@ -61,11 +61,11 @@
         """
         route = terms.route
         if route is None or not self._would_be_late(route, terms.age_seconds):
-            self._crowded_since = None
+            self._overloaded_since = None
             return False
-        if self._crowded_since is None:
-            self._crowded_since = now
-        if now - self._crowded_since <= MAX_BURST_SECONDS:
+        if self._overloaded_since is None:
+            self._overloaded_since = now
+        if now - self._overloaded_since <= MAX_BURST_SECONDS:
             return False
         return not self.parts.queue.order.has_less_urgent_opening(route.priority)
 
