--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -303,11 +303,11 @@
             if self.is_voter() and not is_isolated:
                 continue
             request = JoinRequest(self.replica_id, self._address, self._founding)
-            reply = await ask_to_join(request, self._name, CLUSTER_ID, self._others())
+            reply = await ask_to_join(request, self._name, CLUSTER_ID, self._other_replicas())
             if reply is not None:
                 self._handle_join_reply(reply)
 
-    def _others(self) -> list[Endpoint]:
+    def _other_replicas(self) -> list[Endpoint]:
         known = list(self.runner.endpoints().values())
         addresses = [*known, *(seed for seed in self._seeds if seed not in known)]
         return [address for address in addresses if address != self._address]
