--- a/src/jasperwalk/agent/datagrams/announcement_handler.py
+++ b/src/jasperwalk/agent/datagrams/announcement_handler.py
@@ -35,7 +35,7 @@
         """Write one line."""
 
 
-class HostDesk:
+class AnnouncementHandler:
     """Takes the announcements of the host beside the agent; answers hold at once."""
 
     def __init__(
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -12,7 +12,7 @@
 import structlog
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.announcement_handler import HostDesk
+from jasperwalk.agent.datagrams.announcement_handler import AnnouncementHandler
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_presence import is_host_absent
@@ -53,7 +53,7 @@
 logger = structlog.get_logger(__name__)
 
 
-HostInterface = Callable[[HostDesk], HttpHandler]
+HostInterface = Callable[[AnnouncementHandler], HttpHandler]
 """Makes the handler of the host's calls."""
 
 
@@ -117,7 +117,7 @@
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
-        desk = HostDesk(
+        desk = AnnouncementHandler(
             self.host,
             settings.service,
             self._host_endpoint,
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.announcement_handler import AnnouncementOutcome, HostDesk
+from jasperwalk.agent.datagrams.announcement_handler import AnnouncementHandler, AnnouncementOutcome
 from jasperwalk.agent.datagrams.host import HostAnnouncement, HostState
 from jasperwalk.fleet.messages import HostPhase
 
@@ -29,7 +29,7 @@
     def replaced():
         told.new_hosts += 1
 
-    return HostDesk(state, "web", HOST, told, changed, replaced), state, told
+    return AnnouncementHandler(state, "web", HOST, told, changed, replaced), state, told
 
 
 def news(number=1, host="h1", service="web", address=HOST, born=0, phase=HostPhase.READY):
