--- a/src/jasperwalk/control/fleet/joining.py
+++ b/src/jasperwalk/control/fleet/joining.py
@@ -16,7 +16,7 @@
 ANSWER_TIMEOUT_SECONDS = 0.6
 
 
-async def ask_to_join(
+async def request_to_join(
     request: JoinRequest, name: str, cluster_id: str, addresses: Sequence[Endpoint]
 ) -> JoinReply | None:
     """Ask the replicas one after the other, and the leader that one names.
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -23,7 +23,7 @@
 from jasperwalk.control.fleet.autopilot import Autopilot
 from jasperwalk.control.fleet.directory import NodeDirectory
 from jasperwalk.control.fleet.identity import ReplicaIdentity
-from jasperwalk.control.fleet.joining import ask_to_join
+from jasperwalk.control.fleet.joining import request_to_join
 from jasperwalk.control.fleet.messages import (
     REPLICA_DECODER,
     HomedNodes,
@@ -303,7 +303,7 @@
             if self.is_voter() and not is_isolated:
                 continue
             request = JoinRequest(self.replica_id, self._address, self._founding)
-            reply = await ask_to_join(request, self._name, CLUSTER_ID, self._other_replicas())
+            reply = await request_to_join(request, self._name, CLUSTER_ID, self._other_replicas())
             if reply is not None:
                 self._handle_join_reply(reply)
 
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -26,7 +26,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.tasks import cancel
 from jasperwalk.control.fleet import joining
-from jasperwalk.control.fleet.joining import JoinRequestHandler, ask_to_join
+from jasperwalk.control.fleet.joining import JoinRequestHandler, request_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
 from jasperwalk.control.peer_links import LinkTimes, PeerLink
 from jasperwalk.fleet.dialing import dial_first
@@ -153,7 +153,7 @@
 
         async def join_again_and_again():
             while True:
-                await ask_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
+                await request_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
 
         try:
             alive = await survivors(join_again_and_again, 2 * MOST_STEPS)
@@ -225,7 +225,7 @@
 
     async def scenario():
         request = JoinRequest(7, ANY_PORT, False)
-        asked = asyncio.ensure_future(ask_to_join(request, "tester", CLUSTER_ID, [ANY_PORT]))
+        asked = asyncio.ensure_future(request_to_join(request, "tester", CLUSTER_ID, [ANY_PORT]))
         done, _ = await asyncio.wait({asked}, timeout=PATIENCE_SECONDS)
         assert done, "the request has no bound left"
 
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -16,7 +16,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import relay_server
 from jasperwalk.control.fleet import joining, operator_requests
-from jasperwalk.control.fleet.joining import JoinRequestHandler, ask_to_join
+from jasperwalk.control.fleet.joining import JoinRequestHandler, request_to_join
 from jasperwalk.control.fleet.messages import JoinReply, JoinRequest, JoinStatus
 from jasperwalk.control.fleet.operator_requests import OperatorRequestHandler
 from jasperwalk.transport import client, http_connection, keep_alive
@@ -136,7 +136,7 @@
         mute = await asyncio.start_server(lambda *_: never(), "127.0.0.1", 0)
         held = silent.endpoint if says_hello else Endpoint(*mute.sockets[0].getsockname())
         request = JoinRequest(3, living.endpoint, founding=False)
-        answer = await ask_to_join(request, "c3", "zagreb", [held, living.endpoint])
+        answer = await request_to_join(request, "c3", "zagreb", [held, living.endpoint])
         mute.close()
         await silent.close()
         await living.close()
