--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -22,7 +22,7 @@
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_admission import HostAdmission
-from jasperwalk.agent.datagrams.host_monitor import HostWatch
+from jasperwalk.agent.datagrams.host_monitor import HostMonitor
 from jasperwalk.agent.datagrams.host_packets import HostPackets
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.agent.datagrams.parts import AgentParts
@@ -87,7 +87,7 @@
         self.pace = PaceWatch(self.codec, self.host, self.log, self.measures_pace)
         self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.note_ended)
         self.queue = RequestScheduler(UrgencyOrder(self.shares, self.least_share))
-        self.watch = HostWatch(self.host, self.log, self.pace)
+        self.watch = HostMonitor(self.host, self.log, self.pace)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
             self.host,
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -9,7 +9,7 @@
 from jasperwalk.scheduling.request_outcomes import RequestOutcomes
 
 
-class HostWatch:
+class HostMonitor:
     """Passes on what the host does, to `response`, `requests` and `pace`; sans-IO.
 
     Times are seconds.
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_admission import HostAdmission, most_requests
-from jasperwalk.agent.datagrams.host_monitor import HostWatch
+from jasperwalk.agent.datagrams.host_monitor import HostMonitor
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
@@ -40,7 +40,7 @@
     meter: LoadMeter
     table: HeldFlows
     queue: RequestScheduler
-    watch: HostWatch
+    watch: HostMonitor
     pace: PaceWatch
     warm_up: WarmUpLimit
     admission: HostAdmission
