--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -129,9 +129,9 @@
         if lives.done():
             lives.result()
         if self._replica is not None:
-            await self._hand_over(self._replica)
+            await self._transfer_leadership(self._replica)
 
-    async def _hand_over(self, replica: FleetReplica) -> None:
+    async def _transfer_leadership(self, replica: FleetReplica) -> None:
         try:
             async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                 await replica.runner.transfer_leadership()
