--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -26,7 +26,7 @@
 from jasperwalk.agent.datagrams.host_packets import HostPackets
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.agent.datagrams.parts import AgentParts
-from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import ServiceTimeMonitor
 from jasperwalk.agent.datagrams.waiting_requests import WaitingRequests
 from jasperwalk.agent.datagrams.warm_up import WarmUpLimit
 from jasperwalk.errors import MalformedMessage
@@ -84,7 +84,7 @@
         self._tag = service_tag(self.service)
         self.answers = BalancerAnswers(self._tag, self.host, self._load, self.to_balancer)
         self.meter = LoadMeter(self.started_at)
-        self.pace = PaceWatch(self.codec, self.host, self.log, self.measures_pace)
+        self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
         self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.note_ended)
         self.queue = RequestScheduler(UrgencyOrder(self.shares, self.least_share))
         self.watch = HostMonitor(self.host, self.log, self.pace)
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -7,7 +7,7 @@
 
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_response import HostResponse
-from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import ServiceTimeMonitor
 from jasperwalk.agent.datagrams.warm_up import WarmUpLimit
 from jasperwalk.fleet.messages import DrainedZones, HostPhase
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, OpeningTerms, RefusalReason
@@ -41,7 +41,7 @@
     requests: RequestOutcomes
     warm_up: WarmUpLimit
     own_zone: str
-    pace: PaceWatch
+    pace: ServiceTimeMonitor
     _drained: DrainedZones = field(default=NO_ZONES)
 
     def take_zones(self, zones: DrainedZones) -> bool:
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_response import HostResponse
-from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import ServiceTimeMonitor
 from jasperwalk.observability.decisions import DecisionLog
 from jasperwalk.scheduling.request_outcomes import RequestOutcomes
 
@@ -15,7 +15,7 @@
     Times are seconds.
     """
 
-    def __init__(self, host: HostState, log: DecisionLog, pace: PaceWatch) -> None:
+    def __init__(self, host: HostState, log: DecisionLog, pace: ServiceTimeMonitor) -> None:
         self._host = host
         self._log = log
         self.pace = pace
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -13,7 +13,7 @@
 from jasperwalk.agent.datagrams.host_monitor import HostMonitor
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
-from jasperwalk.agent.datagrams.service_time_monitor import PaceWatch
+from jasperwalk.agent.datagrams.service_time_monitor import ServiceTimeMonitor
 from jasperwalk.agent.datagrams.warm_up import WarmUpLimit
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.codec import DatagramSender, PacketCodec
@@ -41,7 +41,7 @@
     table: HeldFlows
     queue: RequestScheduler
     watch: HostMonitor
-    pace: PaceWatch
+    pace: ServiceTimeMonitor
     warm_up: WarmUpLimit
     admission: HostAdmission
     counters: AgentCounters
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class PaceWatch:
+class ServiceTimeMonitor:
     """Measures the host's requests by their listener; sans-IO, times are seconds.
 
     With `is_wanted` False it measures nothing, tells nothing and refuses nothing.
