--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -34,7 +34,7 @@
 from jasperwalk.transport.http_server import HttpServer, serving
 from jasperwalk.transport.server import FramedServer
 
-REOPEN_SECONDS = 0.4
+REOPEN_DELAY_SECONDS = 0.4
 """Pause before a replica whose disk failed opens it again."""
 INCARNATION_BITS = 62
 TRANSFER_TIMEOUT_SECONDS = 1.0
@@ -145,7 +145,7 @@
                 replica = self._open_replica()
             except StorageError as error:
                 logger.error("storage-not-usable", kind=error.kind, detail=error.describe())
-                await asyncio.sleep(REOPEN_SECONDS)
+                await asyncio.sleep(REOPEN_DELAY_SECONDS)
                 continue
             self._replica = replica
             try:
@@ -157,7 +157,7 @@
             finally:
                 self._replica = None
                 await replica.close()
-            await asyncio.sleep(REOPEN_SECONDS)
+            await asyncio.sleep(REOPEN_DELAY_SECONDS)
 
     def _open_replica(self) -> FleetReplica:
         settings = self._settings
