--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -11,7 +11,7 @@
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.pace import encode_pace
-from jasperwalk.scheduling.host_service_times import RECKONING_SECONDS, HostPace
+from jasperwalk.scheduling.host_service_times import RECKONING_SECONDS, HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
 SEED = 20261202
@@ -45,9 +45,9 @@
     return MICROSECONDS * min(times) / COUNT
 
 
-def _requests(pace: HostPace | None = None) -> None:
+def _requests(pace: HostServiceTimes | None = None) -> None:
     """Take requests and their answers."""
-    pace = pace or HostPace()
+    pace = pace or HostServiceTimes()
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
         pace.note_asked(number, LISTENER, SLOTS, now)
@@ -56,7 +56,7 @@
 
 def _judgement_time() -> float:
     """Time a judgement that is worked out anew; an agent does so each `RECKONING_SECONDS`."""
-    pace = HostPace()
+    pace = HostServiceTimes()
     _requests(pace)
     slow_host = SlowHost(pace)
     start = BETWEEN_SECONDS * COUNT
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -10,7 +10,7 @@
 from jasperwalk.flows.frames import OpeningTerms, RefusalReason
 from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.scheduling.host_service_times import HostPace
+from jasperwalk.scheduling.host_service_times import HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
 
@@ -25,7 +25,7 @@
     host: HostState
     log: DecisionLog
     is_wanted: bool = True
-    pace: HostPace = field(default_factory=HostPace)
+    pace: HostServiceTimes = field(default_factory=HostServiceTimes)
 
     def __post_init__(self) -> None:
         """Prepare the judgement."""
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -72,7 +72,7 @@
             self._first = []
 
 
-class HostPace:
+class HostServiceTimes:
     """Measures one host. Requests and kinds are named by any hashable values."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Hashable
 
-from jasperwalk.scheduling.host_service_times import HostPace
+from jasperwalk.scheduling.host_service_times import HostServiceTimes
 
 SLOW_FACTOR = 3.0
 """Slowness from which a host counts as slow: twice as long is usual for single requests."""
@@ -36,7 +36,7 @@
 class SlowHost:
     """Judges one host by its pace and decides about its new flows."""
 
-    def __init__(self, pace: HostPace) -> None:
+    def __init__(self, pace: HostServiceTimes) -> None:
         self._pace = pace
         self._is_slow = False
         self._slowness = 1.0
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -9,7 +9,7 @@
     MAXIMUM_OBSERVATIONS,
     MOST_KINDS,
     STALE_SECONDS,
-    HostPace,
+    HostServiceTimes,
 )
 from jasperwalk.scheduling.slow_host import (
     JUDGEMENT_SECONDS,
@@ -31,7 +31,7 @@
 
     def __init__(self, slots=2, kinds=(("kind", WORK_SECONDS),), long_share=0.0, seed=5):
         self.random = random.Random(seed)
-        self.pace, self.slots = HostPace(), slots
+        self.pace, self.slots = HostServiceTimes(), slots
         self.kinds, self.long_share = kinds, long_share
         self.slow_host = SlowHost(self.pace)
         self.now, self.factor = 0.0, 1.0
@@ -122,7 +122,7 @@
 
 
 def test_a_queue_does_not_make_a_host_slow():
-    pace = HostPace()
+    pace = HostServiceTimes()
     for number in range(20):
         one(pace, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
     for number in range(8):
@@ -133,7 +133,7 @@
 
 
 def test_nothing_is_known_before_enough_requests_and_after_a_while():
-    pace = HostPace()
+    pace = HostServiceTimes()
     assert (pace.slowness(0.0), pace.usual_seconds("kind")) == (None, None)
     for number in range(LEARNING_REQUESTS + 3):
         one(pace, number, number * 0.1, number * 0.1 + WORK_SECONDS)
@@ -160,7 +160,7 @@
 
 
 def test_memory_is_bounded():
-    pace = HostPace()
+    pace = HostServiceTimes()
     for number in range(4 * MOST_KINDS):
         one(pace, number, number * 1.0, number + 0.1, kind=number)
         one(pace, "again", number + 0.2, number + 0.3, kind="again")
