--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -39,7 +39,7 @@
 INCARNATION_BITS = 62
 TRANSFER_TIMEOUT_SECONDS = 1.0
 
-OperatorsInterface = Callable[[ConfigurationService, ZoneOrders, int], HttpHandler]
+OperatorHandlerFactory = Callable[[ConfigurationService, ZoneOrders, int], HttpHandler]
 """Makes the handler of operators' calls; the number is the port at which all replicas listen."""
 
 logger = structlog.get_logger(__name__)
@@ -48,7 +48,7 @@
 class FleetControl:
     """Owns everything of one control process; `run` serves until its stop event is set."""
 
-    def __init__(self, settings: FleetControlSettings, interface: OperatorsInterface) -> None:
+    def __init__(self, settings: FleetControlSettings, interface: OperatorHandlerFactory) -> None:
         self._settings = settings
         self._address = settings.advertised_endpoint()
         self._process_incarnation = secrets.randbits(INCARNATION_BITS)
