--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class Lane:
+class GroupQueue:
     """What waits of one priority and group; new flows apart from requests of open ones."""
 
     openings: Line = field(default_factory=Line)
@@ -141,7 +141,7 @@
 
     shares: GroupShares
     least_share: float = DEFAULT_LEAST_SHARE
-    _lanes: dict[int, dict[int, Lane]] = field(default_factory=dict)
+    _lanes: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
     """By priority, then by group; none is empty."""
     _owed: float = 0.0
     """Requests that are due to the less urgent ones."""
@@ -149,7 +149,7 @@
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
         groups = self._lanes.setdefault(request.terms.priority, {})
-        lane = groups.setdefault(request.terms.group, Lane())
+        lane = groups.setdefault(request.terms.group, GroupQueue())
         lane.of(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
