--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -113,7 +113,7 @@
             seeds=",".join(self._settings.seeds),
             founding=self._settings.founding,
         )
-        lives = asyncio.create_task(self._live())
+        lives = asyncio.create_task(self._run_replicas())
         try:
             await self._until_stopped(stop, lives)
         finally:
@@ -138,7 +138,7 @@
         except TimeoutError:
             logger.warning("leadership-not-handed-over", replica_id=replica.replica_id)
 
-    async def _live(self) -> None:
+    async def _run_replicas(self) -> None:
         """Run one life after the other."""
         while True:
             try:
