--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class Line:
+class DeadlineQueue:
     """Requests of one kind that stand in line: those that may be in time still, and the late ones.
 
     Where no objective is named, time left tells nothing, and the newest goes first.
@@ -109,18 +109,18 @@
 class GroupQueue:
     """What waits of one priority and group; new flows apart from requests of open ones."""
 
-    openings: Line = field(default_factory=Line)
-    requests: Line = field(default_factory=Line)
+    openings: DeadlineQueue = field(default_factory=DeadlineQueue)
+    requests: DeadlineQueue = field(default_factory=DeadlineQueue)
 
     def __len__(self) -> int:
         """Return how many requests wait."""
         return len(self.openings) + len(self.requests)
 
-    def of(self, request: WaitingRequest) -> Line:
+    def of(self, request: WaitingRequest) -> DeadlineQueue:
         """Return where a request stands."""
         return self.openings if request.opens_flow else self.requests
 
-    def lines(self, with_openings: bool) -> list[Line]:
+    def lines(self, with_openings: bool) -> list[DeadlineQueue]:
         """Return the lines that have something to begin, new flows only where they are taken."""
         lines = [self.requests] if self.requests else []
         if with_openings and self.openings:
@@ -132,7 +132,7 @@
         lines = self.lines(with_openings)
         for line in lines:
             line.sort_out_late(answer_at)
-        return min(lines, key=Line.rank).take()
+        return min(lines, key=DeadlineQueue.rank).take()
 
 
 @dataclass(eq=False, repr=False)
