--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -113,21 +113,21 @@
             seeds=",".join(self._settings.seeds),
             founding=self._settings.founding,
         )
-        lives = asyncio.create_task(self._run_replicas())
+        replica_runs = asyncio.create_task(self._run_replicas())
         try:
-            await self._until_stopped(stop, lives)
+            await self._until_stopped(stop, replica_runs)
         finally:
-            lives.cancel()
-            await asyncio.gather(lives, return_exceptions=True)
+            replica_runs.cancel()
+            await asyncio.gather(replica_runs, return_exceptions=True)
 
-    async def _until_stopped(self, stop: asyncio.Event, lives: asyncio.Task[None]) -> None:
+    async def _until_stopped(self, stop: asyncio.Event, replica_runs: asyncio.Task[None]) -> None:
         stopped = asyncio.create_task(stop.wait())
         try:
-            await asyncio.wait((lives, stopped), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((replica_runs, stopped), return_when=asyncio.FIRST_COMPLETED)
         finally:
             stopped.cancel()
-        if lives.done():
-            lives.result()
+        if replica_runs.done():
+            replica_runs.result()
         if self._replica is not None:
             await self._transfer_leadership(self._replica)
 
