--- a/bench/request_scheduler.py
+++ b/bench/request_scheduler.py
@@ -8,7 +8,7 @@
 from bench.harness import Figure, median_microseconds
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.fair_shares import FairShares
-from jasperwalk.scheduling.request_order import UrgencyOrder
+from jasperwalk.scheduling.request_order import PriorityOrder
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
 WAITING_COUNTS = (4, 32)
@@ -39,7 +39,7 @@
 
 
 def _scheduler(count: int) -> RequestScheduler:
-    scheduler = RequestScheduler(UrgencyOrder(FairShares()))
+    scheduler = RequestScheduler(PriorityOrder(FairShares()))
     for number in range(count):
         _hold(scheduler, number, 0.0)
     return scheduler
@@ -72,7 +72,7 @@
     """Return the bytes of a request that waits, its packet included."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    scheduler = RequestScheduler(UrgencyOrder(FairShares()))
+    scheduler = RequestScheduler(PriorityOrder(FairShares()))
     for number in range(1000):
         packet = bytes(bytearray(PACKET))
         scheduler.hold(number.to_bytes(12, "big"), packet, number, TERMS[number % 8], 0.0)
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -45,7 +45,7 @@
     DEFAULT_LEAST_SHARE,
     GroupShares,
     NoShares,
-    UrgencyOrder,
+    PriorityOrder,
 )
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
@@ -86,7 +86,7 @@
         self.meter = LoadMeter(self.started_at)
         self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
         self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.note_ended)
-        self.queue = RequestScheduler(UrgencyOrder(self.shares, self.least_share))
+        self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
         self.watch = HostMonitor(self.host, self.log, self.pace)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -136,7 +136,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class UrgencyOrder:
+class PriorityOrder:
     """Owns what waits. `least_share` is the part that less urgent requests keep, 0 to below 1."""
 
     shares: GroupShares
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.flows.terms import CarriedTerms
-from jasperwalk.scheduling.request_order import UrgencyOrder
+from jasperwalk.scheduling.request_order import PriorityOrder
 from jasperwalk.scheduling.waiting_request import WaitingRequest
 
 LONGEST_WAIT_SECONDS = 0.9
@@ -41,7 +41,7 @@
 class RequestScheduler:
     """Owns what waits for one host."""
 
-    order: UrgencyOrder
+    order: PriorityOrder
     _waiting: dict[bytes, WaitingRequest] = field(default_factory=dict)
     _openings: int = 0
 
@@ -114,7 +114,7 @@
         return request
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
-        """Take the request to begin now; see `UrgencyOrder.take_next`."""
+        """Take the request to begin now; see `PriorityOrder.take_next`."""
         request = self.order.take_next(with_openings, seconds, now)
         if request is not None:
             del self._waiting[request.key]
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.flows.terms import CarriedTerms
-from jasperwalk.scheduling.request_order import NoShares, UrgencyOrder
+from jasperwalk.scheduling.request_order import NoShares, PriorityOrder
 from jasperwalk.scheduling.request_scheduler import (
     LONGEST_AGE_SECONDS,
     LONGEST_HOLD_SECONDS,
@@ -21,7 +21,7 @@
 
 
 def scheduler(least_share=0.0):
-    return RequestScheduler(UrgencyOrder(NoShares(), least_share))
+    return RequestScheduler(PriorityOrder(NoShares(), least_share))
 
 
 def add(waiting, name, terms, now=0.0, age=0.0):
