--- a/src/jasperwalk/control/fleet/stale_orders.py
+++ b/src/jasperwalk/control/fleet/stale_orders.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-CONFIRMATION_SECONDS = 0.3
+REVERSAL_PAUSE_SECONDS = 0.3
 """Pause of an order that reverses a new one: a lost packet comes again after 0.2 s, and operators
 wait a second for an answer."""
 
@@ -72,7 +72,7 @@
         if newest is None or newest == order.drained:
             return 0.0
         age = now - self._taken_at.get(order.zone, leadership.leads_since)
-        return CONFIRMATION_SECONDS if age < self.repeat_seconds else 0.0
+        return REVERSAL_PAUSE_SECONDS if age < self.repeat_seconds else 0.0
 
     def take(
         self, order: ZoneOrder, leadership: Leadership, caller_waits: bool, now: float
--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.control.fleet.stale_orders import (
-    CONFIRMATION_SECONDS,
+    REVERSAL_PAUSE_SECONDS,
     Leadership,
     OrderRefusal,
     StaleOrderGuard,
@@ -43,7 +43,7 @@
     one = guard()
     take(one, True, None, 1.0)
     take(one, False, True, 2.0)
-    assert pause(one, True, False, 2.1) == CONFIRMATION_SECONDS
+    assert pause(one, True, False, 2.1) == REVERSAL_PAUSE_SECONDS
     assert take(one, True, False, 2.4, waits=False) is OrderRefusal.CALLER_LEFT
     assert take(one, True, False, 2.4) is None
 
@@ -52,14 +52,14 @@
     one = guard()
     take(one, False, True, 10.0)
     take(one, True, False, 11.0)
-    assert pause(one, False, True, 11.2) == CONFIRMATION_SECONDS
+    assert pause(one, False, True, 11.2) == REVERSAL_PAUSE_SECONDS
 
 
 def test_a_copy_pauses_while_the_opposite_order_is_not_committed_yet():
     one = guard()
     take(one, True, None, 1.0)
     take(one, False, True, 9.0)
-    assert pause(one, True, True, 9.01) == CONFIRMATION_SECONDS
+    assert pause(one, True, True, 9.01) == REVERSAL_PAUSE_SECONDS
 
 
 def test_an_old_order_is_reversed_at_once():
@@ -80,7 +80,7 @@
     one = guard()
     unsettled = Leadership(term=4, is_settled=False, leads_since=1.0)
     assert take(one, True, None, 1.0, unsettled) is OrderRefusal.NOT_SETTLED
-    assert pause(one, True, False, 1.0, LEADING) == CONFIRMATION_SECONDS
+    assert pause(one, True, False, 1.0, LEADING) == REVERSAL_PAUSE_SECONDS
 
 
 def test_zones_are_ordered_apart():
@@ -94,9 +94,9 @@
     one = guard()
     take(one, True, None, 1.0)
     take(one, False, True, 2.0)
-    assert pause(one, True, False, 3.0) == CONFIRMATION_SECONDS
+    assert pause(one, True, False, 3.0) == REVERSAL_PAUSE_SECONDS
     assert take(one, False, False, 3.1) is None
-    overtaken = take(one, True, False, 3.0 + CONFIRMATION_SECONDS, arrived_at=3.0)
+    overtaken = take(one, True, False, 3.0 + REVERSAL_PAUSE_SECONDS, arrived_at=3.0)
     assert overtaken is OrderRefusal.OVERTAKEN
 
 
@@ -104,4 +104,4 @@
     one = guard()
     old = Leadership(term=3, is_settled=True, leads_since=-100.0)
     assert take(one, False, False, 10.0, old) is None
-    assert pause(one, True, False, 11.0, old) == CONFIRMATION_SECONDS
+    assert pause(one, True, False, 11.0, old) == REVERSAL_PAUSE_SECONDS
