--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -44,7 +44,7 @@
 )
 from jasperwalk.consensus.outcomes import (
     CommandTooLarge,
-    InvariantBroken,
+    InvariantViolation,
     MembershipOutcome,
     NotLeader,
     Overloaded,
@@ -273,7 +273,7 @@
         if index <= current:
             return
         if index > own.delivered_index:
-            raise InvariantBroken(reason=f"snapshot at {index} is ahead of the applied entries")
+            raise InvariantViolation(reason=f"snapshot at {index} is ahead of the applied entries")
         term = own.log.term_at(index)
         assert term is not None
         own.snapshot = SnapshotData(index, term, own.members.at(index), state)
--- a/src/jasperwalk/consensus/following.py
+++ b/src/jasperwalk/consensus/following.py
@@ -5,7 +5,7 @@
 from jasperwalk.consensus.durable import SnapshotData
 from jasperwalk.consensus.entries import LogEntry
 from jasperwalk.consensus.messages import AppendEntries, AppendReply, InstallReply, InstallSnapshot
-from jasperwalk.consensus.outcomes import InvariantBroken
+from jasperwalk.consensus.outcomes import InvariantViolation
 from jasperwalk.consensus.state import ReplicaState, Role
 
 
@@ -23,7 +23,7 @@
         if term < state.term:
             return False
         if term == state.term and state.role is Role.LEADER:
-            raise InvariantBroken(reason=f"replica {leader_id} also leads term {term}")
+            raise InvariantViolation(reason=f"replica {leader_id} also leads term {term}")
         state.become_follower(term, leader_id)
         state.leader_seen_at = now
         state.reset_election_timer(now)
--- a/src/jasperwalk/consensus/outcomes.py
+++ b/src/jasperwalk/consensus/outcomes.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(eq=False)
-class InvariantBroken(JasperwalkError):
+class InvariantViolation(JasperwalkError):
     """A Raft invariant does not hold on this replica; the process must stop."""
 
     kind: ClassVar[str] = "consensus-invariant-broken"
--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -13,7 +13,7 @@
 from jasperwalk.consensus.log import RaftLog
 from jasperwalk.consensus.members import MembershipHistory
 from jasperwalk.consensus.messages import RaftMessage
-from jasperwalk.consensus.outcomes import InvariantBroken, Outgoing
+from jasperwalk.consensus.outcomes import InvariantViolation, Outgoing
 from jasperwalk.consensus.stall_grace import StallGrace
 
 
@@ -147,7 +147,7 @@
     def truncate_from(self, index: int) -> None:
         """Cut uncommitted entries off."""
         if index <= self.commit_index:
-            raise InvariantBroken(reason=f"committed entry {index} conflicts with the leader's")
+            raise InvariantViolation(reason=f"committed entry {index} conflicts with the leader's")
         self.log.truncate_from(index)
         self.members.truncate_from(index)
 
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -12,7 +12,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.consensus.disk.failures import StorageError
-from jasperwalk.consensus.outcomes import InvariantBroken
+from jasperwalk.consensus.outcomes import InvariantViolation
 from jasperwalk.control.fleet.configurations import ConfigurationService
 from jasperwalk.control.fleet.directory import NodeDirectory
 from jasperwalk.control.fleet.home_links import HomeLinks, HomeView
@@ -152,7 +152,7 @@
                 await replica.run()
             except ReplicaRemoved:
                 self._renew = True
-            except (StorageError, InvariantBroken) as error:
+            except (StorageError, InvariantViolation) as error:
                 logger.error("replica-failed", kind=error.kind, detail=error.describe())
             finally:
                 self._replica = None
--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -29,7 +29,7 @@
 from jasperwalk.consensus.members import MembershipChange
 from jasperwalk.consensus.messages import RaftMessage
 from jasperwalk.consensus.outcomes import (
-    InvariantBroken,
+    InvariantViolation,
     MembershipOutcome,
     Outgoing,
     ProposalOutcome,
@@ -250,7 +250,7 @@
             return
         try:
             self._node.receive(sender, decoded, time.monotonic())
-        except InvariantBroken as error:
+        except InvariantViolation as error:
             # `run` must end with it; the link that brought the message is not at fault.
             self._failure = error
         self._wake.set()
