--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.datagrams.held_flow import HeldFlow
 from jasperwalk.agent.datagrams.load import LoadMeter
 from jasperwalk.flows.codec import SocketAddress
-from jasperwalk.scheduling.requests_in_flight import RequestsUnderWay
+from jasperwalk.scheduling.requests_in_flight import RequestsInFlight
 
 LIFETIME_SLACK_SECONDS = 10.0
 
@@ -29,7 +29,7 @@
     note_ended: Callable[[HeldFlow, float], None] | None = None
     """Told of each flow that has no request under way any more, None where nobody is."""
     half_open: HalfOpenFlows = field(default_factory=HalfOpenFlows)
-    under_way: RequestsUnderWay = field(default_factory=RequestsUnderWay)
+    under_way: RequestsInFlight = field(default_factory=RequestsInFlight)
     """The requests that take a place at the host, named by their flows."""
     _flows: dict[bytes, HeldFlow] = field(default_factory=dict)
 
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -23,7 +23,7 @@
 """What a request takes at a host of which nothing is known yet."""
 
 
-class RequestsUnderWay:
+class RequestsInFlight:
     """Counts requests from when they were passed on; each is named by any hashable."""
 
     __slots__ = ("_answer_time", "_begun_at")
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -6,19 +6,19 @@
     LONGEST_OVERDUE_SECONDS,
     ORDINARY_SECONDS,
     SHORTEST_OVERDUE_SECONDS,
-    RequestsUnderWay,
+    RequestsInFlight,
 )
 
 
 def measured(seconds, count=50):
-    requests = RequestsUnderWay()
+    requests = RequestsInFlight()
     for _ in range(count):
         requests.note_answered(seconds)
     return requests
 
 
 def test_requests_count_from_their_beginning_to_their_end():
-    requests = RequestsUnderWay()
+    requests = RequestsInFlight()
     requests.begin("a", 1.0)
     requests.begin("b", 1.0)
     requests.begin("a", 1.1)
@@ -46,7 +46,7 @@
 
 
 def test_a_host_of_which_nothing_is_known_is_waited_for():
-    requests = RequestsUnderWay()
+    requests = RequestsInFlight()
     assert requests.overdue_seconds() == LONGEST_OVERDUE_SECONDS
     assert requests.usual_seconds == ORDINARY_SECONDS
 
