--- a/src/jasperwalk/control/fleet/stale_orders.py
+++ b/src/jasperwalk/control/fleet/stale_orders.py
@@ -62,7 +62,7 @@
     _term: int = 0
     _newest: dict[str, bool] = field(default_factory=dict)
     """Each zone's newest order of this term, committed or not yet."""
-    _taken_at: dict[str, float] = field(default_factory=dict)
+    _accepted_at: dict[str, float] = field(default_factory=dict)
     """When that order, or a repetition of it, was taken last."""
 
     def pause_seconds(self, order: ZoneOrder, leadership: Leadership, now: float) -> float:
@@ -71,7 +71,7 @@
         newest = self._newest.get(order.zone, order.held)
         if newest is None or newest == order.drained:
             return 0.0
-        age = now - self._taken_at.get(order.zone, leadership.leads_since)
+        age = now - self._accepted_at.get(order.zone, leadership.leads_since)
         return REVERSAL_PAUSE_SECONDS if age < self.repeat_seconds else 0.0
 
     def take(
@@ -84,10 +84,10 @@
         if not caller_waits:
             return OrderRefusal.CALLER_LEFT
         reverses = self._newest.get(order.zone, order.held) != order.drained
-        if reverses and self._taken_at.get(order.zone, order.arrived_at) > order.arrived_at:
+        if reverses and self._accepted_at.get(order.zone, order.arrived_at) > order.arrived_at:
             return OrderRefusal.OVERTAKEN
         self._newest[order.zone] = order.drained
-        self._taken_at[order.zone] = now
+        self._accepted_at[order.zone] = now
         return None
 
     def _enter_term(self, leadership: Leadership) -> None:
@@ -95,4 +95,4 @@
         if leadership.term != self._term:
             self._term = leadership.term
             self._newest.clear()
-            self._taken_at.clear()
+            self._accepted_at.clear()
