--- a/src/jasperwalk/consensus/disk/failures.py
+++ b/src/jasperwalk/consensus/disk/failures.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(eq=False)
-class DamagedFile(StorageError):
+class CorruptFile(StorageError):
     """Bytes that were synced once do not read back; `offset` is where in the file."""
 
     kind: ClassVar[str] = "storage-damaged"
--- a/src/jasperwalk/consensus/disk/files.py
+++ b/src/jasperwalk/consensus/disk/files.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-from jasperwalk.consensus.disk.failures import DamagedFile, MissingFile
+from jasperwalk.consensus.disk.failures import CorruptFile, MissingFile
 from jasperwalk.consensus.disk.frames import encode_frame, read_frames
 
 TEMPORARY_SUFFIX = ".tmp"
@@ -54,5 +54,5 @@
         raise MissingFile(path=path) from error
     frames = list(read_frames(path, data, may_be_torn=False))
     if len(frames) != 1:
-        raise DamagedFile(path=path, offset=0, reason=f"{len(frames)} frames, expected 1")
+        raise CorruptFile(path=path, offset=0, reason=f"{len(frames)} frames, expected 1")
     return frames[0].payload
--- a/src/jasperwalk/consensus/disk/frames.py
+++ b/src/jasperwalk/consensus/disk/frames.py
@@ -14,7 +14,7 @@
 
 import google_crc32c
 
-from jasperwalk.consensus.disk.failures import DamagedFile
+from jasperwalk.consensus.disk.failures import CorruptFile
 
 HEADER = struct.Struct("<4sIII")
 CHECKED_PART = struct.Struct("<4sII")
@@ -46,7 +46,7 @@
     """Yield the frames of a file.
 
     With `may_be_torn`, iteration ends before a last frame that a crash cut short. All other
-    bytes that don't fit raise `DamagedFile`.
+    bytes that don't fit raise `CorruptFile`.
     """
     offset = 0
     while offset < len(data):
@@ -54,7 +54,7 @@
         if frame is None:
             if may_be_torn:
                 return
-            raise DamagedFile(path=path, offset=offset, reason="the last frame is cut short")
+            raise CorruptFile(path=path, offset=offset, reason="the last frame is cut short")
         yield frame
         offset = frame.end
 
@@ -65,11 +65,11 @@
     if len(header) < HEADER.size or not any(header):
         if _is_torn_header(data, offset, header):
             return None
-        raise DamagedFile(path=path, offset=offset, reason="the frame header is damaged")
+        raise CorruptFile(path=path, offset=offset, reason="the frame header is damaged")
     magic, length, payload_checksum, header_checksum = HEADER.unpack(header)
     checked = CHECKED_PART.pack(magic, length, payload_checksum)
     if magic != MAGIC or google_crc32c.value(checked) != header_checksum:
-        raise DamagedFile(path=path, offset=offset, reason="the frame header is damaged")
+        raise CorruptFile(path=path, offset=offset, reason="the frame header is damaged")
     start = offset + HEADER.size
     end = start + length + len(TRAILER)
     if end > len(data):
@@ -81,7 +81,7 @@
     is_last = not any(data[end:])
     if is_last and _has_zero_sector(data, start, end):
         return None
-    raise DamagedFile(path=path, offset=offset, reason="the checksum is wrong")
+    raise CorruptFile(path=path, offset=offset, reason="the checksum is wrong")
 
 
 def _is_torn_header(data: bytes, offset: int, header: bytes) -> bool:
--- a/src/jasperwalk/consensus/disk/records.py
+++ b/src/jasperwalk/consensus/disk/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasperwalk.consensus.disk.failures import DamagedFile
+from jasperwalk.consensus.disk.failures import CorruptFile
 from jasperwalk.consensus.durable import HardState
 from jasperwalk.consensus.entries import LogEntry
 
@@ -56,4 +56,4 @@
     try:
         return msgspec.msgpack.decode(payload, type=record_type)
     except (msgspec.DecodeError, ValueError) as error:
-        raise DamagedFile(path=path, offset=0, reason=str(error)) from error
+        raise CorruptFile(path=path, offset=0, reason=str(error)) from error
--- a/src/jasperwalk/consensus/storage.py
+++ b/src/jasperwalk/consensus/storage.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from jasperwalk.consensus.disk.failures import (
-    DamagedFile,
+    CorruptFile,
     FolderInUse,
     IdentityMismatch,
     MissingFile,
@@ -162,7 +162,7 @@
         expected = self._sequence + 1
         if self._sequence and record.sequence != expected:
             reason = f"record {record.sequence} stands where {expected} belongs"
-            raise DamagedFile(path=self._folder, offset=0, reason=reason)
+            raise CorruptFile(path=self._folder, offset=0, reason=reason)
         self._sequence = record.sequence
 
     def _check_contiguous(self, durable: DurableState, record: LogRecord) -> None:
@@ -170,7 +170,7 @@
             return
         first = record.entries[0].index
         if first > durable.entries[-1].index + 1:
-            raise DamagedFile(
+            raise CorruptFile(
                 path=self._folder, offset=0, reason=f"entries before {first} are missing"
             )
 
@@ -178,7 +178,7 @@
         """Make log and snapshot fit after a crash between the two writes."""
         first = durable.entries[0].index if durable.entries else 1
         if first > self._snapshot_index + 1:
-            raise DamagedFile(
+            raise CorruptFile(
                 path=self._folder, offset=0, reason=f"entries before {first} are missing"
             )
         if durable.reconcile():
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jasperwalk.consensus.disk.failures import (
-    DamagedFile,
+    CorruptFile,
     FolderInUse,
     IdentityMismatch,
     MissingFile,
@@ -146,7 +146,7 @@
         whole = path.read_bytes()
         for offset in range(len(whole)):
             flip(path, offset)
-            with pytest.raises(DamagedFile):
+            with pytest.raises(CorruptFile):
                 load(filled)
             path.write_bytes(whole)
     assert load(filled).entries[-1] == entry(30)
@@ -157,12 +157,12 @@
     "middle segment missing": (lambda f: segments(f)[1].unlink(), MissingFile),
     "last segment missing": (lambda f: segments(f)[-1].unlink(), MissingFile),
     "last segment empty": (lambda f: segments(f)[-1].write_bytes(b""), MissingFile),
-    "middle segment cut": (lambda f: cut(segments(f)[1], 3), DamagedFile),
-    "snapshot cut": (lambda f: cut(f / "snapshot", 3), DamagedFile),
+    "middle segment cut": (lambda f: cut(segments(f)[1], 3), CorruptFile),
+    "snapshot cut": (lambda f: cut(f / "snapshot", 3), CorruptFile),
     "snapshot missing": (lambda f: (f / "snapshot").unlink(), MissingFile),
     "manifest missing": (lambda f: (f / "manifest").unlink(), MissingFile),
     "identity missing": (lambda f: (f / "identity").unlink(), MissingFile),
-    "segments swapped": (lambda f: swap(segments(f)[0], segments(f)[2]), DamagedFile),
+    "segments swapped": (lambda f: swap(segments(f)[0], segments(f)[2]), CorruptFile),
 }
 
 
