--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -23,7 +23,7 @@
 from collections.abc import Hashable
 from itertools import islice
 
-from jasperwalk.scheduling.slot_use import FollowedRequest, SlotUse
+from jasperwalk.scheduling.slot_use import SlotUse, TrackedRequest
 
 WINDOW_SECONDS = 0.5
 """Requests that ended in this time make up the slowness: about the time that a caller waits."""
@@ -161,7 +161,7 @@
         ratios = [self._ratio_so_far(request, now) for request in self._slots.at_work()]
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
 
-    def _ratio_so_far(self, request: FollowedRequest, now: float) -> float:
+    def _ratio_so_far(self, request: TrackedRequest, now: float) -> float:
         usual = self._usual.get(request.kind, self._other_kinds).seconds
         return 0.0 if usual is None else (now - request.started_at) / usual
 
--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -17,7 +17,7 @@
 """Requests that are followed at once; further ones are not measured."""
 
 
-class FollowedRequest:
+class TrackedRequest:
     """A request that the host has not begun to answer."""
 
     __slots__ = ("asked_at", "kind", "started_at")
@@ -33,8 +33,8 @@
     """Follows the requests at one host; requests are named by any hashable value."""
 
     def __init__(self) -> None:
-        self._at_work: dict[Hashable, FollowedRequest] = {}
-        self._queued: dict[Hashable, FollowedRequest] = {}
+        self._at_work: dict[Hashable, TrackedRequest] = {}
+        self._queued: dict[Hashable, TrackedRequest] = {}
 
     def __len__(self) -> int:
         """Return the number of requests that are followed."""
@@ -44,7 +44,7 @@
         """Note that a request was passed on; one that was not whole yet begins anew."""
         if name in self._at_work or name in self._queued:
             self._take_incomplete_out(name)
-        request = FollowedRequest(kind, now)
+        request = TrackedRequest(kind, now)
         if len(self._at_work) < slots:
             self._at_work[name] = request
         elif len(self) < MOST_REQUESTS:
@@ -58,7 +58,7 @@
         elif self._queued:
             self._start_next(request.started_at)
 
-    def end(self, name: Hashable, slots: int, now: float) -> FollowedRequest | None:
+    def end(self, name: Hashable, slots: int, now: float) -> TrackedRequest | None:
         """Note that a request ended; return it, None where it was not followed.
 
         It held a slot from its `started_at` until `now`.
@@ -72,7 +72,7 @@
             self._start_next(now)
         return request
 
-    def _end_queued(self, name: Hashable) -> FollowedRequest | None:
+    def _end_queued(self, name: Hashable) -> TrackedRequest | None:
         """End a request that counts as queued: it held the slot that became free last."""
         request = self._queued.pop(name, None)
         if request is None or not self._at_work:
@@ -89,7 +89,7 @@
         request.started_at = max(request.asked_at, free_since)
         self._at_work[name] = request
 
-    def at_work(self) -> Iterable[FollowedRequest]:
+    def at_work(self) -> Iterable[TrackedRequest]:
         """Return the requests that hold a slot."""
         return self._at_work.values()
 
