--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -21,7 +21,7 @@
 from jasperwalk.control.fleet.versioned_state import OrderZone, ZoneOutcome
 from jasperwalk.observability.latency import LatencyCounts
 
-LONGEST_NAME_CHARACTERS = 200
+MAX_ZONE_NAME_CHARACTERS = 200
 """A longer name is no zone's; it is cut in logs and answers."""
 
 logger = structlog.get_logger(__name__)
@@ -114,7 +114,7 @@
             self.latency.observe(time.monotonic() - started_at)
         logger.info(
             "zone-order",
-            zone=zone[:LONGEST_NAME_CHARACTERS],
+            zone=zone[:MAX_ZONE_NAME_CHARACTERS],
             drained=drained,
             outcome=result.kind,
             detail=getattr(result, "reason", ""),
@@ -132,7 +132,7 @@
             return refer_to_leader(replica)
         if zone not in replica.applier.state.zones.drained and zone not in self._known_zones():
             self.counters.zone_orders_unknown += 1
-            return UnknownZone(zone[:LONGEST_NAME_CHARACTERS])
+            return UnknownZone(zone[:MAX_ZONE_NAME_CHARACTERS])
         arrived_at = time.monotonic()
         await self._pause(replica, _order_of(replica, zone, drained, arrived_at))
         refusal = self._guard.take(
