--- a/src/jasperwalk/config/routing_table.py
+++ b/src/jasperwalk/config/routing_table.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(eq=False)
-class RevisionWentBack(JasperwalkError):
+class StaleRevision(JasperwalkError):
     """A change was given a revision older than the table's; a fault of the caller."""
 
     kind: ClassVar[str] = "revision-went-back"
@@ -272,7 +272,7 @@
     def _advance(self, revision: int) -> None:
         """Take a new revision, which may not be older than the table's."""
         if revision < self.revision:
-            raise RevisionWentBack(revision=revision, current=self.revision)
+            raise StaleRevision(revision=revision, current=self.revision)
         self.revision = revision
 
     def _record(self, key: EntryKey, revision: int) -> None:
--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -10,7 +10,7 @@
 from jasperwalk.config.routing_table import (
     Changes,
     NeedSnapshot,
-    RevisionWentBack,
+    StaleRevision,
     VersionedTable,
 )
 from jasperwalk.config.table import (
@@ -65,7 +65,7 @@
 def test_a_revision_never_goes_back() -> None:
     table = VersionedTable()
     table.upsert(member(1), 5)
-    with pytest.raises(RevisionWentBack):
+    with pytest.raises(StaleRevision):
         table.upsert(member(2), 4)
 
 
