--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -47,7 +47,7 @@
 """Weight of the newest request in the typical time."""
 
 
-class UsualTime:
+class BaselineTime:
     """What requests of one kind usually take; `seconds` is None until enough were seen."""
 
     __slots__ = ("_first", "seconds")
@@ -77,8 +77,8 @@
 
     def __init__(self) -> None:
         self._slots = SlotUse()
-        self._usual: dict[Hashable, UsualTime] = {}
-        self._other_kinds = UsualTime()
+        self._usual: dict[Hashable, BaselineTime] = {}
+        self._other_kinds = BaselineTime()
         self._ratios: deque[tuple[float, float]] = deque(maxlen=MAXIMUM_OBSERVATIONS)
         """When each request ended and how many times as long as usual it took, oldest first."""
         self._typical_seconds: float | None = None
@@ -109,13 +109,13 @@
         """Note that a request ended without a measurable answer."""
         self._slots.end(request, slots, now)
 
-    def _usual_of(self, kind: Hashable) -> UsualTime:
+    def _usual_of(self, kind: Hashable) -> BaselineTime:
         usual = self._usual.get(kind)
         if usual is not None:
             return usual
         if len(self._usual) >= MOST_KINDS:
             return self._other_kinds
-        usual = self._usual[kind] = UsualTime()
+        usual = self._usual[kind] = BaselineTime()
         return usual
 
     def _note_typical(self, seconds: float) -> None:
@@ -128,7 +128,7 @@
         """Measure anew: another host has taken the place."""
         self._slots.forget()
         self._usual.clear()
-        self._other_kinds = UsualTime()
+        self._other_kinds = BaselineTime()
         self._ratios.clear()
         self._typical_seconds = None
         self._reckoned_at = float("-inf")
