--- a/src/jasperwalk/control/fleet/versioned_state.py
+++ b/src/jasperwalk/control/fleet/versioned_state.py
@@ -93,7 +93,7 @@
 Command = PutConfiguration | OrderZone
 Outcome = PutOutcome | ZoneOutcome
 
-NOTHING_HELD = HeldConfiguration(version=0, source=b"", routes=[])
+NO_CONFIGURATION = HeldConfiguration(version=0, source=b"", routes=[])
 
 NO_ZONES = ZoneStates()
 
@@ -107,7 +107,7 @@
     """Applies commands in the log's order; the same commands give the same state."""
 
     def __init__(
-        self, held: HeldConfiguration = NOTHING_HELD, zones: ZoneStates = NO_ZONES
+        self, held: HeldConfiguration = NO_CONFIGURATION, zones: ZoneStates = NO_ZONES
     ) -> None:
         self.held = held
         self.zones = zones
