--- a/src/jasperwalk/config/routing_table.py
+++ b/src/jasperwalk/config/routing_table.py
@@ -56,7 +56,7 @@
     removals: list[EntryKey]
 
 
-class NeedSnapshot(msgspec.Struct, frozen=True):
+class SnapshotRequired(msgspec.Struct, frozen=True):
     """Removals after the asked revision may be forgotten.
 
     Only revisions from `horizon` on can be brought up to date by changes.
@@ -165,13 +165,13 @@
         self._record(key, revision)
         return True
 
-    def changes_since(self, revision: int) -> Changes | NeedSnapshot:
+    def changes_since(self, revision: int) -> Changes | SnapshotRequired:
         """Return what changed after `revision`, or that only a snapshot will do.
 
         A revision at or beyond the table's own gives empty changes.
         """
         if revision < self.horizon:
-            return NeedSnapshot(horizon=self.horizon, revision=self.revision)
+            return SnapshotRequired(horizon=self.horizon, revision=self.revision)
         upserts: dict[EntryKey, TableEntry] = {}
         removals: dict[EntryKey, None] = {}
         start = bisect.bisect_right(self._journal_revisions, revision)
--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -9,7 +9,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import (
     Changes,
-    NeedSnapshot,
+    SnapshotRequired,
     StaleRevision,
     VersionedTable,
 )
@@ -76,7 +76,7 @@
     for number in range(1, 4):
         table.remove(key_of(member(number)), 10 + number)
     assert table.horizon == 11
-    assert table.changes_since(10) == NeedSnapshot(horizon=11, revision=13)
+    assert table.changes_since(10) == SnapshotRequired(horizon=11, revision=13)
     changes = table.changes_since(11)
     assert isinstance(changes, Changes)
     assert changes.removals == [key_of(member(2)), key_of(member(3))]
@@ -126,7 +126,7 @@
     assert restored.image() == image
     for source in (table, restored):
         changes = source.changes_since(followed_revision)
-        if isinstance(changes, NeedSnapshot):
+        if isinstance(changes, SnapshotRequired):
             assert followed_revision < source.horizon
             continue
         assert all(source.revision_of(key_of(each)) > followed_revision for each in changes.upserts)
--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -9,7 +9,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import MemberStatus, PlatformState
 from jasperwalk.config.problems import ProblemKind
-from jasperwalk.config.routing_table import NeedSnapshot
+from jasperwalk.config.routing_table import SnapshotRequired
 from jasperwalk.config.table import AdminState, KeyPurpose, OperatingStatus, accepts_new_work
 from jasperwalk.control.state.commands import (
     ApplyTemplate,
@@ -257,7 +257,7 @@
     driver.set_tenant("two", hosts=(1, 2))
     assert len(driver.state.table.changes_since(2).removals) == 1
     driver.apply(RemoveTenant("remove", None, "alpha"))
-    assert isinstance(driver.state.table.changes_since(2), NeedSnapshot)
+    assert isinstance(driver.state.table.changes_since(2), SnapshotRequired)
 
 
 def test_an_index_is_applied_once(driver: Any) -> None:
