--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -58,7 +58,7 @@
     """Where the host takes packets, None where it does not say."""
 
 
-class DoubtedCall(msgspec.Struct, frozen=True):
+class UnconfirmedCall(msgspec.Struct, frozen=True):
     """The first of the calls by which a start asks for the present one's place."""
 
     number: int
@@ -94,7 +94,7 @@
     """Hosts that have said that they leave, and when the last of their starts that did so began."""
     _replaced: dict[HostStart, int] = field(default_factory=dict)
     """Starts whose place another one has taken, and the number of their last call."""
-    _doubted: dict[HostStart, DoubtedCall] = field(default_factory=dict)
+    _doubted: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
     """Starts that may be gone and whose calls came since the present one's last."""
     _is_confirmed: bool = False
     """Whether the present host has spoken more than once, and so was not itself a late call."""
@@ -186,7 +186,7 @@
 
     def _goes_on(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
-        first = self._doubted.setdefault(start, DoubtedCall(call_number, now))
+        first = self._doubted.setdefault(start, UnconfirmedCall(call_number, now))
         _forget_oldest(self._doubted)
         return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
 
