--- a/src/jasperwalk/control/fleet/versioned_state.py
+++ b/src/jasperwalk/control/fleet/versioned_state.py
@@ -80,7 +80,9 @@
 
     def drained_zones(self) -> DrainedZones:
         """Return what nodes are sent."""
-        return DrainedZones(self.revision, sorted(z for z, is_so in self.drained.items() if is_so))
+        return DrainedZones(
+            self.revision, sorted(z for z, is_drained in self.drained.items() if is_drained)
+        )
 
 
 class StateImage(msgspec.Struct, frozen=True, array_like=True, tag=406):
