--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -56,7 +56,7 @@
 """A value after its check."""
 
 
-class Shape(msgspec.Struct, frozen=True):
+class ValueShape(msgspec.Struct, frozen=True):
     """What a value must be.
 
     `minimum` and `maximum` bound an integer's value, a string's length or a list's count.
@@ -80,7 +80,7 @@
 
 
 def check_value(
-    shape: Shape, raw: Any, place: str, problems: ProblemCollector
+    shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> TypedValue | None:
     """Check one raw value; return it typed, or None after noting its problems."""
     match shape.type:
@@ -107,7 +107,9 @@
     return raw
 
 
-def check_integer(shape: Shape, raw: Any, place: str, problems: ProblemCollector) -> int | None:
+def check_integer(
+    shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
+) -> int | None:
     """Check an integer against its bounds; a boolean is none."""
     if isinstance(raw, bool) or not isinstance(raw, int):
         _note_wrong_type("an integer", raw, place, problems)
@@ -135,7 +137,9 @@
     return endpoint
 
 
-def _check_string(shape: Shape, raw: Any, place: str, problems: ProblemCollector) -> str | None:
+def _check_string(
+    shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
+) -> str | None:
     if not isinstance(raw, str):
         _note_wrong_type("a string", raw, place, problems)
         return None
@@ -158,7 +162,7 @@
 
 
 def _check_members(
-    shape: Shape, raw: Any, place: str, problems: ProblemCollector
+    shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> tuple[MemberValue, ...] | None:
     if not isinstance(raw, list):
         _note_wrong_type("a list of members", raw, place, problems)
@@ -184,10 +188,10 @@
 _MEMBER_FIELDS = ("host", "zone", "address", "weight", "slots")
 _MEMBER_REQUIRED_FIELDS = ("host", "zone", "address")
 
-WEIGHT_SHAPE = Shape(type=ParameterType.INTEGER, minimum=0, maximum=HIGHEST_WEIGHT)
+WEIGHT_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=HIGHEST_WEIGHT)
 """Weight of a member; 0 for no new flows."""
 
-SLOTS_SHAPE = Shape(type=ParameterType.INTEGER, minimum=1, maximum=HIGHEST_SLOTS)
+SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=HIGHEST_SLOTS)
 """Requests that a member's back end runs at once."""
 
 
@@ -217,7 +221,7 @@
 
 
 def _check_optional(
-    shape: Shape, raw: dict[str, Any], field: str, place: str, problems: ProblemCollector
+    shape: ValueShape, raw: dict[str, Any], field: str, place: str, problems: ProblemCollector
 ) -> int | None:
     if field not in raw:
         return None
--- a/src/jasperwalk/config/service_fields.py
+++ b/src/jasperwalk/config/service_fields.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasperwalk.config.parameters import SLOTS_SHAPE, WEIGHT_SHAPE, ParameterType, Shape
+from jasperwalk.config.parameters import SLOTS_SHAPE, WEIGHT_SHAPE, ParameterType, ValueShape
 from jasperwalk.config.table import Objective
 
 REFERENCE_PATTERN = re.compile(r"\$\{([^}]*)\}")
@@ -19,29 +19,29 @@
 class FieldRule(msgspec.Struct, frozen=True):
     """Shape and default of one field; a None default makes the field required."""
 
-    shape: Shape
+    shape: ValueShape
     default: str | int | None = None
 
 
 def _duration(default: int, minimum: int = 0) -> FieldRule:
     """Rule of a duration in milliseconds."""
-    shape = Shape(type=ParameterType.INTEGER, minimum=minimum, maximum=LONGEST_DURATION_MS)
+    shape = ValueShape(type=ParameterType.INTEGER, minimum=minimum, maximum=LONGEST_DURATION_MS)
     return FieldRule(shape=shape, default=default)
 
 
 def _count(default: int, minimum: int, maximum: int) -> FieldRule:
     """Rule of a count."""
-    shape = Shape(type=ParameterType.INTEGER, minimum=minimum, maximum=maximum)
+    shape = ValueShape(type=ParameterType.INTEGER, minimum=minimum, maximum=maximum)
     return FieldRule(shape=shape, default=default)
 
 
 _OBJECTIVES = tuple(objective.value for objective in Objective)
 
 SERVICE_FIELDS: dict[str, FieldRule] = {
-    "name": FieldRule(Shape(type=ParameterType.STRING, minimum=1, maximum=63)),
-    "listener": FieldRule(Shape(type=ParameterType.ADDRESS)),
-    "objective": FieldRule(Shape(type=ParameterType.STRING, choices=_OBJECTIVES)),
-    "members": FieldRule(Shape(type=ParameterType.MEMBERS)),
+    "name": FieldRule(ValueShape(type=ParameterType.STRING, minimum=1, maximum=63)),
+    "listener": FieldRule(ValueShape(type=ParameterType.ADDRESS)),
+    "objective": FieldRule(ValueShape(type=ParameterType.STRING, choices=_OBJECTIVES)),
+    "members": FieldRule(ValueShape(type=ParameterType.MEMBERS)),
     "member_defaults.weight": FieldRule(shape=WEIGHT_SHAPE, default=100),
     "member_defaults.slots": FieldRule(shape=SLOTS_SHAPE, default=1),
     "limits.queue_length": _count(default=64, minimum=0, maximum=100_000),
@@ -49,7 +49,7 @@
     "limits.request_deadline_ms": _duration(default=30_000, minimum=1),
     "limits.slow_start_ms": _duration(default=0),
     "health_monitor.path": FieldRule(
-        Shape(type=ParameterType.STRING, minimum=1, maximum=1_024), default="/health"
+        ValueShape(type=ParameterType.STRING, minimum=1, maximum=1_024), default="/health"
     ),
     "health_monitor.interval_ms": _duration(default=1_000, minimum=50),
     "health_monitor.timeout_ms": _duration(default=500, minimum=10),
--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -10,7 +10,7 @@
 from jasperwalk.config.parameters import (
     NAME_MEND,
     ParameterType,
-    Shape,
+    ValueShape,
     check_name,
     check_value,
 )
@@ -38,7 +38,7 @@
 
     name: str
     description: str
-    shape: Shape
+    shape: ValueShape
     default: Any
 
 
@@ -102,7 +102,7 @@
 
 def _read_description(raw: dict[str, Any], place: str, problems: ProblemCollector) -> str:
     description = check_value(
-        Shape(type=ParameterType.STRING), raw.get("description", ""), place, problems
+        ValueShape(type=ParameterType.STRING), raw.get("description", ""), place, problems
     )
     return description if isinstance(description, str) else ""
 
@@ -144,13 +144,13 @@
     )
 
 
-def _read_shape(raw: dict[str, Any], place: str, problems: ProblemCollector) -> Shape | None:
+def _read_shape(raw: dict[str, Any], place: str, problems: ProblemCollector) -> ValueShape | None:
     type_names = tuple(parameter_type.value for parameter_type in ParameterType)
     if "type" not in raw:
         mend = "add type, one of " + ", ".join(type_names)
         problems.add(ProblemKind.MISSING_FIELD, f"{place}.type", "missing field", mend)
         return None
-    type_shape = Shape(type=ParameterType.STRING, choices=type_names)
+    type_shape = ValueShape(type=ParameterType.STRING, choices=type_names)
     type_name = check_value(type_shape, raw["type"], f"{place}.type", problems)
     if not isinstance(type_name, str):
         return None
@@ -162,7 +162,7 @@
         problems.add(ProblemKind.OUT_OF_BOUNDS, f"{place}.minimum", detail, "swap or mend them")
         return None
     choices = _read_choices(raw, parameter_type, place, problems)
-    return Shape(type=parameter_type, minimum=minimum, maximum=maximum, choices=choices)
+    return ValueShape(type=parameter_type, minimum=minimum, maximum=maximum, choices=choices)
 
 
 def _read_bound(
@@ -174,7 +174,9 @@
 ) -> int | None:
     if field not in raw:
         return None
-    bound = check_value(Shape(type=ParameterType.INTEGER), raw[field], f"{place}.{field}", problems)
+    bound = check_value(
+        ValueShape(type=ParameterType.INTEGER), raw[field], f"{place}.{field}", problems
+    )
     if parameter_type not in _BOUNDED_TYPES:
         detail = f"a {parameter_type.value} has no {field}"
         problems.add(ProblemKind.UNKNOWN_FIELD, f"{place}.{field}", detail, "remove it")
