--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -44,7 +44,7 @@
             return False
         route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
-        let_go = queue.let_go_least_promising(self._most(now), now)
+        let_go = queue.shed_openings(self._most(now), now)
         self._refuse([each for each in let_go if each is not request], now)
         if request in let_go:
             return False
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -125,7 +125,7 @@
         """Note a request that was begun without waiting; it counts against its group's share."""
         self.order.shares.note_served(terms.group, seconds, now)
 
-    def let_go_least_promising(self, most: int, now: float) -> list[WaitingRequest]:
+    def shed_openings(self, most: int, now: float) -> list[WaitingRequest]:
         """Take the new flows that are too many where this many may wait."""
         let_go = []
         while self._openings > most:
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -103,9 +103,9 @@
     add(waiting, "urgent", URGENT, 0.0)
     add(waiting, "old", ORDINARY, 0.1)
     add(waiting, "new", ORDINARY, 0.2)
-    (gone,) = waiting.let_go_least_promising(2, 0.2)
+    (gone,) = waiting.shed_openings(2, 0.2)
     assert gone.key == b"old"
-    (gone,) = waiting.let_go_least_promising(1, 0.2)
+    (gone,) = waiting.shed_openings(1, 0.2)
     assert gone.key == b"new"
     assert b"urgent" in waiting
 
@@ -113,7 +113,7 @@
 def test_requests_of_open_flows_are_never_let_go_for_want_of_room():
     waiting = scheduler()
     hold(waiting, "open", ORDINARY)
-    assert waiting.let_go_least_promising(0, 0.0) == []
+    assert waiting.shed_openings(0, 0.0) == []
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
             added.add(name.encode())
             drawn.choice([add, hold])(waiting, name, terms, now)
         gone += [each.key for each in waiting.take_expired(now)]
-        gone += [each.key for each in waiting.let_go_least_promising(drawn.randrange(20), now)]
+        gone += [each.key for each in waiting.shed_openings(drawn.randrange(20), now)]
         if drawn.random() < 0.4:
             request = waiting.take_next(drawn.random() < 0.8, WORK_SECONDS, now)
             gone += [request.key] if request else []
