--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -188,7 +188,7 @@
 _MEMBER_FIELDS = ("host", "zone", "address", "weight", "slots")
 _MEMBER_REQUIRED_FIELDS = ("host", "zone", "address")
 
-WEIGHT_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=HIGHEST_WEIGHT)
+WEIGHT_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=HIGHEST_WEIGHT)
 """Weight of a member; 0 for no new flows."""
 
 SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=HIGHEST_SLOTS)
@@ -213,7 +213,7 @@
     host = check_name(raw["host"], f"{place}.host", problems)
     zone = check_name(raw["zone"], f"{place}.zone", problems)
     address = check_address(raw["address"], f"{place}.address", problems)
-    weight = _check_optional(WEIGHT_SHAPE, raw, "weight", place, problems)
+    weight = _check_optional(WEIGHT_VALUE_SHAPE, raw, "weight", place, problems)
     slots = _check_optional(SLOTS_SHAPE, raw, "slots", place, problems)
     if problems.count > before or host is None or zone is None or address is None:
         return None
