--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -44,9 +44,9 @@
             return False
         route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
-        let_go = queue.shed_openings(self._most(now), now)
-        self._refuse([each for each in let_go if each is not request], now)
-        if request in let_go:
+        shed = queue.shed_openings(self._most(now), now)
+        self._refuse([each for each in shed if each is not request], now)
+        if request in shed:
             return False
         self.parts.counters.flows_waited += 1
         return True
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -127,14 +127,14 @@
 
     def shed_openings(self, most: int, now: float) -> list[WaitingRequest]:
         """Take the new flows that are too many where this many may wait."""
-        let_go = []
+        shed = []
         while self._openings > most:
             request = self.order.least_promising_opening(now)
             if request is None:
                 break
             self.discard(request.key)
-            let_go.append(request)
-        return let_go
+            shed.append(request)
+        return shed
 
     def take_expired(self, now: float) -> list[WaitingRequest]:
         """Take what has waited too long."""
