--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -15,7 +15,7 @@
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 """Names of templates, tenants, services, hosts and zones."""
 
-NAME_MEND = "use 1 to 63 lower-case letters, digits and inner hyphens"
+NAME_RULE = "use 1 to 63 lower-case letters, digits and inner hyphens"
 
 LONGEST_STRING = 1_024
 """Characters of a string value where its definition gives no lower maximum."""
@@ -102,7 +102,7 @@
         _note_wrong_type("a string", raw, place, problems)
         return None
     if not is_name(raw):
-        problems.add(ProblemKind.INVALID_NAME, place, f"{show(raw)} is not a name", NAME_MEND)
+        problems.add(ProblemKind.INVALID_NAME, place, f"{show(raw)} is not a name", NAME_RULE)
         return None
     return raw
 
--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from jasperwalk.config.parameters import (
-    NAME_MEND,
+    NAME_RULE,
     ParameterType,
     ValueShape,
     check_name,
@@ -95,7 +95,7 @@
 
 def _read_name(document: dict[str, Any], problems: ProblemCollector) -> str | None:
     if "name" not in document:
-        problems.add(ProblemKind.MISSING_FIELD, "name", "missing field", f"add name; {NAME_MEND}")
+        problems.add(ProblemKind.MISSING_FIELD, "name", "missing field", f"add name; {NAME_RULE}")
         return None
     return check_name(document["name"], "name", problems)
 
--- a/src/jasperwalk/control/state/configuration.py
+++ b/src/jasperwalk/control/state/configuration.py
@@ -12,7 +12,7 @@
     ListenerConflict,
     RenderedTenant,
 )
-from jasperwalk.config.parameters import NAME_MEND, is_name
+from jasperwalk.config.parameters import NAME_RULE, is_name
 from jasperwalk.config.problems import TemplateError, ValuesError
 from jasperwalk.config.rendering import render
 from jasperwalk.config.templates import Template, parse_template
@@ -100,7 +100,7 @@
         """Decide on a tenant: its values must render, and without conflict."""
         if not is_name(command.name):
             return InvalidIdentifier(
-                subject="tenant name", text=command.name[:LONGEST_SHOWN_NAME], mend=NAME_MEND
+                subject="tenant name", text=command.name[:LONGEST_SHOWN_NAME], mend=NAME_RULE
             )
         mismatch = self._tenant_mismatch(command.name, command.expected_revision)
         if mismatch is not None:
