--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -206,7 +206,7 @@
             for line in lane.lines(with_openings=True)
         )
 
-    def least_promising_opening(self, now: float) -> WaitingRequest | None:
+    def opening_to_shed(self, now: float) -> WaitingRequest | None:
         """Return the new flow to let go when there is no room for all, None where none waits.
 
         It is the oldest of the least urgent, of the group that is furthest over its share. Its
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -129,7 +129,7 @@
         """Take the new flows that are too many where this many may wait."""
         shed = []
         while self._openings > most:
-            request = self.order.least_promising_opening(now)
+            request = self.order.opening_to_shed(now)
             if request is None:
                 break
             self.discard(request.key)
