--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -25,7 +25,7 @@
 LONGEST_TEXT = 262_144
 """Characters of a template's text."""
 
-PARAMETER_NAME_MEND = "use letters, digits and underscores, not starting with a digit"
+PARAMETER_NAME_RULE = "use letters, digits and underscores, not starting with a digit"
 
 _TOP_LEVEL_FIELDS = ("name", "description", "parameters", "services")
 _PARAMETER_FIELDS = ("type", "description", "default", "minimum", "maximum", "choices")
@@ -125,7 +125,7 @@
     place = f"parameters.{name}"
     if not (name.isascii() and name.isidentifier()):
         detail = f"{name!r} is not a parameter name"
-        problems.add(ProblemKind.INVALID_NAME, place, detail, PARAMETER_NAME_MEND)
+        problems.add(ProblemKind.INVALID_NAME, place, detail, PARAMETER_NAME_RULE)
         return None
     if not isinstance(raw, dict):
         problems.add(ProblemKind.WRONG_TYPE, place, "not a table", f"write a [{place}] table")
