--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -100,7 +100,7 @@
         """Take the request whose turn it is."""
         return self.timely.pop(0) if self.timely else self.late.pop()
 
-    def least_promising(self) -> WaitingRequest:
+    def first_to_shed(self) -> WaitingRequest:
         """Return the request that is least likely to be served in time."""
         return self.late[0] if self.late else self.timely[0]
 
@@ -201,7 +201,7 @@
 
     def _oldest_arrived_at(self, priority: int) -> float:
         return min(
-            line.least_promising().arrived_at
+            line.first_to_shed().arrived_at
             for lane in self._lanes[priority].values()
             for line in lane.lines(with_openings=True)
         )
@@ -220,7 +220,7 @@
             }
             if waiting:
                 group = self.shares.group_to_shed(waiting, now)
-                return self._lanes[priority][group].openings.least_promising()
+                return self._lanes[priority][group].openings.first_to_shed()
         return None
 
     def count_ahead(self, priority: int) -> int:
