--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -17,7 +17,7 @@
 
 NAME_RULE = "use 1 to 63 lower-case letters, digits and inner hyphens"
 
-LONGEST_STRING = 1_024
+MAX_STRING_LENGTH = 1_024
 """Characters of a string value where its definition gives no lower maximum."""
 
 MOST_MEMBERS = 10_000
@@ -148,7 +148,7 @@
         problems.add(ProblemKind.NOT_A_CHOICE, place, f"{show(raw)} is not a choice", mend)
         return None
     minimum = shape.minimum or 0
-    maximum = LONGEST_STRING if shape.maximum is None else shape.maximum
+    maximum = MAX_STRING_LENGTH if shape.maximum is None else shape.maximum
     if not _check_bounds(len(raw), (minimum, maximum), place, "the length", problems):
         return None
     return raw
