--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -20,7 +20,7 @@
 MAX_STRING_LENGTH = 1_024
 """Characters of a string value where its definition gives no lower maximum."""
 
-MOST_MEMBERS = 10_000
+MAX_MEMBERS = 10_000
 """Members of a pool where the definition gives no lower maximum."""
 
 HIGHEST_WEIGHT = 10_000
@@ -168,7 +168,7 @@
         _note_wrong_type("a list of members", raw, place, problems)
         return None
     minimum = shape.minimum or 0
-    maximum = MOST_MEMBERS if shape.maximum is None else shape.maximum
+    maximum = MAX_MEMBERS if shape.maximum is None else shape.maximum
     if not _check_bounds(len(raw), (minimum, maximum), place, "the count of members", problems):
         return None
     members: list[MemberValue] = []
