--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -23,7 +23,7 @@
 MAX_MEMBERS = 10_000
 """Members of a pool where the definition gives no lower maximum."""
 
-HIGHEST_WEIGHT = 10_000
+MAX_WEIGHT = 10_000
 HIGHEST_SLOTS = 100_000
 HIGHEST_INTEGER = 2**53
 """Integers beyond this do not survive JSON readers."""
@@ -188,7 +188,7 @@
 _MEMBER_FIELDS = ("host", "zone", "address", "weight", "slots")
 _MEMBER_REQUIRED_FIELDS = ("host", "zone", "address")
 
-WEIGHT_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=HIGHEST_WEIGHT)
+WEIGHT_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=MAX_WEIGHT)
 """Weight of a member; 0 for no new flows."""
 
 SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=HIGHEST_SLOTS)
