--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -24,7 +24,7 @@
 """Members of a pool where the definition gives no lower maximum."""
 
 MAX_WEIGHT = 10_000
-HIGHEST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 HIGHEST_INTEGER = 2**53
 """Integers beyond this do not survive JSON readers."""
 
@@ -191,7 +191,7 @@
 WEIGHT_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=MAX_WEIGHT)
 """Weight of a member; 0 for no new flows."""
 
-SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=HIGHEST_SLOTS)
+SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=MAX_SLOTS)
 """Requests that a member's back end runs at once."""
 
 
