--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -25,7 +25,7 @@
 
 MAX_WEIGHT = 10_000
 MAX_SLOTS = 100_000
-HIGHEST_INTEGER = 2**53
+MAX_INTEGER = 2**53
 """Integers beyond this do not survive JSON readers."""
 
 SHOWN_VALUE_LENGTH = 80
@@ -114,8 +114,8 @@
     if isinstance(raw, bool) or not isinstance(raw, int):
         _note_wrong_type("an integer", raw, place, problems)
         return None
-    minimum = -HIGHEST_INTEGER if shape.minimum is None else shape.minimum
-    maximum = HIGHEST_INTEGER if shape.maximum is None else shape.maximum
+    minimum = -MAX_INTEGER if shape.minimum is None else shape.minimum
+    maximum = MAX_INTEGER if shape.maximum is None else shape.maximum
     if not _check_bounds(raw, (minimum, maximum), place, "the value", problems):
         return None
     return raw
