--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -28,7 +28,7 @@
 MAX_INTEGER = 2**53
 """Integers beyond this do not survive JSON readers."""
 
-SHOWN_VALUE_LENGTH = 80
+MAX_SHOWN_VALUE_LENGTH = 80
 """Characters of a wrong value that a problem's text repeats."""
 
 
@@ -76,7 +76,7 @@
 def show(raw: Any) -> str:
     """Print a wrong value in a bounded length."""
     text = repr(raw)
-    return text if len(text) <= SHOWN_VALUE_LENGTH else text[:SHOWN_VALUE_LENGTH] + "..."
+    return text if len(text) <= MAX_SHOWN_VALUE_LENGTH else text[:MAX_SHOWN_VALUE_LENGTH] + "..."
 
 
 def check_value(
