--- a/src/jasperwalk/config/problems.py
+++ b/src/jasperwalk/config/problems.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.errors import JasperwalkError
 
-MAXIMUM_PROBLEMS = 20
+MAX_PROBLEMS = 20
 """Problems reported at once; further ones are counted and left for the next try."""
 
 LONGEST_PLACE = 160
@@ -65,9 +65,9 @@
         self._problems: list[Problem] = []
 
     def add(self, kind: ProblemKind, place: str, detail: str, mend: str) -> None:
-        """Note one problem; beyond `MAXIMUM_PROBLEMS` it is only counted."""
+        """Note one problem; beyond `MAX_PROBLEMS` it is only counted."""
         self.count += 1
-        if len(self._problems) >= MAXIMUM_PROBLEMS:
+        if len(self._problems) >= MAX_PROBLEMS:
             return
         problem = Problem(
             kind=kind,
--- a/tests/config/test_templates.py
+++ b/tests/config/test_templates.py
@@ -9,7 +9,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.problems import MAXIMUM_PROBLEMS, TemplateError, ValuesError
+from jasperwalk.config.problems import MAX_PROBLEMS, TemplateError, ValuesError
 from jasperwalk.config.problems import ProblemKind as Kind
 from jasperwalk.config.rendering import render
 from jasperwalk.config.table import Objective
@@ -168,7 +168,7 @@
     values = {f"unknown_{number}": 1 for number in range(100)} | {"pool": [{}]}
     with pytest.raises(ValuesError) as caught:
         render(parse_template(TEMPLATE), tenant(values))
-    assert len(caught.value.problems) == MAXIMUM_PROBLEMS
+    assert len(caught.value.problems) == MAX_PROBLEMS
 
 
 TWICE = TEMPLATE + TEMPLATE[TEMPLATE.index("[[services]]") :]
