--- a/src/jasperwalk/control/fleet/stale_orders.py
+++ b/src/jasperwalk/control/fleet/stale_orders.py
@@ -66,7 +66,7 @@
     """When that order, or a repetition of it, was taken last."""
 
     def pause_seconds(self, order: ZoneOrder, leadership: Leadership, now: float) -> float:
-        """Return how long the order pauses before `take`; 0 where it reverses no new one."""
+        """Return how long the order pauses before `admit`; 0 where it reverses no new one."""
         self._enter_term(leadership)
         newest = self._newest.get(order.zone, order.held)
         if newest is None or newest == order.drained:
@@ -74,7 +74,7 @@
         age = now - self._accepted_at.get(order.zone, leadership.leads_since)
         return REVERSAL_PAUSE_SECONDS if age < self.repeat_seconds else 0.0
 
-    def take(
+    def admit(
         self, order: ZoneOrder, leadership: Leadership, caller_waits: bool, now: float
     ) -> OrderRefusal | None:
         """Return why the order does not count; where it does, None, and it is the newest now."""
--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -135,7 +135,7 @@
             return UnknownZone(zone[:MAX_ZONE_NAME_CHARACTERS])
         arrived_at = time.monotonic()
         await self._pause(replica, _order_of(replica, zone, drained, arrived_at))
-        refusal = self._guard.take(
+        refusal = self._guard.admit(
             _order_of(replica, zone, drained, arrived_at),
             _leadership_of(replica),
             caller_waits(),
--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -47,7 +47,7 @@
 
 
 def test_mutant_an_order_counts_whether_or_not_its_caller_waits(monkeypatch):
-    original = StaleOrderGuard.take
+    original = StaleOrderGuard.admit
     monkeypatch.setattr(
         StaleOrderGuard,
         "take",
--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -194,14 +194,14 @@
         )
         if pause:
             self.counts["paused"] += 1
-        self.later(pause, lambda: self.take(replica_id, order, attempt, waits))
+        self.later(pause, lambda: self.admit(replica_id, order, attempt, waits))
 
-    def take(self, replica_id, order, attempt, waits):
+    def admit(self, replica_id, order, attempt, waits):
         if not self.leads(replica_id):
             return
         node, replica = self.nodes[replica_id], self.world.replicas[replica_id]
         order = self.held(node, order)
-        refusal = node.guard.take(order, self.leadership(replica_id), waits(), self.now)
+        refusal = node.guard.admit(order, self.leadership(replica_id), waits(), self.now)
         if refusal is not None:
             return
         command = encode_command(OrderZone(order.zone, order.drained))
