--- a/src/jasperwalk/config/problems.py
+++ b/src/jasperwalk/config/problems.py
@@ -13,7 +13,7 @@
 MAX_PROBLEMS = 20
 """Problems reported at once; further ones are counted and left for the next try."""
 
-LONGEST_PLACE = 160
+MAX_PLACE_LENGTH = 160
 """Characters of a problem's place; outcomes with problems are kept in bounded memory."""
 
 LONGEST_SENTENCE = 400
@@ -71,7 +71,7 @@
             return
         problem = Problem(
             kind=kind,
-            place=place[:LONGEST_PLACE],
+            place=place[:MAX_PLACE_LENGTH],
             detail=detail[:LONGEST_SENTENCE],
             mend=mend[:LONGEST_SENTENCE],
         )
