--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -97,7 +97,7 @@
         self._subscribers.add(link)
         if self._selector.needs_snapshot(subscribe):
             self._admission.begin(subscriber_id, now)
-        self._selector.arrived(link, now)
+        self._selector.on_subscribed(link, now)
         effects.extend(self._heartbeat(link, now))
         if link in self._subscribers:
             effects.extend(self._send_replica_endpoints(link))
--- a/src/jasperwalk/distribution/update_selector.py
+++ b/src/jasperwalk/distribution/update_selector.py
@@ -13,7 +13,7 @@
     def __init__(self, encoder: UpdateEncoder) -> None:
         self._encoder = encoder
 
-    def arrived(self, link: SubscriberLink, now: float) -> None:
+    def on_subscribed(self, link: SubscriberLink, now: float) -> None:
         """Find the scope of a new subscriber; a balancer's is the whole table."""
         if link.is_balancer:
             return
