--- a/src/jasperwalk/config/problems.py
+++ b/src/jasperwalk/config/problems.py
@@ -16,7 +16,7 @@
 MAX_PLACE_LENGTH = 160
 """Characters of a problem's place; outcomes with problems are kept in bounded memory."""
 
-LONGEST_SENTENCE = 400
+MAX_SENTENCE_LENGTH = 400
 """Characters of a problem's detail, and of its mend."""
 
 
@@ -72,8 +72,8 @@
         problem = Problem(
             kind=kind,
             place=place[:MAX_PLACE_LENGTH],
-            detail=detail[:LONGEST_SENTENCE],
-            mend=mend[:LONGEST_SENTENCE],
+            detail=detail[:MAX_SENTENCE_LENGTH],
+            mend=mend[:MAX_SENTENCE_LENGTH],
         )
         self._problems.append(problem)
 
