--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -64,7 +64,7 @@
         self._wakes: list[tuple[float, int]] = []
         self._quorum_contact_at = -math.inf
         self._ticked_at = -math.inf
-        self._heard_since = -math.inf
+        self._silence_counted_from = -math.inf
         """Silence of subscribers counts from here at the earliest."""
         self._replicas: ReplicaEndpoints | None = None
 
@@ -167,7 +167,7 @@
     def _note_own_stall(self, now: float) -> None:
         # What subscribers sent while this process stood still has not been read yet.
         if now - self._ticked_at > self._config.silent_seconds / 2:
-            self._heard_since = now
+            self._silence_counted_from = now
         self._ticked_at = now
 
     def _heartbeats_due(self, now: float) -> list[PublisherEffect]:
@@ -269,7 +269,7 @@
         return [] if former is None else self._close(former, CloseReason.RECONNECTED)
 
     def _heartbeat_due(self, link: SubscriberLink, now: float) -> list[PublisherEffect]:
-        if now - max(link.last_seen, self._heard_since) > self._config.silent_seconds:
+        if now - max(link.last_seen, self._silence_counted_from) > self._config.silent_seconds:
             return self._close(link, CloseReason.SILENT)
         return self._heartbeat(link, now)
 
