--- a/bench/fair_shares.py
+++ b/bench/fair_shares.py
@@ -32,7 +32,7 @@
 
     def next_and_note(now: float) -> int:
         group = shares.group_to_serve(groups, now)
-        shares.note_served(group, REQUEST_SECONDS, now)
+        shares.record_served(group, REQUEST_SECONDS, now)
         return group
 
     bare = _median_time(lambda _now: next(iter(groups)))
@@ -51,7 +51,7 @@
     source = random.Random(SEED)
     shares = FairShares()
     for step in range(100 * len(groups)):
-        shares.note_served(source.choice(groups), REQUEST_SECONDS, REQUEST_SECONDS * step)
+        shares.record_served(source.choice(groups), REQUEST_SECONDS, REQUEST_SECONDS * step)
     return shares
 
 
--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -56,7 +56,7 @@
         """Return how many groups are remembered."""
         return len(self._use)
 
-    def note_served(self, group: int, seconds: float, now: float) -> None:
+    def record_served(self, group: int, seconds: float, now: float) -> None:
         """Note that a request was begun which is expected to take a slot for `seconds`."""
         used = max(seconds, LEAST_REQUEST_SECONDS) / self._weight(group)
         self._use[group] = used * self._unit(now) + self._use.get(group, 0.0)
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -29,7 +29,7 @@
 class GroupShares(Protocol):
     """Shares a host's time between groups of callers."""
 
-    def note_served(self, group: int, seconds: float, now: float) -> None:
+    def record_served(self, group: int, seconds: float, now: float) -> None:
         """Note that a request was begun that is expected to take so much of a slot's time."""
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
@@ -42,7 +42,7 @@
 class NoShares:
     """All callers are one group."""
 
-    def note_served(self, group: int, seconds: float, now: float) -> None:
+    def record_served(self, group: int, seconds: float, now: float) -> None:
         """Keep nothing."""
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
@@ -172,7 +172,7 @@
         group = groups[0] if len(groups) == 1 else self.shares.group_to_serve(groups, now)
         request = self._lanes[priority][group].take_next(with_openings, now + seconds)
         self._drop_if_empty(request)
-        self.shares.note_served(group, seconds, now)
+        self.shares.record_served(group, seconds, now)
         return request
 
     def _priorities(self, with_openings: bool) -> list[int]:
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -123,7 +123,7 @@
 
     def note_begun(self, terms: CarriedTerms, seconds: float, now: float) -> None:
         """Note a request that was begun without waiting; it counts against its group's share."""
-        self.order.shares.note_served(terms.group, seconds, now)
+        self.order.shares.record_served(terms.group, seconds, now)
 
     def shed_openings(self, most: int, now: float) -> list[WaitingRequest]:
         """Take the new flows that are too many where this many may wait."""
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -16,7 +16,7 @@
 class FirstOfAll:
     """No shares: the request that the queue names first, whatever its group."""
 
-    def note_served(self, group, seconds, now):
+    def record_served(self, group, seconds, now):
         pass
 
     def group_to_serve(self, groups, now):
@@ -60,7 +60,7 @@
             request = next(each for each in reversed(self.waiting) if each[0] == group)
             self.waiting.remove(request)
             self.busy += 1
-            self.shares.note_served(group, SERVICE_SECONDS, now)
+            self.shares.record_served(group, SERVICE_SECONDS, now)
             begun.append((request, now + self.source.expovariate(1 / SERVICE_SECONDS)))
         return begun, expired
 
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -79,10 +79,10 @@
     class Forgetful(FairShares):
         """An agent that is restarted every now and then."""
 
-        def note_served(self, group, seconds, now):
+        def record_served(self, group, seconds, now):
             if random.Random(f"{now}").random() < 0.02:
                 self.__init__()
-            super().note_served(group, seconds, now)
+            super().record_served(group, seconds, now)
 
     assert served([play(Forgetful, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
 
@@ -102,37 +102,37 @@
     shares = FairShares()
     for step in range(1000):
         assert shares.group_to_serve([7], 0.01 * step) == 7
-        shares.note_served(7, 1.0, 0.01 * step)
+        shares.record_served(7, 1.0, 0.01 * step)
 
 
 def test_equals_are_served_in_the_order_given():
     shares = FairShares()
     assert shares.group_to_serve([3, 1, 2], 5.0) == 3
-    shares.note_served(3, 0.05, 5.0)
+    shares.record_served(3, 0.05, 5.0)
     assert shares.group_to_serve([3, 1, 2], 5.0) == 1
 
 
 def test_one_that_had_more_of_the_host_comes_later_though_it_had_fewer_requests():
     shares = FairShares()
-    shares.note_served(1, 0.5, 1.0)
+    shares.record_served(1, 0.5, 1.0)
     for _ in range(4):
-        shares.note_served(2, 0.1, 1.0)
+        shares.record_served(2, 0.1, 1.0)
     assert shares.group_to_serve([1, 2], 1.0) == 2
 
 
 def test_use_counts_half_after_a_half_life():
     shares = FairShares()
-    shares.note_served(1, 0.4, 1.0)
-    shares.note_served(2, 0.21, 1.0 + HALF_LIFE_SECONDS)
+    shares.record_served(1, 0.4, 1.0)
+    shares.record_served(2, 0.21, 1.0 + HALF_LIFE_SECONDS)
     assert shares.group_to_serve([2, 1], 1.0 + HALF_LIFE_SECONDS) == 1
-    shares.note_served(1, 0.02, 1.0 + HALF_LIFE_SECONDS)
+    shares.record_served(1, 0.02, 1.0 + HALF_LIFE_SECONDS)
     assert shares.group_to_serve([2, 1], 1.0 + HALF_LIFE_SECONDS) == 2
 
 
 @pytest.mark.parametrize("idle_seconds", [20, 2000, 2_000_000])
 def test_use_of_long_ago_does_not_count(idle_seconds):
     shares = FairShares()
-    shares.note_served(1, 5.0, 1.0)
+    shares.record_served(1, 5.0, 1.0)
     assert shares.group_to_serve([1, 2], 1.0) == 2
     assert shares.group_to_serve([1, 2], 1.0 + idle_seconds) == 1
 
@@ -142,10 +142,10 @@
         shares = FairShares()
         steps = round(idle_seconds / SERVICE_SECONDS)
         for step in range(steps):
-            shares.note_served(1, SERVICE_SECONDS, SERVICE_SECONDS * step)
+            shares.record_served(1, SERVICE_SECONDS, SERVICE_SECONDS * step)
         turns = 0
         while shares.group_to_serve([1, 2], SERVICE_SECONDS * (steps + turns)) == 2:
-            shares.note_served(2, SERVICE_SECONDS, SERVICE_SECONDS * (steps + turns))
+            shares.record_served(2, SERVICE_SECONDS, SERVICE_SECONDS * (steps + turns))
             turns += 1
         return turns
 
@@ -156,30 +156,30 @@
 
 def test_use_is_the_same_however_long_the_process_runs():
     early, late = FairShares(), FairShares()
-    late.note_served(9, 1.0, 0.0)
+    late.record_served(9, 1.0, 0.0)
     source = random.Random(1)
     begun_at = 3.7 * RESCALE_HALF_LIVES * HALF_LIFE_SECONDS
     for step in range(3000):
         group, now = source.randrange(4), 0.1 * step
-        early.note_served(group, 0.1, now)
-        late.note_served(group, 0.1, begun_at + now)
+        early.record_served(group, 0.1, now)
+        late.record_served(group, 0.1, begun_at + now)
         order = [0, 1, 2, 3]
         assert early.group_to_serve(order, now) == late.group_to_serve(order, begun_at + now)
 
 
 def test_a_clock_that_steps_back_does_no_harm():
     shares = FairShares()
-    shares.note_served(1, 0.1, 1e6)
-    shares.note_served(2, 0.1, 0.0)
+    shares.record_served(1, 0.1, 1e6)
+    shares.record_served(2, 0.1, 0.0)
     assert shares.group_to_serve([1, 2], 0.0) == 2
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
 def test_requests_that_are_expected_to_take_no_time_have_a_cost(seconds):
     shares = FairShares()
-    shares.note_served(2, 50 * LEAST_REQUEST_SECONDS, 1.0)
+    shares.record_served(2, 50 * LEAST_REQUEST_SECONDS, 1.0)
     for _ in range(51):
-        shares.note_served(1, seconds, 1.0)
+        shares.record_served(1, seconds, 1.0)
     assert shares.group_to_serve([1, 2], 1.0) == 2
 
 
@@ -189,7 +189,7 @@
 def test_a_rushing_group_loses_its_own_requests_first():
     shares = FairShares()
     assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
-    shares.note_served(2, 5.0, 1.0)
+    shares.record_served(2, 5.0, 1.0)
     assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
 
 
@@ -214,7 +214,7 @@
 def test_of_equals_the_one_that_used_more_loses_its_request():
     shares = FairShares()
     assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 2
-    shares.note_served(1, 0.1, 1.0)
+    shares.record_served(1, 0.1, 1.0)
     assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 1
 
 
@@ -235,39 +235,39 @@
 
 def test_a_group_that_is_gone_takes_nothing():
     with_gone, without = FairShares(), FairShares()
-    with_gone.note_served(9, 0.001, 0.0)
+    with_gone.record_served(9, 0.001, 0.0)
     for step in range(200):
         now = 0.05 * step
         turn = without.group_to_serve([1, 2], now)
         assert with_gone.group_to_serve([1, 2], now) == turn
-        without.note_served(turn, 0.05, now)
-        with_gone.note_served(turn, 0.05, now)
+        without.record_served(turn, 0.05, now)
+        with_gone.record_served(turn, 0.05, now)
 
 
 def test_a_group_that_comes_back_after_an_outage_shares_from_then_on():
     shares = FairShares()
     for step in range(400):
-        shares.note_served(1, 0.05, 0.05 * step)
+        shares.record_served(1, 0.05, 0.05 * step)
     turns = []
     for step in range(400, 800):
         turns.append(shares.group_to_serve([1, 2], 0.05 * step))
-        shares.note_served(turns[-1], 0.05, 0.05 * step)
+        shares.record_served(turns[-1], 0.05, 0.05 * step)
     assert turns[100:].count(1) == pytest.approx(150, abs=2)
 
 
 def test_thousands_of_groups_are_remembered_up_to_a_bound():
     shares = FairShares()
     for step in range(20 * MOST_GROUPS):
-        shares.note_served(step, 0.05, 0.001 * step)
+        shares.record_served(step, 0.05, 0.001 * step)
         assert len(shares) <= MOST_GROUPS
 
 
 def test_the_group_that_was_served_least_recently_is_forgotten():
     shares = FairShares()
-    shares.note_served(1, 0.05, 0.0)
-    shares.note_served(2, 0.05, 0.0)
-    shares.note_served(1, 0.05, 0.0)
+    shares.record_served(1, 0.05, 0.0)
+    shares.record_served(2, 0.05, 0.0)
+    shares.record_served(1, 0.05, 0.0)
     for group in range(10, 9 + MOST_GROUPS):
-        shares.note_served(group, 0.05, 0.0)
+        shares.record_served(group, 0.05, 0.0)
     assert shares.group_to_serve([1, 2], 0.0) == 2
     assert shares.group_to_serve([10, 1], 0.0) == 10
