--- a/src/jasperwalk/config/service_fields.py
+++ b/src/jasperwalk/config/service_fields.py
@@ -12,7 +12,7 @@
 
 REFERENCE_PATTERN = re.compile(r"\$\{([^}]*)\}")
 
-LONGEST_DURATION_MS = 86_400_000
+MAX_DURATION_MS = 86_400_000
 """A day: the upper bound of every duration."""
 
 
@@ -25,7 +25,7 @@
 
 def _duration(default: int, minimum: int = 0) -> FieldRule:
     """Rule of a duration in milliseconds."""
-    shape = ValueShape(type=ParameterType.INTEGER, minimum=minimum, maximum=LONGEST_DURATION_MS)
+    shape = ValueShape(type=ParameterType.INTEGER, minimum=minimum, maximum=MAX_DURATION_MS)
     return FieldRule(shape=shape, default=default)
 
 
