--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -83,7 +83,7 @@
         self._connections[subscriber_id] = connection
         try:
             now = time.monotonic()
-            self._core.note_quorum_age(now, self._quorum_age())
+            self._core.record_quorum_age(now, self._quorum_age())
             self._perform(self._core.subscriber_opened(subscriber_id, subscribe, now))
             self._wake.set()
             while True:
--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -147,7 +147,7 @@
             effects.extend(self._send_replica_endpoints(link))
         return effects
 
-    def note_quorum_age(self, now: float, quorum_age: float) -> None:
+    def record_quorum_age(self, now: float, quorum_age: float) -> None:
         """Take in the seconds since contact with a quorum, by which new subscribers are judged."""
         self._quorum_contact_at = now - quorum_age
 
@@ -156,7 +156,7 @@
 
         One call sends a slice of it; `next_deadline` tells that more is due at once.
         """
-        self.note_quorum_age(now, quorum_age)
+        self.record_quorum_age(now, quorum_age)
         self._note_own_stall(now)
         self._encoder.drop_old_snapshots(now)
         effects = self._heartbeats_due(now)
