--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -135,7 +135,7 @@
 
     # What follows from it
 
-    def slowness(self, now: float) -> float | None:
+    def slowdown(self, now: float) -> float | None:
         """Return how many times as long as usual requests take now, None where it is not known."""
         if not 0.0 <= now - self._reckoned_at < RECKONING_SECONDS:
             self._slowness = self._reckon(now)
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -51,14 +51,14 @@
     def judge(self, now: float) -> bool:
         """Judge the host; return True where the judgement changed."""
         before = self._is_slow
-        slowness = self._pace.slowness(now)
+        slowdown = self._pace.slowdown(now)
         if before and self._has_recovered():
             self._pace.keep_newest(USUAL_IN_A_ROW)
             self._slowness = 1.0
             self._is_slow = False
-        elif slowness is not None:
-            self._slowness, self._known_at = slowness, now
-            self._is_slow = slowness >= (USUAL_FACTOR if before else SLOW_FACTOR)
+        elif slowdown is not None:
+            self._slowness, self._known_at = slowdown, now
+            self._is_slow = slowdown >= (USUAL_FACTOR if before else SLOW_FACTOR)
         elif not before or now - self._known_at >= JUDGEMENT_SECONDS:
             self._slowness = 1.0
             self._is_slow = False
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -129,16 +129,16 @@
         pace.note_asked(f"burst {number}", "kind", 1, 2.0)
     for number in range(8):
         pace.note_answered(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
-    assert pace.slowness(2.4) == pytest.approx(1.0, abs=0.1)
+    assert pace.slowdown(2.4) == pytest.approx(1.0, abs=0.1)
 
 
 def test_nothing_is_known_before_enough_requests_and_after_a_while():
     pace = HostServiceTimes()
-    assert (pace.slowness(0.0), pace.usual_seconds("kind")) == (None, None)
+    assert (pace.slowdown(0.0), pace.usual_seconds("kind")) == (None, None)
     for number in range(LEARNING_REQUESTS + 3):
         one(pace, number, number * 0.1, number * 0.1 + WORK_SECONDS)
-    assert pace.slowness(1.0) == pytest.approx(1.0)
-    assert pace.slowness(1.0 + STALE_SECONDS) is None
+    assert pace.slowdown(1.0) == pytest.approx(1.0)
+    assert pace.slowdown(1.0 + STALE_SECONDS) is None
     assert pace.usual_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
 
 
