--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -22,7 +22,7 @@
     whole_reference,
 )
 
-LONGEST_TEXT = 262_144
+MAX_TEMPLATE_LENGTH = 262_144
 """Characters of a template's text."""
 
 PARAMETER_NAME_RULE = "use letters, digits and underscores, not starting with a digit"
@@ -69,8 +69,8 @@
 
 
 def _parse_toml(text: str, problems: ProblemCollector) -> dict[str, Any] | None:
-    if len(text) > LONGEST_TEXT:
-        mend = f"keep the text within {LONGEST_TEXT} characters"
+    if len(text) > MAX_TEMPLATE_LENGTH:
+        mend = f"keep the text within {MAX_TEMPLATE_LENGTH} characters"
         problems.add(ProblemKind.OUT_OF_BOUNDS, "template", "the text is too long", mend)
         return None
     try:
