--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -157,14 +157,14 @@
         One call sends a slice of it; `next_deadline` tells that more is due at once.
         """
         self.record_quorum_age(now, quorum_age)
-        self._note_own_stall(now)
+        self._record_own_stall(now)
         self._encoder.drop_old_snapshots(now)
         effects = self._heartbeats_due(now)
         effects.extend(self._wakes_due(now))
         effects.extend(self._flush_slice(now))
         return effects
 
-    def _note_own_stall(self, now: float) -> None:
+    def _record_own_stall(self, now: float) -> None:
         # What subscribers sent while this process stood still has not been read yet.
         if now - self._ticked_at > self._config.silent_seconds / 2:
             self._silence_counted_from = now
