--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -82,7 +82,7 @@
         self._ratios: deque[tuple[float, float]] = deque(maxlen=MAXIMUM_OBSERVATIONS)
         """When each request ended and how many times as long as usual it took, oldest first."""
         self._typical_seconds: float | None = None
-        self._slowness: float | None = None
+        self._slowdown: float | None = None
         self._reckoned_at = float("-inf")
 
     # What is observed
@@ -138,9 +138,9 @@
     def slowdown(self, now: float) -> float | None:
         """Return how many times as long as usual requests take now, None where it is not known."""
         if not 0.0 <= now - self._reckoned_at < RECKONING_SECONDS:
-            self._slowness = self._reckon(now)
+            self._slowdown = self._reckon(now)
             self._reckoned_at = now
-        return self._slowness
+        return self._slowdown
 
     def _reckon(self, now: float) -> float | None:
         ratios = self._newest_ratios(now) + self._lower_bounds(now)
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -39,7 +39,7 @@
     def __init__(self, pace: HostServiceTimes) -> None:
         self._pace = pace
         self._is_slow = False
-        self._slowness = 1.0
+        self._slowdown = 1.0
         """The last that was known, and when."""
         self._known_at = float("-inf")
         self._admitted_at = float("-inf")
@@ -54,13 +54,13 @@
         slowdown = self._pace.slowdown(now)
         if before and self._has_recovered():
             self._pace.keep_newest(USUAL_IN_A_ROW)
-            self._slowness = 1.0
+            self._slowdown = 1.0
             self._is_slow = False
         elif slowdown is not None:
-            self._slowness, self._known_at = slowdown, now
+            self._slowdown, self._known_at = slowdown, now
             self._is_slow = slowdown >= (USUAL_FACTOR if before else SLOW_FACTOR)
         elif not before or now - self._known_at >= JUDGEMENT_SECONDS:
-            self._slowness = 1.0
+            self._slowdown = 1.0
             self._is_slow = False
         return self._is_slow != before
 
@@ -74,7 +74,7 @@
         That is by the last judgement.
         """
         usual = self._pace.usual_seconds(kind)
-        return None if usual is None else usual * self._slowness
+        return None if usual is None else usual * self._slowdown
 
     def note_admitted(self, now: float) -> None:
         """Note that the host gets a new flow."""
@@ -107,6 +107,6 @@
     def forget(self) -> None:
         """Judge anew: another host has taken the place."""
         self._is_slow = False
-        self._slowness = 1.0
+        self._slowdown = 1.0
         self._known_at = float("-inf")
         self._admitted_at = float("-inf")
