--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -11,7 +11,7 @@
 PACKED_ENDPOINT_LENGTH = 6
 """Bytes of a packed end point: four of address, two of port, network byte order."""
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 IPV4_PARTS = 4
@@ -50,7 +50,7 @@
         if not separator or not port_text.isdecimal() or len(port_text) > LONGEST_PORT:
             raise InvalidAddress(text=text)
         port = int(port_text)
-        if port > HIGHEST_PORT:
+        if port > MAX_PORT:
             raise InvalidAddress(text=text)
         if not _is_ipv4(host):
             raise InvalidAddress(text=text)
