--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -61,7 +61,7 @@
         self._admission = JoinAdmission(config)
         self._flushes = FlushQueue()
         self._heartbeats: list[tuple[float, int]] = []
-        self._wakes: list[tuple[float, int]] = []
+        self._deferred_flushes: list[tuple[float, int]] = []
         self._quorum_contact_at = -math.inf
         self._ticked_at = -math.inf
         self._silence_counted_from = -math.inf
@@ -78,7 +78,7 @@
         if self._flushes:
             return -math.inf
         heartbeat = self._heartbeats[0][0] if self._heartbeats else math.inf
-        wake = self._wakes[0][0] if self._wakes else math.inf
+        wake = self._deferred_flushes[0][0] if self._deferred_flushes else math.inf
         return min(heartbeat, wake)
 
     def links(self) -> Collection[SubscriberLink]:
@@ -184,8 +184,8 @@
     def _wakes_due(self, now: float) -> list[PublisherEffect]:
         effects: list[PublisherEffect] = []
         left = self._config.slice_subscribers
-        while left and self._wakes and self._wakes[0][0] <= now:
-            due, subscriber_id = heapq.heappop(self._wakes)
+        while left and self._deferred_flushes and self._deferred_flushes[0][0] <= now:
+            due, subscriber_id = heapq.heappop(self._deferred_flushes)
             link = self._subscribers.find(subscriber_id)
             if link is not None and link.wake_at == due:
                 left -= 1
@@ -353,7 +353,7 @@
         ready_at = link.bucket.ready_at(now)
         if ready_at < link.wake_at:
             link.wake_at = ready_at
-            heapq.heappush(self._wakes, (ready_at, link.subscriber_id))
+            heapq.heappush(self._deferred_flushes, (ready_at, link.subscriber_id))
 
     def _send(self, link: SubscriberLink, payload: bytes) -> SendTo:
         link.bucket.spend(len(payload))
