--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -23,7 +23,7 @@
 """Time in which past use comes to count half. Longer than most requests, so that a group within its
 share is not delayed by the few that it has just had. Shorter than callers wait: a group that begins
 anew, with more than the host can do, goes before the others for about this long."""
-MOST_GROUPS = 256
+MAX_GROUPS = 256
 """Groups whose use is remembered; a group that is forgotten counts as one that used nothing."""
 LEAST_REQUEST_SECONDS = 0.001
 """A request counts at least this much, so that requests expected to take no time have a cost."""
@@ -61,7 +61,7 @@
         used = max(seconds, LEAST_REQUEST_SECONDS) / self._weight(group)
         self._use[group] = used * self._unit(now) + self._use.get(group, 0.0)
         self._use.move_to_end(group)
-        if len(self._use) > MOST_GROUPS:
+        if len(self._use) > MAX_GROUPS:
             self._use.popitem(last=False)
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -9,7 +9,7 @@
 from jasperwalk.scheduling.fair_shares import (
     HALF_LIFE_SECONDS,
     LEAST_REQUEST_SECONDS,
-    MOST_GROUPS,
+    MAX_GROUPS,
     RESCALE_HALF_LIVES,
     FairShares,
 )
@@ -257,9 +257,9 @@
 
 def test_thousands_of_groups_are_remembered_up_to_a_bound():
     shares = FairShares()
-    for step in range(20 * MOST_GROUPS):
+    for step in range(20 * MAX_GROUPS):
         shares.record_served(step, 0.05, 0.001 * step)
-        assert len(shares) <= MOST_GROUPS
+        assert len(shares) <= MAX_GROUPS
 
 
 def test_the_group_that_was_served_least_recently_is_forgotten():
@@ -267,7 +267,7 @@
     shares.record_served(1, 0.05, 0.0)
     shares.record_served(2, 0.05, 0.0)
     shares.record_served(1, 0.05, 0.0)
-    for group in range(10, 9 + MOST_GROUPS):
+    for group in range(10, 9 + MAX_GROUPS):
         shares.record_served(group, 0.05, 0.0)
     assert shares.group_to_serve([1, 2], 0.0) == 2
     assert shares.group_to_serve([10, 1], 0.0) == 10
