--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -15,7 +15,7 @@
 
 
 IPV4_PARTS = 4
-LONGEST_PART = 3
+MAX_OCTET_DIGITS = 3
 """Digits of a part."""
 HIGHEST_PART = 255
 LONGEST_PORT = 100
@@ -32,7 +32,7 @@
 
 
 def _is_part(text: str) -> bool:
-    if not (text.isascii() and text.isdecimal()) or len(text) > LONGEST_PART:
+    if not (text.isascii() and text.isdecimal()) or len(text) > MAX_OCTET_DIGITS:
         return False
     return text == str(int(text)) and int(text) <= HIGHEST_PART
 
