--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -160,7 +160,7 @@
         self._record_own_stall(now)
         self._encoder.drop_old_snapshots(now)
         effects = self._heartbeats_due(now)
-        effects.extend(self._wakes_due(now))
+        effects.extend(self._flush_deferred(now))
         effects.extend(self._flush_slice(now))
         return effects
 
@@ -181,7 +181,7 @@
                 effects.extend(self._heartbeat_due(link, now))
         return effects
 
-    def _wakes_due(self, now: float) -> list[PublisherEffect]:
+    def _flush_deferred(self, now: float) -> list[PublisherEffect]:
         effects: list[PublisherEffect] = []
         left = self._config.slice_subscribers
         while left and self._deferred_flushes and self._deferred_flushes[0][0] <= now:
