--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -25,7 +25,7 @@
 anew, with more than the host can do, goes before the others for about this long."""
 MAX_GROUPS = 256
 """Groups whose use is remembered; a group that is forgotten counts as one that used nothing."""
-LEAST_REQUEST_SECONDS = 0.001
+MIN_REQUEST_SECONDS = 0.001
 """A request counts at least this much, so that requests expected to take no time have a cost."""
 NEGLIGIBLE_SECONDS = 0.001
 """Groups that used less than this for their weight are equals: less than one request."""
@@ -58,7 +58,7 @@
 
     def record_served(self, group: int, seconds: float, now: float) -> None:
         """Note that a request was begun which is expected to take a slot for `seconds`."""
-        used = max(seconds, LEAST_REQUEST_SECONDS) / self._weight(group)
+        used = max(seconds, MIN_REQUEST_SECONDS) / self._weight(group)
         self._use[group] = used * self._unit(now) + self._use.get(group, 0.0)
         self._use.move_to_end(group)
         if len(self._use) > MAX_GROUPS:
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -8,8 +8,8 @@
 
 from jasperwalk.scheduling.fair_shares import (
     HALF_LIFE_SECONDS,
-    LEAST_REQUEST_SECONDS,
     MAX_GROUPS,
+    MIN_REQUEST_SECONDS,
     RESCALE_HALF_LIVES,
     FairShares,
 )
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
 def test_requests_that_are_expected_to_take_no_time_have_a_cost(seconds):
     shares = FairShares()
-    shares.record_served(2, 50 * LEAST_REQUEST_SECONDS, 1.0)
+    shares.record_served(2, 50 * MIN_REQUEST_SECONDS, 1.0)
     for _ in range(51):
         shares.record_served(1, seconds, 1.0)
     assert shares.group_to_serve([1, 2], 1.0) == 2
