--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -17,7 +17,7 @@
 IPV4_PARTS = 4
 MAX_OCTET_DIGITS = 3
 """Digits of a part."""
-HIGHEST_PART = 255
+MAX_OCTET = 255
 LONGEST_PORT = 100
 """Digits of a port, leading zeros included; Python refuses to read numbers of some thousands."""
 
@@ -34,7 +34,7 @@
 def _is_part(text: str) -> bool:
     if not (text.isascii() and text.isdecimal()) or len(text) > MAX_OCTET_DIGITS:
         return False
-    return text == str(int(text)) and int(text) <= HIGHEST_PART
+    return text == str(int(text)) and int(text) <= MAX_OCTET
 
 
 class Endpoint(msgspec.Struct, frozen=True, gc=False, array_like=True, order=True):
