--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -343,13 +343,13 @@
             if len(link.outstanding) >= self._config.outstanding_limit:
                 break
             if not link.bucket.allows(now):
-                self._wake_later(link, now)
+                self._defer_flush(link, now)
                 break
             payload = self._selector.next_payload(link, now)
             effects.append(self._send(link, payload))
         return effects
 
-    def _wake_later(self, link: SubscriberLink, now: float) -> None:
+    def _defer_flush(self, link: SubscriberLink, now: float) -> None:
         ready_at = link.bucket.ready_at(now)
         if ready_at < link.wake_at:
             link.wake_at = ready_at
