--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -29,7 +29,7 @@
 """Requests that ended in this time make up the slowness: about the time that a caller waits."""
 STALE_SECONDS = 2.0
 """A request that ended longer ago says nothing of the host now."""
-LEAST_OBSERVATIONS = 3
+MIN_OBSERVATIONS = 3
 """Requests that the slowness rests on at least; one or two may be long by themselves."""
 MAXIMUM_OBSERVATIONS = 64
 """The newest observations that are kept: a bound of memory and of the work for a median."""
@@ -144,14 +144,14 @@
 
     def _reckon(self, now: float) -> float | None:
         ratios = self._newest_ratios(now) + self._lower_bounds(now)
-        return _median(ratios) if len(ratios) >= LEAST_OBSERVATIONS else None
+        return _median(ratios) if len(ratios) >= MIN_OBSERVATIONS else None
 
     def _newest_ratios(self, now: float) -> list[float]:
         """Return the ratios in the window, and older ones up to the least number."""
         newest: list[float] = []
         for ended_at, ratio in reversed(self._ratios):
             age = now - ended_at
-            if age > STALE_SECONDS or (age > WINDOW_SECONDS and len(newest) >= LEAST_OBSERVATIONS):
+            if age > STALE_SECONDS or (age > WINDOW_SECONDS and len(newest) >= MIN_OBSERVATIONS):
                 break
             newest.append(ratio)
         return newest
