--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -14,7 +14,7 @@
 MAX_PORT = 65_535
 
 
-IPV4_PARTS = 4
+IPV4_OCTETS = 4
 MAX_OCTET_DIGITS = 3
 """Digits of a part."""
 MAX_OCTET = 255
@@ -28,7 +28,7 @@
     The standard library's `ipaddress` says the same; loading it takes 1% of a balancer's start.
     """
     parts = host.split(".")
-    return len(parts) == IPV4_PARTS and all(_is_part(part) for part in parts)
+    return len(parts) == IPV4_OCTETS and all(_is_part(part) for part in parts)
 
 
 def _is_part(text: str) -> bool:
