--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -26,7 +26,7 @@
         self._began_at: OrderedDict[int, float] = OrderedDict()
         self._next_turn = 0.0
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Tell whether one more may join now."""
         self._drop_overdue(now)
         return len(self._began_at) < self._config.join_limit
--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -229,7 +229,7 @@
             verdict = self._registrations.judge(subscribe, self._encoder.table.revision)
             if verdict is RegistrationVerdict.REPLACED:
                 return CloseReason.REPLACED
-        if self._selector.needs_snapshot(subscribe) and not self._admission.has_room(now):
+        if self._selector.needs_snapshot(subscribe) and not self._admission.has_capacity(now):
             return CloseReason.TOO_MANY_SNAPSHOTS
         return None
 
