--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -31,7 +31,7 @@
 """A request that ended longer ago says nothing of the host now."""
 MIN_OBSERVATIONS = 3
 """Requests that the slowness rests on at least; one or two may be long by themselves."""
-MAXIMUM_OBSERVATIONS = 64
+MAX_OBSERVATIONS = 64
 """The newest observations that are kept: a bound of memory and of the work for a median."""
 NOTICEABLE_FACTOR = 1.5
 """A request that is not answered yet counts from this ratio on: most requests differ by less."""
@@ -79,7 +79,7 @@
         self._slots = SlotUse()
         self._usual: dict[Hashable, BaselineTime] = {}
         self._other_kinds = BaselineTime()
-        self._ratios: deque[tuple[float, float]] = deque(maxlen=MAXIMUM_OBSERVATIONS)
+        self._ratios: deque[tuple[float, float]] = deque(maxlen=MAX_OBSERVATIONS)
         """When each request ended and how many times as long as usual it took, oldest first."""
         self._typical_seconds: float | None = None
         self._slowdown: float | None = None
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.scheduling.host_service_times import (
     LEARNING_REQUESTS,
-    MAXIMUM_OBSERVATIONS,
+    MAX_OBSERVATIONS,
     MOST_KINDS,
     STALE_SECONDS,
     HostServiceTimes,
@@ -165,7 +165,7 @@
         one(pace, number, number * 1.0, number + 0.1, kind=number)
         one(pace, "again", number + 0.2, number + 0.3, kind="again")
     assert len(pace._usual) <= MOST_KINDS
-    assert pace.observations() <= MAXIMUM_OBSERVATIONS
+    assert pace.observations() <= MAX_OBSERVATIONS
 
 
 def slow_play():
