--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -18,7 +18,7 @@
 MAX_OCTET_DIGITS = 3
 """Digits of a part."""
 MAX_OCTET = 255
-LONGEST_PORT = 100
+MAX_PORT_DIGITS = 100
 """Digits of a port, leading zeros included; Python refuses to read numbers of some thousands."""
 
 
@@ -47,7 +47,7 @@
     def parse(cls, text: str) -> Endpoint:
         """Parse `IPV4:PORT`; raise `InvalidAddress` for anything else."""
         host, separator, port_text = text.rpartition(":")
-        if not separator or not port_text.isdecimal() or len(port_text) > LONGEST_PORT:
+        if not separator or not port_text.isdecimal() or len(port_text) > MAX_PORT_DIGITS:
             raise InvalidAddress(text=text)
         port = int(port_text)
         if port > MAX_PORT:
