--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -23,21 +23,21 @@
 
     def __init__(self, config: PublisherConfig) -> None:
         self._config = config
-        self._began_at: OrderedDict[int, float] = OrderedDict()
+        self._started_at: OrderedDict[int, float] = OrderedDict()
         self._next_turn = 0.0
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether one more may join now."""
         self._drop_overdue(now)
-        return len(self._began_at) < self._config.join_limit
+        return len(self._started_at) < self._config.join_limit
 
     def begin(self, subscriber_id: int, now: float) -> None:
         """Note that a subscriber joins."""
-        self._began_at[subscriber_id] = now
+        self._started_at[subscriber_id] = now
 
     def end(self, subscriber_id: int) -> None:
         """Note that a subscriber has joined, or is gone."""
-        self._began_at.pop(subscriber_id, None)
+        self._started_at.pop(subscriber_id, None)
 
     def retry_after_ms(self, now: float) -> int:
         """Return when one that is refused may come back: a turn of its own, in milliseconds."""
@@ -53,5 +53,5 @@
 
     def _drop_overdue(self, now: float) -> None:
         limit = now - self._config.join_seconds
-        while self._began_at and next(iter(self._began_at.values())) <= limit:
-            self._began_at.popitem(last=False)
+        while self._started_at and next(iter(self._started_at.values())) <= limit:
+            self._started_at.popitem(last=False)
