--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -39,7 +39,7 @@
 """Factor by which a request moves what is usual for its kind: 70 requests double it."""
 LEARNING_REQUESTS = 5
 """Requests whose median is the first value of what is usual for a kind."""
-MOST_KINDS = 64
+MAX_KINDS = 64
 """Kinds that are told apart; all further ones count as one."""
 RECKONING_SECONDS = 0.02
 """A slowness that was worked out less long ago is used again: requests take longer than that."""
@@ -113,7 +113,7 @@
         usual = self._usual.get(kind)
         if usual is not None:
             return usual
-        if len(self._usual) >= MOST_KINDS:
+        if len(self._usual) >= MAX_KINDS:
             return self._other_kinds
         usual = self._usual[kind] = BaselineTime()
         return usual
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -6,8 +6,8 @@
 
 from jasperwalk.scheduling.host_service_times import (
     LEARNING_REQUESTS,
+    MAX_KINDS,
     MAX_OBSERVATIONS,
-    MOST_KINDS,
     STALE_SECONDS,
     HostServiceTimes,
 )
@@ -161,10 +161,10 @@
 
 def test_memory_is_bounded():
     pace = HostServiceTimes()
-    for number in range(4 * MOST_KINDS):
+    for number in range(4 * MAX_KINDS):
         one(pace, number, number * 1.0, number + 0.1, kind=number)
         one(pace, "again", number + 0.2, number + 0.3, kind="again")
-    assert len(pace._usual) <= MOST_KINDS
+    assert len(pace._usual) <= MAX_KINDS
     assert pace.observations() <= MAX_OBSERVATIONS
 
 
