--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -28,10 +28,10 @@
     The standard library's `ipaddress` says the same; loading it takes 1% of a balancer's start.
     """
     parts = host.split(".")
-    return len(parts) == IPV4_OCTETS and all(_is_part(part) for part in parts)
+    return len(parts) == IPV4_OCTETS and all(_is_octet(part) for part in parts)
 
 
-def _is_part(text: str) -> bool:
+def _is_octet(text: str) -> bool:
     if not (text.isascii() and text.isdecimal()) or len(text) > MAX_OCTET_DIGITS:
         return False
     return text == str(int(text)) and int(text) <= MAX_OCTET
