--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -31,7 +31,7 @@
         self._drop_overdue(now)
         return len(self._started_at) < self._config.join_limit
 
-    def begin(self, subscriber_id: int, now: float) -> None:
+    def start(self, subscriber_id: int, now: float) -> None:
         """Note that a subscriber joins."""
         self._started_at[subscriber_id] = now
 
