--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -11,7 +11,7 @@
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.pace import encode_pace
-from jasperwalk.scheduling.host_service_times import RECKONING_SECONDS, HostServiceTimes
+from jasperwalk.scheduling.host_service_times import SLOWDOWN_CACHE_SECONDS, HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
 SEED = 20261202
@@ -55,7 +55,7 @@
 
 
 def _judgement_time() -> float:
-    """Time a judgement that is worked out anew; an agent does so each `RECKONING_SECONDS`."""
+    """Time a judgement that is worked out anew; an agent does so each `SLOWDOWN_CACHE_SECONDS`."""
     pace = HostServiceTimes()
     _requests(pace)
     slow_host = SlowHost(pace)
@@ -64,7 +64,7 @@
     def judge() -> None:
         for number in range(COUNT):
             # Back and forth, so that the same requests stay in the window.
-            slow_host.judge(start + 2 * RECKONING_SECONDS * (number % 2))
+            slow_host.judge(start + 2 * SLOWDOWN_CACHE_SECONDS * (number % 2))
 
     return _best(judge)
 
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -41,7 +41,7 @@
 """Requests whose median is the first value of what is usual for a kind."""
 MAX_KINDS = 64
 """Kinds that are told apart; all further ones count as one."""
-RECKONING_SECONDS = 0.02
+SLOWDOWN_CACHE_SECONDS = 0.02
 """A slowness that was worked out less long ago is used again: requests take longer than that."""
 TYPICAL_SHARE = 1 / 16
 """Weight of the newest request in the typical time."""
@@ -137,7 +137,7 @@
 
     def slowdown(self, now: float) -> float | None:
         """Return how many times as long as usual requests take now, None where it is not known."""
-        if not 0.0 <= now - self._reckoned_at < RECKONING_SECONDS:
+        if not 0.0 <= now - self._reckoned_at < SLOWDOWN_CACHE_SECONDS:
             self._slowdown = self._reckon(now)
             self._reckoned_at = now
         return self._slowdown
