--- a/src/jasperwalk/observability/decisions.py
+++ b/src/jasperwalk/observability/decisions.py
@@ -8,7 +8,7 @@
 
 from jasperwalk.token_bucket import TokenBucket
 
-MOST_LINES_PER_SECOND = 200.0
+MAX_LINES_PER_SECOND = 200.0
 SECONDS_PER_LINE = 100e-6
 """Processor time of one line, measured: formatting and writing it."""
 SHARE_FOR_LINES = 0.05
@@ -20,7 +20,7 @@
 
 def affordable_lines_per_second(processors: float) -> float:
     """Return how many lines a second a process may write that has this many processors."""
-    return min(MOST_LINES_PER_SECOND, SHARE_FOR_LINES * processors / SECONDS_PER_LINE)
+    return min(MAX_LINES_PER_SECOND, SHARE_FOR_LINES * processors / SECONDS_PER_LINE)
 
 
 class DecisionLog:
@@ -29,7 +29,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        lines_per_second: float = MOST_LINES_PER_SECOND,
+        lines_per_second: float = MAX_LINES_PER_SECOND,
         burst_lines: float | None = None,
     ) -> None:
         """`burst_lines` is what may be written at once, by default `BURST_SECONDS` of the rate."""
