--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -96,7 +96,7 @@
         effects = self._close_former_connection(link)
         self._subscribers.add(link)
         if self._selector.needs_snapshot(subscribe):
-            self._admission.begin(subscriber_id, now)
+            self._admission.start(subscriber_id, now)
         self._selector.on_subscribed(link, now)
         effects.extend(self._heartbeat(link, now))
         if link in self._subscribers:
