--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -35,7 +35,7 @@
 """The newest observations that are kept: a bound of memory and of the work for a median."""
 NOTICEABLE_FACTOR = 1.5
 """A request that is not answered yet counts from this ratio on: most requests differ by less."""
-USUAL_STEP = 1.01
+BASELINE_STEP = 1.01
 """Factor by which a request moves what is usual for its kind: 70 requests double it."""
 LEARNING_REQUESTS = 5
 """Requests whose median is the first value of what is usual for a kind."""
@@ -61,9 +61,9 @@
         if self.seconds is None:
             self._learn(seconds)
         elif seconds > self.seconds:
-            self.seconds *= USUAL_STEP
+            self.seconds *= BASELINE_STEP
         elif seconds < self.seconds:
-            self.seconds /= USUAL_STEP
+            self.seconds /= BASELINE_STEP
 
     def _learn(self, seconds: float) -> None:
         self._first.append(seconds)
