--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -28,7 +28,7 @@
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether one more may join now."""
-        self._drop_overdue(now)
+        self._remove_overdue(now)
         return len(self._started_at) < self._config.join_limit
 
     def start(self, subscriber_id: int, now: float) -> None:
@@ -51,7 +51,7 @@
         self._next_turn = turn + 1 / config.retries_per_second
         return round((turn - now) * MILLISECONDS_PER_SECOND)
 
-    def _drop_overdue(self, now: float) -> None:
+    def _remove_overdue(self, now: float) -> None:
         limit = now - self._config.join_seconds
         while self._started_at and next(iter(self._started_at.values())) <= limit:
             self._started_at.popitem(last=False)
