--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         self._slots = SlotUse()
-        self._usual: dict[Hashable, BaselineTime] = {}
+        self._baselines: dict[Hashable, BaselineTime] = {}
         self._other_kinds = BaselineTime()
         self._ratios: deque[tuple[float, float]] = deque(maxlen=MAX_OBSERVATIONS)
         """When each request ended and how many times as long as usual it took, oldest first."""
@@ -110,12 +110,12 @@
         self._slots.end(request, slots, now)
 
     def _usual_of(self, kind: Hashable) -> BaselineTime:
-        usual = self._usual.get(kind)
+        usual = self._baselines.get(kind)
         if usual is not None:
             return usual
-        if len(self._usual) >= MAX_KINDS:
+        if len(self._baselines) >= MAX_KINDS:
             return self._other_kinds
-        usual = self._usual[kind] = BaselineTime()
+        usual = self._baselines[kind] = BaselineTime()
         return usual
 
     def _note_typical(self, seconds: float) -> None:
@@ -127,7 +127,7 @@
     def forget(self) -> None:
         """Measure anew: another host has taken the place."""
         self._slots.forget()
-        self._usual.clear()
+        self._baselines.clear()
         self._other_kinds = BaselineTime()
         self._ratios.clear()
         self._typical_seconds = None
@@ -162,12 +162,12 @@
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
 
     def _ratio_so_far(self, request: TrackedRequest, now: float) -> float:
-        usual = self._usual.get(request.kind, self._other_kinds).seconds
+        usual = self._baselines.get(request.kind, self._other_kinds).seconds
         return 0.0 if usual is None else (now - request.started_at) / usual
 
     def usual_seconds(self, kind: Hashable = None) -> float | None:
         """Return what requests of a kind usually take; of an unknown kind, of the typical one."""
-        usual = self._usual.get(kind)
+        usual = self._baselines.get(kind)
         known = None if usual is None else usual.seconds
         return self._typical_seconds if known is None else known
 
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -164,7 +164,7 @@
     for number in range(4 * MAX_KINDS):
         one(pace, number, number * 1.0, number + 0.1, kind=number)
         one(pace, "again", number + 0.2, number + 0.3, kind="again")
-    assert len(pace._usual) <= MAX_KINDS
+    assert len(pace._baselines) <= MAX_KINDS
     assert pace.observations() <= MAX_OBSERVATIONS
 
 
