--- a/src/jasperwalk/observability/decisions.py
+++ b/src/jasperwalk/observability/decisions.py
@@ -11,7 +11,7 @@
 MAX_LINES_PER_SECOND = 200.0
 PROCESSOR_SECONDS_PER_LINE = 100e-6
 """Processor time of one line, measured: formatting and writing it."""
-SHARE_FOR_LINES = 0.05
+MAX_PROCESSOR_SHARE = 0.05
 """Part of its processor time that a process spends on these lines at most."""
 BURST_SECONDS = 2.0
 
@@ -20,7 +20,7 @@
 
 def affordable_lines_per_second(processors: float) -> float:
     """Return how many lines a second a process may write that has this many processors."""
-    return min(MAX_LINES_PER_SECOND, SHARE_FOR_LINES * processors / PROCESSOR_SECONDS_PER_LINE)
+    return min(MAX_LINES_PER_SECOND, MAX_PROCESSOR_SHARE * processors / PROCESSOR_SECONDS_PER_LINE)
 
 
 class DecisionLog:
