--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -43,7 +43,7 @@
         """Return when one that is refused may come back: a turn of its own, in milliseconds."""
         config = self._config
         least = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
-        latest = now + config.longest_retry_after_ms / MILLISECONDS_PER_SECOND
+        latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
         turn = max(self._next_turn, least)
         if turn > latest:
             # Turns beyond the horizon begin anew: late ones share the moments of early ones.
--- a/src/jasperwalk/distribution/publisher_events.py
+++ b/src/jasperwalk/distribution/publisher_events.py
@@ -20,7 +20,7 @@
     `join_limit` subscribers may begin with a snapshot at once, each for `join_seconds` at most;
     those with a table that a delta brings up to date aren't counted. Others are refused at
     once, to come back in turn: after `retry_after_ms`, at `retries_per_second`, and after
-    `longest_retry_after_ms` at the latest.
+    `max_retry_after_ms` at the latest.
     `slice_subscribers` are sent heartbeats or changes in one turn of the host's loop.
     """
 
@@ -36,7 +36,7 @@
     snapshot_reuse_seconds: float = 10.0
     subscriber_limit: int = 16_384
     retry_after_ms: int = 1_000
-    longest_retry_after_ms: int = 4_000
+    max_retry_after_ms: int = 4_000
     retries_per_second: float = 500.0
     join_limit: int = 128
     join_seconds: float = 2.0
