--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -99,7 +99,7 @@
         seconds = now - ended.started_at
         if seconds <= 0.0:
             return
-        usual = self._usual_of(ended.kind)
+        usual = self._baseline_of(ended.kind)
         if usual.seconds is not None:
             self._ratios.append((now, seconds / usual.seconds))
             self._note_typical(usual.seconds)
@@ -109,7 +109,7 @@
         """Note that a request ended without a measurable answer."""
         self._slots.end(request, slots, now)
 
-    def _usual_of(self, kind: Hashable) -> BaselineTime:
+    def _baseline_of(self, kind: Hashable) -> BaselineTime:
         usual = self._baselines.get(kind)
         if usual is not None:
             return usual
