--- a/src/jasperwalk/observability/decisions.py
+++ b/src/jasperwalk/observability/decisions.py
@@ -37,15 +37,15 @@
         burst = lines_per_second * BURST_SECONDS if burst_lines is None else burst_lines
         self._budget = TokenBucket(lines_per_second, burst, clock())
         self.dropped = 0
-        self._untold = 0
+        self._dropped_since_last_line = 0
 
     def note(self, event: str, **fields: object) -> None:
         """Write one line, if there is budget for it."""
         if not self._budget.take(self._clock()):
             self.dropped += 1
-            self._untold += 1
+            self._dropped_since_last_line += 1
             return
-        if self._untold:
-            fields["lines_dropped_before"] = self._untold
-            self._untold = 0
+        if self._dropped_since_last_line:
+            fields["lines_dropped_before"] = self._dropped_since_last_line
+            self._dropped_since_last_line = 0
         logger.info(event, **fields)
