--- a/src/jasperwalk/distribution/publisher_events.py
+++ b/src/jasperwalk/distribution/publisher_events.py
@@ -32,7 +32,7 @@
     link_burst_bytes: float = 256.0 * 1024
     outstanding_limit: int = 4
     snapshot_part_entries: int = 128
-    longest_delta_bytes: int = 1024 * 1024
+    max_delta_bytes: int = 1024 * 1024
     snapshot_reuse_seconds: float = 10.0
     subscriber_limit: int = 16_384
     retry_after_ms: int = 1_000
--- a/src/jasperwalk/distribution/update_encoder.py
+++ b/src/jasperwalk/distribution/update_encoder.py
@@ -129,10 +129,10 @@
             delta = self._scoped_delta(scope, base_revision)
         if delta is None:
             return None
-        if len(delta.upserts) * LEAST_ENTRY_BYTES > self._config.longest_delta_bytes:
+        if len(delta.upserts) * LEAST_ENTRY_BYTES > self._config.max_delta_bytes:
             return None
         payload = codec.encode(delta)
-        return payload if len(payload) <= self._config.longest_delta_bytes else None
+        return payload if len(payload) <= self._config.max_delta_bytes else None
 
     def _whole_delta(self, base_revision: int) -> Delta | None:
         changes = self.table.changes_since(base_revision)
