--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -71,7 +71,7 @@
         self.log.note(
             "host-slow" if self.slow_host.is_slow() else "host-usual-again",
             pace_ms=self.pace_ms(),
-            usual_ms=round(1000 * (self.pace.usual_seconds() or 0.0), 1),
+            usual_ms=round(1000 * (self.pace.baseline_seconds() or 0.0), 1),
             samples=self.pace.observations(),
             newest_ms=self._newest_age_ms(now),
             **self.host.describe(now),
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -165,7 +165,7 @@
         usual = self._baselines.get(request.kind, self._other_kinds).seconds
         return 0.0 if usual is None else (now - request.started_at) / usual
 
-    def usual_seconds(self, kind: Hashable = None) -> float | None:
+    def baseline_seconds(self, kind: Hashable = None) -> float | None:
         """Return what requests of a kind usually take; of an unknown kind, of the typical one."""
         usual = self._baselines.get(kind)
         known = None if usual is None else usual.seconds
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -73,7 +73,7 @@
 
         That is by the last judgement.
         """
-        usual = self._pace.usual_seconds(kind)
+        usual = self._pace.baseline_seconds(kind)
         return None if usual is None else usual * self._slowdown
 
     def note_admitted(self, now: float) -> None:
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -134,12 +134,12 @@
 
 def test_nothing_is_known_before_enough_requests_and_after_a_while():
     pace = HostServiceTimes()
-    assert (pace.slowdown(0.0), pace.usual_seconds("kind")) == (None, None)
+    assert (pace.slowdown(0.0), pace.baseline_seconds("kind")) == (None, None)
     for number in range(LEARNING_REQUESTS + 3):
         one(pace, number, number * 0.1, number * 0.1 + WORK_SECONDS)
     assert pace.slowdown(1.0) == pytest.approx(1.0)
     assert pace.slowdown(1.0 + STALE_SECONDS) is None
-    assert pace.usual_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
+    assert pace.baseline_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
 
 
 def test_a_host_that_stays_slow_becomes_usual():
