--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -40,7 +40,7 @@
     split_keys,
 )
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.scheduling.request_order import (
     DEFAULT_LEAST_SHARE,
     GroupShares,
@@ -71,9 +71,9 @@
     shares: GroupShares = field(default_factory=NoShares)
     """Shares the host's time between groups of callers."""
     counters: AgentCounters = field(default_factory=AgentCounters)
-    host_latency: LatencyCounts = field(default_factory=LatencyCounts)
+    host_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     """From a request's last packet to the first packet of its answer."""
-    wait_latency: LatencyCounts = field(default_factory=LatencyCounts)
+    wait_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     flow_idle_seconds: float = float("inf")
     """Longest rest of a flow that is kept."""
     measures_pace: bool = True
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -19,7 +19,7 @@
 from jasperwalk.flows.codec import DatagramSender, PacketCodec
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
 KNOWN_PHASES = frozenset((HostPhase.READY, HostPhase.DRAINING))
@@ -45,8 +45,8 @@
     warm_up: WarmUpLimit
     admission: HostAdmission
     counters: AgentCounters
-    host_latency: LatencyCounts
-    wait_latency: LatencyCounts
+    host_latency: LatencyHistogram
+    wait_latency: LatencyHistogram
     learned: LearnedTerms = field(default_factory=LearnedTerms)
 
     def orders_requests(self) -> bool:
--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -18,7 +18,7 @@
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import DatagramSender
 from jasperwalk.flows.frames import encode_locate, service_tag
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 
 ANSWER_SECONDS = 0.8
 """An agent has its verdict after its rounds and the pause between them, or not at all."""
@@ -41,7 +41,7 @@
     pool: TargetPool
     send: DatagramSender
     counters: FlowCounters
-    latency: LatencyCounts
+    latency: LatencyHistogram
     is_wanted: bool
     _open: dict[bytes, Delegation] = field(default_factory=dict)
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -25,7 +25,7 @@
 from jasperwalk.flows.frames import AgentReply, FrameKind, LocateVerdict
 from jasperwalk.flows.routes import RouteEntry, RouteTable
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.scheduling.link_pacer import LinkPacer
 from jasperwalk.scheduling.upload_admission import UploadAdmission
 
@@ -47,8 +47,8 @@
     reset: DatagramSender
     log: DecisionLog
     counters: FlowCounters = field(default_factory=FlowCounters)
-    open_latency: LatencyCounts = field(default_factory=LatencyCounts)
-    search_latency: LatencyCounts = field(default_factory=LatencyCounts)
+    open_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
+    search_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     delegates_searches: bool = False
     """True to let agents search on this balancer's behalf."""
     link: LinkPacer | None = None
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -31,7 +31,7 @@
 )
 from jasperwalk.flows.routes import RouteEntry
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 
 OPEN_TIMEOUT_SECONDS = 0.1
 """An agent answers a new flow within a few milliseconds; after this the next one is tried."""
@@ -67,7 +67,7 @@
     reject: FlowRejecter
     log: DecisionLog
     counters: FlowCounters
-    latency: LatencyCounts
+    latency: LatencyHistogram
     _waiting_for_answers: dict[bytes, Flow] = field(default_factory=dict)
     _parked: dict[bytes, Opening] = field(default_factory=dict)
     """New flows that wait for the first host of their services to be ready."""
--- a/src/jasperwalk/control/fleet/configurations.py
+++ b/src/jasperwalk/control/fleet/configurations.py
@@ -16,7 +16,7 @@
     PutConfiguration,
     PutOutcome,
 )
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 
 READ_QUORUM_SECONDS = 0.5
 """Oldest quorum contact of a leader that answers reads; less than an election timeout, so
@@ -53,7 +53,7 @@
     def __init__(self, replica: Callable[[], FleetReplica | None]) -> None:
         self._replica = replica
         self.counters = ConfigurationCounters()
-        self.put_latency = LatencyCounts()
+        self.put_latency = LatencyHistogram()
 
     async def put(self, command: PutConfiguration) -> PutResult:
         """Commit a valid configuration; `Acknowledged` only once a quorum has it on disk."""
--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -19,7 +19,7 @@
     ZoneOrder,
 )
 from jasperwalk.control.fleet.versioned_state import OrderZone, ZoneOutcome
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 
 MAX_ZONE_NAME_CHARACTERS = 200
 """A longer name is no zone's; it is cut in logs and answers."""
@@ -98,7 +98,7 @@
         self._known_zones = known_zones
         self._guard = StaleOrderGuard(repeat_seconds)
         self.counters = ZoneCounters()
-        self.latency = LatencyCounts()
+        self.latency = LatencyHistogram()
 
     async def order(
         self, zone: str, drained: bool, caller_waits: Callable[[], bool] = lambda: True
--- a/src/jasperwalk/fleet/figures.py
+++ b/src/jasperwalk/fleet/figures.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.transport.http_messages import HttpRequest, HttpResponse
 from jasperwalk.transport.http_server import HttpServer
 
@@ -28,7 +28,7 @@
     process: str
     counters: Callable[[], Mapping[str, int]]
     gauges: Mapping[str, Callable[[], float]] = field(default_factory=dict)
-    latencies: Mapping[str, LatencyCounts] = field(default_factory=dict)
+    latencies: Mapping[str, LatencyHistogram] = field(default_factory=dict)
 
     def render(self) -> bytes:
         """Return the figures as text."""
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -20,7 +20,7 @@
 from jasperwalk.flows.codec import DatagramSender, PacketCodec
 from jasperwalk.flows.frames import AgentReply, FrameKind, decode_replies
 from jasperwalk.observability.decisions import DecisionLog
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.token_bucket import TokenBucket
 
 MAXIMUM_SEARCHES = 4096
@@ -79,7 +79,7 @@
     log: DecisionLog
     counters: SearchCounters
     handler: SearchHandler
-    latency: LatencyCounts = field(default_factory=LatencyCounts)
+    latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     _questions: TokenBucket = field(
         default_factory=lambda: TokenBucket(QUESTIONS_PER_SECOND, QUESTIONS_AT_ONCE, 0.0)
     )
--- a/src/jasperwalk/observability/latency.py
+++ b/src/jasperwalk/observability/latency.py
@@ -20,7 +20,7 @@
 )
 
 
-class LatencyCounts:
+class LatencyHistogram:
     """How many durations fell into each bucket, and their sum in seconds."""
 
     __slots__ = ("counts", "total_seconds")
--- a/tests/fleet/test_figures.py
+++ b/tests/fleet/test_figures.py
@@ -3,11 +3,11 @@
 import pytest
 
 from jasperwalk.fleet.figures import ProcessFigures, metrics_server
-from jasperwalk.observability.latency import LatencyCounts
+from jasperwalk.observability.latency import LatencyHistogram
 
 
 def figures():
-    latency = LatencyCounts()
+    latency = LatencyHistogram()
     for seconds in (0.0005, 0.02, 0.02, 99.0):
         latency.observe(seconds)
     return ProcessFigures(
