--- a/src/jasperwalk/membership/platform.py
+++ b/src/jasperwalk/membership/platform.py
@@ -121,12 +121,12 @@
     """How far a list is trusted.
 
     A member is drained after it was missing from `missing_polls` polls in a row. A list that
-    lacks more than `highest_missing_share` of the members is taken for broken: what it does
+    lacks more than `max_missing_share` of the members is taken for broken: what it does
     not name is left as it is.
     """
 
     missing_polls: int = 3
-    highest_missing_share: float = 0.5
+    max_missing_share: float = 0.5
 
 
 class PlatformReconciler:
@@ -178,7 +178,7 @@
         return wanted
 
     def _wanted_by_absence(self, missing: set[str], host_count: int) -> dict[str, AdminState]:
-        if len(missing) > host_count * self._config.highest_missing_share:
+        if len(missing) > host_count * self._config.max_missing_share:
             self.ignored_gaps += 1
             return {}
         wanted: dict[str, AdminState] = {}
