--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -66,7 +66,7 @@
 
     def note_begun(self, terms: CarriedTerms, now: float) -> None:
         """Note a request that went to the host without waiting."""
-        self.queue.note_begun(terms, self.table.under_way.usual_seconds, now)
+        self.queue.note_begun(terms, self.table.under_way.mean_seconds, now)
 
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -51,7 +51,7 @@
         self._answer_time.forget()
 
     @property
-    def usual_seconds(self) -> float:
+    def mean_seconds(self) -> float:
         """How long a request takes at this host on average."""
         return self._answer_time.mean or ORDINARY_SECONDS
 
