--- a/src/jasperwalk/concurrency.py
+++ b/src/jasperwalk/concurrency.py
@@ -29,10 +29,10 @@
     finally:
         for task in tasks:
             task.cancel()
-        await _until_ended(tasks)
+        await _wait_until_ended(tasks)
 
 
-async def _until_ended(tasks: Sequence[asyncio.Task[None]]) -> None:
+async def _wait_until_ended(tasks: Sequence[asyncio.Task[None]]) -> None:
     """Wait for cancelled tasks."""
     running = set(tasks)
     while running:
