--- a/src/jasperwalk/distribution/snapshot_assembly.py
+++ b/src/jasperwalk/distribution/snapshot_assembly.py
@@ -5,7 +5,7 @@
 from jasperwalk.config.table import TableEntry
 from jasperwalk.messages.distribution import Snapshot
 
-MAXIMUM_SNAPSHOT_PARTS = 65_536
+MAX_SNAPSHOT_PARTS = 65_536
 """Parts that one snapshot may announce."""
 
 
@@ -26,7 +26,7 @@
             snapshot.revision == self.revision
             and snapshot.parts == self._parts
             and snapshot.part == self._next_part
-            and 0 <= snapshot.part < snapshot.parts <= MAXIMUM_SNAPSHOT_PARTS
+            and 0 <= snapshot.part < snapshot.parts <= MAX_SNAPSHOT_PARTS
         )
         if not fits:
             self.drop()
