--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -138,11 +138,11 @@
     def slowdown(self, now: float) -> float | None:
         """Return how many times as long as usual requests take now, None where it is not known."""
         if not 0.0 <= now - self._reckoned_at < SLOWDOWN_CACHE_SECONDS:
-            self._slowdown = self._reckon(now)
+            self._slowdown = self._compute_slowdown(now)
             self._reckoned_at = now
         return self._slowdown
 
-    def _reckon(self, now: float) -> float | None:
+    def _compute_slowdown(self, now: float) -> float | None:
         ratios = self._newest_ratios(now) + self._lower_bounds(now)
         return _median(ratios) if len(ratios) >= MIN_OBSERVATIONS else None
 
