--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -52,7 +52,7 @@
     Proposed,
     Ready,
 )
-from jasperwalk.consensus.output import Output
+from jasperwalk.consensus.output import ReadyBuilder
 from jasperwalk.consensus.progress import Progress
 from jasperwalk.consensus.state import ReplicaState, Role
 
@@ -68,7 +68,7 @@
         self._following = Following(self._state)
         self._founding = Founding(self._state)
         self._leadership: Leadership | None = None
-        self._output = Output(self._state)
+        self._output = ReadyBuilder(self._state)
 
     # Facts
 
--- a/src/jasperwalk/consensus/output.py
+++ b/src/jasperwalk/consensus/output.py
@@ -8,7 +8,7 @@
 from jasperwalk.consensus.state import ReplicaState
 
 
-class Output:
+class ReadyBuilder:
     """Collects the state's changes into one `Ready` after another.
 
     While a batch is being persisted nothing is handed out, since all that is new may depend
