--- a/src/jasperwalk/distribution/update_encoder.py
+++ b/src/jasperwalk/distribution/update_encoder.py
@@ -27,7 +27,7 @@
 KEYS_ONLY = 0
 """Scope of an agent whose address belongs to no service. Other scopes are service IDs."""
 
-LEAST_ENTRY_BYTES = 48
+MIN_ENTRY_BYTES = 48
 """Least size of an encoded entry: a delta that must become too long is not even encoded."""
 
 
@@ -129,7 +129,7 @@
             delta = self._scoped_delta(scope, base_revision)
         if delta is None:
             return None
-        if len(delta.upserts) * LEAST_ENTRY_BYTES > self._config.max_delta_bytes:
+        if len(delta.upserts) * MIN_ENTRY_BYTES > self._config.max_delta_bytes:
             return None
         payload = codec.encode(delta)
         return payload if len(payload) <= self._config.max_delta_bytes else None
