--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -83,7 +83,7 @@
         """When each request ended and how many times as long as usual it took, oldest first."""
         self._typical_seconds: float | None = None
         self._slowdown: float | None = None
-        self._reckoned_at = float("-inf")
+        self._computed_at = float("-inf")
 
     # What is observed
 
@@ -131,15 +131,15 @@
         self._other_kinds = BaselineTime()
         self._ratios.clear()
         self._typical_seconds = None
-        self._reckoned_at = float("-inf")
+        self._computed_at = float("-inf")
 
     # What follows from it
 
     def slowdown(self, now: float) -> float | None:
         """Return how many times as long as usual requests take now, None where it is not known."""
-        if not 0.0 <= now - self._reckoned_at < SLOWDOWN_CACHE_SECONDS:
+        if not 0.0 <= now - self._computed_at < SLOWDOWN_CACHE_SECONDS:
             self._slowdown = self._compute_slowdown(now)
-            self._reckoned_at = now
+            self._computed_at = now
         return self._slowdown
 
     def _compute_slowdown(self, now: float) -> float | None:
@@ -179,7 +179,7 @@
         """Forget what requests took before the newest ones; what is usual stays."""
         while len(self._ratios) > count:
             self._ratios.popleft()
-        self._reckoned_at = float("-inf")
+        self._computed_at = float("-inf")
 
     def observations(self) -> int:
         """Return how many measured requests are kept."""
