--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -26,7 +26,7 @@
 from jasperwalk.consensus.durable import DurableState, SnapshotData
 from jasperwalk.consensus.election import Election
 from jasperwalk.consensus.entries import EntryKind, Membership
-from jasperwalk.consensus.following import Following
+from jasperwalk.consensus.following import Follower
 from jasperwalk.consensus.founding import Founding
 from jasperwalk.consensus.leadership import Leadership
 from jasperwalk.consensus.members import MembershipChange
@@ -65,7 +65,7 @@
     ) -> None:
         self._state = ReplicaState(config, durable, random, now)
         self._election = Election(self._state)
-        self._following = Following(self._state)
+        self._following = Follower(self._state)
         self._founding = Founding(self._state)
         self._leadership: Leadership | None = None
         self._output = ReadyBuilder(self._state)
--- a/src/jasperwalk/consensus/following.py
+++ b/src/jasperwalk/consensus/following.py
@@ -9,7 +9,7 @@
 from jasperwalk.consensus.state import ReplicaState, Role
 
 
-class Following:
+class Follower:
     """What a replica does with a leader's messages."""
 
     def __init__(self, state: ReplicaState) -> None:
