--- a/src/jasperwalk/distribution/runner.py
+++ b/src/jasperwalk/distribution/runner.py
@@ -36,7 +36,7 @@
 EVENT_QUEUE_LENGTH = 64
 """Events that may wait for the core; a full queue stops the reading of the connection."""
 
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """Longest sleep between two ticks."""
 
 LONGEST_HELLO_SECONDS = 10.0
@@ -149,7 +149,7 @@
 
     async def _next_event(self) -> _Event | None:
         wait_seconds = self.core.next_deadline() - self._clock()
-        wait_seconds = max(0.0, min(wait_seconds, LONGEST_WAIT_SECONDS))
+        wait_seconds = max(0.0, min(wait_seconds, MAX_WAIT_SECONDS))
         stop = asyncio.ensure_future(self._stop.wait())
         take = asyncio.ensure_future(self._events.get())
         try:
