--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -102,7 +102,7 @@
         usual = self._baseline_of(ended.kind)
         if usual.seconds is not None:
             self._ratios.append((now, seconds / usual.seconds))
-            self._note_typical(usual.seconds)
+            self._update_typical(usual.seconds)
         usual.note(seconds)
 
     def note_ended(self, request: Hashable, slots: int, now: float) -> None:
@@ -118,7 +118,7 @@
         usual = self._baselines[kind] = BaselineTime()
         return usual
 
-    def _note_typical(self, seconds: float) -> None:
+    def _update_typical(self, seconds: float) -> None:
         if self._typical_seconds is None:
             self._typical_seconds = seconds
         else:
