--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -65,7 +65,7 @@
     ) -> None:
         self._state = ReplicaState(config, durable, random, now)
         self._election = Election(self._state)
-        self._following = Follower(self._state)
+        self._follower = Follower(self._state)
         self._founding = Founding(self._state)
         self._leadership: Leadership | None = None
         self._output = ReadyBuilder(self._state)
@@ -202,7 +202,7 @@
             if self._election.on_timeout_now(sender, message, now):
                 self._start_leading()
         elif isinstance(message, AppendEntries):
-            self._following.on_append(sender, message, now)
+            self._follower.on_append(sender, message, now)
         elif isinstance(message, InstallSnapshot):
             self._receive_chunk(sender, message, now)
         elif isinstance(message, AppendReply | InstallReply):
@@ -210,7 +210,7 @@
 
     def _receive_chunk(self, sender: int, message: InstallSnapshot, now: float) -> None:
         before = self._state.snapshot
-        self._following.on_install(sender, message, now)
+        self._follower.on_install(sender, message, now)
         if self._state.snapshot is not before:
             self._output.install = self._state.snapshot
 
