--- a/src/jasperwalk/distribution/runner.py
+++ b/src/jasperwalk/distribution/runner.py
@@ -39,7 +39,7 @@
 MAX_WAIT_SECONDS = 1.0
 """Longest sleep between two ticks."""
 
-LONGEST_HELLO_SECONDS = 10.0
+MAX_HELLO_WAIT_SECONDS = 10.0
 """Bound of the wait for a replica's Hello; the core gives an attempt up before."""
 
 
@@ -231,7 +231,7 @@
                 replica,
                 self._hello,
                 tls=self._tls,
-                hello_timeout_seconds=LONGEST_HELLO_SECONDS,
+                hello_timeout_seconds=MAX_HELLO_WAIT_SECONDS,
             )
         except JasperwalkError as error:
             await self._events.put(_Ended(attempt=attempt, error=error))
