--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -24,7 +24,7 @@
 
     def note_admitted(self, now: float) -> None:
         """Note that the host gets an opening packet."""
-        self.response.note_asked(now)
+        self.response.record_opening(now)
         self.requests.note_admitted(now)
         self.pace.note_admitted(now)
 
--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -37,7 +37,7 @@
     _was_silent: bool = False
     _returned_in_a_row: int = 0
 
-    def note_asked(self, now: float) -> None:
+    def record_opening(self, now: float) -> None:
         """Note that the host got an opening packet."""
         if self._unanswered_since is None:
             self._unanswered_since = now
--- a/tests/agent/datagrams/test_host_response.py
+++ b/tests/agent/datagrams/test_host_response.py
@@ -10,7 +10,7 @@
 
 def asked_at(now):
     response = HostResponse()
-    response.note_asked(now)
+    response.record_opening(now)
     return response
 
 
@@ -33,7 +33,7 @@
 
 def test_further_packets_do_not_prolong_the_patience():
     response = asked_at(1.0)
-    response.note_asked(1.3)
+    response.record_opening(1.3)
     assert response.is_silent(1.01 + HOST_SILENCE_SECONDS)
 
 
@@ -44,7 +44,7 @@
     response = asked_at(1.0)
     assert response.refuses(announced_at, 0.99 + pause)
     assert not response.refuses(announced_at, 1.01 + pause)
-    response.note_asked(1.01 + pause)
+    response.record_opening(1.01 + pause)
     assert response.refuses(announced_at, 1.02 + pause)
 
 
