--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -88,13 +88,13 @@
 
         Once it is committed the leader knows everything that earlier leaders committed.
         """
-        leadership = self._leading()
+        leadership = self._active_leadership()
         return None if leadership is None else leadership.first_index
 
     @property
     def is_transferring(self) -> bool:
         """Whether this leader hands its leadership over and takes no proposals."""
-        leadership = self._leading()
+        leadership = self._active_leadership()
         return leadership is not None and leadership.transfer.is_active
 
     @property
@@ -142,12 +142,12 @@
     @property
     def displaced_replicas(self) -> list[int]:
         """On the leader: members that answered from another disk and need replacing."""
-        leadership = self._leading()
+        leadership = self._active_leadership()
         return [] if leadership is None else sorted(leadership.displaced_replicas)
 
     def progress_of(self, replica_id: int) -> Progress | None:
         """On the leader: what it knows of a follower (read only)."""
-        leadership = self._leading()
+        leadership = self._active_leadership()
         return None if leadership is None else leadership.progress.get(replica_id)
 
     def quorum_age(self, now: float) -> float:
@@ -155,7 +155,7 @@
 
         On a follower it is the leader's own figure plus the time since, see `freshness`.
         """
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is not None:
             return leadership.quorum_age(now)
         if self._state.leader_id is None:
@@ -164,7 +164,7 @@
 
     def next_deadline(self) -> float:
         """Return when `tick` is next due, seconds."""
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is not None:
             return leadership.deadline
         return min(self._state.election_deadline, self._founding.deadline)
@@ -176,7 +176,7 @@
         self._state.stall_grace.tick(self.next_deadline(), now)
         self._state.now = now
         self._founding.tick(now)
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is not None:
             leadership.tick(now)
         elif self._election.tick(now):
@@ -217,7 +217,7 @@
     def _receive_leader_reply(self, sender: int, message: AppendReply | InstallReply) -> None:
         if message.term > self._state.term:
             self._state.become_follower(message.term, None)
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is None or message.term < self._state.term:
             return
         if isinstance(message, AppendReply):
@@ -246,7 +246,7 @@
     def propose_membership(self, change: MembershipChange, now: float) -> MembershipOutcome:
         """Change one member; refused while another change is uncommitted."""
         self._state.now = now
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is None:
             return NotLeader(leader_id=self._state.leader_id)
         if self.is_transferring:
@@ -259,7 +259,7 @@
         Proposals are refused until it is done, or given up after an election timeout.
         """
         self._state.now = now
-        leadership = self._leading()
+        leadership = self._active_leadership()
         return leadership is not None and leadership.transfer.begin(now)
 
     def take_snapshot(self, index: int, state: bytes) -> None:
@@ -285,7 +285,7 @@
 
     def ready(self) -> Ready:
         """Return what the host does next; empty while a batch is being persisted."""
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is not None and not self._output.is_persisting:
             leadership.feed_all()
         return self._output.take()
@@ -293,14 +293,14 @@
     def persisted(self) -> None:
         """Note that the batch of the last `ready()` is synced to disk."""
         self._output.persisted()
-        leadership = self._leading()
+        leadership = self._active_leadership()
         if leadership is not None:
             leadership.advance_commit()
             self._after_commit()
 
     # Leadership
 
-    def _leading(self) -> Leadership | None:
+    def _active_leadership(self) -> Leadership | None:
         return self._leadership if self._state.role is Role.LEADER else None
 
     def _start_leading(self) -> None:
@@ -313,7 +313,7 @@
         state = self._state
         is_member = state.membership.find(state.replica_id) is not None
         if self.is_leader and not is_member and state.members.latest_index <= state.commit_index:
-            leadership = self._leading()
+            leadership = self._active_leadership()
             if leadership is not None:
                 leadership.feed_all()
             state.become_follower(state.term, None)
