--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -8,7 +8,7 @@
 
 from jasperwalk.addresses import Endpoint
 
-HIGHEST_BACKOFF_EXPONENT = 16
+MAX_BACKOFF_EXPONENT = 16
 """Bound of the doubling, so that the power stays small however long an outage lasts."""
 
 LONGEST_PAUSE_SECONDS = 2.0
@@ -99,7 +99,7 @@
         The next attempt at any replica comes at a random moment of the pause, which is
         `spread_seconds` or longer.
         """
-        exponent = min(self._failures_in_a_row, HIGHEST_BACKOFF_EXPONENT)
+        exponent = min(self._failures_in_a_row, MAX_BACKOFF_EXPONENT)
         self._failures_in_a_row += 1
         pause = min(LONGEST_PAUSE_SECONDS, self._base * 2**exponent)
         pause = min(self._cap, max(spread_seconds, pause))
@@ -107,7 +107,7 @@
         record = self._records.get(endpoint)
         if record is None:
             return
-        exponent = min(record.failures, HIGHEST_BACKOFF_EXPONENT)
+        exponent = min(record.failures, MAX_BACKOFF_EXPONENT)
         backoff = min(self._cap, self._base * 2**exponent)
         record.failures += 1
         jittered = backoff * (0.5 + self._random.random() / 2)
@@ -127,7 +127,7 @@
         replica as much as one that succeeds.
         """
         doublings = max(0, self._failures_in_a_row - len(self._eligible()) + 1)
-        return int(min(2 ** min(doublings, HIGHEST_BACKOFF_EXPONENT), HIGHEST_PATIENCE_FACTOR))
+        return int(min(2 ** min(doublings, MAX_BACKOFF_EXPONENT), HIGHEST_PATIENCE_FACTOR))
 
     def settled(self) -> None:
         """Note that a replica has served well for a while: pauses are short again."""
