--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -50,7 +50,7 @@
     pace = pace or HostServiceTimes()
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
-        pace.note_asked(number, LISTENER, SLOTS, now)
+        pace.record_request(number, LISTENER, SLOTS, now)
         pace.note_answered(number, SLOTS, now + WORK_SECONDS)
 
 
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -67,7 +67,7 @@
             if self.note_ended is not None:
                 self.note_ended(flow, now)
 
-    def note_asked(self, flow: HeldFlow, now: float) -> None:
+    def record_request(self, flow: HeldFlow, now: float) -> None:
         """Note that a request, or a further part of one, goes to the host."""
         flow.asked_at = now
         if flow.busy:
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -31,11 +31,11 @@
         """Prepare the judgement."""
         self.slow_host = SlowHost(self.pace)
 
-    def note_asked(self, flow: HeldFlow, packet: bytes, now: float) -> None:
+    def record_request(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         """Note that a packet with a request, or with a further part of it, goes to the host."""
         if self.is_wanted:
             listener = self.codec.listener_of(self.codec.flow_key(packet))
-            self.pace.note_asked(flow, listener, self.host.capacity, now)
+            self.pace.record_request(flow, listener, self.host.capacity, now)
 
     def note_answered(self, flow: HeldFlow, now: float) -> None:
         """Note that the host began to answer a request.
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -87,7 +87,7 @@
 
     # What is observed
 
-    def note_asked(self, request: Hashable, kind: Hashable, slots: int, now: float) -> None:
+    def record_request(self, request: Hashable, kind: Hashable, slots: int, now: float) -> None:
         """Note that a request, or a further part of it, was passed on to the host."""
         self._slots.begin(request, kind, slots, now)
 
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -133,7 +133,7 @@
         self.request_number = 0
 
     def begin(self):
-        self.world.note_asked()
+        self.world.record_request()
         self.send(OPENING, b"")
 
     def send(self, flags, data):
@@ -159,7 +159,7 @@
 
     def ask_again(self):
         self.began_at = self.world.now
-        self.world.note_asked()
+        self.world.record_request()
         self.ask()
 
 
@@ -285,7 +285,7 @@
     def _counts(self, at):
         return self.count_from <= at < self.count_until
 
-    def note_asked(self):
+    def record_request(self):
         self.result.asked += self._counts(self.now)
 
     def note_begun(self, host):
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -43,7 +43,7 @@
         if self.random.random() < self.long_share:
             seconds *= LONG_FACTOR
         self.number += 1
-        self.pace.note_asked(self.number, kind, self.slots, self.now)
+        self.pace.record_request(self.number, kind, self.slots, self.now)
         end = self.now + seconds * self.factor * self.random.uniform(0.8, 1.2)
         self.ends.append((end, self.number))
 
@@ -65,7 +65,7 @@
 
 
 def one(pace, name, start, end, kind="kind", slots=1):
-    pace.note_asked(name, kind, slots, start)
+    pace.record_request(name, kind, slots, start)
     pace.note_answered(name, slots, end)
 
 
@@ -88,7 +88,7 @@
 def test_a_slow_host_is_seen_before_it_has_answered():
     play = Play(4).run(5.0)
     for number in range(4):
-        play.pace.note_asked(f"late {number}", "kind", 8, play.now)
+        play.pace.record_request(f"late {number}", "kind", 8, play.now)
     now = play.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
     assert play.slow_host.judge(now)
     assert play.slow_host.is_slow()
@@ -126,7 +126,7 @@
     for number in range(20):
         one(pace, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
     for number in range(8):
-        pace.note_asked(f"burst {number}", "kind", 1, 2.0)
+        pace.record_request(f"burst {number}", "kind", 1, 2.0)
     for number in range(8):
         pace.note_answered(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
     assert pace.slowdown(2.4) == pytest.approx(1.0, abs=0.1)
