--- a/src/jasperwalk/consensus/following.py
+++ b/src/jasperwalk/consensus/following.py
@@ -36,7 +36,9 @@
             # The higher term in the answer makes a leader that was left behind step down.
             self._refuse(sender, message, 0)
             return
-        state.quorum_contact.heard(sender, message.term, message.sent_at, message.quorum_age, now)
+        state.quorum_contact.record_leader_message(
+            sender, message.term, message.sent_at, message.quorum_age, now
+        )
         if message.previous_index < state.log.base_index:
             self._append_above_base(sender, message)
             return
--- a/src/jasperwalk/consensus/freshness.py
+++ b/src/jasperwalk/consensus/freshness.py
@@ -27,7 +27,7 @@
         self._smallest_now = math.inf
         self._smallest_before = math.inf
 
-    def heard(
+    def record_leader_message(
         self, leader_id: int, term: int, sent_at: float, quorum_age: float, now: float
     ) -> None:
         """Take a message of the leader in; a late duplicate changes nothing.
