--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -11,7 +11,7 @@
 MAX_BACKOFF_EXPONENT = 16
 """Bound of the doubling, so that the power stays small however long an outage lasts."""
 
-LONGEST_PAUSE_SECONDS = 2.0
+MAX_PAUSE_SECONDS = 2.0
 """Bound of the pause between attempts at different replicas: another one may be well."""
 
 HIGHEST_PATIENCE_FACTOR = 4
@@ -101,7 +101,7 @@
         """
         exponent = min(self._failures_in_a_row, MAX_BACKOFF_EXPONENT)
         self._failures_in_a_row += 1
-        pause = min(LONGEST_PAUSE_SECONDS, self._base * 2**exponent)
+        pause = min(MAX_PAUSE_SECONDS, self._base * 2**exponent)
         pause = min(self._cap, max(spread_seconds, pause))
         self._not_before = now + self._random.random() * pause
         record = self._records.get(endpoint)
--- a/tests/distribution/test_replica_choice.py
+++ b/tests/distribution/test_replica_choice.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.distribution.replica_choice import LONGEST_PAUSE_SECONDS, ReplicaChoice
+from jasperwalk.distribution.replica_choice import MAX_PAUSE_SECONDS, ReplicaChoice
 
 CUT_OFF, WELL = Endpoint("127.0.0.1", 7000), Endpoint("127.0.0.2", 7000)
 
@@ -15,5 +15,5 @@
     choice = ReplicaChoice([CUT_OFF, WELL], 0.1, 5.0, random.Random(seed))
     for second in range(12):
         choice.failed(CUT_OFF, float(second))
-    assert choice.next_available_at() <= 11.0 + LONGEST_PAUSE_SECONDS
-    assert choice.choose(11.0 + LONGEST_PAUSE_SECONDS) == WELL
+    assert choice.next_available_at() <= 11.0 + MAX_PAUSE_SECONDS
+    assert choice.choose(11.0 + MAX_PAUSE_SECONDS) == WELL
