--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -51,7 +51,7 @@
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
         pace.record_request(number, LISTENER, SLOTS, now)
-        pace.note_answered(number, SLOTS, now + WORK_SECONDS)
+        pace.record_answer(number, SLOTS, now + WORK_SECONDS)
 
 
 def _judgement_time() -> float:
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -75,9 +75,9 @@
         else:
             self.set_busy(flow, True, now)
 
-    def note_answered(self, flow: HeldFlow, now: float) -> None:
+    def record_answer(self, flow: HeldFlow, now: float) -> None:
         """Note that the host has begun to answer a request."""
-        self.under_way.note_answered(now - flow.asked_at)
+        self.under_way.record_answer(now - flow.asked_at)
 
     def drop(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a flow."""
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -28,9 +28,9 @@
         self.requests.note_admitted(now)
         self.pace.note_admitted(now)
 
-    def note_answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note that the host began to answer a request."""
-        if self.requests.note_answered(now):
+        if self.requests.record_answer(now):
             self._log.note("host-serves-again", **self._host.describe(now))
 
     def note_failed(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -64,9 +64,9 @@
         if flow.has_request_under_way():
             parts.counters.requests_answered += 1
             parts.host_latency.observe(now - flow.asked_at)
-            parts.watch.note_answered(now)
-            parts.table.note_answered(flow, now)
-            parts.pace.note_answered(flow, now)
+            parts.watch.record_answer(now)
+            parts.table.record_answer(flow, now)
+            parts.pace.record_answer(flow, now)
         parts.table.set_busy(flow, False, now)
 
     def _note_reset(self, key: bytes, flow: HeldFlow, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -37,7 +37,7 @@
             listener = self.codec.listener_of(self.codec.flow_key(packet))
             self.pace.record_request(flow, listener, self.host.capacity, now)
 
-    def note_answered(self, flow: HeldFlow, now: float) -> None:
+    def record_answer(self, flow: HeldFlow, now: float) -> None:
         """Note that the host began to answer a request.
 
         A host that is slow from its start says so itself; what it takes then is not usual.
@@ -47,7 +47,7 @@
         if now < self.host.slow_until:
             self.pace.note_ended(flow, self.host.capacity, now)
             return
-        self.pace.note_answered(flow, self.host.capacity, now)
+        self.pace.record_answer(flow, self.host.capacity, now)
         self.check(now)
 
     def note_ended(self, flow: HeldFlow, now: float) -> None:
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -91,7 +91,7 @@
         """Note that a request, or a further part of it, was passed on to the host."""
         self._slots.begin(request, kind, slots, now)
 
-    def note_answered(self, request: Hashable, slots: int, now: float) -> None:
+    def record_answer(self, request: Hashable, slots: int, now: float) -> None:
         """Note the first packet of the host's answer to a request."""
         ended = self._slots.end(request, slots, now)
         if ended is None:
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -78,7 +78,7 @@
         """Note that the host gets a new flow."""
         self._tried_at = now
 
-    def note_answered(self, now: float) -> bool:
+    def record_answer(self, now: float) -> bool:
         """Note a request that the host began to answer; return True where that clears the host."""
         self._outcomes.append((now, False))
         if self._paused_until is None or now < self._paused_until:
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -42,7 +42,7 @@
         """Note that a request is over, whatever became of it."""
         self._begun_at.pop(request, None)
 
-    def note_answered(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Note how long the host took to begin an answer."""
         self._answer_time.note(seconds)
 
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -146,7 +146,7 @@
             self.host = data[len(GREETING) :]
             self.ask()
         elif data == b"answer":
-            self.world.note_answered(self)
+            self.world.record_answer(self)
             self.left -= 1
             if self.left:
                 self.world.later(PAUSE_SECONDS, self.ask_again)
@@ -293,7 +293,7 @@
         if self._counts(self.now):
             self.result.taken[host.number] = self.result.taken.get(host.number, 0) + 1
 
-    def note_answered(self, caller):
+    def record_answer(self, caller):
         if not self._counts(caller.began_at):
             return
         is_late = self.now - caller.began_at > caller.kind.objective
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -55,7 +55,7 @@
             self.now = min(next_end[0], self.now + 0.02, until)
             if self.now == next_end[0]:
                 self.ends.remove(next_end)
-                self.pace.note_answered(next_end[1], self.slots, self.now)
+                self.pace.record_answer(next_end[1], self.slots, self.now)
             self.slow_host.judge(self.now)
             self.seen_slow.append((self.now, self.slow_host.is_slow()))
         return self
@@ -66,7 +66,7 @@
 
 def one(pace, name, start, end, kind="kind", slots=1):
     pace.record_request(name, kind, slots, start)
-    pace.note_answered(name, slots, end)
+    pace.record_answer(name, slots, end)
 
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
@@ -128,7 +128,7 @@
     for number in range(8):
         pace.record_request(f"burst {number}", "kind", 1, 2.0)
     for number in range(8):
-        pace.note_answered(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
+        pace.record_answer(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
     assert pace.slowdown(2.4) == pytest.approx(1.0, abs=0.1)
 
 
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -57,7 +57,7 @@
         if fails:
             self.outcomes.note_failed(now)
         else:
-            self.outcomes.note_answered(now)
+            self.outcomes.record_answer(now)
 
 
 def test_few_requests_are_lost_that_may_not_be_repeated():
@@ -107,7 +107,7 @@
     outcomes.note_failed(2.0)
     assert outcomes.pause_seconds == 2 * SHORTEST_PAUSE_SECONDS
     now = 2.0 + outcomes.pause_seconds
-    told = [outcomes.note_answered(now) for _ in range(ANSWERED_IN_A_ROW)]
+    told = [outcomes.record_answer(now) for _ in range(ANSWERED_IN_A_ROW)]
     assert told == [False] * (ANSWERED_IN_A_ROW - 1) + [True]
     assert not outcomes.is_failing()
     assert not outcomes.refuses(False, now)
@@ -127,7 +127,7 @@
 def test_requests_from_before_the_pause_neither_clear_nor_prolong_it():
     outcomes = failing()
     for _ in range(20):
-        assert not outcomes.note_answered(1.1)
+        assert not outcomes.record_answer(1.1)
         assert not outcomes.note_failed(1.1)
     assert outcomes.is_failing()
     assert outcomes.pause_seconds == SHORTEST_PAUSE_SECONDS
@@ -136,5 +136,5 @@
 def test_what_is_remembered_is_bounded():
     outcomes = RequestOutcomes()
     for _ in range(1000):
-        outcomes.note_answered(1.0)
+        outcomes.record_answer(1.0)
     assert outcomes.counts(1.0).answered == MAXIMUM_OUTCOMES
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -13,7 +13,7 @@
 def measured(seconds, count=50):
     requests = RequestsInFlight()
     for _ in range(count):
-        requests.note_answered(seconds)
+        requests.record_answer(seconds)
     return requests
 
 
