--- a/src/jasperwalk/consensus/freshness.py
+++ b/src/jasperwalk/consensus/freshness.py
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         self._source = (0, 0)
-        self._forget()
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._newest_sent_at = -math.inf
         self._contact_at = -math.inf
         self._window_started_at = -math.inf
@@ -36,7 +36,7 @@
         """
         if self._source != (leader_id, term):
             self._source = (leader_id, term)
-            self._forget()
+            self._reset()
         if sent_at <= self._newest_sent_at:
             return
         self._newest_sent_at = sent_at
