--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -14,7 +14,7 @@
 MAX_PAUSE_SECONDS = 2.0
 """Bound of the pause between attempts at different replicas: another one may be well."""
 
-HIGHEST_PATIENCE_FACTOR = 4
+MAX_TIMEOUT_FACTOR = 4
 """Bound of the waiting for an answer, as a multiple of the usual time-out."""
 
 FAILURES_BEFORE_SETTINGS = 3
@@ -122,12 +122,12 @@
     def patience_factor(self) -> int:
         """Return how much longer than usual a replica may take to answer an attempt.
 
-        It doubles up to `HIGHEST_PATIENCE_FACTOR` once as many attempts failed in a row as
+        It doubles up to `MAX_TIMEOUT_FACTOR` once as many attempts failed in a row as
         there are replicas: an attempt that is given up while it waits in line has cost its
         replica as much as one that succeeds.
         """
         doublings = max(0, self._failures_in_a_row - len(self._eligible()) + 1)
-        return int(min(2 ** min(doublings, MAX_BACKOFF_EXPONENT), HIGHEST_PATIENCE_FACTOR))
+        return int(min(2 ** min(doublings, MAX_BACKOFF_EXPONENT), MAX_TIMEOUT_FACTOR))
 
     def settled(self) -> None:
         """Note that a replica has served well for a while: pauses are short again."""
