--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -26,7 +26,7 @@
 
     meter: LoadMeter
     lifetime_seconds: float
-    note_ended: Callable[[HeldFlow, float], None] | None = None
+    on_request_end: Callable[[HeldFlow, float], None] | None = None
     """Told of each flow that has no request under way any more, None where nobody is."""
     half_open: HalfOpenFlows = field(default_factory=HalfOpenFlows)
     under_way: RequestsInFlight = field(default_factory=RequestsInFlight)
@@ -64,8 +64,8 @@
                 self.under_way.begin(flow, now)
                 return
             self.under_way.end(flow)
-            if self.note_ended is not None:
-                self.note_ended(flow, now)
+            if self.on_request_end is not None:
+                self.on_request_end(flow, now)
 
     def record_request(self, flow: HeldFlow, now: float) -> None:
         """Note that a request, or a further part of one, goes to the host."""
