--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -41,7 +41,7 @@
 )
 
 MILLISECONDS_PER_SECOND = 1000
-HIGHEST_QUORUM_AGE_MS = 2**31 - 1
+MAX_QUORUM_AGE_MS = 2**31 - 1
 """Quorum age that stands for unknown."""
 
 
@@ -297,7 +297,7 @@
     def _quorum_age_ms(self, now: float) -> int:
         # Aged since the last tick: a process that stood still must not pass for fresh.
         milliseconds = (now - self._quorum_contact_at) * MILLISECONDS_PER_SECOND
-        return int(min(max(milliseconds, 0.0), HIGHEST_QUORUM_AGE_MS))
+        return int(min(max(milliseconds, 0.0), MAX_QUORUM_AGE_MS))
 
     def _check_registration(self, link: SubscriberLink, now: float) -> list[PublisherEffect]:
         if link.is_balancer:
