--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -85,7 +85,7 @@
         self.answers = BalancerAnswers(self._tag, self.host, self._load, self.to_balancer)
         self.meter = LoadMeter(self.started_at)
         self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
-        self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.note_ended)
+        self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.record_end)
         self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
         self.watch = HostMonitor(self.host, self.log, self.pace)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -45,15 +45,15 @@
         if not self.is_wanted:
             return
         if now < self.host.slow_until:
-            self.pace.note_ended(flow, self.host.capacity, now)
+            self.pace.record_end(flow, self.host.capacity, now)
             return
         self.pace.record_answer(flow, self.host.capacity, now)
         self.check(now)
 
-    def note_ended(self, flow: HeldFlow, now: float) -> None:
+    def record_end(self, flow: HeldFlow, now: float) -> None:
         """Note that a flow has no request under way any more."""
         if self.is_wanted:
-            self.pace.note_ended(flow, self.host.capacity, now)
+            self.pace.record_end(flow, self.host.capacity, now)
 
     def note_admitted(self, now: float) -> None:
         """Note that the host gets a new flow."""
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -105,7 +105,7 @@
             self._update_typical(usual.seconds)
         usual.note(seconds)
 
-    def note_ended(self, request: Hashable, slots: int, now: float) -> None:
+    def record_end(self, request: Hashable, slots: int, now: float) -> None:
         """Note that a request ended without a measurable answer."""
         self._slots.end(request, slots, now)
 
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -209,7 +209,7 @@
 def test_a_slow_host_without_requests_stays_slow_until_the_judgement_is_old():
     play = slow_play()
     for _, name in play.ends:
-        play.pace.note_ended(name, 2, play.now)
+        play.pace.record_end(name, 2, play.now)
     assert not play.slow_host.judge(play.now + STALE_SECONDS + 0.1)
     assert play.slow_host.is_slow()
     assert play.slow_host.judge(play.now + JUDGEMENT_SECONDS + STALE_SECONDS + 0.1)
@@ -219,7 +219,7 @@
 def test_two_trials_as_usual_end_the_judgement_however_far_apart():
     play = slow_play()
     for _, name in play.ends:
-        play.pace.note_ended(name, 2, play.now)
+        play.pace.record_end(name, 2, play.now)
     for number, is_slow in enumerate((True, False)):
         now = play.now + (number + 1) * (STALE_SECONDS + 0.1)
         one(play.pace, f"trial {number}", now, now + WORK_SECONDS, slots=2)
