--- a/src/jasperwalk/consensus/freshness.py
+++ b/src/jasperwalk/consensus/freshness.py
@@ -25,7 +25,7 @@
         self._contact_at = -math.inf
         self._window_started_at = -math.inf
         self._min_difference = math.inf
-        self._smallest_before = math.inf
+        self._min_difference_before = math.inf
 
     def record_leader_message(
         self, leader_id: int, term: int, sent_at: float, quorum_age: float, now: float
@@ -42,11 +42,11 @@
         self._newest_sent_at = sent_at
         difference = now - sent_at
         if now - self._window_started_at > DELAY_WINDOW_SECONDS:
-            self._smallest_before = self._min_difference
+            self._min_difference_before = self._min_difference
             self._min_difference = math.inf
             self._window_started_at = now
         self._min_difference = min(self._min_difference, difference)
-        extra_delay = difference - min(self._min_difference, self._smallest_before)
+        extra_delay = difference - min(self._min_difference, self._min_difference_before)
         self._contact_at = max(self._contact_at, now - extra_delay - quorum_age)
 
     def age(self, now: float) -> float:
