--- a/src/jasperwalk/membership/mass_silence.py
+++ b/src/jasperwalk/membership/mass_silence.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-LEAST_MEMBERS = 100
+MIN_MEMBERS = 100
 """Fewer statuses than that cost links nothing that matters; no silence of so few is doubted."""
 
 
@@ -32,7 +32,7 @@
 
     def is_doubted(self, silent: int, online: int, now: float) -> bool:
         """Tell whether the silence of `silent` among `online` members is not believed yet."""
-        if silent < LEAST_MEMBERS or silent <= self._config.share * online:
+        if silent < MIN_MEMBERS or silent <= self._config.share * online:
             self._since = None
             return False
         if self._since is None:
