--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -22,11 +22,11 @@
         self.response = HostResponse()
         self.requests = RequestOutcomes()
 
-    def note_admitted(self, now: float) -> None:
+    def record_admission(self, now: float) -> None:
         """Note that the host gets an opening packet."""
         self.response.record_opening(now)
-        self.requests.note_admitted(now)
-        self.pace.note_admitted(now)
+        self.requests.record_admission(now)
+        self.pace.record_admission(now)
 
     def record_answer(self, now: float) -> None:
         """Note that the host began to answer a request."""
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -55,9 +55,9 @@
         if self.is_wanted:
             self.pace.record_end(flow, self.host.capacity, now)
 
-    def note_admitted(self, now: float) -> None:
+    def record_admission(self, now: float) -> None:
         """Note that the host gets a new flow."""
-        self.slow_host.note_admitted(now)
+        self.slow_host.record_admission(now)
 
     def note_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -74,7 +74,7 @@
         failed = sum(is_failure for _, is_failure in self._outcomes)
         return OutcomeCounts(failed, len(self._outcomes) - failed)
 
-    def note_admitted(self, now: float) -> None:
+    def record_admission(self, now: float) -> None:
         """Note that the host gets a new flow."""
         self._tried_at = now
 
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -76,7 +76,7 @@
         usual = self._pace.baseline_seconds(kind)
         return None if usual is None else usual * self._slowdown
 
-    def note_admitted(self, now: float) -> None:
+    def record_admission(self, now: float) -> None:
         """Note that the host gets a new flow."""
         self._admitted_at = now
 
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -188,13 +188,13 @@
 )
 def test_a_slow_host_takes_what_it_serves_in_time(remaining_seconds, busy, refused):
     play = slow_play()
-    play.slow_host.note_admitted(play.now)
+    play.slow_host.record_admission(play.now)
     assert play.slow_host.refuses("kind", busy, 2, remaining_seconds, play.now) is refused
 
 
 def test_an_idle_slow_host_gets_a_trial_now_and_then():
     play = slow_play()
-    play.slow_host.note_admitted(play.now)
+    play.slow_host.record_admission(play.now)
     now = play.now + TRIAL_SECONDS
     assert play.slow_host.refuses("kind", 0, 2, 0.1, now - 0.01)
     assert not play.slow_host.refuses("kind", 0, 2, 0.1, now)
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -44,7 +44,7 @@
             repeatable = self.random.random() >= NOT_REPEATABLE_SHARE
             if self.judged and self.outcomes.refuses(repeatable, now):
                 continue
-            self.outcomes.note_admitted(now)
+            self.outcomes.record_admission(now)
             is_bad_time = FAILS_FROM <= now < FAILS_UNTIL
             fails = is_bad_time and self.random.random() < self.share
             self.lost += fails and not repeatable
