--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -287,7 +287,7 @@
         """Return what the host does next; empty while a batch is being persisted."""
         leadership = self._active_leadership()
         if leadership is not None and not self._output.is_persisting:
-            leadership.feed_all()
+            leadership.send_to_all()
         return self._output.take()
 
     def persisted(self) -> None:
@@ -315,5 +315,5 @@
         if self.is_leader and not is_member and state.members.latest_index <= state.commit_index:
             leadership = self._active_leadership()
             if leadership is not None:
-                leadership.feed_all()
+                leadership.send_to_all()
             state.become_follower(state.term, None)
--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -106,7 +106,7 @@
         contacts.sort(reverse=True)
         return now - contacts[self._state.membership.quorum_size() - 1]
 
-    def feed_all(self) -> None:
+    def send_to_all(self) -> None:
         """Send every follower what it may be sent now."""
         for replica_id, progress in self.progress.items():
             self._feed(replica_id, progress)
