--- a/src/jasperwalk/control/platform_poller.py
+++ b/src/jasperwalk/control/platform_poller.py
@@ -8,7 +8,7 @@
 import structlog
 
 from jasperwalk.errors import JasperwalkError
-from jasperwalk.membership.platform import MAXIMUM_LIST_BYTES, PlatformList, parse_platform_list
+from jasperwalk.membership.platform import MAX_LIST_BYTES, PlatformList, parse_platform_list
 
 FETCH_TIMEOUT_SECONDS = 2.0
 
@@ -81,6 +81,6 @@
     chunks = bytearray()
     async for chunk in stream.iter_any():
         chunks.extend(chunk)
-        if len(chunks) > MAXIMUM_LIST_BYTES:
+        if len(chunks) > MAX_LIST_BYTES:
             break
     return bytes(chunks)
--- a/src/jasperwalk/membership/platform.py
+++ b/src/jasperwalk/membership/platform.py
@@ -18,7 +18,7 @@
 from jasperwalk.config.table import AdminState, MemberEntry
 from jasperwalk.errors import InvalidAddress, JasperwalkError
 
-MAXIMUM_LIST_BYTES = 16 * 1024 * 1024
+MAX_LIST_BYTES = 16 * 1024 * 1024
 """Longest list that is parsed."""
 
 
@@ -83,8 +83,8 @@
     state is left out and counted, and the others hold. A list that has entries, of which none can
     be read, is broken as a whole.
     """
-    if len(data) > MAXIMUM_LIST_BYTES:
-        raise InvalidPlatformList(reason=f"over {MAXIMUM_LIST_BYTES} bytes")
+    if len(data) > MAX_LIST_BYTES:
+        raise InvalidPlatformList(reason=f"over {MAX_LIST_BYTES} bytes")
     try:
         document = msgspec.json.decode(data, type=_ListDocument)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
