--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -233,7 +233,7 @@
         self.admit_waiting(now)
         for key, flow in self.table.take_unanswered(now):
             self.counters.requests_unanswered += 1
-            self.watch.note_failed(now)
+            self.watch.record_failure(now)
             self.log.note(
                 "request-unanswered",
                 flow=self.codec.describe(key),
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -33,9 +33,9 @@
         if self.requests.record_answer(now):
             self._log.note("host-serves-again", **self._host.describe(now))
 
-    def note_failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note that the host broke a request off, or leaves it unanswered."""
-        if self.requests.note_failed(now):
+        if self.requests.record_failure(now):
             counts = self.requests.counts(now)
             self._log.note(
                 "host-failing",
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -73,7 +73,7 @@
         parts = self.parts
         if flow.has_request_under_way():
             parts.counters.requests_broken_off += 1
-            parts.watch.note_failed(now)
+            parts.watch.record_failure(now)
         parts.queue.discard(key)
         flow.host_ended = flow.caller_ended = True
         parts.table.set_busy(flow, False, now)
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -89,7 +89,7 @@
         self.forget()
         return True
 
-    def note_failed(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Note a request that failed; return True where the host begins to count as failing."""
         self._outcomes.append((now, True))
         self._answered_in_a_row = 0
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -55,7 +55,7 @@
 
     def end(self, now, fails):
         if fails:
-            self.outcomes.note_failed(now)
+            self.outcomes.record_failure(now)
         else:
             self.outcomes.record_answer(now)
 
@@ -80,7 +80,7 @@
 def failing(now=1.0):
     """Return a host that was just judged to fail."""
     outcomes = RequestOutcomes()
-    told = [outcomes.note_failed(now) for _ in range(LEAST_FAILURES)]
+    told = [outcomes.record_failure(now) for _ in range(LEAST_FAILURES)]
     assert told == [False] * (LEAST_FAILURES - 1) + [True]
     return outcomes
 
@@ -88,7 +88,7 @@
 def test_failures_long_ago_do_not_count():
     outcomes = RequestOutcomes()
     for step in range(10):
-        assert not outcomes.note_failed(step * (WINDOW_SECONDS + 0.1))
+        assert not outcomes.record_failure(step * (WINDOW_SECONDS + 0.1))
     assert not outcomes.is_failing()
 
 
@@ -104,7 +104,7 @@
 
 def test_answered_trials_in_a_row_clear_it_and_the_pause_begins_anew():
     outcomes = failing()
-    outcomes.note_failed(2.0)
+    outcomes.record_failure(2.0)
     assert outcomes.pause_seconds == 2 * SHORTEST_PAUSE_SECONDS
     now = 2.0 + outcomes.pause_seconds
     told = [outcomes.record_answer(now) for _ in range(ANSWERED_IN_A_ROW)]
@@ -119,7 +119,7 @@
     now = 1.0
     for _ in range(8):
         now += outcomes.pause_seconds + 0.01
-        outcomes.note_failed(now)
+        outcomes.record_failure(now)
         assert outcomes.refuses(True, now + outcomes.pause_seconds - 0.01)
     assert outcomes.pause_seconds == LONGEST_PAUSE_SECONDS
 
@@ -128,7 +128,7 @@
     outcomes = failing()
     for _ in range(20):
         assert not outcomes.record_answer(1.1)
-        assert not outcomes.note_failed(1.1)
+        assert not outcomes.record_failure(1.1)
     assert outcomes.is_failing()
     assert outcomes.pause_seconds == SHORTEST_PAUSE_SECONDS
 
