--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -86,7 +86,7 @@
         self.transfer.tick(now)
         for replica_id, progress in self.progress.items():
             progress.awaiting_reply = False
-            self._feed(replica_id, progress)
+            self._send_next(replica_id, progress)
             self._send_heartbeat(replica_id, progress)
 
     def _lacks_quorum(self, now: float) -> bool:
@@ -109,9 +109,9 @@
     def send_to_all(self) -> None:
         """Send every follower what it may be sent now."""
         for replica_id, progress in self.progress.items():
-            self._feed(replica_id, progress)
+            self._send_next(replica_id, progress)
 
-    def _feed(self, replica_id: int, progress: Progress) -> None:
+    def _send_next(self, replica_id: int, progress: Progress) -> None:
         if progress.mode is not ProgressMode.SNAPSHOT:
             self._feed_entries(replica_id, progress)
         if progress.mode is ProgressMode.SNAPSHOT and not progress.awaiting_reply:
