--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -160,7 +160,7 @@
         """Take in one message of the replica."""
         if self._phase is not FollowerPhase.FOLLOWING:
             return []
-        if not self._contact.heard(now):
+        if not self._contact.record_message(now):
             # This process stood still: what waited in the socket may be arbitrarily old, and
             # taking it for news would make a thawed process believe that it is fresh.
             return self._leave(LeaveReason.SILENT, now)
--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -40,7 +40,7 @@
         self._quorum_contact_at = None
         self._behind_since = None
 
-    def heard(self, now: float) -> bool:
+    def record_message(self, now: float) -> bool:
         """Note a message; return False where too long a silence came before it."""
         if now - self._last_heard >= self._stale_seconds:
             return False
