--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -194,7 +194,7 @@
         what it does not hold, so that their callers learn that the host is gone.
         """
         self.knowledge.host_started_here = True
-        self.watch.note_replaced()
+        self.watch.on_host_replaced()
         self.table.under_way.forget_times()
         self.table.doubt_all(now)
         self.release_held(now)
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -60,11 +60,11 @@
         if self.response.note_taken():
             self._log.note("host-takes-openings", **self._host.describe(now))
 
-    def note_replaced(self) -> None:
+    def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
         self.response.note_taken()
         self.requests.forget()
-        self.pace.note_replaced()
+        self.pace.on_host_replaced()
 
     def check(self, now: float) -> None:
         """Log that the host no longer answers, or does again; call every second."""
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -59,7 +59,7 @@
         """Note that the host gets a new flow."""
         self.slow_host.record_admission(now)
 
-    def note_replaced(self) -> None:
+    def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
         self.pace.forget()
         self.slow_host.forget()
