--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -113,11 +113,11 @@
 
     def _send_next(self, replica_id: int, progress: Progress) -> None:
         if progress.mode is not ProgressMode.SNAPSHOT:
-            self._feed_entries(replica_id, progress)
+            self._send_pending_entries(replica_id, progress)
         if progress.mode is ProgressMode.SNAPSHOT and not progress.awaiting_reply:
             self._send_chunk(replica_id, progress)
 
-    def _feed_entries(self, replica_id: int, progress: Progress) -> None:
+    def _send_pending_entries(self, replica_id: int, progress: Progress) -> None:
         if progress.next_index <= self._state.log.base_index:
             self._start_transfer(progress)
             return
