--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -21,7 +21,7 @@
         self._stale_seconds = stale_seconds
         self._patience_seconds = 0.0
         self._was_fresh = False
-        self._last_heard = 0.0
+        self._last_message_at = 0.0
         self._behind_since: float | None = None
         self._quorum_contact_at: float | None = None
         self._replica_revision = 0
@@ -36,15 +36,15 @@
         """Begin with another replica; what was known to be fresh stays so."""
         self._patience_seconds = patience_seconds
         self._was_fresh = False
-        self._last_heard = now
+        self._last_message_at = now
         self._quorum_contact_at = None
         self._behind_since = None
 
     def record_message(self, now: float) -> bool:
         """Note a message; return False where too long a silence came before it."""
-        if now - self._last_heard >= self._stale_seconds:
+        if now - self._last_message_at >= self._stale_seconds:
             return False
-        self._last_heard = now
+        self._last_message_at = now
         return True
 
     def heartbeat(self, heartbeat: Heartbeat, own_revision: int, now: float) -> None:
@@ -76,7 +76,7 @@
     def reason_to_leave(self, now: float) -> LeaveReason | None:
         """Return why the replica has to be left now, None where it does not."""
         limit = self._stale_seconds
-        if now - self._last_heard >= limit:
+        if now - self._last_message_at >= limit:
             return LeaveReason.SILENT
         contact_at = self._quorum_contact_at
         if contact_at is not None and now - contact_at >= limit + self._patience():
@@ -87,7 +87,7 @@
 
     def leave_at(self) -> float:
         """Return when there will be a reason to leave, if nothing is heard until then."""
-        oldest = self._last_heard
+        oldest = self._last_message_at
         if self._quorum_contact_at is not None:
             oldest = min(oldest, self._quorum_contact_at + self._patience())
         if self._behind_since is not None:
