--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -116,7 +116,7 @@
         elif self.host_id:
             if not self._may_replace(start, news.call_number, now):
                 return False
-            self._note_replaced()
+            self._record_replaced()
             self._slow_until_at_most = 0.0
             self._is_confirmed = False
         self._doubted.clear()
@@ -190,7 +190,7 @@
         _forget_oldest(self._doubted)
         return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
 
-    def _note_replaced(self) -> None:
+    def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
             self._note_left(self.start)
         self._replaced[self.start] = self.call_number
