--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -33,7 +33,7 @@
         self._heartbeat_deadline = state.now
         first = state.append(state.term, EntryKind.LEADERSHIP, b"")
         self.first_index = first.index
-        self.follow_members()
+        self.update_followers()
         for replica_id in voters.intersection(self.progress):
             self.progress[replica_id].contact_at = voted_since
         self.advance_commit()
@@ -43,7 +43,7 @@
         """When the next heartbeat is due."""
         return self._heartbeat_deadline
 
-    def follow_members(self) -> None:
+    def update_followers(self) -> None:
         """Start or stop feeding replicas as the member list in force says."""
         listed = self._state.membership.members
         for member in listed:
@@ -72,7 +72,7 @@
         if isinstance(changed, RefusalReason):
             return MembershipRefused(changed)
         entry = state.append(state.term, EntryKind.MEMBERSHIP, encode_membership(changed))
-        self.follow_members()
+        self.update_followers()
         return Proposed(term=entry.term, index=entry.index)
 
     def tick(self, now: float) -> None:
