--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -136,8 +136,8 @@
         if self._phase is not FollowerPhase.CONNECTING or replica != self.replica:
             return []
         self._enter(FollowerPhase.FOLLOWING, now)
-        patience_seconds = self._random.random() * self._leave_spread_seconds
-        self._contact.connected(now, patience_seconds)
+        grace_seconds = self._random.random() * self._leave_spread_seconds
+        self._contact.connected(now, grace_seconds)
         self._next_acknowledge = now + self._config.acknowledge_interval_seconds
         subscribe = Subscribe(
             name=self.facts.name,
--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -14,7 +14,7 @@
     """What the replica's messages said; times are seconds of one monotonic clock.
 
     `stale_seconds` bounds a replica's silence, its quorum age, and how long it may stay behind.
-    `patience_seconds` is how much longer a replica is kept that had its quorum and lost it.
+    `grace_seconds` is how much longer a replica is kept that had its quorum and lost it.
     """
 
     def __init__(self, stale_seconds: float) -> None:
@@ -32,9 +32,9 @@
         """Whether the replica's table is older than the follower's."""
         return self._behind_since is not None
 
-    def connected(self, now: float, patience_seconds: float) -> None:
+    def connected(self, now: float, grace_seconds: float) -> None:
         """Begin with another replica; what was known to be fresh stays so."""
-        self._patience_seconds = patience_seconds
+        self._patience_seconds = grace_seconds
         self._was_fresh = False
         self._last_message_at = now
         self._quorum_contact_at = None
