--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -45,9 +45,9 @@
                 **self._host.describe(now),
             )
 
-    def note_packet(self, now: float) -> None:
+    def record_packet(self, now: float) -> None:
         """Note a packet of the host."""
-        self.response.note_packet()
+        self.response.record_packet()
         self.check(now)
 
     def note_opening_returned(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -23,7 +23,7 @@
         if not parts.codec.is_whole(packet):
             parts.counters.host_packets_malformed += 1
             return
-        parts.watch.note_packet(now)
+        parts.watch.record_packet(now)
         if parts.codec.is_returned(packet):
             self._take_returned(parts.codec.restore_returned(packet), now)
             return
--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -43,7 +43,7 @@
             self._unanswered_since = now
         self._tried_at = now
 
-    def note_packet(self) -> bool:
+    def record_packet(self) -> bool:
         """Note a packet of the host; return True where it had not answered before."""
         was_waiting = self._unanswered_since is not None
         self._unanswered_since = None
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -139,7 +139,7 @@
             return
         self.counters.packets_carried += 1
         if flow.is_bulk:
-            self.uploads.note_packet(key, packet, now)
+            self.uploads.record_packet(key, packet, now)
         if self.codec.is_opening(packet):
             self.opener.resend(flow, packet, now)
             return
--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -87,7 +87,7 @@
         self._loading_until[key] = now + EXPECTED_SECONDS
         return True
 
-    def note_packet(self, key: bytes, packet: bytes, now: float) -> None:
+    def record_packet(self, key: bytes, packet: bytes, now: float) -> None:
         """Take note of a packet of an open upload: its data, or its end."""
         if self.link is None:
             return
--- a/tests/agent/datagrams/test_host_response.py
+++ b/tests/agent/datagrams/test_host_response.py
@@ -21,7 +21,7 @@
 
 def test_a_host_that_answers_is_not_silent():
     response = asked_at(1.0)
-    response.note_packet()
+    response.record_packet()
     assert not response.is_silent(9.0)
 
 
@@ -51,6 +51,6 @@
 def test_a_host_that_is_heard_again_is_trusted_at_once():
     response = asked_at(1.0)
     assert response.refuses(0.0, 2.0)
-    assert response.note_packet()
+    assert response.record_packet()
     assert not response.refuses(0.0, 2.0)
-    assert not response.note_packet()
+    assert not response.record_packet()
--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -132,7 +132,7 @@
         self.later(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
 
     def carry(self, upload, position):
-        self.admission.note_packet(upload.key(), upload.packet(), self.now)
+        self.admission.record_packet(upload.key(), upload.packet(), self.now)
         frame = position.to_bytes(2, "big") + upload.key()
         self.under_way[frame] = lambda: self.acknowledge(upload, position)
         frame = frame.ljust(PACKET_BYTES, b".")
@@ -149,7 +149,7 @@
         upload.acknowledged.add(position)
         if len(upload.acknowledged) == PACKETS and upload.ended_at is None:
             upload.ended_at = self.now
-            self.admission.note_packet(upload.key(), upload.packet(ENDING), self.now)
+            self.admission.record_packet(upload.key(), upload.packet(ENDING), self.now)
         self.send_more(upload)
 
     def in_time(self, since, until):
