--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -24,7 +24,7 @@
             state.election_deadline = state.stall_grace.until
             return False
         state.plan_campaign(now)
-        if not state.holds_vote():
+        if not state.is_voter():
             return False
         return self._start_pre_vote(now)
 
@@ -38,7 +38,7 @@
         """Campaign because the leader asks for it; return True when the election is won."""
         state = self._state
         is_leaders = sender == state.leader_id and message.term == state.term
-        if state.role is not Role.FOLLOWER or not is_leaders or not state.holds_vote():
+        if state.role is not Role.FOLLOWER or not is_leaders or not state.is_voter():
             return False
         return self._start_campaign(now, transferred=True)
 
--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -76,7 +76,7 @@
         """The member list in force."""
         return self.members.latest
 
-    def holds_vote(self) -> bool:
+    def is_voter(self) -> bool:
         """Tell whether this replica, with this disk, is a voter as far as it knows."""
         member = self.membership.find(self.replica_id)
         return member is not None and member.voting and member.disk_id == self.disk_id
