--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -79,7 +79,7 @@
         if now - self._last_message_at >= limit:
             return LeaveReason.SILENT
         contact_at = self._quorum_contact_at
-        if contact_at is not None and now - contact_at >= limit + self._patience():
+        if contact_at is not None and now - contact_at >= limit + self._grace():
             return LeaveReason.STALE_QUORUM
         if self._behind_since is not None and now - self._behind_since >= limit:
             return LeaveReason.BEHIND
@@ -89,10 +89,10 @@
         """Return when there will be a reason to leave, if nothing is heard until then."""
         oldest = self._last_message_at
         if self._quorum_contact_at is not None:
-            oldest = min(oldest, self._quorum_contact_at + self._patience())
+            oldest = min(oldest, self._quorum_contact_at + self._grace())
         if self._behind_since is not None:
             oldest = min(oldest, self._behind_since)
         return oldest + self._stale_seconds
 
-    def _patience(self) -> float:
+    def _grace(self) -> float:
         return self._patience_seconds if self._was_fresh else 0.0
