--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -50,7 +50,7 @@
         self.response.record_packet()
         self.check(now)
 
-    def note_opening_returned(self, now: float) -> None:
+    def record_opening_returned(self, now: float) -> None:
         """Note that the host handed an opening packet back."""
         if self.response.note_returned():
             self._log.note("host-returns-openings", **self._host.describe(now))
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -89,7 +89,7 @@
             return
         parts.table.drop(key, flow, now)
         if is_opening:
-            parts.watch.note_opening_returned(now)
+            parts.watch.record_opening_returned(now)
         parts.counters.packets_returned += 1
         parts.log.note(
             "packet-returned",
