--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -23,7 +23,7 @@
         if state.leader_id is not None and state.stall_grace.lasts(now):
             state.election_deadline = state.stall_grace.until
             return False
-        state.plan_campaign(now)
+        state.schedule_campaign(now)
         if not state.is_voter():
             return False
         return self._start_pre_vote(now)
--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -54,7 +54,7 @@
         self.stall_grace = StallGrace(config.heartbeat_interval_seconds)
         self.election_deadline = now
         self._campaigns_since_start = 0
-        self.plan_campaign(now)
+        self.schedule_campaign(now)
 
     def _load_members(self) -> MembershipHistory:
         founding = self.hard_state.founding
@@ -116,7 +116,7 @@
         timeout = self.config.election_timeout_seconds
         self.election_deadline = now + timeout * (1.0 + self.random.random())
 
-    def plan_campaign(self, now: float) -> None:
+    def schedule_campaign(self, now: float) -> None:
         """Draw the next election deadline of a replica without contact with a leader.
 
         Replicas that have just started come one after the other: the first ones campaign
