--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -19,7 +19,7 @@
 
     def __init__(self, stale_seconds: float) -> None:
         self._stale_seconds = stale_seconds
-        self._patience_seconds = 0.0
+        self._grace_seconds = 0.0
         self._was_fresh = False
         self._last_message_at = 0.0
         self._behind_since: float | None = None
@@ -34,7 +34,7 @@
 
     def connected(self, now: float, grace_seconds: float) -> None:
         """Begin with another replica; what was known to be fresh stays so."""
-        self._patience_seconds = grace_seconds
+        self._grace_seconds = grace_seconds
         self._was_fresh = False
         self._last_message_at = now
         self._quorum_contact_at = None
@@ -95,4 +95,4 @@
         return oldest + self._stale_seconds
 
     def _grace(self) -> float:
-        return self._patience_seconds if self._was_fresh else 0.0
+        return self._grace_seconds if self._was_fresh else 0.0
