--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -55,7 +55,7 @@
         if self.response.note_returned():
             self._log.note("host-returns-openings", **self._host.describe(now))
 
-    def note_opening_taken(self, now: float) -> None:
+    def record_opening_taken(self, now: float) -> None:
         """Note that the host answered an opening packet."""
         if self.response.note_taken():
             self._log.note("host-takes-openings", **self._host.describe(now))
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -42,7 +42,7 @@
             number = codec.opening_answer_number(packet)
             flow.note_answer(number)
             if number is not None:
-                self.parts.watch.note_opening_taken(now)
+                self.parts.watch.record_opening_taken(now)
         if not flow.confirmed and flow.followed_up:
             flow.confirmed = True
             self.parts.answers.reply(FrameKind.HELD, 0, key, flow.balancer, now)
