--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -118,12 +118,12 @@
             if reply.term > state.term:
                 state.become_follower(reply.term, None)
             return False
-        if not self._fits_campaign(reply) or not self._is_from_listed_disk(sender, reply):
+        if not self._matches_campaign(reply) or not self._is_from_listed_disk(sender, reply):
             return False
         self._granted.add(sender)
         return self._count(now)
 
-    def _fits_campaign(self, reply: VoteReply) -> bool:
+    def _matches_campaign(self, reply: VoteReply) -> bool:
         if reply.pre_vote:
             return self._state.role is Role.PRE_CANDIDATE and reply.term == self._state.term + 1
         return self._state.role is Role.CANDIDATE and reply.term == self._state.term
