--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -237,7 +237,7 @@
         return self._advanced(now)
 
     def _advanced(self, now: float) -> list[FollowerEffect]:
-        self._contact.table_at(self.table.revision)
+        self._contact.record_table(self.table.revision)
         return [TableChanged(revision=self.table.revision), self._acknowledge(now)]
 
     def _reject(self, reject: Reject, now: float) -> list[FollowerEffect]:
--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -61,9 +61,9 @@
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
-        self.table_at(own_revision)
+        self.record_table(own_revision)
 
-    def table_at(self, own_revision: int) -> None:
+    def record_table(self, own_revision: int) -> None:
         """Note the follower's revision: it is fresh once it has the replica's."""
         contact_at = self._quorum_contact_at
         if contact_at is not None and self._replica_revision <= own_revision:
