--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -52,7 +52,7 @@
 
     def record_opening_returned(self, now: float) -> None:
         """Note that the host handed an opening packet back."""
-        if self.response.note_returned():
+        if self.response.record_returned():
             self._log.note("host-returns-openings", **self._host.describe(now))
 
     def record_opening_taken(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -49,7 +49,7 @@
         self._unanswered_since = None
         return was_waiting
 
-    def note_returned(self) -> bool:
+    def record_returned(self) -> bool:
         """Note an opening packet handed back; return True if the host now counts as unable."""
         self._returned_in_a_row += 1
         return self._returned_in_a_row == RETURNS_IN_A_ROW
