--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -78,7 +78,7 @@
             return
         # A replica in contact with its leader refuses without taking the term over, so that a
         # replica that was cut off or removed cannot depose a working leader.
-        hears_leader = self._hears_leader(now) and not request.transferred
+        hears_leader = self._has_leader_contact(now) and not request.transferred
         if request.term < state.term or hears_leader:
             self._reply(sender, state.term, False, request.pre_vote)
             return
@@ -94,7 +94,7 @@
             state.reset_election_timer(now)
         self._reply(sender, state.term, granted, False)
 
-    def _hears_leader(self, now: float) -> bool:
+    def _has_leader_contact(self, now: float) -> bool:
         if self._state.role is Role.LEADER:
             return True
         silence = now - self._state.leader_seen_at
