--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -213,7 +213,7 @@
     def _settle(self, now: float) -> None:
         """End the doubling of pauses once a fresh replica has served for a while."""
         if now - self._phase_since >= self._config.settled_seconds and self.fresh(now):
-            self._choice.settled()
+            self._choice.record_settled()
             self._leave_spread_seconds = self._config.leave_spread_seconds
 
     def _delta(self, delta: Delta, now: float) -> list[FollowerEffect]:
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -129,7 +129,7 @@
         doublings = max(0, self._failures_in_a_row - len(self._eligible()) + 1)
         return int(min(2 ** min(doublings, MAX_BACKOFF_EXPONENT), MAX_TIMEOUT_FACTOR))
 
-    def settled(self) -> None:
+    def record_settled(self) -> None:
         """Note that a replica has served well for a while: pauses are short again."""
         self._failures_in_a_row = 0
 
