--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -57,12 +57,12 @@
 
     def record_opening_taken(self, now: float) -> None:
         """Note that the host answered an opening packet."""
-        if self.response.note_taken():
+        if self.response.record_taken():
             self._log.note("host-takes-openings", **self._host.describe(now))
 
     def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
-        self.response.note_taken()
+        self.response.record_taken()
         self.requests.forget()
         self.pace.on_host_replaced()
 
--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -54,7 +54,7 @@
         self._returned_in_a_row += 1
         return self._returned_in_a_row == RETURNS_IN_A_ROW
 
-    def note_taken(self) -> bool:
+    def record_taken(self) -> bool:
         """Note that the host took a new flow; return True where it counted as unable before."""
         was_unable = self.returns_openings()
         self._returned_in_a_row = 0
