--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -88,7 +88,7 @@
             return
         if request.term > state.term:
             state.become_follower(request.term, None)
-        granted = self._may_vote_for(sender) and self._is_up_to_date(request)
+        granted = self._is_vote_free_for(sender) and self._is_up_to_date(request)
         if granted:
             state.set_hard_state(state.term, sender)
             state.reset_election_timer(now)
@@ -101,7 +101,7 @@
         known = self._state.leader_id is not None
         return known and silence < self._state.config.election_timeout_seconds
 
-    def _may_vote_for(self, candidate: int) -> bool:
+    def _is_vote_free_for(self, candidate: int) -> bool:
         return self._state.hard_state.voted_for in (None, candidate)
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
