--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -206,7 +206,7 @@
         if reason is not None:
             return self._leave(reason, now)
         if self.replica is not None and not self._contact.is_behind:
-            self._choice.served(self.replica)
+            self._choice.record_served(self.replica)
             self._settle(now)
         return []
 
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -113,7 +113,7 @@
         jittered = backoff * (0.5 + self._random.random() / 2)
         record.available_at = now + at_least_seconds + jittered
 
-    def served(self, endpoint: Endpoint) -> None:
+    def record_served(self, endpoint: Endpoint) -> None:
         """Note that a replica serves well, which ends its back-off."""
         record = self._records.get(endpoint)
         if record is not None:
