--- a/bench/request_scheduler.py
+++ b/bench/request_scheduler.py
@@ -55,7 +55,7 @@
 
 
 def _pass_on(scheduler: RequestScheduler, number: int, now: float) -> None:
-    scheduler.note_begun(TERMS[number % len(TERMS)], WORK_SECONDS, now)
+    scheduler.record_started(TERMS[number % len(TERMS)], WORK_SECONDS, now)
 
 
 def _median_time(step: Callable[[RequestScheduler, int, float], None], count: int) -> float:
--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -134,7 +134,7 @@
         if terms is None:
             return False
         if not self.parts.queue and self.parts.has_room(now):
-            self.parts.note_begun(terms, now)
+            self.parts.record_started(terms, now)
             return False
         number = self.parts.codec.data_number(packet)
         if self.parts.queue.hold(key, packet, number, terms, now) is None:
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -50,7 +50,7 @@
             return
         if not is_copy:
             self._admit(key, sender, now)
-            parts.note_begun(terms.route or DEFAULT_TERMS, now)
+            parts.record_started(terms.route or DEFAULT_TERMS, now)
         parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
         parts.warm_up.note_passed(now)
         parts.to_host(packet)
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -64,9 +64,9 @@
         """Tell whether the host has room for one more request."""
         return self.requests_at_host(now) < most_requests(self.host.capacity)
 
-    def note_begun(self, terms: CarriedTerms, now: float) -> None:
+    def record_started(self, terms: CarriedTerms, now: float) -> None:
         """Note a request that went to the host without waiting."""
-        self.queue.note_begun(terms, self.table.under_way.mean_seconds, now)
+        self.queue.record_started(terms, self.table.under_way.mean_seconds, now)
 
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -121,7 +121,7 @@
             self._openings -= request.opens_flow
         return request
 
-    def note_begun(self, terms: CarriedTerms, seconds: float, now: float) -> None:
+    def record_started(self, terms: CarriedTerms, seconds: float, now: float) -> None:
         """Note a request that was begun without waiting; it counts against its group's share."""
         self.order.shares.record_served(terms.group, seconds, now)
 
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -104,7 +104,7 @@
         while self.queue and self.at_work < self.slots:
             key = self.queue.popleft()
             self.at_work += 1
-            self.world.note_begun(self)
+            self.world.record_started(self)
             kind = self.world.kind_of(key)
             self.world.later(self.world.work_seconds(self, kind), self.end, key)
 
@@ -288,7 +288,7 @@
     def record_request(self):
         self.result.asked += self._counts(self.now)
 
-    def note_begun(self, host):
+    def record_started(self, host):
         self.result.chosen.append(host.number)
         if self._counts(self.now):
             self.result.taken[host.number] = self.result.taken.get(host.number, 0) + 1
