--- a/src/jasperwalk/consensus/members.py
+++ b/src/jasperwalk/consensus/members.py
@@ -69,7 +69,7 @@
                 found = membership
         return found
 
-    def note(self, entry: LogEntry) -> None:
+    def record(self, entry: LogEntry) -> None:
         """Take an appended entry in."""
         if entry.kind is EntryKind.MEMBERSHIP:
             self._lists.append((entry.index, decode_membership(entry.data)))
--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -63,7 +63,7 @@
             history.reset(self.snapshot.index, self.snapshot.membership)
         first = history.latest_index + 1
         for entry in self.log.entries_between(first, self.log.last_index):
-            history.note(entry)
+            history.record(entry)
         return history
 
     @property
@@ -142,7 +142,7 @@
     def append_entry(self, entry: LogEntry) -> None:
         """Append the next entry and put its member list in force."""
         self.log.append(entry)
-        self.members.note(entry)
+        self.members.record(entry)
 
     def truncate_from(self, index: int) -> None:
         """Cut uncommitted entries off."""
