--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -277,7 +277,7 @@
         # Parts of a snapshot are worth nothing on another connection.
         self._assembly.drop()
         if self.replica is not None:
-            self._choice.failed(self.replica, now, wait_seconds, spread_seconds)
+            self._choice.record_failure(self.replica, now, wait_seconds, spread_seconds)
         self.replica = None
         self._enter(FollowerPhase.WAITING, now)
 
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -87,7 +87,7 @@
             return None
         return min(self._eligible(), key=lambda each: each.available_at).endpoint
 
-    def failed(
+    def record_failure(
         self,
         endpoint: Endpoint,
         now: float,
--- a/tests/distribution/test_replica_choice.py
+++ b/tests/distribution/test_replica_choice.py
@@ -14,6 +14,6 @@
 def test_a_replica_that_is_well_is_tried_soon_however_often_another_failed(seed):
     choice = ReplicaChoice([CUT_OFF, WELL], 0.1, 5.0, random.Random(seed))
     for second in range(12):
-        choice.failed(CUT_OFF, float(second))
+        choice.record_failure(CUT_OFF, float(second))
     assert choice.next_available_at() <= 11.0 + MAX_PAUSE_SECONDS
     assert choice.choose(11.0 + MAX_PAUSE_SECONDS) == WELL
