--- a/src/jasperwalk/agent/datagrams/counters.py
+++ b/src/jasperwalk/agent/datagrams/counters.py
@@ -57,7 +57,7 @@
     packets_returned: int = 0
     other_service_drops: int = 0
 
-    def note_refusal(self, reason: RefusalReason) -> None:
+    def count_refusal(self, reason: RefusalReason) -> None:
         """Count a refused flow."""
         self.flows_refused += 1
         self.flows_refused_zone_drained += reason is RefusalReason.ZONE_DRAINED
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -45,7 +45,7 @@
             parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
             return
         if reason is not None:
-            parts.counters.note_refusal(reason)
+            parts.counters.count_refusal(reason)
             parts.answers.reply(FrameKind.REFUSED, reason, key, sender, now)
             return
         if not is_copy:
