--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -278,7 +278,7 @@
         assert term is not None
         own.snapshot = SnapshotData(index, term, own.members.at(index), state)
         own.snapshot_changed = True
-        own.members.forget_before(index)
+        own.members.discard_before(index)
         own.log.compact(index - own.config.trailing_entries)
 
     # Outputs
--- a/src/jasperwalk/consensus/members.py
+++ b/src/jasperwalk/consensus/members.py
@@ -83,7 +83,7 @@
         """Start from a snapshot's (or the founding) member list."""
         self._lists = [(index, membership)]
 
-    def forget_before(self, index: int) -> None:
+    def discard_before(self, index: int) -> None:
         """Drop lists that were replaced at or before `index`."""
         while len(self._lists) > 1 and self._lists[1][0] <= index:
             del self._lists[0]
