--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -177,7 +177,7 @@
             case Reject():
                 return self._reject(message, now)
             case ReplicaEndpoints():
-                self._choice.learn(message.index, message.endpoints)
+                self._choice.update_replicas(message.index, message.endpoints)
                 return []
 
     def _try_connecting(self, now: float) -> list[FollowerEffect]:
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -61,7 +61,7 @@
         random_source.shuffle(shuffled)
         self._records = {each: ReplicaRecord(endpoint=each) for each in shuffled}
 
-    def learn(self, index: int, replicas: Sequence[Endpoint]) -> None:
+    def update_replicas(self, index: int, replicas: Sequence[Endpoint]) -> None:
         """Take in the replicas as committed at a log index; an older list changes nothing."""
         if index <= self._learned_at_index or not replicas:
             return
