--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -52,7 +52,7 @@
             self._admit(key, sender, now)
             parts.record_started(terms.route or DEFAULT_TERMS, now)
         parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
-        parts.warm_up.note_passed(now)
+        parts.warm_up.record_opening(now)
         parts.to_host(packet)
 
     def admit_waiting(self, now: float) -> None:
@@ -82,7 +82,7 @@
         waited_seconds = now - request.arrived_at
         self.parts.wait_latency.observe(waited_seconds)
         self._admit(request.key, NO_BALANCER, now, waited_seconds)
-        self.parts.warm_up.note_passed(now)
+        self.parts.warm_up.record_opening(now)
         self.parts.to_host(request.packets[0])
 
     def _refusal(
--- a/src/jasperwalk/agent/datagrams/warm_up.py
+++ b/src/jasperwalk/agent/datagrams/warm_up.py
@@ -45,7 +45,7 @@
         """Count the host as cold from now on, though it may not have said so yet."""
         self._zone_restored_at = now
 
-    def note_passed(self, now: float) -> None:
+    def record_opening(self, now: float) -> None:
         """Count an opening packet that goes to the host; a copy reaches it as well."""
         self._passed_at.append(now)
         self._forget_old(now)
--- a/tests/agent/datagrams/test_warm_up.py
+++ b/tests/agent/datagrams/test_warm_up.py
@@ -146,6 +146,6 @@
     passed = []
     for step in itertools.accumulate([0.003, 0.4, 0.01, 0.002, 0.3, 0.05] * 200):
         if not limit.is_reached(slow_until=1e9, now=step):
-            limit.note_passed(step)
+            limit.record_opening(step)
             passed.append(step)
     assert most_in_a_second(passed) <= PER_SECOND
