--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -20,7 +20,7 @@
         state = self._state
         if state.role is Role.LEADER or now < state.election_deadline:
             return False
-        if state.leader_id is not None and state.stall_grace.lasts(now):
+        if state.leader_id is not None and state.stall_grace.is_running(now):
             state.election_deadline = state.stall_grace.until
             return False
         state.schedule_campaign(now)
--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -77,7 +77,7 @@
 
     def tick(self, now: float) -> None:
         """Send heartbeats when due; step down without contact with a quorum."""
-        if self._lacks_quorum(now) and not self._state.stall_grace.lasts(now):
+        if self._lacks_quorum(now) and not self._state.stall_grace.is_running(now):
             self._state.become_follower(self._state.term, None)
             return
         if now < self._heartbeat_deadline:
--- a/src/jasperwalk/consensus/stall_grace.py
+++ b/src/jasperwalk/consensus/stall_grace.py
@@ -34,7 +34,7 @@
             self._until = now + self._length
         self._was_late = is_late
 
-    def lasts(self, now: float) -> bool:
+    def is_running(self, now: float) -> bool:
         """Tell whether silence must not be judged yet."""
         return now < self._until
 
