--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -185,7 +185,7 @@
         if replica is None:
             return []
         self.replica = replica
-        factor = self._choice.patience_factor()
+        factor = self._choice.timeout_factor()
         self._connect_timeout_seconds = factor * self._config.connect_timeout_seconds
         self._enter(FollowerPhase.CONNECTING, now)
         return [Connect(endpoint=replica)]
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -119,7 +119,7 @@
         if record is not None:
             record.failures = 0
 
-    def patience_factor(self) -> int:
+    def timeout_factor(self) -> int:
         """Return how much longer than usual a replica may take to answer an attempt.
 
         It doubles up to `MAX_TIMEOUT_FACTOR` once as many attempts failed in a row as
