--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -222,7 +222,7 @@
             event = "zone-drained" if is_drained else "zone-restored"
             self.log.note(event, revision=zones.revision, waiting=len(self.queue))
         if was_drained and not is_drained:
-            self.warm_up.note_zone_restored(now)
+            self.warm_up.on_zone_restored(now)
         self.admit_waiting(now)
 
     # Time
--- a/src/jasperwalk/agent/datagrams/warm_up.py
+++ b/src/jasperwalk/agent/datagrams/warm_up.py
@@ -41,7 +41,7 @@
             self._version = version
             self._warm_up = warm_up
 
-    def note_zone_restored(self, now: float) -> None:
+    def on_zone_restored(self, now: float) -> None:
         """Count the host as cold from now on, though it may not have said so yet."""
         self._zone_restored_at = now
 
