--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -21,7 +21,7 @@
         if state.role is Role.LEADER or now < state.election_deadline:
             return False
         if state.leader_id is not None and state.stall_grace.is_running(now):
-            state.election_deadline = state.stall_grace.until
+            state.election_deadline = state.stall_grace.ends_at
             return False
         state.schedule_campaign(now)
         if not state.is_voter():
--- a/src/jasperwalk/consensus/stall_grace.py
+++ b/src/jasperwalk/consensus/stall_grace.py
@@ -39,6 +39,6 @@
         return now < self._until
 
     @property
-    def until(self) -> float:
+    def ends_at(self) -> float:
         """When the newest grace ends, -inf before the first."""
         return self._until
