--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -17,7 +17,7 @@
 MAX_TIMEOUT_FACTOR = 4
 """Bound of the waiting for an answer, as a multiple of the usual time-out."""
 
-FAILURES_BEFORE_SETTINGS = 3
+FAILURES_BEFORE_FALLBACK = 3
 """Failures in a row of every learned replica before those of the settings are tried again."""
 
 
@@ -135,6 +135,6 @@
 
     def _eligible(self) -> list[ReplicaRecord]:
         learned = [self._records[each] for each in self._learned]
-        if learned and any(each.failures < FAILURES_BEFORE_SETTINGS for each in learned):
+        if learned and any(each.failures < FAILURES_BEFORE_FALLBACK for each in learned):
             return learned
         return list(self._records.values())
