--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -180,9 +180,9 @@
         """Take a packet of the host beside this agent."""
         self._host_packets.receive(packet, now)
 
-    def note_host_absent(self, now: float) -> None:
+    def record_host_absent(self, now: float) -> None:
         """Note that no host runs beside this agent: one that starts later starts here."""
-        if self.knowledge.note_host_absent():
+        if self.knowledge.record_host_absent():
             self.log.note("host-absent", after_ms=round(1000 * (now - self.started_at)))
 
     def host_changed(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/flow_knowledge.py
+++ b/src/jasperwalk/agent/datagrams/flow_knowledge.py
@@ -37,7 +37,7 @@
 
     _host_was_absent: bool = False
 
-    def note_host_absent(self) -> bool:
+    def record_host_absent(self) -> bool:
         """Note that no host runs there; False where one has announced itself meanwhile."""
         if self.host.phase is not HostPhase.UNKNOWN:
             return False
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -218,7 +218,7 @@
     async def _look_for_host(self) -> None:
         """Learn at once that there is no host; where there is one, wait for its announcement."""
         if await self._is_without_host():
-            self.core.note_host_absent(time.monotonic())
+            self.core.record_host_absent(time.monotonic())
             self._link.announce()
 
     async def _is_without_host(self) -> bool:
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -165,20 +165,20 @@
 
 def test_an_agent_without_a_host_holds_no_flow():
     bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
-    bench.agent.note_host_absent(10.01)
+    bench.agent.record_host_absent(10.01)
     assert bench.find(10.2) is FrameKind.NOT_HELD
 
 
 def test_a_host_that_has_announced_itself_is_not_absent():
     bench = Bench(HostPhase.READY, started_at=10.0)
-    bench.agent.note_host_absent(10.01)
+    bench.agent.record_host_absent(10.01)
     assert bench.find(10.2) is FrameKind.UNSURE
 
 
 def test_an_absent_host_is_announced_as_absent_until_it_speaks():
     bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
     assert bench.agent.knowledge.host_phase() is HostPhase.UNKNOWN
-    bench.agent.note_host_absent(10.01)
+    bench.agent.record_host_absent(10.01)
     assert bench.agent.knowledge.host_phase() is HostPhase.ABSENT
     bench.say(HostPhase.READY, 1)
     assert bench.agent.knowledge.host_phase() is HostPhase.READY
