--- a/src/jasperwalk/consensus/stall_grace.py
+++ b/src/jasperwalk/consensus/stall_grace.py
@@ -25,20 +25,20 @@
         self._longest_lateness = heartbeat_interval_seconds
         self._length = GRACE_HEARTBEATS * heartbeat_interval_seconds
         self._was_late = False
-        self._until = -math.inf
+        self._ends_at = -math.inf
 
     def tick(self, deadline: float, now: float) -> None:
         """Note a tick that was due at `deadline`."""
         is_late = now - deadline > self._longest_lateness
         if is_late and not self._was_late:
-            self._until = now + self._length
+            self._ends_at = now + self._length
         self._was_late = is_late
 
     def is_running(self, now: float) -> bool:
         """Tell whether silence must not be judged yet."""
-        return now < self._until
+        return now < self._ends_at
 
     @property
     def ends_at(self) -> float:
         """When the newest grace ends, -inf before the first."""
-        return self._until
+        return self._ends_at
