--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -226,7 +226,7 @@
         if len(self._subscribers) >= self._config.subscriber_limit:
             return CloseReason.TOO_MANY_SUBSCRIBERS
         if subscribe.role is SubscriberRole.AGENT:
-            verdict = self._registrations.judge(subscribe, self._encoder.table.revision)
+            verdict = self._registrations.verdict_for(subscribe, self._encoder.table.revision)
             if verdict is RegistrationVerdict.REPLACED:
                 return CloseReason.REPLACED
         if self._selector.needs_snapshot(subscribe) and not self._admission.has_capacity(now):
@@ -303,7 +303,7 @@
         if link.is_balancer:
             return []
         subscribe = link.subscribe
-        match self._registrations.judge(subscribe, self._encoder.table.revision):
+        match self._registrations.verdict_for(subscribe, self._encoder.table.revision):
             case RegistrationVerdict.REGISTERED:
                 registration = self._registrations.at(subscribe.address)
                 link.incarnation = 0 if registration is None else registration.incarnation
--- a/src/jasperwalk/distribution/registrations.py
+++ b/src/jasperwalk/distribution/registrations.py
@@ -40,7 +40,7 @@
         """Return the registration of an address."""
         return self._by_address.get(address)
 
-    def judge(self, subscribe: Subscribe, table_revision: int) -> RegistrationVerdict:
+    def verdict_for(self, subscribe: Subscribe, table_revision: int) -> RegistrationVerdict:
         """Judge a subscribing agent.
 
         An agent that once had an incarnation and finds another process at its address was
--- a/tests/distribution/test_registrations.py
+++ b/tests/distribution/test_registrations.py
@@ -38,7 +38,7 @@
         revision=revision,
         incarnation=incarnation,
     )
-    assert registrations.judge(subscribe, REVISION) is expected
+    assert registrations.verdict_for(subscribe, REVISION) is expected
 
 
 @pytest.mark.parametrize("incarnation", [0, 2])
