--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -51,7 +51,7 @@
         flow.balancer = sender
         flow.seen_at = now
         flow.followed_up = True
-        parts.table.half_open.note_followed_up(key, now)
+        parts.table.half_open.record_follow_up(key, now)
         parts.counters.packets_in += 1
         if not self._holds(key, flow, packet, now):
             self._send(flow, packet, now)
--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -46,7 +46,7 @@
         self._flows.pop(key, None)
         self._flows[key] = flow
 
-    def note_followed_up(self, key: bytes, now: float) -> None:
+    def record_follow_up(self, key: bytes, now: float) -> None:
         """Note a caller's next packet."""
         flow = self._flows.pop(key, None)
         if flow is not None:
