--- a/src/jasperwalk/consensus/stall_grace.py
+++ b/src/jasperwalk/consensus/stall_grace.py
@@ -22,14 +22,14 @@
     """
 
     def __init__(self, heartbeat_interval_seconds: float) -> None:
-        self._longest_lateness = heartbeat_interval_seconds
+        self._max_tick_delay = heartbeat_interval_seconds
         self._length = GRACE_HEARTBEATS * heartbeat_interval_seconds
         self._was_late = False
         self._ends_at = -math.inf
 
     def tick(self, deadline: float, now: float) -> None:
         """Note a tick that was due at `deadline`."""
-        is_late = now - deadline > self._longest_lateness
+        is_late = now - deadline > self._max_tick_delay
         if is_late and not self._was_late:
             self._ends_at = now + self._length
         self._was_late = is_late
