--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -122,7 +122,7 @@
             for member, silent in zip(members, silences, strict=True)
             if member.operating_status is OperatingStatus.ONLINE
         ]
-        if self._mass_silence.is_doubted(sum(of_online), len(of_online), now):
+        if self._mass_silence.is_unconfirmed(sum(of_online), len(of_online), now):
             self._grace_until = max(self._grace_until, now + self._config.leader_grace_seconds)
 
     def _is_silent(self, member: MemberEntry, now: float) -> bool:
--- a/src/jasperwalk/membership/mass_silence.py
+++ b/src/jasperwalk/membership/mass_silence.py
@@ -30,7 +30,7 @@
         self._config = config
         self._since: float | None = None
 
-    def is_doubted(self, silent: int, online: int, now: float) -> bool:
+    def is_unconfirmed(self, silent: int, online: int, now: float) -> bool:
         """Tell whether the silence of `silent` among `online` members is not believed yet."""
         if silent < MIN_MEMBERS or silent <= self._config.share * online:
             self._since = None
