--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -81,7 +81,7 @@
         ahead = (number - self.data_number) % NUMBER_SPAN
         return ahead if ahead < NUMBER_SPAN // 2 else ahead - NUMBER_SPAN
 
-    def note_answer(self, number: int | None) -> None:
+    def record_answer_number(self, number: int | None) -> None:
         """Take the number of the host's answer to an opening packet, None for other packets."""
         if number is not None and number not in self.answer_numbers:
             self.answer_numbers = (*self.answer_numbers, number)[-MAXIMUM_ANSWERS:]
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -40,7 +40,7 @@
         flow.seen_at = now
         if not flow.followed_up:
             number = codec.opening_answer_number(packet)
-            flow.note_answer(number)
+            flow.record_answer_number(number)
             if number is not None:
                 self.parts.watch.record_opening_taken(now)
         if not flow.confirmed and flow.followed_up:
