--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -260,7 +260,7 @@
         """
         self._state.now = now
         leadership = self._active_leadership()
-        return leadership is not None and leadership.transfer.begin(now)
+        return leadership is not None and leadership.transfer.start(now)
 
     def take_snapshot(self, index: int, state: bytes) -> None:
         """Keep the host's state machine as it is after applying entry `index`.
--- a/src/jasperwalk/consensus/transfer.py
+++ b/src/jasperwalk/consensus/transfer.py
@@ -28,7 +28,7 @@
         """Whether a transfer is under way."""
         return self._target is not None
 
-    def begin(self, now: float) -> bool:
+    def start(self, now: float) -> bool:
         """Choose the most current voter in contact; return False where there is none."""
         if self._target is None:
             self._target = self._choose(now)
