--- a/src/jasperwalk/membership/mass_silence.py
+++ b/src/jasperwalk/membership/mass_silence.py
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True)
 class MassSilenceConfig:
-    """More than `share` of the online members silent at once is doubted for `doubt_seconds`."""
+    """More than `share` of the online members silent at once is doubted for `confirmation_seconds`."""
 
     share: float = 0.5
-    doubt_seconds: float = 15.0
+    confirmation_seconds: float = 15.0
 
 
 class MassSilence:
@@ -37,4 +37,4 @@
             return False
         if self._since is None:
             self._since = now
-        return now - self._since < self._config.doubt_seconds
+        return now - self._since < self._config.confirmation_seconds
