--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -49,12 +49,12 @@
         if codec.is_reset(packet):
             self._note_reset(key, flow, now)
         elif codec.is_ending(packet):
-            self._note_answer(flow, now)
+            self._record_answer(flow, now)
             flow.host_ended = True
         elif codec.payload_bytes(packet):
-            self._note_answer(flow, now)
+            self._record_answer(flow, now)
 
-    def _note_answer(self, flow: HeldFlow, now: float) -> None:
+    def _record_answer(self, flow: HeldFlow, now: float) -> None:
         """Count a request as ended, by the answer's first packet.
 
         A host that closes after its answer sends the end right after the data, and the network may
