--- a/src/jasperwalk/consensus/transfer.py
+++ b/src/jasperwalk/consensus/transfer.py
@@ -31,7 +31,7 @@
     def start(self, now: float) -> bool:
         """Choose the most current voter in contact; return False where there is none."""
         if self._target is None:
-            self._target = self._choose(now)
+            self._target = self._choose_target(now)
             self._deadline = now + self._state.config.election_timeout_seconds
             self.advance()
         return self._target is not None
@@ -50,7 +50,7 @@
         if progress is not None and progress.match_index == self._state.log.last_index:
             self._state.send(self._target, TimeoutNow(self._state.term))
 
-    def _choose(self, now: float) -> int | None:
+    def _choose_target(self, now: float) -> int | None:
         oldest_contact = now - self._state.config.election_timeout_seconds
         candidates = [
             (self._progress[replica_id].match_index, replica_id)
