--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -100,7 +100,7 @@
         self._evaluated_at = now
         members = list(members)
         silences = [self._is_silent(member, now) for member in members]
-        self._doubt_mass_silence(members, silences, now)
+        self._check_mass_silence(members, silences, now)
         changes: list[MemberStatus] = []
         kept: dict[Endpoint, _AgentRecord] = {}
         for member, silent in zip(members, silences, strict=True):
@@ -113,7 +113,7 @@
         self._records = kept
         return changes
 
-    def _doubt_mass_silence(
+    def _check_mass_silence(
         self, members: Sequence[MemberEntry], silences: Sequence[bool], now: float
     ) -> None:
         """Start the grace period anew while too many are silent at once."""
