--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -47,7 +47,7 @@
             flow.confirmed = True
             self.parts.answers.reply(FrameKind.HELD, 0, key, flow.balancer, now)
         if codec.is_reset(packet):
-            self._note_reset(key, flow, now)
+            self._record_reset(key, flow, now)
         elif codec.is_ending(packet):
             self._record_answer(flow, now)
             flow.host_ended = True
@@ -69,7 +69,7 @@
             parts.pace.record_answer(flow, now)
         parts.table.set_busy(flow, False, now)
 
-    def _note_reset(self, key: bytes, flow: HeldFlow, now: float) -> None:
+    def _record_reset(self, key: bytes, flow: HeldFlow, now: float) -> None:
         parts = self.parts
         if flow.has_request_under_way():
             parts.counters.requests_broken_off += 1
