--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -214,7 +214,7 @@
         # no answer to a probe.
         if match_index == 0 and progress.next_index > 1:
             return
-        progress.matched(match_index)
+        progress.record_match(match_index)
         self.advance_commit()
         if self.transfer.is_active:
             self.transfer.advance()
--- a/src/jasperwalk/consensus/progress.py
+++ b/src/jasperwalk/consensus/progress.py
@@ -46,7 +46,7 @@
     disk_id: str = ""
     transfer: SnapshotTransfer | None = None
 
-    def matched(self, index: int) -> None:
+    def record_match(self, index: int) -> None:
         """Record that the follower holds the leader's entries up to `index`."""
         self.awaiting_reply = False
         self.match_index = max(self.match_index, index)
@@ -73,7 +73,7 @@
         """Go on with entries after the installed snapshot."""
         self.transfer = None
         self.mode = ProgressMode.PROBE
-        self.matched(index)
+        self.record_match(index)
         self.next_index = self.match_index + 1
 
     def restart(self, next_index: int, disk_id: str) -> None:
