--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -90,7 +90,7 @@
             return
         if seen_at <= record.seen_at:
             return
-        self._note(record, observation.healthy, seen_at)
+        self._record_observation(record, observation.healthy, seen_at)
 
     def evaluate(self, members: Iterable[MemberEntry], now: float) -> list[MemberStatus]:
         """Return the changes of status, and forget agents that are no members any more."""
@@ -140,9 +140,9 @@
             return
         record.incarnation = observation.incarnation
         record.well_since = math.inf
-        self._note(record, observation.healthy, seen_at)
+        self._record_observation(record, observation.healthy, seen_at)
 
-    def _note(self, record: _AgentRecord, healthy: bool, seen_at: float) -> None:
+    def _record_observation(self, record: _AgentRecord, healthy: bool, seen_at: float) -> None:
         was_silent = seen_at - record.seen_at > self._config.offline_after_seconds
         if not healthy:
             record.well_since = math.inf
