--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -30,12 +30,12 @@
         key = parts.codec.reverse_flow_key(packet)
         flow = parts.table.get(key)
         if flow is not None:
-            self._note(key, flow, packet, now)
+            self._record(key, flow, packet, now)
         parts.counters.packets_out += 1
         parts.to_caller(packet, parts.codec.caller_of(key))
         self.flow_admission.admit_waiting(now)
 
-    def _note(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> None:
+    def _record(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> None:
         codec = self.parts.codec
         flow.seen_at = now
         if not flow.followed_up:
