--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -207,7 +207,7 @@
         if reply.success:
             self._on_match(progress, reply.match_index)
             return
-        progress.rejected(reply.rejected_index, reply.next_index)
+        progress.record_rejection(reply.rejected_index, reply.next_index)
 
     def _on_match(self, progress: Progress, match_index: int) -> None:
         # Heartbeats outside replicate mode carry index 0 and so match at 0 only; they are
--- a/src/jasperwalk/consensus/progress.py
+++ b/src/jasperwalk/consensus/progress.py
@@ -55,7 +55,7 @@
             self.mode = ProgressMode.REPLICATE
             self.next_index = self.match_index + 1
 
-    def rejected(self, rejected_index: int, next_index: int) -> None:
+    def record_rejection(self, rejected_index: int, next_index: int) -> None:
         """Go back after a refusal, unless a late one that a match has overtaken."""
         if rejected_index <= self.match_index or rejected_index >= self.next_index:
             return
