--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -187,12 +187,12 @@
     ) -> MemberStatus:
         recovered = member.operating_status in WITHOUT_WORK_STATUSES
         if record is not None and recovered and status is OperatingStatus.ONLINE:
-            self._note_recovery(record, now)
+            self._record_recovery(record, now)
         return MemberStatus(
             address=member.address, incarnation=member.incarnation, operating_status=status
         )
 
-    def _note_recovery(self, record: _AgentRecord, now: float) -> None:
+    def _record_recovery(self, record: _AgentRecord, now: float) -> None:
         # The proposal may take several evaluations to be applied; it is one recovery.
         if record.recoveries and record.recoveries[-1] >= record.well_since:
             return
