--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -104,18 +104,18 @@
             self.pass_on(request, now)
             return
         self.parts.counters.requests_expired += 1
-        self._note("request-expired", request, now)
+        self._log("request-expired", request, now)
 
     def _refuse(self, refused: list[WaitingRequest], now: float) -> None:
         parts = self.parts
         for request in refused:
             parts.counters.flows_waited_in_vain += 1
             parts.counters.by_priority.note("waited_in_vain", request.terms.priority)
-            self._note("flow-waited-in-vain", request, now)
+            self._log("flow-waited-in-vain", request, now)
             caller = parts.codec.caller_of(request.key)
             parts.to_caller(parts.codec.reset_for(request.packets[0]), caller)
 
-    def _note(self, event: str, request: WaitingRequest, now: float) -> None:
+    def _log(self, event: str, request: WaitingRequest, now: float) -> None:
         parts = self.parts
         parts.log.note(
             event,
