--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -246,7 +246,7 @@
             self.displaced_replicas.add(sender)
             return None
         if progress.disk_id != disk_id:
-            progress.restart(self._state.log.last_index + 1, disk_id)
+            progress.reset(self._state.log.last_index + 1, disk_id)
         return progress
 
     def advance_commit(self) -> None:
--- a/src/jasperwalk/consensus/progress.py
+++ b/src/jasperwalk/consensus/progress.py
@@ -76,7 +76,7 @@
         self.record_match(index)
         self.next_index = self.match_index + 1
 
-    def restart(self, next_index: int, disk_id: str) -> None:
+    def reset(self, next_index: int, disk_id: str) -> None:
         """Begin anew with a learner that came back with another disk."""
         self.match_index = 0
         self.next_index = next_index
