--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -57,7 +57,7 @@
     incarnation: int
     seen_at: float = -math.inf
     healthy: bool = False
-    well_since: float = math.inf
+    healthy_since: float = math.inf
     recoveries: deque[float] = field(default_factory=deque)
 
 
@@ -139,15 +139,15 @@
         if seen_at <= record.seen_at:
             return
         record.incarnation = observation.incarnation
-        record.well_since = math.inf
+        record.healthy_since = math.inf
         self._record_observation(record, observation.healthy, seen_at)
 
     def _record_observation(self, record: _AgentRecord, healthy: bool, seen_at: float) -> None:
         was_silent = seen_at - record.seen_at > self._config.offline_after_seconds
         if not healthy:
-            record.well_since = math.inf
-        elif was_silent or not record.healthy or math.isinf(record.well_since):
-            record.well_since = seen_at
+            record.healthy_since = math.inf
+        elif was_silent or not record.healthy or math.isinf(record.healthy_since):
+            record.healthy_since = seen_at
         record.seen_at = seen_at
         record.healthy = healthy
 
@@ -163,7 +163,7 @@
         if member.operating_status is OperatingStatus.ONLINE:
             return OperatingStatus.ONLINE
         held = self._flaps(record, now) and (
-            now - record.well_since < self._config.flap_hold_seconds
+            now - record.healthy_since < self._config.flap_hold_seconds
         )
         return member.operating_status if held else OperatingStatus.ONLINE
 
@@ -194,6 +194,6 @@
 
     def _record_recovery(self, record: _AgentRecord, now: float) -> None:
         # The proposal may take several evaluations to be applied; it is one recovery.
-        if record.recoveries and record.recoveries[-1] >= record.well_since:
+        if record.recoveries and record.recoveries[-1] >= record.healthy_since:
             return
         record.recoveries.append(now)
