--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -63,7 +63,7 @@
     def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
         self.response.record_taken()
-        self.requests.forget()
+        self.requests.reset()
         self.pace.on_host_replaced()
 
     def check(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -61,8 +61,8 @@
 
     def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
-        self.pace.forget()
-        self.slow_host.forget()
+        self.pace.reset()
+        self.slow_host.reset()
 
     def check(self, now: float) -> None:
         """Log that the host turned slow, or is as usual again."""
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -124,9 +124,9 @@
         else:
             self._typical_seconds += TYPICAL_SHARE * (seconds - self._typical_seconds)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Measure anew: another host has taken the place."""
-        self._slots.forget()
+        self._slots.reset()
         self._baselines.clear()
         self._other_kinds = BaselineTime()
         self._ratios.clear()
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -86,7 +86,7 @@
         self._answered_in_a_row += 1
         if self._answered_in_a_row < ANSWERED_IN_A_ROW:
             return False
-        self.forget()
+        self.reset()
         return True
 
     def record_failure(self, now: float) -> bool:
@@ -119,7 +119,7 @@
         pace_seconds = TRIAL_SECONDS if repeatable else RARE_TRIAL_SECONDS
         return now - max(self._tried_at, self._paused_until) < pace_seconds
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Judge anew: the host was cleared, or another one has taken its place."""
         self._outcomes.clear()
         self._paused_until = None
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -48,7 +48,7 @@
 
     def forget_times(self) -> None:
         """Begin anew: another host has taken the place of this one."""
-        self._answer_time.forget()
+        self._answer_time.reset()
 
     @property
     def mean_seconds(self) -> float:
--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -93,7 +93,7 @@
         """Return the requests that hold a slot."""
         return self._at_work.values()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Follow no request any more."""
         self._at_work.clear()
         self._queued.clear()
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -104,7 +104,7 @@
         ahead = max(0, busy + 1 - slots)
         return own + typical * ahead / slots
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Judge anew: another host has taken the place."""
         self._is_slow = False
         self._slowdown = 1.0
--- a/src/jasperwalk/scheduling/smoothed_time.py
+++ b/src/jasperwalk/scheduling/smoothed_time.py
@@ -31,7 +31,7 @@
         self._deviation += DEVIATION_WEIGHT * (deviation - self._deviation)
         self._mean += NEWEST_WEIGHT * (seconds - self._mean)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew."""
         self._mean = self._deviation = 0.0
 
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -153,8 +153,8 @@
     play = Play(2).run(5.0)
     play.factor = SLOW_WORK_FACTOR
     play.run(7.0)
-    play.pace.forget()
-    play.slow_host.forget()
+    play.pace.reset()
+    play.slow_host.reset()
     assert not play.slow_host.is_slow()
     assert play.slow_host.seconds("kind") is None
 
