--- a/src/jasperwalk/consensus/disk/segments.py
+++ b/src/jasperwalk/consensus/disk/segments.py
@@ -71,7 +71,7 @@
         end = 0
         for frame in read_frames(path, data, may_be_torn=is_newest):
             record = decode_record(path, frame.payload, LogRecord)
-            self._note_indexes(number, record)
+            self._record_highest_index(number, record)
             end = frame.end
             yield record
         if end == 0:
@@ -89,7 +89,7 @@
         finally:
             os.close(descriptor)
 
-    def _note_indexes(self, number: int, record: LogRecord) -> None:
+    def _record_highest_index(self, number: int, record: LogRecord) -> None:
         if record.entries:
             last = record.entries[-1].index
             self._highest_index[number] = max(self._highest_index[number], last)
@@ -107,7 +107,7 @@
         write_all(self._descriptor, frame)
         os.fsync(self._descriptor)
         self._size += len(frame)
-        self._note_indexes(self._manifest.newest, record)
+        self._record_highest_index(self._manifest.newest, record)
 
     def is_full(self) -> bool:
         """Tell whether a new segment is due."""
