--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -20,7 +20,7 @@
 from jasperwalk.membership.mass_silence import MassSilence, MassSilenceConfig
 
 CONTACT_STATUSES = frozenset({OperatingStatus.ONLINE, OperatingStatus.UNHEALTHY})
-WITHOUT_WORK_STATUSES = frozenset({OperatingStatus.UNHEALTHY, OperatingStatus.OFFLINE})
+NOT_SERVING_STATUSES = frozenset({OperatingStatus.UNHEALTHY, OperatingStatus.OFFLINE})
 
 
 @dataclass(frozen=True)
@@ -185,7 +185,7 @@
         status: OperatingStatus,
         now: float,
     ) -> MemberStatus:
-        recovered = member.operating_status in WITHOUT_WORK_STATUSES
+        recovered = member.operating_status in NOT_SERVING_STATUSES
         if record is not None and recovered and status is OperatingStatus.ONLINE:
             self._record_recovery(record, now)
         return MemberStatus(
