--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -46,7 +46,7 @@
         """Note how long the host took to begin an answer."""
         self._answer_time.note(seconds)
 
-    def forget_times(self) -> None:
+    def reset_times(self) -> None:
         """Begin anew: another host has taken the place of this one."""
         self._answer_time.reset()
 
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -54,5 +54,5 @@
 def test_another_host_is_measured_anew():
     requests = measured(0.5)
     assert requests.mean_seconds == pytest.approx(0.5)
-    requests.forget_times()
+    requests.reset_times()
     assert requests.mean_seconds == ORDINARY_SECONDS
