--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -73,7 +73,7 @@
     return NAME_PATTERN.fullmatch(text) is not None
 
 
-def show(raw: Any) -> str:
+def format_value(raw: Any) -> str:
     """Print a wrong value in a bounded length."""
     text = repr(raw)
     return text if len(text) <= MAX_SHOWN_VALUE_LENGTH else text[:MAX_SHOWN_VALUE_LENGTH] + "..."
@@ -102,7 +102,9 @@
         _note_wrong_type("a string", raw, place, problems)
         return None
     if not is_name(raw):
-        problems.add(ProblemKind.INVALID_NAME, place, f"{show(raw)} is not a name", NAME_RULE)
+        problems.add(
+            ProblemKind.INVALID_NAME, place, f"{format_value(raw)} is not a name", NAME_RULE
+        )
         return None
     return raw
 
@@ -132,7 +134,7 @@
         endpoint = Endpoint(host="", port=0)
     if endpoint.port == 0:
         mend = "give IPV4:PORT with a port from 1 to 65535, such as 127.0.0.1:7000"
-        problems.add(ProblemKind.INVALID_ADDRESS, place, f"{show(raw)} is no address", mend)
+        problems.add(ProblemKind.INVALID_ADDRESS, place, f"{format_value(raw)} is no address", mend)
         return None
     return endpoint
 
@@ -145,7 +147,7 @@
         return None
     if shape.choices and raw not in shape.choices:
         mend = "choose one of " + ", ".join(shape.choices)
-        problems.add(ProblemKind.NOT_A_CHOICE, place, f"{show(raw)} is not a choice", mend)
+        problems.add(ProblemKind.NOT_A_CHOICE, place, f"{format_value(raw)} is not a choice", mend)
         return None
     minimum = shape.minimum or 0
     maximum = MAX_STRING_LENGTH if shape.maximum is None else shape.maximum
@@ -238,7 +240,9 @@
 
 
 def _note_wrong_type(wanted: str, raw: Any, place: str, problems: ProblemCollector) -> None:
-    problems.add(ProblemKind.WRONG_TYPE, place, f"{show(raw)} is not {wanted}", f"give {wanted}")
+    problems.add(
+        ProblemKind.WRONG_TYPE, place, f"{format_value(raw)} is not {wanted}", f"give {wanted}"
+    )
 
 
 def _check_bounds(
