--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -19,7 +19,7 @@
 from jasperwalk.config.table import MemberEntry, OperatingStatus
 from jasperwalk.membership.mass_silence import MassSilence, MassSilenceConfig
 
-CONTACT_STATUSES = frozenset({OperatingStatus.ONLINE, OperatingStatus.UNHEALTHY})
+REPORTING_STATUSES = frozenset({OperatingStatus.ONLINE, OperatingStatus.UNHEALTHY})
 NOT_SERVING_STATUSES = frozenset({OperatingStatus.UNHEALTHY, OperatingStatus.OFFLINE})
 
 
@@ -168,7 +168,7 @@
         return member.operating_status if held else OperatingStatus.ONLINE
 
     def _status_without_report(self, member: MemberEntry, now: float) -> OperatingStatus:
-        if member.operating_status in CONTACT_STATUSES and now >= self._grace_until:
+        if member.operating_status in REPORTING_STATUSES and now >= self._grace_until:
             return OperatingStatus.OFFLINE
         return member.operating_status
 
