--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -187,18 +187,18 @@
     def _goes_on(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
         first = self._doubted.setdefault(start, UnconfirmedCall(call_number, now))
-        _forget_oldest(self._doubted)
+        _drop_oldest(self._doubted)
         return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
 
     def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
             self._note_left(self.start)
         self._replaced[self.start] = self.call_number
-        _forget_oldest(self._replaced)
+        _drop_oldest(self._replaced)
 
     def _note_left(self, start: HostStart) -> None:
         self._left[start.host_id] = start.unix_ms
-        _forget_oldest(self._left)
+        _drop_oldest(self._left)
 
     def leave(self, host_id: str) -> bool:
         """Note that a host is ending; return False where it is not the present one."""
@@ -238,7 +238,7 @@
         return max(0.0, self.slow_until - now)
 
 
-def _forget_oldest(former: dict[Any, Any]) -> None:
+def _drop_oldest(former: dict[Any, Any]) -> None:
     """Keep a record of former hosts within its bound."""
     while len(former) > MOST_FORMER_HOSTS:
         del former[next(iter(former))]
