--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -99,7 +99,7 @@
 def check_name(raw: Any, place: str, problems: ProblemCollector) -> str | None:
     """Check a name of a service, host or zone."""
     if not isinstance(raw, str):
-        _note_wrong_type("a string", raw, place, problems)
+        _add_wrong_type("a string", raw, place, problems)
         return None
     if not is_name(raw):
         problems.add(
@@ -114,7 +114,7 @@
 ) -> int | None:
     """Check an integer against its bounds; a boolean is none."""
     if isinstance(raw, bool) or not isinstance(raw, int):
-        _note_wrong_type("an integer", raw, place, problems)
+        _add_wrong_type("an integer", raw, place, problems)
         return None
     minimum = -MAX_INTEGER if shape.minimum is None else shape.minimum
     maximum = MAX_INTEGER if shape.maximum is None else shape.maximum
@@ -126,7 +126,7 @@
 def check_address(raw: Any, place: str, problems: ProblemCollector) -> Endpoint | None:
     """Check an `IPV4:PORT` with a port from 1 on."""
     if not isinstance(raw, str):
-        _note_wrong_type("an address string", raw, place, problems)
+        _add_wrong_type("an address string", raw, place, problems)
         return None
     try:
         endpoint = Endpoint.parse(raw)
@@ -143,7 +143,7 @@
     shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> str | None:
     if not isinstance(raw, str):
-        _note_wrong_type("a string", raw, place, problems)
+        _add_wrong_type("a string", raw, place, problems)
         return None
     if shape.choices and raw not in shape.choices:
         mend = "choose one of " + ", ".join(shape.choices)
@@ -158,7 +158,7 @@
 
 def _check_boolean(raw: Any, place: str, problems: ProblemCollector) -> bool | None:
     if not isinstance(raw, bool):
-        _note_wrong_type("true or false", raw, place, problems)
+        _add_wrong_type("true or false", raw, place, problems)
         return None
     return raw
 
@@ -167,7 +167,7 @@
     shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> tuple[MemberValue, ...] | None:
     if not isinstance(raw, list):
-        _note_wrong_type("a list of members", raw, place, problems)
+        _add_wrong_type("a list of members", raw, place, problems)
         return None
     minimum = shape.minimum or 0
     maximum = MAX_MEMBERS if shape.maximum is None else shape.maximum
@@ -199,7 +199,7 @@
 
 def _check_member(raw: Any, place: str, problems: ProblemCollector) -> MemberValue | None:
     if not isinstance(raw, dict):
-        _note_wrong_type("a member table", raw, place, problems)
+        _add_wrong_type("a member table", raw, place, problems)
         return None
     before = problems.count
     for field in raw:
@@ -239,7 +239,7 @@
     problems.add(ProblemKind.DUPLICATE_ADDRESS, place, detail, mend)
 
 
-def _note_wrong_type(wanted: str, raw: Any, place: str, problems: ProblemCollector) -> None:
+def _add_wrong_type(wanted: str, raw: Any, place: str, problems: ProblemCollector) -> None:
     problems.add(
         ProblemKind.WRONG_TYPE, place, f"{format_value(raw)} is not {wanted}", f"give {wanted}"
     )
