--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -162,7 +162,7 @@
             return OperatingStatus.UNHEALTHY
         if member.operating_status is OperatingStatus.ONLINE:
             return OperatingStatus.ONLINE
-        held = self._flaps(record, now) and (
+        held = self._is_flapping(record, now) and (
             now - record.healthy_since < self._config.flap_hold_seconds
         )
         return member.operating_status if held else OperatingStatus.ONLINE
@@ -172,7 +172,7 @@
             return OperatingStatus.OFFLINE
         return member.operating_status
 
-    def _flaps(self, record: _AgentRecord, now: float) -> bool:
+    def _is_flapping(self, record: _AgentRecord, now: float) -> bool:
         oldest = now - self._config.flap_window_seconds
         while record.recoveries and record.recoveries[0] < oldest:
             record.recoveries.popleft()
