--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -158,7 +158,7 @@
 
     def _lower_bounds(self, now: float) -> list[float]:
         """Return the ratios so far of requests that noticeably take longer than usual."""
-        ratios = [self._ratio_so_far(request, now) for request in self._slots.at_work()]
+        ratios = [self._ratio_so_far(request, now) for request in self._slots.running()]
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
 
     def _ratio_so_far(self, request: TrackedRequest, now: float) -> float:
--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -89,7 +89,7 @@
         request.started_at = max(request.asked_at, free_since)
         self._at_work[name] = request
 
-    def at_work(self) -> Iterable[TrackedRequest]:
+    def running(self) -> Iterable[TrackedRequest]:
         """Return the requests that hold a slot."""
         return self._at_work.values()
 
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -87,7 +87,7 @@
     def __init__(self, world, number, slots, speed):
         self.world, self.number, self.slots, self.speed = world, number, slots, speed
         self.agent = None
-        self.at_work = 0
+        self.running = 0
         self.queue = deque()
 
     def receive(self, packet):
@@ -101,15 +101,15 @@
             self.work()
 
     def work(self):
-        while self.queue and self.at_work < self.slots:
+        while self.queue and self.running < self.slots:
             key = self.queue.popleft()
-            self.at_work += 1
+            self.running += 1
             self.world.record_started(self)
             kind = self.world.kind_of(key)
             self.world.later(self.world.work_seconds(self, kind), self.end, key)
 
     def end(self, key):
-        self.at_work -= 1
+        self.running -= 1
         self.send(answer_to(key, 0, b"answer"))
         self.work()
 
--- a/tests/scheduling/test_slot_use.py
+++ b/tests/scheduling/test_slot_use.py
@@ -61,23 +61,23 @@
 def test_the_times_sum_up_to_what_the_slots_were_held_whatever_the_order(order, slots):
     source = random.Random(7)
     use, counted, worked = SlotUse(), 0.0, 0.0
-    now, queue, at_work = 0.0, [], {}
+    now, queue, running = 0.0, [], {}
     position = {"first": lambda: 0, "last": lambda: -1}.get(
         order, lambda: source.randrange(len(queue))
     )
     arrivals = [(0.01 * number + 0.005 * source.random(), number) for number in range(400)]
-    while arrivals or at_work:
-        ends_next = min(at_work.items(), key=lambda each: each[1], default=(None, float("inf")))
+    while arrivals or running:
+        ends_next = min(running.items(), key=lambda each: each[1], default=(None, float("inf")))
         if arrivals and arrivals[0][0] < ends_next[1]:
             now, name = arrivals.pop(0)
             use.begin(name, "kind", slots, now)
             queue.append(name)
         else:
             name, now = ends_next
-            del at_work[name]
+            del running[name]
             counted += held(use, name, slots, now)
-        while queue and len(at_work) < slots:
+        while queue and len(running) < slots:
             work = 0.01 * slots * source.uniform(0.5, 1.5)
             worked += work
-            at_work[queue.pop(position())] = now + work
+            running[queue.pop(position())] = now + work
     assert counted == pytest.approx(worked, rel=0.02)
