--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -182,7 +182,7 @@
             continue
         first_place = first_places.setdefault(member.address, member_place)
         if first_place != member_place:
-            note_duplicate_address(member.address, member_place, first_place, problems)
+            add_duplicate_address(member.address, member_place, first_place, problems)
         members.append(member)
     return tuple(members) if len(members) == len(raw) else None
 
@@ -230,7 +230,7 @@
     return check_integer(shape, raw[field], f"{place}.{field}", problems)
 
 
-def note_duplicate_address(
+def add_duplicate_address(
     address: Endpoint, place: str, first_place: str, problems: ProblemCollector
 ) -> None:
     """Note that a member's address was given before, at `first_place`."""
--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -10,9 +10,9 @@
 from jasperwalk.config.parameters import (
     MemberValue,
     TypedValue,
+    add_duplicate_address,
     check_name,
     check_value,
-    note_duplicate_address,
 )
 from jasperwalk.config.problems import ProblemCollector, ProblemKind, ValuesError
 from jasperwalk.config.service_fields import REFERENCE_PATTERN, SERVICE_FIELDS, whole_reference
@@ -146,4 +146,4 @@
             first_place = addresses.setdefault(member.address, place)
             if first_place != place:
                 member_place = f"{place}.members"
-                note_duplicate_address(member.address, member_place, first_place, problems)
+                add_duplicate_address(member.address, member_place, first_place, problems)
