--- a/src/jasperwalk/distribution/runner.py
+++ b/src/jasperwalk/distribution/runner.py
@@ -213,7 +213,7 @@
 
     def _open_connection(self, replica: Endpoint) -> None:
         self._drop_connection()
-        self._connection_task = asyncio.ensure_future(self._converse(replica, self._attempt))
+        self._connection_task = asyncio.ensure_future(self._run_connection(replica, self._attempt))
 
     def _drop_connection(self) -> None:
         self._attempt += 1
@@ -224,7 +224,7 @@
             self._connection.abort()
             self._connection = None
 
-    async def _converse(self, replica: Endpoint, attempt: int) -> None:
+    async def _run_connection(self, replica: Endpoint, attempt: int) -> None:
         """Connect, then feed what arrives to the event queue until the connection ends."""
         try:
             connection = await connect(
