--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -33,26 +33,26 @@
     """Follows the requests at one host; requests are named by any hashable value."""
 
     def __init__(self) -> None:
-        self._at_work: dict[Hashable, TrackedRequest] = {}
+        self._running: dict[Hashable, TrackedRequest] = {}
         self._queued: dict[Hashable, TrackedRequest] = {}
 
     def __len__(self) -> int:
         """Return the number of requests that are followed."""
-        return len(self._at_work) + len(self._queued)
+        return len(self._running) + len(self._queued)
 
     def begin(self, name: Hashable, kind: Hashable, slots: int, now: float) -> None:
         """Note that a request was passed on; one that was not whole yet begins anew."""
-        if name in self._at_work or name in self._queued:
+        if name in self._running or name in self._queued:
             self._take_incomplete_out(name)
         request = TrackedRequest(kind, now)
-        if len(self._at_work) < slots:
-            self._at_work[name] = request
+        if len(self._running) < slots:
+            self._running[name] = request
         elif len(self) < MOST_REQUESTS:
             self._queued[name] = request
 
     def _take_incomplete_out(self, name: Hashable) -> None:
         """Take a request out that the host cannot have worked on; its slot was free meanwhile."""
-        request = self._at_work.pop(name, None)
+        request = self._running.pop(name, None)
         if request is None:
             del self._queued[name]
         elif self._queued:
@@ -63,22 +63,22 @@
 
         It held a slot from its `started_at` until `now`.
         """
-        request = self._at_work.pop(name, None)
+        request = self._running.pop(name, None)
         if request is None:
             request = self._end_queued(name)
             if request is None:
                 return None
-        while self._queued and len(self._at_work) < slots:
+        while self._queued and len(self._running) < slots:
             self._start_next(now)
         return request
 
     def _end_queued(self, name: Hashable) -> TrackedRequest | None:
         """End a request that counts as queued: it held the slot that became free last."""
         request = self._queued.pop(name, None)
-        if request is None or not self._at_work:
+        if request is None or not self._running:
             return request
-        overtaken = max(self._at_work, key=lambda each: self._at_work[each].started_at)
-        waits = self._at_work.pop(overtaken)
+        overtaken = max(self._running, key=lambda each: self._running[each].started_at)
+        waits = self._running.pop(overtaken)
         request.started_at = max(waits.started_at, request.asked_at)
         self._queued = {overtaken: waits, **self._queued}
         return request
@@ -87,13 +87,13 @@
         name = next(iter(self._queued))
         request = self._queued.pop(name)
         request.started_at = max(request.asked_at, free_since)
-        self._at_work[name] = request
+        self._running[name] = request
 
     def running(self) -> Iterable[TrackedRequest]:
         """Return the requests that hold a slot."""
-        return self._at_work.values()
+        return self._running.values()
 
     def reset(self) -> None:
         """Follow no request any more."""
-        self._at_work.clear()
+        self._running.clear()
         self._queued.clear()
