--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -53,7 +53,7 @@
         raise ValuesError(problems=problems.found())
     services = [_render_service(service, values, problems) for service in template.services]
     rendered = [service for service in services if service is not None]
-    _note_duplicates(template, rendered, problems)
+    _check_duplicates(template, rendered, problems)
     if problems.found():
         raise ValuesError(problems=problems.found())
     return rendered
@@ -125,7 +125,7 @@
     )
 
 
-def _note_duplicates(
+def _check_duplicates(
     template: Template, services: list[RenderedService], problems: ProblemCollector
 ) -> None:
     """Note what two services of one tenant both claim."""
