--- a/src/jasperwalk/distribution/subscriber_link.py
+++ b/src/jasperwalk/distribution/subscriber_link.py
@@ -83,7 +83,7 @@
         self.snapshot = snapshot
         self.next_part = 0
 
-    def take_part(self) -> bytes:
+    def take_next_part(self) -> bytes:
         """Return the next part of the snapshot under way; raises `ValueError` without one."""
         snapshot = self.snapshot
         if snapshot is None:
--- a/src/jasperwalk/distribution/update_selector.py
+++ b/src/jasperwalk/distribution/update_selector.py
@@ -57,7 +57,7 @@
                 link.sent(self._encoder.table.revision)
                 return delta
             link.start_snapshot(self._encoder.snapshot(link.scope, link.sent_revision, now))
-        return link.take_part()
+        return link.take_next_part()
 
     def _start_snapshot(self, link: SubscriberLink, now: float) -> None:
         # A table behind the subscriber has nothing for it but heartbeats.
