--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -64,7 +64,7 @@
         self.waiting.clear(now)
         while parts.queue and parts.has_room(now):
             takes_flows = self._refusal(parts.tag, QUEUED_FLOW_TERMS, now) is None
-            seconds = parts.table.under_way.mean_seconds
+            seconds = parts.table.in_flight.mean_seconds
             request = parts.queue.take_next(takes_flows, seconds, now)
             if request is None:
                 return
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -195,7 +195,7 @@
         """
         self.knowledge.host_started_here = True
         self.watch.on_host_replaced()
-        self.table.under_way.reset_times()
+        self.table.in_flight.reset_times()
         self.table.doubt_all(now)
         self.release_held(now)
 
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -29,7 +29,7 @@
     on_request_end: Callable[[HeldFlow, float], None] | None = None
     """Told of each flow that has no request under way any more, None where nobody is."""
     half_open: HalfOpenFlows = field(default_factory=HalfOpenFlows)
-    under_way: RequestsInFlight = field(default_factory=RequestsInFlight)
+    in_flight: RequestsInFlight = field(default_factory=RequestsInFlight)
     """The requests that take a place at the host, named by their flows."""
     _flows: dict[bytes, HeldFlow] = field(default_factory=dict)
 
@@ -61,9 +61,9 @@
             flow.busy = busy
             self.meter.change(1 if busy else -1, now)
             if busy:
-                self.under_way.begin(flow, now)
+                self.in_flight.begin(flow, now)
                 return
-            self.under_way.end(flow)
+            self.in_flight.end(flow)
             if self.on_request_end is not None:
                 self.on_request_end(flow, now)
 
@@ -71,13 +71,13 @@
         """Note that a request, or a further part of one, goes to the host."""
         flow.asked_at = now
         if flow.busy:
-            self.under_way.begin(flow, now)
+            self.in_flight.begin(flow, now)
         else:
             self.set_busy(flow, True, now)
 
     def record_answer(self, flow: HeldFlow, now: float) -> None:
         """Note that the host has begun to answer a request."""
-        self.under_way.record_answer(now - flow.asked_at)
+        self.in_flight.record_answer(now - flow.asked_at)
 
     def drop(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a flow."""
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -58,7 +58,7 @@
 
     def requests_at_host(self, now: float) -> int:
         """Return how many requests keep a place at the host."""
-        return self.table.under_way.count(now) if self.orders_requests() else self.meter.busy
+        return self.table.in_flight.count(now) if self.orders_requests() else self.meter.busy
 
     def has_room(self, now: float) -> bool:
         """Tell whether the host has room for one more request."""
@@ -66,7 +66,7 @@
 
     def record_started(self, terms: CarriedTerms, now: float) -> None:
         """Note a request that went to the host without waiting."""
-        self.queue.record_started(terms, self.table.under_way.mean_seconds, now)
+        self.queue.record_started(terms, self.table.in_flight.mean_seconds, now)
 
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -78,7 +78,7 @@
         """
         parts = self.parts
         ahead = parts.queue.order.count_ahead(route.priority)
-        answer_seconds = parts.table.under_way.mean_seconds
+        answer_seconds = parts.table.in_flight.mean_seconds
         wait_seconds = (ahead + 1) * answer_seconds / most_requests(parts.host.capacity)
         longest = WAITING_SHARE * route.objective_seconds or LONGEST_AGE_SECONDS
         return age_seconds + wait_seconds + answer_seconds > longest
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -270,7 +270,7 @@
     host.ask(1, 3, 1.02)
     host.ask(2, 3, 1.02)
     host.begun()
-    host.agent.parts.table.under_way.record_answer(10.0)
+    host.agent.parts.table.in_flight.record_answer(10.0)
     host.agent.admit_waiting(1.03 + LONGEST_HOLD_SECONDS)
     assert set(host.begun()) == {(1, FEEDS.port), (2, FEEDS.port)}
 
