--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -81,7 +81,7 @@
 
 
 def _read_document(document: dict[str, Any], problems: ProblemCollector) -> Template | None:
-    _note_unknown_fields(document, _TOP_LEVEL_FIELDS, "", problems)
+    _check_unknown_fields(document, _TOP_LEVEL_FIELDS, "", problems)
     name = _read_name(document, problems)
     description = _read_description(document, "description", problems)
     parameters = _read_parameters(document.get("parameters", {}), problems)
@@ -130,7 +130,7 @@
     if not isinstance(raw, dict):
         problems.add(ProblemKind.WRONG_TYPE, place, "not a table", f"write a [{place}] table")
         return None
-    _note_unknown_fields(raw, _PARAMETER_FIELDS, place, problems)
+    _check_unknown_fields(raw, _PARAMETER_FIELDS, place, problems)
     shape = _read_shape(raw, place, problems)
     if shape is None:
         return None
@@ -226,7 +226,7 @@
             given.update({f"{field}.{inner}": inner_value for inner, inner_value in value.items()})
         else:
             given[field] = value
-    _note_unknown_fields(given, tuple(SERVICE_FIELDS), place, problems)
+    _check_unknown_fields(given, tuple(SERVICE_FIELDS), place, problems)
     fields: dict[str, Any] = {}
     for path, rule in SERVICE_FIELDS.items():
         if path in given:
@@ -287,7 +287,7 @@
         problems.add(ProblemKind.WRONG_TYPE, place, detail, "refer to strings or numbers there")
 
 
-def _note_unknown_fields(
+def _check_unknown_fields(
     raw: dict[str, Any], known: tuple[str, ...], place: str, problems: ProblemCollector
 ) -> None:
     for field in raw:
