--- a/src/jasperwalk/distribution/subscriber_link.py
+++ b/src/jasperwalk/distribution/subscriber_link.py
@@ -92,10 +92,10 @@
         self.next_part += 1
         if self.next_part == len(snapshot.parts):
             self.snapshot = None
-            self.sent(snapshot.revision)
+            self.record_sent(snapshot.revision)
         return payload
 
-    def sent(self, revision: int) -> None:
+    def record_sent(self, revision: int) -> None:
         """Note that the subscriber was sent everything up to `revision`."""
         self.sent_revision = revision
         self.outstanding.append(revision)
--- a/src/jasperwalk/distribution/update_selector.py
+++ b/src/jasperwalk/distribution/update_selector.py
@@ -54,7 +54,7 @@
         if link.snapshot is None:
             delta = self._encoder.delta(link.scope, link.sent_revision)
             if delta is not None:
-                link.sent(self._encoder.table.revision)
+                link.record_sent(self._encoder.table.revision)
                 return delta
             link.start_snapshot(self._encoder.snapshot(link.scope, link.sent_revision, now))
         return link.take_next_part()
