--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -90,13 +90,13 @@
         """Tell whether a packet shows that the caller of this half-open flow chose this host."""
         return any(codec.follows(packet, number) for number in self.answer_numbers)
 
-    def has_request_under_way(self) -> bool:
+    def has_request_in_flight(self) -> bool:
         """Tell whether the caller's request has come and the host has not begun to answer it."""
         return self.busy and self.followed_up and not self.host_ended
 
     def is_unanswered(self, now: float) -> bool:
         """Tell whether the host leaves a request unanswered that was not noted yet."""
-        if self.unanswered_noted or self.is_long_request or not self.has_request_under_way():
+        if self.unanswered_noted or self.is_long_request or not self.has_request_in_flight():
             return False
         return now - self.asked_at > UNANSWERED_SECONDS
 
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -61,7 +61,7 @@
         swap the two: by their data alone one of ten answers was counted.
         """
         parts = self.parts
-        if flow.has_request_under_way():
+        if flow.has_request_in_flight():
             parts.counters.requests_answered += 1
             parts.host_latency.observe(now - flow.asked_at)
             parts.watch.record_answer(now)
@@ -71,7 +71,7 @@
 
     def _record_reset(self, key: bytes, flow: HeldFlow, now: float) -> None:
         parts = self.parts
-        if flow.has_request_under_way():
+        if flow.has_request_in_flight():
             parts.counters.requests_broken_off += 1
             parts.watch.record_failure(now)
         parts.queue.discard(key)
