--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -15,7 +15,7 @@
     check_value,
 )
 from jasperwalk.config.problems import ProblemCollector, ProblemKind, ValuesError
-from jasperwalk.config.service_fields import REFERENCE_PATTERN, SERVICE_FIELDS, whole_reference
+from jasperwalk.config.service_fields import REFERENCE_PATTERN, SERVICE_FIELDS, sole_reference
 from jasperwalk.config.table import HealthMonitor, Objective, ServiceLimits
 from jasperwalk.config.templates import ServiceTemplate, Template
 from jasperwalk.config.tenants import Tenant, resolve_values
@@ -97,7 +97,7 @@
 ) -> TypedValue | None:
     """Replace references, then check the result against the field's own shape."""
     shape = SERVICE_FIELDS[path].shape
-    whole = whole_reference(raw)
+    whole = sole_reference(raw)
     if whole is not None:
         value = values[whole]
         if isinstance(value, (Endpoint, tuple)):
--- a/src/jasperwalk/config/service_fields.py
+++ b/src/jasperwalk/config/service_fields.py
@@ -66,7 +66,7 @@
     return REFERENCE_PATTERN.findall(raw) if isinstance(raw, str) else []
 
 
-def whole_reference(raw: Any) -> str | None:
+def sole_reference(raw: Any) -> str | None:
     """Return the parameter's name where the value is one reference and nothing else."""
     if not isinstance(raw, str):
         return None
--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -19,7 +19,7 @@
     SERVICE_FIELDS,
     SERVICE_TABLES,
     references_in,
-    whole_reference,
+    sole_reference,
 )
 
 MAX_TEMPLATE_LENGTH = 262_144
@@ -269,7 +269,7 @@
     problems: ProblemCollector,
 ) -> None:
     wanted = SERVICE_FIELDS[path].shape.type
-    whole = whole_reference(raw)
+    whole = sole_reference(raw)
     if whole is not None:
         given = parameters[whole].shape.type
         if given is not wanted:
