--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -275,7 +275,7 @@
 
     def _back_off(self, now: float, wait_seconds: float = 0.0, spread_seconds: float = 0.0) -> None:
         # Parts of a snapshot are worth nothing on another connection.
-        self._assembly.drop()
+        self._assembly.reset()
         if self.replica is not None:
             self._choice.record_failure(self.replica, now, wait_seconds, spread_seconds)
         self.replica = None
--- a/src/jasperwalk/distribution/snapshot_assembly.py
+++ b/src/jasperwalk/distribution/snapshot_assembly.py
@@ -29,7 +29,7 @@
             and 0 <= snapshot.part < snapshot.parts <= MAX_SNAPSHOT_PARTS
         )
         if not fits:
-            self.drop()
+            self.reset()
             return False
         self._entries.extend(snapshot.entries)
         self._next_part += 1
@@ -40,16 +40,16 @@
         if self._parts == 0 or self._next_part < self._parts:
             return None
         entries = self._entries
-        self.drop()
+        self.reset()
         return entries
 
-    def drop(self) -> None:
+    def reset(self) -> None:
         """Forget what was collected."""
         self._parts = 0
         self._next_part = 0
         self._entries = []
 
     def _start(self, snapshot: Snapshot) -> None:
-        self.drop()
+        self.reset()
         self.revision = snapshot.revision
         self._parts = snapshot.parts
