--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -43,14 +43,14 @@
     def begin(self, name: Hashable, kind: Hashable, slots: int, now: float) -> None:
         """Note that a request was passed on; one that was not whole yet begins anew."""
         if name in self._running or name in self._queued:
-            self._take_incomplete_out(name)
+            self._remove_incomplete(name)
         request = TrackedRequest(kind, now)
         if len(self._running) < slots:
             self._running[name] = request
         elif len(self) < MOST_REQUESTS:
             self._queued[name] = request
 
-    def _take_incomplete_out(self, name: Hashable) -> None:
+    def _remove_incomplete(self, name: Hashable) -> None:
         """Take a request out that the host cannot have worked on; its slot was free meanwhile."""
         request = self._running.pop(name, None)
         if request is None:
