--- a/src/jasperwalk/settings/starting.py
+++ b/src/jasperwalk/settings/starting.py
@@ -32,10 +32,10 @@
         try:
             probe.bind((listener.endpoint.host, listener.endpoint.port))
         except OSError as error:
-            raise _explain_bind(error, listener, source) from error
+            raise _bind_error(error, listener, source) from error
 
 
-def _explain_bind(error: OSError, listener: Listener, source: str) -> SettingsError:
+def _bind_error(error: OSError, listener: Listener, source: str) -> SettingsError:
     transport = listener.transport.upper()
     if error.errno == errno.EADDRINUSE:
         problem = f"{transport} port {listener.endpoint} is in use"
