--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -224,7 +224,7 @@
         if delta.base_revision > self.table.revision:
             return self._leave(LeaveReason.GAP, now)
         self.table.update(delta.revision, delta.upserts, delta.removals)
-        return self._advanced(now)
+        return self._on_table_changed(now)
 
     def _snapshot(self, snapshot: Snapshot, now: float) -> list[FollowerEffect]:
         if not self._assembly.add(snapshot):
@@ -234,9 +234,9 @@
             return []
         # A snapshot of the very revision held here is taken: its scope may be a new one.
         self.table.replace(snapshot.revision, entries)
-        return self._advanced(now)
+        return self._on_table_changed(now)
 
-    def _advanced(self, now: float) -> list[FollowerEffect]:
+    def _on_table_changed(self, now: float) -> list[FollowerEffect]:
         self._contact.record_table(self.table.revision)
         return [TableChanged(revision=self.table.revision), self._acknowledge(now)]
 
