--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -61,7 +61,7 @@
             flow.busy = busy
             self.meter.change(1 if busy else -1, now)
             if busy:
-                self.in_flight.begin(flow, now)
+                self.in_flight.start(flow, now)
                 return
             self.in_flight.end(flow)
             if self.on_request_end is not None:
@@ -71,7 +71,7 @@
         """Note that a request, or a further part of one, goes to the host."""
         flow.asked_at = now
         if flow.busy:
-            self.in_flight.begin(flow, now)
+            self.in_flight.start(flow, now)
         else:
             self.set_busy(flow, True, now)
 
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -89,7 +89,7 @@
 
     def record_request(self, request: Hashable, kind: Hashable, slots: int, now: float) -> None:
         """Note that a request, or a further part of it, was passed on to the host."""
-        self._slots.begin(request, kind, slots, now)
+        self._slots.start(request, kind, slots, now)
 
     def record_answer(self, request: Hashable, slots: int, now: float) -> None:
         """Note the first packet of the host's answer to a request."""
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -33,7 +33,7 @@
         """Those that keep a place, the oldest first."""
         self._answer_time = SmoothedTime()
 
-    def begin(self, request: Hashable, now: float) -> None:
+    def start(self, request: Hashable, now: float) -> None:
         """Note a request that was passed on, or that goes on."""
         self._begun_at[request] = now
         self._begun_at.move_to_end(request)
--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -40,7 +40,7 @@
         """Return the number of requests that are followed."""
         return len(self._running) + len(self._queued)
 
-    def begin(self, name: Hashable, kind: Hashable, slots: int, now: float) -> None:
+    def start(self, name: Hashable, kind: Hashable, slots: int, now: float) -> None:
         """Note that a request was passed on; one that was not whole yet begins anew."""
         if name in self._running or name in self._queued:
             self._remove_incomplete(name)
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -19,9 +19,9 @@
 
 def test_requests_count_from_their_beginning_to_their_end():
     requests = RequestsInFlight()
-    requests.begin("a", 1.0)
-    requests.begin("b", 1.0)
-    requests.begin("a", 1.1)
+    requests.start("a", 1.0)
+    requests.start("b", 1.0)
+    requests.start("a", 1.1)
     assert requests.count(1.1) == 2
     requests.end("a")
     requests.end("a")
@@ -31,8 +31,8 @@
 def test_a_request_that_is_never_answered_keeps_no_place_for_long():
     """A host that leaves some of its requests unanswered would soon have no place left."""
     requests = measured(0.03)
-    requests.begin("lost", 1.0)
-    requests.begin("new", 1.19)
+    requests.start("lost", 1.0)
+    requests.start("new", 1.19)
     assert requests.count(0.99 + SHORTEST_OVERDUE_SECONDS) == 2
     assert requests.count(1.01 + SHORTEST_OVERDUE_SECONDS) == 1
 
--- a/tests/scheduling/test_slot_use.py
+++ b/tests/scheduling/test_slot_use.py
@@ -14,33 +14,33 @@
 
 def test_a_request_at_a_free_slot_holds_it_from_when_it_came():
     use = SlotUse()
-    use.begin("a", "kind", 2, 1.0)
-    use.begin("b", "kind", 2, 1.1)
+    use.start("a", "kind", 2, 1.0)
+    use.start("b", "kind", 2, 1.1)
     assert held(use, "b", 2, 1.4) == pytest.approx(0.3)
     assert held(use, "a", 2, 1.5) == pytest.approx(0.5)
 
 
 def test_the_time_in_which_all_slots_were_held_is_not_counted():
     use = SlotUse()
-    use.begin("a", "kind", 1, 1.0)
-    use.begin("b", "kind", 1, 1.1)
+    use.start("a", "kind", 1, 1.0)
+    use.start("b", "kind", 1, 1.1)
     assert held(use, "a", 1, 1.5) == pytest.approx(0.5)
     assert held(use, "b", 1, 1.6) == pytest.approx(0.1)
 
 
 def test_a_queued_request_that_is_answered_first_had_the_slot():
     use = SlotUse()
-    use.begin("a", "kind", 1, 1.0)
-    use.begin("b", "kind", 1, 1.1)
+    use.start("a", "kind", 1, 1.0)
+    use.start("b", "kind", 1, 1.1)
     assert held(use, "b", 1, 1.5) == pytest.approx(0.4)
     assert held(use, "a", 1, 1.7) == pytest.approx(0.2)
 
 
 def test_a_request_that_was_not_whole_leaves_its_slot_to_the_next():
     use = SlotUse()
-    use.begin("upload", "kind", 1, 1.0)
-    use.begin("b", "kind", 1, 1.1)
-    use.begin("upload", "kind", 1, 1.2)
+    use.start("upload", "kind", 1, 1.0)
+    use.start("b", "kind", 1, 1.1)
+    use.start("upload", "kind", 1, 1.2)
     assert held(use, "b", 1, 1.3) == pytest.approx(0.2)
     assert held(use, "upload", 1, 1.5) == pytest.approx(0.2)
 
@@ -52,7 +52,7 @@
 def test_the_number_of_requests_is_bounded():
     use = SlotUse()
     for name in range(2 * MOST_REQUESTS):
-        use.begin(name, "kind", 1, 1.0)
+        use.start(name, "kind", 1, 1.0)
     assert len(use) <= MOST_REQUESTS
 
 
@@ -70,7 +70,7 @@
         ends_next = min(running.items(), key=lambda each: each[1], default=(None, float("inf")))
         if arrivals and arrivals[0][0] < ends_next[1]:
             now, name = arrivals.pop(0)
-            use.begin(name, "kind", slots, now)
+            use.start(name, "kind", slots, now)
             queue.append(name)
         else:
             name, now = ends_next
