--- a/src/jasperwalk/settings/models.py
+++ b/src/jasperwalk/settings/models.py
@@ -151,7 +151,7 @@
         ]
 
 
-class FollowerSettings(ProcessSettings):
+class TableFollowerSettings(ProcessSettings):
     """What balancers and agents share: they follow the table that control publishes."""
 
     control: list[RemoteEndpoint] = Field(
@@ -165,7 +165,7 @@
     listen: ListenEndpoint = Field(description="IPV4:PORT on which datagrams are taken")
 
 
-class BalancerSettings(FollowerSettings):
+class BalancerSettings(TableFollowerSettings):
     """Settings of a balancer."""
 
     agent_networks: list[Network] = Field(
@@ -186,7 +186,7 @@
         ]
 
 
-class AgentSettings(FollowerSettings):
+class AgentSettings(TableFollowerSettings):
     """Settings of an agent; `name` is the host name that templates and operators use."""
 
     backend: RemoteEndpoint = Field(description="IPV4:PORT (HTTP/1.1) of the back end beside it")
