--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -164,9 +164,9 @@
             # This process stood still: what waited in the socket may be arbitrarily old, and
             # taking it for news would make a thawed process believe that it is fresh.
             return self._leave(LeaveReason.SILENT, now)
-        return self._take(message, now)
+        return self._handle_message(message, now)
 
-    def _take(self, message: FromPublisher, now: float) -> list[FollowerEffect]:
+    def _handle_message(self, message: FromPublisher, now: float) -> list[FollowerEffect]:
         match message:
             case Heartbeat():
                 return self._heartbeat(message, now)
