--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Hashable, Iterable
 
-MOST_REQUESTS = 1024
+MAX_TRACKED_REQUESTS = 1024
 """Requests that are followed at once; further ones are not measured."""
 
 
@@ -47,7 +47,7 @@
         request = TrackedRequest(kind, now)
         if len(self._running) < slots:
             self._running[name] = request
-        elif len(self) < MOST_REQUESTS:
+        elif len(self) < MAX_TRACKED_REQUESTS:
             self._queued[name] = request
 
     def _remove_incomplete(self, name: Hashable) -> None:
--- a/tests/scheduling/test_slot_use.py
+++ b/tests/scheduling/test_slot_use.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.scheduling.slot_use import MOST_REQUESTS, SlotUse
+from jasperwalk.scheduling.slot_use import MAX_TRACKED_REQUESTS, SlotUse
 
 
 def held(use, name, slots, now):
@@ -51,9 +51,9 @@
 
 def test_the_number_of_requests_is_bounded():
     use = SlotUse()
-    for name in range(2 * MOST_REQUESTS):
+    for name in range(2 * MAX_TRACKED_REQUESTS):
         use.start(name, "kind", 1, 1.0)
-    assert len(use) <= MOST_REQUESTS
+    assert len(use) <= MAX_TRACKED_REQUESTS
 
 
 @pytest.mark.parametrize("order", ["first", "last", "random"])
