--- a/src/jasperwalk/settings/explaining.py
+++ b/src/jasperwalk/settings/explaining.py
@@ -45,7 +45,7 @@
 def _mend(details: ErrorDetails, model: type[BaseModel]) -> str:
     location = details["loc"]
     if details["type"] == UNKNOWN_KEY:
-        return _mend_unknown_key(str(location[-1]), model if len(location) == 1 else None)
+        return _mend_for_unknown_key(str(location[-1]), model if len(location) == 1 else None)
     field = model.model_fields.get(str(location[0])) if location else None
     if field is None or field.description is None:
         return "correct it"
@@ -54,7 +54,7 @@
     return f"expected: {field.description}"
 
 
-def _mend_unknown_key(key: str, model: type[BaseModel] | None) -> str:
+def _mend_for_unknown_key(key: str, model: type[BaseModel] | None) -> str:
     if model is None:
         return "remove it"
     known_keys = list(model.model_fields)
