--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -237,7 +237,7 @@
             self.log.note(
                 "request-unanswered",
                 flow=self.codec.describe(key),
-                asked_ms=round(1000 * (now - flow.asked_at)),
+                asked_ms=round(1000 * (now - flow.requested_at)),
                 host=self.host.host_id,
             )
         self.table.sweep(now)
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -34,7 +34,7 @@
     opened_at: float
     seen_at: float
     busy: bool = False
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     """When the caller last sent data."""
     is_long_request: bool = False
     """True once the request under way has come in more than one packet: its caller may have left
@@ -98,7 +98,7 @@
         """Tell whether the host leaves a request unanswered that was not noted yet."""
         if self.unanswered_noted or self.is_long_request or not self.has_request_in_flight():
             return False
-        return now - self.asked_at > UNANSWERED_SECONDS
+        return now - self.requested_at > UNANSWERED_SECONDS
 
     def is_stuck(self, now: float) -> bool:
         """Tell whether its request no longer counts as under way."""
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -69,7 +69,7 @@
 
     def record_request(self, flow: HeldFlow, now: float) -> None:
         """Note that a request, or a further part of one, goes to the host."""
-        flow.asked_at = now
+        flow.requested_at = now
         if flow.busy:
             self.in_flight.start(flow, now)
         else:
@@ -77,7 +77,7 @@
 
     def record_answer(self, flow: HeldFlow, now: float) -> None:
         """Note that the host has begun to answer a request."""
-        self.in_flight.record_answer(now - flow.asked_at)
+        self.in_flight.record_answer(now - flow.requested_at)
 
     def drop(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a flow."""
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -63,7 +63,7 @@
         parts = self.parts
         if flow.has_request_in_flight():
             parts.counters.requests_answered += 1
-            parts.host_latency.observe(now - flow.asked_at)
+            parts.host_latency.observe(now - flow.requested_at)
             parts.watch.record_answer(now)
             parts.table.record_answer(flow, now)
             parts.pace.record_answer(flow, now)
