--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -193,7 +193,7 @@
 WEIGHT_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=0, maximum=MAX_WEIGHT)
 """Weight of a member; 0 for no new flows."""
 
-SLOTS_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=MAX_SLOTS)
+SLOTS_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=MAX_SLOTS)
 """Requests that a member's back end runs at once."""
 
 
@@ -216,7 +216,7 @@
     zone = check_name(raw["zone"], f"{place}.zone", problems)
     address = check_address(raw["address"], f"{place}.address", problems)
     weight = _check_optional(WEIGHT_VALUE_SHAPE, raw, "weight", place, problems)
-    slots = _check_optional(SLOTS_SHAPE, raw, "slots", place, problems)
+    slots = _check_optional(SLOTS_VALUE_SHAPE, raw, "slots", place, problems)
     if problems.count > before or host is None or zone is None or address is None:
         return None
     return MemberValue(host=host, zone=zone, address=address, weight=weight, slots=slots)
--- a/src/jasperwalk/config/service_fields.py
+++ b/src/jasperwalk/config/service_fields.py
@@ -7,7 +7,12 @@
 
 import msgspec
 
-from jasperwalk.config.parameters import SLOTS_SHAPE, WEIGHT_VALUE_SHAPE, ParameterType, ValueShape
+from jasperwalk.config.parameters import (
+    SLOTS_VALUE_SHAPE,
+    WEIGHT_VALUE_SHAPE,
+    ParameterType,
+    ValueShape,
+)
 from jasperwalk.config.table import Objective
 
 REFERENCE_PATTERN = re.compile(r"\$\{([^}]*)\}")
@@ -43,7 +48,7 @@
     "objective": FieldRule(ValueShape(type=ParameterType.STRING, choices=_OBJECTIVES)),
     "members": FieldRule(ValueShape(type=ParameterType.MEMBERS)),
     "member_defaults.weight": FieldRule(shape=WEIGHT_VALUE_SHAPE, default=100),
-    "member_defaults.slots": FieldRule(shape=SLOTS_SHAPE, default=1),
+    "member_defaults.slots": FieldRule(shape=SLOTS_VALUE_SHAPE, default=1),
     "limits.queue_length": _count(default=64, minimum=0, maximum=100_000),
     "limits.queue_wait_ms": _duration(default=2_000),
     "limits.request_deadline_ms": _duration(default=30_000, minimum=1),
