--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -66,7 +66,7 @@
 
     def check(self, now: float) -> None:
         """Log that the host turned slow, or is as usual again."""
-        if not self.is_wanted or not self.slow_host.judge(now):
+        if not self.is_wanted or not self.slow_host.evaluate(now):
             return
         self.log.note(
             "host-slow" if self.slow_host.is_slow() else "host-usual-again",
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -48,7 +48,7 @@
         """Tell whether the host counts as slow, by the last judgement."""
         return self._is_slow
 
-    def judge(self, now: float) -> bool:
+    def evaluate(self, now: float) -> bool:
         """Judge the host; return True where the judgement changed."""
         before = self._is_slow
         slowdown = self._pace.slowdown(now)
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -56,7 +56,7 @@
             if self.now == next_end[0]:
                 self.ends.remove(next_end)
                 self.pace.record_answer(next_end[1], self.slots, self.now)
-            self.slow_host.judge(self.now)
+            self.slow_host.evaluate(self.now)
             self.seen_slow.append((self.now, self.slow_host.is_slow()))
         return self
 
@@ -90,7 +90,7 @@
     for number in range(4):
         play.pace.record_request(f"late {number}", "kind", 8, play.now)
     now = play.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
-    assert play.slow_host.judge(now)
+    assert play.slow_host.evaluate(now)
     assert play.slow_host.is_slow()
 
 
@@ -210,9 +210,9 @@
     play = slow_play()
     for _, name in play.ends:
         play.pace.record_end(name, 2, play.now)
-    assert not play.slow_host.judge(play.now + STALE_SECONDS + 0.1)
+    assert not play.slow_host.evaluate(play.now + STALE_SECONDS + 0.1)
     assert play.slow_host.is_slow()
-    assert play.slow_host.judge(play.now + JUDGEMENT_SECONDS + STALE_SECONDS + 0.1)
+    assert play.slow_host.evaluate(play.now + JUDGEMENT_SECONDS + STALE_SECONDS + 0.1)
     assert not play.slow_host.is_slow()
 
 
@@ -223,7 +223,7 @@
     for number, is_slow in enumerate((True, False)):
         now = play.now + (number + 1) * (STALE_SECONDS + 0.1)
         one(play.pace, f"trial {number}", now, now + WORK_SECONDS, slots=2)
-        play.slow_host.judge(now + WORK_SECONDS)
+        play.slow_host.evaluate(now + WORK_SECONDS)
         assert play.slow_host.is_slow() is is_slow
 
 
