--- a/src/jasperwalk/settings/explaining.py
+++ b/src/jasperwalk/settings/explaining.py
@@ -14,7 +14,9 @@
 VALUE_ERROR_PREFIX = "Value error, "
 
 
-def explain(error: ValidationError, source: str, model: type[BaseModel]) -> SettingsError:
+def explain_validation_error(
+    error: ValidationError, source: str, model: type[BaseModel]
+) -> SettingsError:
     """Describe the first problem, and count the others.
 
     Unknown keys come first: a misspelt key is the usual cause of a missing one.
--- a/src/jasperwalk/settings/loading.py
+++ b/src/jasperwalk/settings/loading.py
@@ -10,7 +10,7 @@
 from pydantic import ValidationError
 
 from jasperwalk.settings.errors import WHOLE_FILE, SettingsError
-from jasperwalk.settings.explaining import explain
+from jasperwalk.settings.explaining import explain_validation_error
 from jasperwalk.settings.models import ProcessSettings
 from jasperwalk.settings.overrides import Override, apply_override, parse_override
 from jasperwalk.settings.types import BASE_FOLDER
@@ -37,7 +37,7 @@
     try:
         return model.model_validate(document, context={BASE_FOLDER: base_folder})
     except ValidationError as error:
-        raise explain(error, source=source_name(path), model=model) from error
+        raise explain_validation_error(error, source=source_name(path), model=model) from error
 
 
 def source_name(path: Path | None) -> str:
