--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -28,7 +28,7 @@
 USUAL_IN_A_ROW = 2
 """The newest requests that took as long as usual and end the judgement, however far apart: a host
 that gets only trials has too few for a figure."""
-JUDGEMENT_SECONDS = 6.0
+VERDICT_LIFETIME_SECONDS = 6.0
 """A judgement that no request has borne out for this long is given up: by then others would take
 the host for usual long since, and a trial that finds it slow costs one late answer."""
 
@@ -59,7 +59,7 @@
         elif slowdown is not None:
             self._slowdown, self._known_at = slowdown, now
             self._is_slow = slowdown >= (USUAL_FACTOR if before else SLOW_FACTOR)
-        elif not before or now - self._known_at >= JUDGEMENT_SECONDS:
+        elif not before or now - self._known_at >= VERDICT_LIFETIME_SECONDS:
             self._slowdown = 1.0
             self._is_slow = False
         return self._is_slow != before
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -12,10 +12,10 @@
     HostServiceTimes,
 )
 from jasperwalk.scheduling.slow_host import (
-    JUDGEMENT_SECONDS,
     SLOW_FACTOR,
     TRIAL_SECONDS,
     USUAL_FACTOR,
+    VERDICT_LIFETIME_SECONDS,
     SlowHost,
 )
 
@@ -212,7 +212,7 @@
         play.pace.record_end(name, 2, play.now)
     assert not play.slow_host.evaluate(play.now + STALE_SECONDS + 0.1)
     assert play.slow_host.is_slow()
-    assert play.slow_host.evaluate(play.now + JUDGEMENT_SECONDS + STALE_SECONDS + 0.1)
+    assert play.slow_host.evaluate(play.now + VERDICT_LIFETIME_SECONDS + STALE_SECONDS + 0.1)
     assert not play.slow_host.is_slow()
 
 
