--- a/src/jasperwalk/config/conflicts.py
+++ b/src/jasperwalk/config/conflicts.py
@@ -79,13 +79,13 @@
         for candidate in rendered:
             for service in candidate.services:
                 owner = Owner(tenant=candidate.tenant, service=service.name)
-                other = _other_owner(
+                other = _find_other_owner(
                     service.listener, owner, new_listeners, self._listeners, replaced
                 )
                 if other is not None:
                     conflicts.append(ListenerConflict(service.listener, owner, other))
                 for member in service.members:
-                    other = _other_owner(
+                    other = _find_other_owner(
                         member.address, owner, new_addresses, self._addresses, replaced
                     )
                     if other is not None:
@@ -93,7 +93,7 @@
         return conflicts
 
 
-def _other_owner(
+def _find_other_owner(
     endpoint: Endpoint,
     owner: Owner,
     new_owners: dict[Endpoint, Owner],
