--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -25,7 +25,7 @@
 """A slow host that has no request and has got no flow for this long gets one, whatever its expected
 time. Requests that are under way tell as much as a trial."""
 
-USUAL_IN_A_ROW = 2
+RECOVERY_REQUESTS = 2
 """The newest requests that took as long as usual and end the judgement, however far apart: a host
 that gets only trials has too few for a figure."""
 VERDICT_LIFETIME_SECONDS = 6.0
@@ -53,7 +53,7 @@
         before = self._is_slow
         slowdown = self._pace.slowdown(now)
         if before and self._has_recovered():
-            self._pace.keep_newest(USUAL_IN_A_ROW)
+            self._pace.keep_newest(RECOVERY_REQUESTS)
             self._slowdown = 1.0
             self._is_slow = False
         elif slowdown is not None:
@@ -65,8 +65,8 @@
         return self._is_slow != before
 
     def _has_recovered(self) -> bool:
-        newest = self._pace.newest_ratios(USUAL_IN_A_ROW)
-        return len(newest) == USUAL_IN_A_ROW and max(newest) < USUAL_FACTOR
+        newest = self._pace.newest_ratios(RECOVERY_REQUESTS)
+        return len(newest) == RECOVERY_REQUESTS and max(newest) < USUAL_FACTOR
 
     def seconds(self, kind: Hashable) -> float | None:
         """Return how long a request of a kind holds a slot now, None where it is not known.
