--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -16,7 +16,7 @@
 
 SLOW_FACTOR = 3.0
 """Slowness from which a host counts as slow: twice as long is usual for single requests."""
-USUAL_FACTOR = 2.0
+RECOVERY_FACTOR = 2.0
 """Slowness below which a slow host counts as usual again."""
 OBJECTIVE_SHARE = 0.8
 """Part of the time that a caller wants its answer in that the host may use; the rest is for the
@@ -58,7 +58,7 @@
             self._is_slow = False
         elif slowdown is not None:
             self._slowdown, self._known_at = slowdown, now
-            self._is_slow = slowdown >= (USUAL_FACTOR if before else SLOW_FACTOR)
+            self._is_slow = slowdown >= (RECOVERY_FACTOR if before else SLOW_FACTOR)
         elif not before or now - self._known_at >= VERDICT_LIFETIME_SECONDS:
             self._slowdown = 1.0
             self._is_slow = False
@@ -66,7 +66,7 @@
 
     def _has_recovered(self) -> bool:
         newest = self._pace.newest_ratios(RECOVERY_REQUESTS)
-        return len(newest) == RECOVERY_REQUESTS and max(newest) < USUAL_FACTOR
+        return len(newest) == RECOVERY_REQUESTS and max(newest) < RECOVERY_FACTOR
 
     def seconds(self, kind: Hashable) -> float | None:
         """Return how long a request of a kind holds a slot now, None where it is not known.
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -12,9 +12,9 @@
     HostServiceTimes,
 )
 from jasperwalk.scheduling.slow_host import (
+    RECOVERY_FACTOR,
     SLOW_FACTOR,
     TRIAL_SECONDS,
-    USUAL_FACTOR,
     VERDICT_LIFETIME_SECONDS,
     SlowHost,
 )
@@ -228,8 +228,8 @@
 
 
 def test_the_judgement_does_not_waver_between_its_bounds():
-    assert USUAL_FACTOR < SLOW_FACTOR
+    assert RECOVERY_FACTOR < SLOW_FACTOR
     play = slow_play()
-    play.factor = (USUAL_FACTOR + SLOW_FACTOR) / 2 * 1.2
+    play.factor = (RECOVERY_FACTOR + SLOW_FACTOR) / 2 * 1.2
     play.run(8.0)
     assert play.slow_host.is_slow()
