--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -26,7 +26,7 @@
 """Outcomes older than this say nothing of the host now."""
 MAXIMUM_OUTCOMES = 64
 """The newest outcomes that are kept: a bound of memory, a second of a fast host."""
-LEAST_FAILURES = 3
+MIN_FAILURES = 3
 """Failures in the window from which a host may be failing; single ones come from elsewhere."""
 FAILING_SHARE = 0.2
 """Part of the last outcomes that are failures from which a host is failing."""
@@ -98,7 +98,7 @@
             return False
         counts = self.counts(now)
         outcomes = counts.failed + counts.answered
-        if counts.failed < LEAST_FAILURES or counts.failed < FAILING_SHARE * outcomes:
+        if counts.failed < MIN_FAILURES or counts.failed < FAILING_SHARE * outcomes:
             return False
         self._paused_until = now + self.pause_seconds
         return True
--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -6,7 +6,7 @@
 from jasperwalk.agent.datagrams.held_flow import UNANSWERED_SECONDS
 from jasperwalk.flows.frames import FLAG_REPEATABLE, FLAG_WAIT, FrameKind, RefusalReason
 from jasperwalk.scheduling.request_outcomes import (
-    LEAST_FAILURES,
+    MIN_FAILURES,
     SHORTEST_PAUSE_SECONDS,
     TRIAL_SECONDS,
 )
@@ -31,7 +31,7 @@
 
 def failing_bench(now=1.0):
     bench = Bench()
-    for port in range(LEAST_FAILURES):
+    for port in range(MIN_FAILURES):
         reset_by_host(bench, port + 1, now)
     return bench
 
@@ -40,7 +40,7 @@
     bench = failing_bench()
     refused = bench.open(1.1, caller(50))
     assert (refused.kind, refused.flags) == (FrameKind.REFUSED, RefusalReason.FAILING)
-    assert bench.agent.counters.requests_broken_off == LEAST_FAILURES
+    assert bench.agent.counters.requests_broken_off == MIN_FAILURES
 
 
 def test_a_flow_that_found_no_other_host_is_taken_all_the_same():
@@ -59,7 +59,7 @@
 def test_a_copy_of_an_opening_that_was_taken_passes():
     bench = Bench()
     assert bench.open(1.0, caller(9)).kind is FrameKind.ACCEPTED
-    for port in range(1, LEAST_FAILURES + 1):
+    for port in range(1, MIN_FAILURES + 1):
         reset_by_host(bench, port, 1.0)
     assert bench.open(1.2, caller(9)).kind is FrameKind.ACCEPTED
 
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -6,9 +6,9 @@
 
 from jasperwalk.scheduling.request_outcomes import (
     ANSWERED_IN_A_ROW,
-    LEAST_FAILURES,
     LONGEST_PAUSE_SECONDS,
     MAXIMUM_OUTCOMES,
+    MIN_FAILURES,
     RARE_TRIAL_SECONDS,
     SHORTEST_PAUSE_SECONDS,
     TRIAL_SECONDS,
@@ -80,8 +80,8 @@
 def failing(now=1.0):
     """Return a host that was just judged to fail."""
     outcomes = RequestOutcomes()
-    told = [outcomes.record_failure(now) for _ in range(LEAST_FAILURES)]
-    assert told == [False] * (LEAST_FAILURES - 1) + [True]
+    told = [outcomes.record_failure(now) for _ in range(MIN_FAILURES)]
+    assert told == [False] * (MIN_FAILURES - 1) + [True]
     return outcomes
 
 
