--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -24,7 +24,7 @@
 
 WINDOW_SECONDS = 2.0
 """Outcomes older than this say nothing of the host now."""
-MAXIMUM_OUTCOMES = 64
+MAX_OUTCOMES = 64
 """The newest outcomes that are kept: a bound of memory, a second of a fast host."""
 MIN_FAILURES = 3
 """Failures in the window from which a host may be failing; single ones come from elsewhere."""
@@ -54,9 +54,7 @@
 
     pause_seconds: float = SHORTEST_PAUSE_SECONDS
     """How long the host takes nothing after its next failure as a failing one."""
-    _outcomes: deque[tuple[float, bool]] = field(
-        default_factory=lambda: deque(maxlen=MAXIMUM_OUTCOMES)
-    )
+    _outcomes: deque[tuple[float, bool]] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
     """When each request ended, and whether it failed; the oldest first."""
     _paused_until: float | None = None
     """End of the pause of a failing host, None for a host that is not."""
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -7,7 +7,7 @@
 from jasperwalk.scheduling.request_outcomes import (
     ANSWERED_IN_A_ROW,
     LONGEST_PAUSE_SECONDS,
-    MAXIMUM_OUTCOMES,
+    MAX_OUTCOMES,
     MIN_FAILURES,
     RARE_TRIAL_SECONDS,
     SHORTEST_PAUSE_SECONDS,
@@ -137,4 +137,4 @@
     outcomes = RequestOutcomes()
     for _ in range(1000):
         outcomes.record_answer(1.0)
-    assert outcomes.counts(1.0).answered == MAXIMUM_OUTCOMES
+    assert outcomes.counts(1.0).answered == MAX_OUTCOMES
