--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -30,7 +30,7 @@
 """Failures in the window from which a host may be failing; single ones come from elsewhere."""
 FAILING_SHARE = 0.2
 """Part of the last outcomes that are failures from which a host is failing."""
-SHORTEST_PAUSE_SECONDS = 0.5
+MIN_PAUSE_SECONDS = 0.5
 LONGEST_PAUSE_SECONDS = 4.0
 TRIAL_SECONDS = 0.2
 """Pace of trials after the pause."""
@@ -52,7 +52,7 @@
 class RequestOutcomes:
     """Judges one host."""
 
-    pause_seconds: float = SHORTEST_PAUSE_SECONDS
+    pause_seconds: float = MIN_PAUSE_SECONDS
     """How long the host takes nothing after its next failure as a failing one."""
     _outcomes: deque[tuple[float, bool]] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
     """When each request ended, and whether it failed; the oldest first."""
@@ -122,4 +122,4 @@
         self._outcomes.clear()
         self._paused_until = None
         self._answered_in_a_row = 0
-        self.pause_seconds = SHORTEST_PAUSE_SECONDS
+        self.pause_seconds = MIN_PAUSE_SECONDS
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -9,8 +9,8 @@
     LONGEST_PAUSE_SECONDS,
     MAX_OUTCOMES,
     MIN_FAILURES,
+    MIN_PAUSE_SECONDS,
     RARE_TRIAL_SECONDS,
-    SHORTEST_PAUSE_SECONDS,
     TRIAL_SECONDS,
     WINDOW_SECONDS,
     RequestOutcomes,
@@ -94,7 +94,7 @@
 
 def test_after_the_pause_it_gets_trials_at_a_pace():
     outcomes = failing()
-    over = 1.0 + SHORTEST_PAUSE_SECONDS
+    over = 1.0 + MIN_PAUSE_SECONDS
     assert outcomes.refuses(True, over - 0.01)
     assert outcomes.refuses(True, over + TRIAL_SECONDS - 0.01)
     assert not outcomes.refuses(True, over + TRIAL_SECONDS + 0.01)
@@ -105,13 +105,13 @@
 def test_answered_trials_in_a_row_clear_it_and_the_pause_begins_anew():
     outcomes = failing()
     outcomes.record_failure(2.0)
-    assert outcomes.pause_seconds == 2 * SHORTEST_PAUSE_SECONDS
+    assert outcomes.pause_seconds == 2 * MIN_PAUSE_SECONDS
     now = 2.0 + outcomes.pause_seconds
     told = [outcomes.record_answer(now) for _ in range(ANSWERED_IN_A_ROW)]
     assert told == [False] * (ANSWERED_IN_A_ROW - 1) + [True]
     assert not outcomes.is_failing()
     assert not outcomes.refuses(False, now)
-    assert outcomes.pause_seconds == SHORTEST_PAUSE_SECONDS
+    assert outcomes.pause_seconds == MIN_PAUSE_SECONDS
 
 
 def test_a_failed_trial_makes_the_next_pause_longer_up_to_a_bound():
@@ -130,7 +130,7 @@
         assert not outcomes.record_answer(1.1)
         assert not outcomes.record_failure(1.1)
     assert outcomes.is_failing()
-    assert outcomes.pause_seconds == SHORTEST_PAUSE_SECONDS
+    assert outcomes.pause_seconds == MIN_PAUSE_SECONDS
 
 
 def test_what_is_remembered_is_bounded():
