--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -31,7 +31,7 @@
 FAILING_SHARE = 0.2
 """Part of the last outcomes that are failures from which a host is failing."""
 MIN_PAUSE_SECONDS = 0.5
-LONGEST_PAUSE_SECONDS = 4.0
+MAX_PAUSE_SECONDS = 4.0
 TRIAL_SECONDS = 0.2
 """Pace of trials after the pause."""
 RARE_TRIAL_SECONDS = 2.0
@@ -105,7 +105,7 @@
         """Begin a longer pause after a failed trial; failures within a pause are from before."""
         if now < paused_until:
             return
-        self.pause_seconds = min(2 * self.pause_seconds, LONGEST_PAUSE_SECONDS)
+        self.pause_seconds = min(2 * self.pause_seconds, MAX_PAUSE_SECONDS)
         self._paused_until = now + self.pause_seconds
 
     def refuses(self, repeatable: bool, now: float) -> bool:
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -6,8 +6,8 @@
 
 from jasperwalk.scheduling.request_outcomes import (
     ANSWERED_IN_A_ROW,
-    LONGEST_PAUSE_SECONDS,
     MAX_OUTCOMES,
+    MAX_PAUSE_SECONDS,
     MIN_FAILURES,
     MIN_PAUSE_SECONDS,
     RARE_TRIAL_SECONDS,
@@ -121,7 +121,7 @@
         now += outcomes.pause_seconds + 0.01
         outcomes.record_failure(now)
         assert outcomes.refuses(True, now + outcomes.pause_seconds - 0.01)
-    assert outcomes.pause_seconds == LONGEST_PAUSE_SECONDS
+    assert outcomes.pause_seconds == MAX_PAUSE_SECONDS
 
 
 def test_requests_from_before_the_pause_neither_clear_nor_prolong_it():
