--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -36,7 +36,7 @@
 """Pace of trials after the pause."""
 RARE_TRIAL_SECONDS = 2.0
 """The same where no flow comes whose requests may be repeated."""
-ANSWERED_IN_A_ROW = 5
+RECOVERY_ANSWERS = 5
 """Trials answered one after the other that end the judgement: a host that fails half of its
 requests passes one time in 32."""
 
@@ -82,7 +82,7 @@
         if self._paused_until is None or now < self._paused_until:
             return False
         self._answered_in_a_row += 1
-        if self._answered_in_a_row < ANSWERED_IN_A_ROW:
+        if self._answered_in_a_row < RECOVERY_ANSWERS:
             return False
         self.reset()
         return True
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -5,12 +5,12 @@
 import pytest
 
 from jasperwalk.scheduling.request_outcomes import (
-    ANSWERED_IN_A_ROW,
     MAX_OUTCOMES,
     MAX_PAUSE_SECONDS,
     MIN_FAILURES,
     MIN_PAUSE_SECONDS,
     RARE_TRIAL_SECONDS,
+    RECOVERY_ANSWERS,
     TRIAL_SECONDS,
     WINDOW_SECONDS,
     RequestOutcomes,
@@ -107,8 +107,8 @@
     outcomes.record_failure(2.0)
     assert outcomes.pause_seconds == 2 * MIN_PAUSE_SECONDS
     now = 2.0 + outcomes.pause_seconds
-    told = [outcomes.record_answer(now) for _ in range(ANSWERED_IN_A_ROW)]
-    assert told == [False] * (ANSWERED_IN_A_ROW - 1) + [True]
+    told = [outcomes.record_answer(now) for _ in range(RECOVERY_ANSWERS)]
+    assert told == [False] * (RECOVERY_ANSWERS - 1) + [True]
     assert not outcomes.is_failing()
     assert not outcomes.refuses(False, now)
     assert outcomes.pause_seconds == MIN_PAUSE_SECONDS
