--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -21,8 +21,8 @@
 
 
 def names(directory):
-    told = directory.agents(0.0)
-    return {each.name for each in told.records if each.endpoint not in told.removed}
+    update = directory.agents(0.0)
+    return {each.name for each in update.records if each.endpoint not in update.removed}
 
 
 def heartbeat(process_incarnation, sequence):
@@ -135,10 +135,10 @@
     directory = NodeDirectory(1)
     directory.announce(node(1))
     directory.unlink(node(1), 10.0)
-    told = directory.agents(12.5)
-    assert told.removals() == [(node(1).endpoint, 2.5)]
-    assert told.records == [node(1)]
-    assert told.removed == [node(1).endpoint]
+    update = directory.agents(12.5)
+    assert update.removals() == [(node(1).endpoint, 2.5)]
+    assert update.records == [node(1)]
+    assert update.removed == [node(1).endpoint]
     directory.expire(10.0 + LOST_NODE_RETENTION_SECONDS + 0.1)
     assert names(directory) == set()
 
