--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -17,7 +17,7 @@
 
 HOST_SILENCE_SECONDS = 0.4
 """Silence after an opening packet from which a host does not answer."""
-TRIAL_SECONDS = 0.5
+TRIAL_INTERVAL_SECONDS = 0.5
 """Pace of trials of a host that has announced itself since it fell silent."""
 RARE_TRIAL_SECONDS = 2.0
 """Pace of trials of a host that has not."""
@@ -84,12 +84,12 @@
 
     def refuses_after_returns(self, now: float) -> bool:
         """Tell whether a new flow is kept from a host that hands them back."""
-        return self.returns_openings() and now - self._tried_at < TRIAL_SECONDS
+        return self.returns_openings() and now - self._tried_at < TRIAL_INTERVAL_SECONDS
 
     def refuses(self, announced_at: float, now: float) -> bool:
         """Tell whether a new flow is kept from the host, which last announced itself then."""
         since = self._unanswered_since
         if since is None or not self.is_silent(now):
             return False
-        pause_seconds = TRIAL_SECONDS if announced_at > since else RARE_TRIAL_SECONDS
+        pause_seconds = TRIAL_INTERVAL_SECONDS if announced_at > since else RARE_TRIAL_SECONDS
         return now - self._tried_at < pause_seconds
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -32,7 +32,7 @@
 """Part of the last outcomes that are failures from which a host is failing."""
 MIN_PAUSE_SECONDS = 0.5
 MAX_PAUSE_SECONDS = 4.0
-TRIAL_SECONDS = 0.2
+TRIAL_INTERVAL_SECONDS = 0.2
 """Pace of trials after the pause."""
 RARE_TRIAL_SECONDS = 2.0
 """The same where no flow comes whose requests may be repeated."""
@@ -114,7 +114,7 @@
             return False
         if now < self._paused_until:
             return True
-        pace_seconds = TRIAL_SECONDS if repeatable else RARE_TRIAL_SECONDS
+        pace_seconds = TRIAL_INTERVAL_SECONDS if repeatable else RARE_TRIAL_SECONDS
         return now - max(self._tried_at, self._paused_until) < pace_seconds
 
     def reset(self) -> None:
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -21,7 +21,7 @@
 OBJECTIVE_SHARE = 0.8
 """Part of the time that a caller wants its answer in that the host may use; the rest is for the
 way there and back, and for requests that take longer than most."""
-TRIAL_SECONDS = 0.5
+TRIAL_INTERVAL_SECONDS = 0.5
 """A slow host that has no request and has got no flow for this long gets one, whatever its expected
 time. Requests that are under way tell as much as a trial."""
 
@@ -88,7 +88,7 @@
         `busy` counts requests under way. `remaining_seconds` is the time left until the caller
         wants its answer, None where that is not known: then it is not to wait for a slot.
         """
-        is_trial_due = busy == 0 and now - self._admitted_at >= TRIAL_SECONDS
+        is_trial_due = busy == 0 and now - self._admitted_at >= TRIAL_INTERVAL_SECONDS
         if not self._is_slow or is_trial_due:
             return False
         if remaining_seconds is None:
--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -8,7 +8,7 @@
 from jasperwalk.scheduling.request_outcomes import (
     MIN_FAILURES,
     MIN_PAUSE_SECONDS,
-    TRIAL_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
 )
 from tests.agent.datagrams.support import Bench
 from tests.flows.support import ENDING, RESET, from_caller, from_host
@@ -50,7 +50,7 @@
 
 def test_trials_are_made_with_requests_that_may_be_repeated():
     bench = failing_bench()
-    now = 1.02 + MIN_PAUSE_SECONDS + TRIAL_SECONDS
+    now = 1.02 + MIN_PAUSE_SECONDS + TRIAL_INTERVAL_SECONDS
     assert bench.open(now, caller(50)).kind is FrameKind.REFUSED
     assert bench.open(now, caller(51), flags=FLAG_REPEATABLE).kind is FrameKind.ACCEPTED
     assert bench.open(now, caller(52), flags=FLAG_REPEATABLE).kind is FrameKind.REFUSED
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -13,7 +13,7 @@
     HOST_SILENCE_SECONDS,
     RETURNS_IN_A_ROW,
     SILENT_LOAD_FACTOR,
-    TRIAL_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
 )
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
@@ -252,7 +252,7 @@
     assert (answer.kind, answer.flags) == (FrameKind.REFUSED, RefusalReason.RETURNED)
     assert answer.load == SILENT_LOAD_FACTOR * 2
     trial = Endpoint("100.64.0.9", 2)
-    assert bench.open(1.0 + TRIAL_SECONDS, trial).kind is FrameKind.ACCEPTED
+    assert bench.open(1.0 + TRIAL_INTERVAL_SECONDS, trial).kind is FrameKind.ACCEPTED
     bench.agent.receive_host_packet(greeting(trial), 1.6)
     assert bench.agent.log.names()[-1] == "host-takes-openings"
     assert bench.open(1.61, Endpoint("100.64.0.9", 3)).kind is FrameKind.ACCEPTED
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -14,7 +14,7 @@
 from jasperwalk.scheduling.slow_host import (
     RECOVERY_FACTOR,
     SLOW_FACTOR,
-    TRIAL_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
     VERDICT_LIFETIME_SECONDS,
     SlowHost,
 )
@@ -195,7 +195,7 @@
 def test_an_idle_slow_host_gets_a_trial_now_and_then():
     play = slow_play()
     play.slow_host.record_admission(play.now)
-    now = play.now + TRIAL_SECONDS
+    now = play.now + TRIAL_INTERVAL_SECONDS
     assert play.slow_host.refuses("kind", 0, 2, 0.1, now - 0.01)
     assert not play.slow_host.refuses("kind", 0, 2, 0.1, now)
     assert play.slow_host.refuses("kind", 1, 2, 0.1, now)
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -11,7 +11,7 @@
     MIN_PAUSE_SECONDS,
     RARE_TRIAL_SECONDS,
     RECOVERY_ANSWERS,
-    TRIAL_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
     WINDOW_SECONDS,
     RequestOutcomes,
 )
@@ -96,9 +96,9 @@
     outcomes = failing()
     over = 1.0 + MIN_PAUSE_SECONDS
     assert outcomes.refuses(True, over - 0.01)
-    assert outcomes.refuses(True, over + TRIAL_SECONDS - 0.01)
-    assert not outcomes.refuses(True, over + TRIAL_SECONDS + 0.01)
-    assert outcomes.refuses(False, over + TRIAL_SECONDS + 0.01)
+    assert outcomes.refuses(True, over + TRIAL_INTERVAL_SECONDS - 0.01)
+    assert not outcomes.refuses(True, over + TRIAL_INTERVAL_SECONDS + 0.01)
+    assert outcomes.refuses(False, over + TRIAL_INTERVAL_SECONDS + 0.01)
     assert not outcomes.refuses(False, over + RARE_TRIAL_SECONDS + 0.01)
 
 
