--- a/tests/control/fleet/support.py
+++ b/tests/control/fleet/support.py
@@ -14,13 +14,13 @@
 from jasperwalk_lab.ports import common_port
 
 ZONES = ("a", "b")
-PATIENCE_SECONDS = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 """Bound of every wait; nothing is asserted about how long things take."""
 
 
 async def until(condition):
     """Wait until the condition holds."""
-    async with asyncio.timeout(PATIENCE_SECONDS):
+    async with asyncio.timeout(WAIT_LIMIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
@@ -131,7 +131,7 @@
         )
 
     async def _until(self, send, acknowledged):
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(WAIT_LIMIT_SECONDS):
             while True:
                 leader = self.leader
                 if leader is not None:
@@ -146,7 +146,7 @@
         That is the one reason for which a leader may have no answer. An old configuration, or
         none at all where one was acknowledged, is returned and fails the test that asked.
         """
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(WAIT_LIMIT_SECONDS):
             while True:
                 leader = self.leader
                 if leader is not None:
