--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -19,7 +19,7 @@
 """Silence after an opening packet from which a host does not answer."""
 TRIAL_INTERVAL_SECONDS = 0.5
 """Pace of trials of a host that has announced itself since it fell silent."""
-RARE_TRIAL_SECONDS = 2.0
+RARE_TRIAL_INTERVAL_SECONDS = 2.0
 """Pace of trials of a host that has not."""
 RETURNS_IN_A_ROW = 3
 """Opening packets handed back one after the other from which a host takes no flows. A host that is
@@ -91,5 +91,7 @@
         since = self._unanswered_since
         if since is None or not self.is_silent(now):
             return False
-        pause_seconds = TRIAL_INTERVAL_SECONDS if announced_at > since else RARE_TRIAL_SECONDS
+        pause_seconds = (
+            TRIAL_INTERVAL_SECONDS if announced_at > since else RARE_TRIAL_INTERVAL_SECONDS
+        )
         return now - self._tried_at < pause_seconds
--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -34,7 +34,7 @@
 MAX_PAUSE_SECONDS = 4.0
 TRIAL_INTERVAL_SECONDS = 0.2
 """Pace of trials after the pause."""
-RARE_TRIAL_SECONDS = 2.0
+RARE_TRIAL_INTERVAL_SECONDS = 2.0
 """The same where no flow comes whose requests may be repeated."""
 RECOVERY_ANSWERS = 5
 """Trials answered one after the other that end the judgement: a host that fails half of its
@@ -114,7 +114,7 @@
             return False
         if now < self._paused_until:
             return True
-        pace_seconds = TRIAL_INTERVAL_SECONDS if repeatable else RARE_TRIAL_SECONDS
+        pace_seconds = TRIAL_INTERVAL_SECONDS if repeatable else RARE_TRIAL_INTERVAL_SECONDS
         return now - max(self._tried_at, self._paused_until) < pace_seconds
 
     def reset(self) -> None:
--- a/tests/agent/datagrams/test_host_response.py
+++ b/tests/agent/datagrams/test_host_response.py
@@ -2,7 +2,7 @@
 
 from jasperwalk.agent.datagrams.host_response import (
     HOST_SILENCE_SECONDS,
-    RARE_TRIAL_SECONDS,
+    RARE_TRIAL_INTERVAL_SECONDS,
     TRIAL_INTERVAL_SECONDS,
     HostResponse,
 )
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("announced_at", "pause"), [(0.5, RARE_TRIAL_SECONDS), (1.2, TRIAL_INTERVAL_SECONDS)]
+    ("announced_at", "pause"), [(0.5, RARE_TRIAL_INTERVAL_SECONDS), (1.2, TRIAL_INTERVAL_SECONDS)]
 )
 def test_a_silent_host_is_tried_now_and_then(announced_at, pause):
     response = asked_at(1.0)
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -9,7 +9,7 @@
     MAX_PAUSE_SECONDS,
     MIN_FAILURES,
     MIN_PAUSE_SECONDS,
-    RARE_TRIAL_SECONDS,
+    RARE_TRIAL_INTERVAL_SECONDS,
     RECOVERY_ANSWERS,
     TRIAL_INTERVAL_SECONDS,
     WINDOW_SECONDS,
@@ -99,7 +99,7 @@
     assert outcomes.refuses(True, over + TRIAL_INTERVAL_SECONDS - 0.01)
     assert not outcomes.refuses(True, over + TRIAL_INTERVAL_SECONDS + 0.01)
     assert outcomes.refuses(False, over + TRIAL_INTERVAL_SECONDS + 0.01)
-    assert not outcomes.refuses(False, over + RARE_TRIAL_SECONDS + 0.01)
+    assert not outcomes.refuses(False, over + RARE_TRIAL_INTERVAL_SECONDS + 0.01)
 
 
 def test_answered_trials_in_a_row_clear_it_and_the_pause_begins_anew():
