--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -25,7 +25,7 @@
 from tests.consensus.conftest import TICK_SECONDS, World
 
 REPEAT_SECONDS = 6.0
-PATIENCE_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 LONGEST_LATENESS_SECONDS = 5.0
 LONGEST_CLOSE_SECONDS = 0.25
 """How long after a late copy its sender's close arrives."""
@@ -140,7 +140,9 @@
     def attempt(self, zone, drained, number, began_at):
         attempt = Attempt()
         self.send(zone, drained, attempt)
-        self.later(PATIENCE_SECONDS, lambda: self.give_up(zone, drained, number, began_at, attempt))
+        self.later(
+            ANSWER_TIMEOUT_SECONDS, lambda: self.give_up(zone, drained, number, began_at, attempt)
+        )
 
     def give_up(self, zone, drained, number, began_at, attempt):
         if attempt.acknowledged:
