--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -114,8 +114,8 @@
             return False
         if now < self._paused_until:
             return True
-        pace_seconds = TRIAL_INTERVAL_SECONDS if repeatable else RARE_TRIAL_INTERVAL_SECONDS
-        return now - max(self._tried_at, self._paused_until) < pace_seconds
+        interval_seconds = TRIAL_INTERVAL_SECONDS if repeatable else RARE_TRIAL_INTERVAL_SECONDS
+        return now - max(self._tried_at, self._paused_until) < interval_seconds
 
     def reset(self) -> None:
         """Judge anew: the host was cleared, or another one has taken its place."""
