--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -26,7 +26,7 @@
 
 REPEAT_SECONDS = 6.0
 ANSWER_TIMEOUT_SECONDS = 1.0
-LONGEST_LATENESS_SECONDS = 5.0
+MAX_COPY_DELAY_SECONDS = 5.0
 LONGEST_CLOSE_SECONDS = 0.25
 """How long after a late copy its sender's close arrives."""
 ZONES = ("a", "b")
@@ -161,7 +161,7 @@
         """Send one copy: mostly at once, sometimes so late that its sender has closed."""
         delay = self.random.uniform(0.001, 0.02)
         if self.random.random() < 0.25:
-            delay = self.random.uniform(0.5, LONGEST_LATENESS_SECONDS)
+            delay = self.random.uniform(0.5, MAX_COPY_DELAY_SECONDS)
             self.counts["late"] += 1
         close_delay = self.random.uniform(0.0, LONGEST_CLOSE_SECONDS)
         replica_id = self.random.choice(sorted(self.nodes))
