--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -92,7 +92,7 @@
         self._outcomes.append((now, True))
         self._answered_in_a_row = 0
         if self._paused_until is not None:
-            self._prolong(self._paused_until, now)
+            self._extend_pause(self._paused_until, now)
             return False
         counts = self.counts(now)
         outcomes = counts.failed + counts.answered
@@ -101,7 +101,7 @@
         self._paused_until = now + self.pause_seconds
         return True
 
-    def _prolong(self, paused_until: float, now: float) -> None:
+    def _extend_pause(self, paused_until: float, now: float) -> None:
         """Begin a longer pause after a failed trial; failures within a pause are from before."""
         if now < paused_until:
             return
