--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -27,7 +27,7 @@
 REPEAT_SECONDS = 6.0
 ANSWER_TIMEOUT_SECONDS = 1.0
 MAX_COPY_DELAY_SECONDS = 5.0
-LONGEST_CLOSE_SECONDS = 0.25
+MAX_CLOSE_DELAY_SECONDS = 0.25
 """How long after a late copy its sender's close arrives."""
 ZONES = ("a", "b")
 ORDERS_PER_OPERATOR = 6
@@ -163,7 +163,7 @@
         if self.random.random() < 0.25:
             delay = self.random.uniform(0.5, MAX_COPY_DELAY_SECONDS)
             self.counts["late"] += 1
-        close_delay = self.random.uniform(0.0, LONGEST_CLOSE_SECONDS)
+        close_delay = self.random.uniform(0.0, MAX_CLOSE_DELAY_SECONDS)
         replica_id = self.random.choice(sorted(self.nodes))
         arrival = [0.0]
 
