--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -21,7 +21,7 @@
 """Pace of trials of a host that has announced itself since it fell silent."""
 RARE_TRIAL_INTERVAL_SECONDS = 2.0
 """Pace of trials of a host that has not."""
-RETURNS_IN_A_ROW = 3
+MAX_CONSECUTIVE_RETURNS = 3
 """Opening packets handed back one after the other from which a host takes no flows. A host that is
 full for a moment hands one or two back between those that it takes."""
 SILENT_LOAD_FACTOR = 16
@@ -52,7 +52,7 @@
     def record_returned(self) -> bool:
         """Note an opening packet handed back; return True if the host now counts as unable."""
         self._returned_in_a_row += 1
-        return self._returned_in_a_row == RETURNS_IN_A_ROW
+        return self._returned_in_a_row == MAX_CONSECUTIVE_RETURNS
 
     def record_taken(self) -> bool:
         """Note that the host took a new flow; return True where it counted as unable before."""
@@ -62,7 +62,7 @@
 
     def returns_openings(self) -> bool:
         """Tell whether the host has handed the last opening packets back."""
-        return self._returned_in_a_row >= RETURNS_IN_A_ROW
+        return self._returned_in_a_row >= MAX_CONSECUTIVE_RETURNS
 
     def unable_load(self, capacity: int) -> float:
         """Return the load that is told of a host that takes no flows."""
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent.datagrams.host_admission import most_requests
 from jasperwalk.agent.datagrams.host_response import (
     HOST_SILENCE_SECONDS,
-    RETURNS_IN_A_ROW,
+    MAX_CONSECUTIVE_RETURNS,
     SILENT_LOAD_FACTOR,
     TRIAL_INTERVAL_SECONDS,
 )
@@ -246,7 +246,7 @@
 def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
     """It answers at once and looks idle: without this it would draw all new flows."""
     bench = Bench()
-    hand_back(bench, RETURNS_IN_A_ROW)
+    hand_back(bench, MAX_CONSECUTIVE_RETURNS)
     assert bench.agent.log.names()[-2] == "host-returns-openings"
     answer = bench.open(1.1, Endpoint("100.64.0.9", 1))
     assert (answer.kind, answer.flags) == (FrameKind.REFUSED, RefusalReason.RETURNED)
@@ -260,11 +260,11 @@
 
 def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
     bench = Bench()
-    hand_back(bench, RETURNS_IN_A_ROW - 1)
+    hand_back(bench, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
     bench.open(1.1, taken)
     bench.agent.receive_host_packet(greeting(taken), 1.1)
-    hand_back(bench, RETURNS_IN_A_ROW - 1, 1.2)
+    hand_back(bench, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
     assert bench.open(1.3, Endpoint("100.64.0.9", 2)).kind is FrameKind.ACCEPTED
 
 
@@ -280,7 +280,7 @@
 
 def test_another_host_beside_the_agent_begins_with_a_clean_record():
     bench = Bench()
-    hand_back(bench, RETURNS_IN_A_ROW)
+    hand_back(bench, MAX_CONSECUTIVE_RETURNS)
     bench.agent.host_changed(1.1)
     assert bench.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
