--- a/tests/control/fleet/test_cluster.py
+++ b/tests/control/fleet/test_cluster.py
@@ -84,19 +84,19 @@
 def test_a_machine_that_is_gone_is_replaced_by_one_at_another_address(tmp_path):
     async def scenario():
         async with Cluster(tmp_path, 4) as cluster:
-            *_, newcomer = cluster.replicas
+            *_, replacement = cluster.replicas
             await cluster.put(configuration(1))
-            await newcomer.kill()
+            await replacement.kill()
             # An even number with a silent voter falls to the odd one below it.
             await until(lambda: cluster.leader and len(cluster.leader.voters) == 3)
-            shutil.rmtree(newcomer.folder)
-            newcomer.start()
+            shutil.rmtree(replacement.folder)
+            replacement.start()
             gone = next(each for each in cluster.replicas[:3] if not each.leads)
             await gone.kill()
-            await until(lambda: newcomer.life is not None and newcomer.life.is_voter())
+            await until(lambda: replacement.life is not None and replacement.life.is_voter())
             await until(lambda: cluster.leader and len(cluster.leader.voters) == 3)
             await cluster.put(configuration(2))
-            await until(lambda: newcomer.version == 2)
+            await until(lambda: replacement.version == 2)
 
     run(scenario())
 
