--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -35,7 +35,7 @@
     _unanswered_since: float | None = None
     _tried_at: float = 0.0
     _was_silent: bool = False
-    _returned_in_a_row: int = 0
+    _consecutive_returns: int = 0
 
     def record_opening(self, now: float) -> None:
         """Note that the host got an opening packet."""
@@ -51,18 +51,18 @@
 
     def record_returned(self) -> bool:
         """Note an opening packet handed back; return True if the host now counts as unable."""
-        self._returned_in_a_row += 1
-        return self._returned_in_a_row == MAX_CONSECUTIVE_RETURNS
+        self._consecutive_returns += 1
+        return self._consecutive_returns == MAX_CONSECUTIVE_RETURNS
 
     def record_taken(self) -> bool:
         """Note that the host took a new flow; return True where it counted as unable before."""
         was_unable = self.returns_openings()
-        self._returned_in_a_row = 0
+        self._consecutive_returns = 0
         return was_unable
 
     def returns_openings(self) -> bool:
         """Tell whether the host has handed the last opening packets back."""
-        return self._returned_in_a_row >= MAX_CONSECUTIVE_RETURNS
+        return self._consecutive_returns >= MAX_CONSECUTIVE_RETURNS
 
     def unable_load(self, capacity: int) -> float:
         """Return the load that is told of a host that takes no flows."""
