--- a/tests/control/fleet/support.py
+++ b/tests/control/fleet/support.py
@@ -79,20 +79,22 @@
         self.process = None
 
     @property
-    def life(self):
+    def fleet_replica(self):
         return None if self.process is None else self.process._replica
 
     @property
     def leads(self):
-        return self.life is not None and self.life.runner.is_settled
+        return self.fleet_replica is not None and self.fleet_replica.runner.is_settled
 
     @property
     def version(self):
-        return 0 if self.life is None else self.life.applier.state.held.version
+        return 0 if self.fleet_replica is None else self.fleet_replica.applier.state.held.version
 
     @property
     def voters(self):
-        return [] if self.life is None else self.life.runner.membership.voter_ids()
+        return (
+            [] if self.fleet_replica is None else self.fleet_replica.runner.membership.voter_ids()
+        )
 
 
 class Cluster:
--- a/tests/control/fleet/test_cluster.py
+++ b/tests/control/fleet/test_cluster.py
@@ -29,7 +29,7 @@
             await cluster.put(configuration(1))
             leader = cluster.leader
             follower = next(each for each in cluster.replicas if each is not leader)
-            await until(lambda: follower.life.runner.leader_id is not None)
+            await until(lambda: follower.fleet_replica.runner.leader_id is not None)
             for result in (await follower.service.put(configuration(2)), follower.service.read()):
                 assert (result.kind, result.replica.host) == ("ask-leader", leader.host)
 
@@ -76,7 +76,7 @@
             result = await leader.service.put(configuration(2))
             assert result.kind == "unavailable"
             await until(lambda: leader.service.read().kind == "unavailable")
-            await until(lambda: not leader.life.is_current())
+            await until(lambda: not leader.fleet_replica.is_current())
 
     run(scenario())
 
@@ -93,7 +93,11 @@
             replacement.start()
             gone = next(each for each in cluster.replicas[:3] if not each.leads)
             await gone.kill()
-            await until(lambda: replacement.life is not None and replacement.life.is_voter())
+            await until(
+                lambda: (
+                    replacement.fleet_replica is not None and replacement.fleet_replica.is_voter()
+                )
+            )
             await until(lambda: cluster.leader and len(cluster.leader.voters) == 3)
             await cluster.put(configuration(2))
             await until(lambda: replacement.version == 2)
@@ -105,11 +109,13 @@
     async def scenario():
         async with Cluster(tmp_path, 4) as cluster:
             away = cluster.replicas[3]
-            before = away.life.replica_id
+            before = away.fleet_replica.replica_id
             await away.kill()
             await until(lambda: cluster.leader and len(cluster.leader.voters) == 3)
             away.start()
-            await until(lambda: away.life is not None and away.life.replica_id != before)
+            await until(
+                lambda: away.fleet_replica is not None and away.fleet_replica.replica_id != before
+            )
             await cluster.put(configuration(3))
             await until(lambda: away.version == 3)
 
@@ -122,14 +128,14 @@
             await cluster.put(configuration(1))
             await cluster.all_hold(1)
             failing = next(each for each in cluster.replicas if not each.leads)
-            before = failing.life
+            before = failing.fleet_replica
 
             def refuse(_batch):
                 raise WriteFailed(path=tmp_path, reason="no space left")
 
             before.runner._storage.persist = refuse
             await cluster.put(configuration(2))
-            await until(lambda: failing.life not in (None, before))
+            await until(lambda: failing.fleet_replica not in (None, before))
             await cluster.put(configuration(3))
             await until(lambda: failing.version == 3)
 
--- a/tests/control/fleet/test_zone_orders.py
+++ b/tests/control/fleet/test_zone_orders.py
@@ -12,7 +12,11 @@
 
 
 def drained(replica):
-    return [] if replica.life is None else replica.life.applier.state.zones.drained_zones().zones
+    return (
+        []
+        if replica.fleet_replica is None
+        else replica.fleet_replica.applier.state.zones.drained_zones().zones
+    )
 
 
 def test_an_order_is_acknowledged_again_when_it_is_sent_again(tmp_path):
@@ -53,7 +57,7 @@
             await cluster.put(configuration(1))
             leader = cluster.leader
             follower = next(each for each in cluster.replicas if each is not leader)
-            await until(lambda: follower.life.runner.leader_id is not None)
+            await until(lambda: follower.fleet_replica.runner.leader_id is not None)
             result = await follower.zone_orders.order("a", True)
             assert (result.kind, result.replica.host) == ("ask-leader", leader.host)
             assert drained(leader) == []
