--- a/src/jasperwalk/scheduling/request_outcomes.py
+++ b/src/jasperwalk/scheduling/request_outcomes.py
@@ -58,7 +58,7 @@
     """When each request ended, and whether it failed; the oldest first."""
     _paused_until: float | None = None
     """End of the pause of a failing host, None for a host that is not."""
-    _answered_in_a_row: int = 0
+    _consecutive_answers: int = 0
     _tried_at: float = float("-inf")
 
     def is_failing(self) -> bool:
@@ -81,8 +81,8 @@
         self._outcomes.append((now, False))
         if self._paused_until is None or now < self._paused_until:
             return False
-        self._answered_in_a_row += 1
-        if self._answered_in_a_row < RECOVERY_ANSWERS:
+        self._consecutive_answers += 1
+        if self._consecutive_answers < RECOVERY_ANSWERS:
             return False
         self.reset()
         return True
@@ -90,7 +90,7 @@
     def record_failure(self, now: float) -> bool:
         """Note a request that failed; return True where the host begins to count as failing."""
         self._outcomes.append((now, True))
-        self._answered_in_a_row = 0
+        self._consecutive_answers = 0
         if self._paused_until is not None:
             self._extend_pause(self._paused_until, now)
             return False
@@ -121,5 +121,5 @@
         """Judge anew: the host was cleared, or another one has taken its place."""
         self._outcomes.clear()
         self._paused_until = None
-        self._answered_in_a_row = 0
+        self._consecutive_answers = 0
         self.pause_seconds = MIN_PAUSE_SECONDS
