--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -101,7 +101,7 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_home(monkeypatch):
+def unlimited_node_silence(monkeypatch):
     """Nodes of these tests send no pings."""
     monkeypatch.setattr(home_links, "NODE_SILENCE_SECONDS", NEVER_SECONDS)
 
