--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -69,6 +69,6 @@
     def check(self, now: float) -> None:
         """Log that the host no longer answers, or does again; call every second."""
         self.pace.check(now)
-        if self.response.has_turned(now):
+        if self.response.has_silence_changed(now):
             event = "host-silent" if self.response.is_silent(now) else "host-answers-again"
             self._log.note(event, **self._host.describe(now))
--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -77,7 +77,7 @@
         since = self._unanswered_since
         return since is not None and now - since > HOST_SILENCE_SECONDS
 
-    def has_turned(self, now: float) -> bool:
+    def has_silence_changed(self, now: float) -> bool:
         """Tell whether the host has fallen silent, or answers again, since the last call."""
         was_silent, self._was_silent = self._was_silent, self.is_silent(now)
         return was_silent != self._was_silent
