--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -220,15 +220,15 @@
 def returned_node(home):
     """Have a node link up twice, as it does when its first link went silent; return both."""
     silent = home.link(node(1))
-    anew = home.link(node(1))
-    return silent, anew
+    new_link = home.link(node(1))
+    return silent, new_link
 
 
 def test_the_late_end_of_a_silent_link_does_not_unlist_the_node_that_is_back():
     async def scenario(home):
         balancer = home.link(node(0, NodeRole.BALANCER))
-        silent, anew = returned_node(home)
-        await until(anew.updates)
+        silent, new_link = returned_node(home)
+        await until(new_link.updates)
         silent.close()
         await until(home.tasks[1].done)
         assert home.directory.counts()["agent"] == 1
@@ -239,12 +239,12 @@
 
 def test_a_link_that_the_node_has_given_up_ends_and_changes_nothing_more():
     async def scenario(home):
-        silent, anew = returned_node(home)
+        silent, new_link = returned_node(home)
         await until(lambda: silent.is_closed)
         silent.announce(in_phase(node(1), HostPhase.GONE))
         await until(home.tasks[0].done)
         assert home.directory.agents(0.0).records == [node(1)]
-        anew.close()
+        new_link.close()
         await until(lambda: home.directory.counts()["agent"] == 0)
 
     run(scenario, 0.0)
@@ -259,11 +259,11 @@
         records = [node(1), successor]
         links = [home.link(each) for each in (records[::-1] if late_first else records)]
         await until(lambda: all(link.updates() for link in links))
-        former, anew = links[::-1] if late_first else links
+        former, new_link = links[::-1] if late_first else links
         former.close()
         await until(home.tasks[late_first].done)
         assert home.directory.agents(0.0).records == [successor]
-        anew.close()
+        new_link.close()
         await until(lambda: home.directory.counts()["agent"] == 0)
 
     run(scenario, 0.0)
