--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -68,7 +68,7 @@
         """Return the load that is told of a host that takes no flows."""
         return float(SILENT_LOAD_FACTOR * capacity)
 
-    def is_unable(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Tell whether the host takes no new flows, by what it did with the last ones."""
         return self.returns_openings() or self.is_silent(now)
 
