--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -71,17 +71,17 @@
     def now(self):
         return self.world.now
 
-    def later(self, delay, action):
+    def schedule(self, delay, action):
         self.number += 1
         heapq.heappush(self.queue, (self.now + delay, self.number, action))
 
     def play(self):
         self.world.await_leader()
         for zone in ZONES:
-            self.later(self.random.uniform(0, 2), lambda one=zone: self.begin(one, True, 0))
-        self.later(1.0, lambda: self.configure(1))
+            self.schedule(self.random.uniform(0, 2), lambda one=zone: self.begin(one, True, 0))
+        self.schedule(1.0, lambda: self.configure(1))
         for _ in range(self.random.randint(1, 4)):
-            self.later(self.random.uniform(1, RACE_SECONDS * 0.8), self.disturb)
+            self.schedule(self.random.uniform(1, RACE_SECONDS * 0.8), self.disturb)
         end = self.now + RACE_SECONDS
         while self.now < end:
             self.step()
@@ -124,10 +124,10 @@
         hit = leader.disk.replica_id if is_leader_hit else self.random.choice(ids)
         if self.random.random() < 0.5:
             self.world.kill(hit)
-            self.later(self.random.uniform(0.2, 4.0), self.world.replicas[hit].start)
+            self.schedule(self.random.uniform(0.2, 4.0), self.world.replicas[hit].start)
         else:
             self.world.cut({hit})
-            self.later(self.random.uniform(0.2, 4.0), self.world.cuts.clear)
+            self.schedule(self.random.uniform(0.2, 4.0), self.world.cuts.clear)
 
     # Operators
 
@@ -140,7 +140,7 @@
     def attempt(self, zone, drained, number, began_at):
         attempt = Attempt()
         self.send(zone, drained, attempt)
-        self.later(
+        self.schedule(
             ANSWER_TIMEOUT_SECONDS, lambda: self.give_up(zone, drained, number, began_at, attempt)
         )
 
@@ -150,12 +150,12 @@
         elif self.now - began_at < REPEAT_SECONDS:
             pause = self.random.uniform(0.05, 0.3)
             attempt.closes_at = self.now
-            self.later(pause, lambda: self.attempt(zone, drained, number, began_at))
+            self.schedule(pause, lambda: self.attempt(zone, drained, number, began_at))
             return
         attempt.closes_at = self.now
         if number + 1 < ORDERS_PER_OPERATOR:
             pause = self.random.choice((0.05, 0.5, 3.0))
-            self.later(pause, lambda: self.begin(zone, not drained, number + 1))
+            self.schedule(pause, lambda: self.begin(zone, not drained, number + 1))
 
     def send(self, zone, drained, attempt):
         """Send one copy: mostly at once, sometimes so late that its sender has closed."""
@@ -177,7 +177,7 @@
             if leader == replica_id or (leader is not None and self.now < attempt.closes_at):
                 self.arrive(leader, ZoneOrder(zone, drained, None, self.now), attempt, waits)
 
-        self.later(delay, arrive)
+        self.schedule(delay, arrive)
 
     def leader_known_to(self, replica_id):
         node = self.world.replicas[replica_id].node
@@ -196,7 +196,7 @@
         )
         if pause:
             self.counts["paused"] += 1
-        self.later(pause, lambda: self.admit(replica_id, order, attempt, waits))
+        self.schedule(pause, lambda: self.admit(replica_id, order, attempt, waits))
 
     def admit(self, replica_id, order, attempt, waits):
         if not self.leads(replica_id):
@@ -217,7 +217,9 @@
         replica = self.world.replicas[replica_id]
         if entry is None or replica.applied_index < proposed.index:
             if replica.node is not None and self.now < attempt.closes_at:
-                self.later(TICK_SECONDS, lambda: self.await_commit(replica_id, proposed, attempt))
+                self.schedule(
+                    TICK_SECONDS, lambda: self.await_commit(replica_id, proposed, attempt)
+                )
         elif entry.term == proposed.term and self.random.random() > 0.15:
             # The rest of the acknowledgements is lost on its way.
             attempt.acknowledged = True
@@ -243,14 +245,14 @@
             command = PutConfiguration(version, b"text", ROUTES)
             leader.node.propose(encode_command(command), self.now)
             leader.pump()
-        self.later(self.random.uniform(0.5, 2.0), lambda: self.configure(version + 1))
+        self.schedule(self.random.uniform(0.5, 2.0), lambda: self.configure(version + 1))
 
     # What is checked
 
     def note_acknowledged(self, zone, drained):
         self.acknowledged[zone] = drained
         for delay in (0.5, 2.0):
-            self.later(delay, lambda: self.check(zone, drained))
+            self.schedule(delay, lambda: self.check(zone, drained))
 
     def check(self, zone, drained):
         """While no newer order is under way, a settled leader holds the acknowledged one."""
