--- a/src/jasperwalk/agent/datagrams/host_response.py
+++ b/src/jasperwalk/agent/datagrams/host_response.py
@@ -64,7 +64,7 @@
         """Tell whether the host has handed the last opening packets back."""
         return self._consecutive_returns >= MAX_CONSECUTIVE_RETURNS
 
-    def unable_load(self, capacity: int) -> float:
+    def unavailable_load(self, capacity: int) -> float:
         """Return the load that is told of a host that takes no flows."""
         return float(SILENT_LOAD_FACTOR * capacity)
 
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -71,5 +71,5 @@
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
         if self.watch.response.is_unavailable(now):
-            return self.watch.response.unable_load(self.host.capacity)
+            return self.watch.response.unavailable_load(self.host.capacity)
         return self.meter.load(now) + len(self.queue)
