--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -81,7 +81,7 @@
             self.schedule(self.random.uniform(0, 2), lambda one=zone: self.begin(one, True, 0))
         self.schedule(1.0, lambda: self.configure(1))
         for _ in range(self.random.randint(1, 4)):
-            self.schedule(self.random.uniform(1, RACE_SECONDS * 0.8), self.disturb)
+            self.schedule(self.random.uniform(1, RACE_SECONDS * 0.8), self.inject_fault)
         end = self.now + RACE_SECONDS
         while self.now < end:
             self.step()
@@ -116,7 +116,7 @@
         if is_settled(replica) and node.term != replica.node.term:
             node.term, node.leads_since = replica.node.term, self.now
 
-    def disturb(self):
+    def inject_fault(self):
         """Kill, or cut off, a replica for a while: mostly the one that leads."""
         leader = self.world.leader()
         ids = sorted(self.world.replicas)
