--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -84,14 +84,14 @@
 
     def pace_ms(self) -> float:
         """Return what a typical request takes now, in milliseconds; 0.0 where it is not known."""
-        return round(1000 * (self.slow_host.seconds(None) or 0.0), 1)
+        return round(1000 * (self.slow_host.service_seconds(None) or 0.0), 1)
 
     def told(self, flow_key: bytes, now: float) -> int:
         """Return the pace as a balancer learns it with the acceptance of this flow."""
         if not self.is_wanted:
             return UNKNOWN_PACE
         self.check(now)
-        return encode_pace(self.slow_host.seconds(self.codec.listener_of(flow_key)))
+        return encode_pace(self.slow_host.service_seconds(self.codec.listener_of(flow_key)))
 
     def refusal(
         self, flow_key: bytes | None, busy: int, terms: OpeningTerms, now: float
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -68,7 +68,7 @@
         newest = self._pace.newest_ratios(RECOVERY_REQUESTS)
         return len(newest) == RECOVERY_REQUESTS and max(newest) < RECOVERY_FACTOR
 
-    def seconds(self, kind: Hashable) -> float | None:
+    def service_seconds(self, kind: Hashable) -> float | None:
         """Return how long a request of a kind holds a slot now, None where it is not known.
 
         That is by the last judgement.
@@ -97,8 +97,8 @@
 
     def expected_seconds(self, kind: Hashable, busy: int, slots: int) -> float:
         """Return how long a new request waits for a slot and holds it, 0.0 where not known."""
-        own = self.seconds(kind)
-        typical = self.seconds(None)
+        own = self.service_seconds(kind)
+        typical = self.service_seconds(None)
         if own is None or typical is None:
             return 0.0
         ahead = max(0, busy + 1 - slots)
