--- a/tests/distribution/test_convergence.py
+++ b/tests/distribution/test_convergence.py
@@ -49,7 +49,7 @@
         world.add_follower(f"b{number}", BALANCER, lab.address(100 + number))
         world.add_follower(f"a{number}", AGENT, lab.address(number))
     for _ in range(600):
-        disturb(world, lab)
+        inject_faults(world, lab)
         world.step()
     for replica in world.replicas:
         replica.cut_off_since = None
@@ -60,7 +60,7 @@
     assert [each.core.facts.name for each in world.followers if not converged(world, each)] == []
 
 
-def disturb(world, lab) -> None:
+def inject_faults(world, lab) -> None:
     """Change the log, let replicas follow unevenly, cut replicas off, lose links."""
     draw = world.random
     if draw.random() < 0.4:
