--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -90,7 +90,7 @@
             if replica.node is None:
                 replica.start()
         self.world.run(8.0)
-        self.judge_end()
+        self.check_end()
         return self
 
     def step(self):
@@ -262,7 +262,7 @@
             return
         self.compare(zone, drained, self.nodes[leader.disk.replica_id].state)
 
-    def judge_end(self):
+    def check_end(self):
         leader = self.world.await_leader()
         node = self.nodes[leader.disk.replica_id]
         self.follow(leader.disk.replica_id, node)
