--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -146,7 +146,7 @@
 
     def give_up(self, zone, drained, number, began_at, attempt):
         if attempt.acknowledged:
-            self.note_acknowledged(zone, drained)
+            self.record_acknowledged(zone, drained)
         elif self.now - began_at < REPEAT_SECONDS:
             pause = self.random.uniform(0.05, 0.3)
             attempt.closes_at = self.now
@@ -249,7 +249,7 @@
 
     # What is checked
 
-    def note_acknowledged(self, zone, drained):
+    def record_acknowledged(self, zone, drained):
         self.acknowledged[zone] = drained
         for delay in (0.5, 2.0):
             self.schedule(delay, lambda: self.check(zone, drained))
