--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -141,10 +141,11 @@
         attempt = Attempt()
         self.send(zone, drained, attempt)
         self.schedule(
-            ANSWER_TIMEOUT_SECONDS, lambda: self.give_up(zone, drained, number, began_at, attempt)
+            ANSWER_TIMEOUT_SECONDS,
+            lambda: self.on_answer_timeout(zone, drained, number, began_at, attempt),
         )
 
-    def give_up(self, zone, drained, number, began_at, attempt):
+    def on_answer_timeout(self, zone, drained, number, began_at, attempt):
         if attempt.acknowledged:
             self.record_acknowledged(zone, drained)
         elif self.now - began_at < REPEAT_SECONDS:
