--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -78,7 +78,9 @@
     def play(self):
         self.world.await_leader()
         for zone in ZONES:
-            self.schedule(self.random.uniform(0, 2), lambda one=zone: self.begin(one, True, 0))
+            self.schedule(
+                self.random.uniform(0, 2), lambda one=zone: self.start_order(one, True, 0)
+            )
         self.schedule(1.0, lambda: self.configure(1))
         for _ in range(self.random.randint(1, 4)):
             self.schedule(self.random.uniform(1, RACE_SECONDS * 0.8), self.inject_fault)
@@ -131,7 +133,7 @@
 
     # Operators
 
-    def begin(self, zone, drained, number):
+    def start_order(self, zone, drained, number):
         """Send an order until it is acknowledged or the operator has repeated it long enough."""
         self.acknowledged[zone] = None
         self.counts["orders"] += 1
@@ -156,7 +158,7 @@
         attempt.closes_at = self.now
         if number + 1 < ORDERS_PER_OPERATOR:
             pause = self.random.choice((0.05, 0.5, 3.0))
-            self.schedule(pause, lambda: self.begin(zone, not drained, number + 1))
+            self.schedule(pause, lambda: self.start_order(zone, not drained, number + 1))
 
     def send(self, zone, drained, attempt):
         """Send one copy: mostly at once, sometimes so late that its sender has closed."""
