--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -139,21 +139,21 @@
         self.counts["orders"] += 1
         self.attempt(zone, drained, number, self.now)
 
-    def attempt(self, zone, drained, number, began_at):
+    def attempt(self, zone, drained, number, started_at):
         attempt = Attempt()
         self.send(zone, drained, attempt)
         self.schedule(
             ANSWER_TIMEOUT_SECONDS,
-            lambda: self.on_answer_timeout(zone, drained, number, began_at, attempt),
+            lambda: self.on_answer_timeout(zone, drained, number, started_at, attempt),
         )
 
-    def on_answer_timeout(self, zone, drained, number, began_at, attempt):
+    def on_answer_timeout(self, zone, drained, number, started_at, attempt):
         if attempt.acknowledged:
             self.record_acknowledged(zone, drained)
-        elif self.now - began_at < REPEAT_SECONDS:
+        elif self.now - started_at < REPEAT_SECONDS:
             pause = self.random.uniform(0.05, 0.3)
             attempt.closes_at = self.now
-            self.schedule(pause, lambda: self.attempt(zone, drained, number, began_at))
+            self.schedule(pause, lambda: self.attempt(zone, drained, number, started_at))
             return
         attempt.closes_at = self.now
         if number + 1 < ORDERS_PER_OPERATOR:
