--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -37,13 +37,13 @@
     assert sum(race.counts["paused"] for race in races) > 20
 
 
-def breaks_a_promise():
+def finds_violation():
     return any(play(seed).violations for seed in MUTANT_SEEDS)
 
 
 def test_mutant_an_order_that_reverses_a_new_one_does_not_pause(monkeypatch):
     monkeypatch.setattr(StaleOrderGuard, "pause_seconds", lambda *_: 0.0)
-    assert breaks_a_promise()
+    assert finds_violation()
 
 
 def test_mutant_an_order_counts_whether_or_not_its_caller_waits(monkeypatch):
@@ -53,7 +53,7 @@
         "take",
         lambda self, order, leadership, _waits, now: original(self, order, leadership, True, now),
     )
-    assert breaks_a_promise()
+    assert finds_violation()
 
 
 def test_mutant_a_restore_is_acknowledged_and_not_applied(monkeypatch):
@@ -66,4 +66,4 @@
         return outcome
 
     monkeypatch.setattr(VersionedState, "_order_zone", forget_restores)
-    assert breaks_a_promise()
+    assert finds_violation()
