--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -21,7 +21,7 @@
 ELECTION_SECONDS = 0.9
 QUORUM = 2
 SETTLE_SECONDS = 6.0
-LONGEST_RETURN_SECONDS = 20.0
+MAX_RETURN_SECONDS = 20.0
 LONGEST_MOVE_SECONDS = 5.0
 
 
@@ -112,7 +112,7 @@
     world.elected_at = world.now + outage_seconds
     world.run(outage_seconds)
     began = world.now
-    while fresh_count(world) < FOLLOWERS and world.now - began < LONGEST_RETURN_SECONDS:
+    while fresh_count(world) < FOLLOWERS and world.now - began < MAX_RETURN_SECONDS:
         world.run(0.5)
     print(f"back {world.now - began:.1f} s after {outage_seconds} s, {world.joins} joins")
     assert fresh_count(world) == FOLLOWERS
