--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -22,7 +22,7 @@
 QUORUM = 2
 SETTLE_SECONDS = 6.0
 MAX_RETURN_SECONDS = 20.0
-LONGEST_MOVE_SECONDS = 5.0
+MAX_MOVE_SECONDS = 5.0
 
 
 def loaded_world(lab, seed: int):
@@ -125,7 +125,7 @@
     world.cut_off = cut_off
     concerned = [each for each in world.followers if each.link.replica is cut_off]
     moved: dict[str, float] = {}
-    while world.now - began < LONGEST_MOVE_SECONDS:
+    while world.now - began < MAX_MOVE_SECONDS:
         world.step()
         for each in concerned:
             elsewhere = each.link is not None and each.link.replica is not cut_off
