--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -22,10 +22,10 @@
 
     __slots__ = ("asked_at", "kind", "started_at")
 
-    def __init__(self, kind: Hashable, requested_at: float) -> None:
+    def __init__(self, kind: Hashable, asked_at: float) -> None:
         self.kind = kind
-        self.requested_at = requested_at
-        self.started_at = requested_at
+        self.asked_at = asked_at
+        self.started_at = asked_at
         """When it took its slot; means nothing while it is queued."""
 
 
@@ -79,14 +79,14 @@
             return request
         overtaken = max(self._running, key=lambda each: self._running[each].started_at)
         waits = self._running.pop(overtaken)
-        request.started_at = max(waits.started_at, request.requested_at)
+        request.started_at = max(waits.started_at, request.asked_at)
         self._queued = {overtaken: waits, **self._queued}
         return request
 
     def _start_next(self, free_since: float) -> None:
         name = next(iter(self._queued))
         request = self._queued.pop(name)
-        request.started_at = max(request.requested_at, free_since)
+        request.started_at = max(request.asked_at, free_since)
         self._running[name] = request
 
     def running(self) -> Iterable[TrackedRequest]:
