--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -26,7 +26,7 @@
 from jasperwalk.consensus.durable import DurableState, SnapshotData
 from jasperwalk.consensus.election import Election
 from jasperwalk.consensus.entries import EntryKind, Membership
-from jasperwalk.consensus.following import Follower
+from jasperwalk.consensus.follower import Follower
 from jasperwalk.consensus.founding import Founding
 from jasperwalk.consensus.leadership import Leadership
 from jasperwalk.consensus.members import MembershipChange
