--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -296,7 +296,7 @@
 
 
 @pytest.fixture
-def lab() -> SimpleNamespace:
+def builders() -> SimpleNamespace:
     """The builders of this file."""
     return SimpleNamespace(
         World=World,
--- a/tests/distribution/test_convergence.py
+++ b/tests/distribution/test_convergence.py
@@ -10,25 +10,25 @@
 AGENT = SubscriberRole.AGENT
 
 
-def change_something(world, lab) -> None:
+def change_something(world, builders) -> None:
     """Append one random change that alters the table."""
     draw = world.random
     state = world.log.states[-1]
     kind = draw.random()
     if kind < 0.1:
-        name, port = str(draw.random()), draw.choice(lab.PORTS)
-        world.log.upsert(lab.service(draw.randint(1, 3), name, port))
+        name, port = str(draw.random()), draw.choice(builders.PORTS)
+        world.log.upsert(builders.service(draw.randint(1, 3), name, port))
     elif kind < 0.15 and ServiceKey(3) in state:
         world.log.remove(ServiceKey(3))
     elif kind < 0.25:
         rotation = draw.randint(0, 4)
         key = FleetKeyKey(KeyPurpose.TICKET, rotation)
-        world.log.remove(key) if key in state else world.log.upsert(lab.fleet_key(rotation))
+        world.log.remove(key) if key in state else world.log.upsert(builders.fleet_key(rotation))
     elif kind < 0.4 and any(isinstance(each, MemberEntry) for each in state.values()):
         members = [key for key in state if isinstance(key, MemberKey)]
         world.log.remove(draw.choice(members))
     else:
-        moved = lab.member(draw.randint(1, 9), draw.randint(1, 3), draw.randint(1, 10**9))
+        moved = builders.member(draw.randint(1, 9), draw.randint(1, 3), draw.randint(1, 10**9))
         world.log.upsert(moved)
 
 
@@ -42,14 +42,14 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_revisions_never_go_back_and_all_converge(lab, seed: int) -> None:
+def test_revisions_never_go_back_and_all_converge(builders, seed: int) -> None:
     print(f"seed {seed}")
-    world = lab.World(seed, replicas=3)
+    world = builders.World(seed, replicas=3)
     for number in range(1, 5):
-        world.add_follower(f"b{number}", BALANCER, lab.address(100 + number))
-        world.add_follower(f"a{number}", AGENT, lab.address(number))
+        world.add_follower(f"b{number}", BALANCER, builders.address(100 + number))
+        world.add_follower(f"a{number}", AGENT, builders.address(number))
     for _ in range(600):
-        inject_faults(world, lab)
+        inject_faults(world, builders)
         world.step()
     for replica in world.replicas:
         replica.cut_off_since = None
@@ -60,11 +60,11 @@
     assert [each.core.facts.name for each in world.followers if not converged(world, each)] == []
 
 
-def inject_faults(world, lab) -> None:
+def inject_faults(world, builders) -> None:
     """Change the log, let replicas follow unevenly, cut replicas off, lose links."""
     draw = world.random
     if draw.random() < 0.4:
-        change_something(world, lab)
+        change_something(world, builders)
     replica = draw.choice(world.replicas)
     if replica.cut_off_since is None and draw.random() < 0.5:
         replica.apply_to(draw.randint(replica.table.revision, len(world.log.changes)), world.now)
@@ -79,18 +79,18 @@
 
 @pytest.mark.parametrize("role", [BALANCER, AGENT])
 @pytest.mark.parametrize("missed", [1, 300])
-def test_a_follower_that_was_away_catches_up(lab, role: SubscriberRole, missed: int) -> None:
-    world = lab.World(5, replicas=1)
-    follower = world.add_follower("f", role, lab.address(1))
-    world.log.upsert(lab.service(1))
-    world.log.upsert(lab.member(1, 1))
+def test_a_follower_that_was_away_catches_up(builders, role: SubscriberRole, missed: int) -> None:
+    world = builders.World(5, replicas=1)
+    follower = world.add_follower("f", role, builders.address(1))
+    world.log.upsert(builders.service(1))
+    world.log.upsert(builders.member(1, 1))
     world.replicas[0].apply_to(2, world.now)
     world.run(1)
     assert converged(world, follower)
     follower.drop_link()
     follower.perform(follower.core.disconnected(world.now), world.now)
     for _ in range(missed):
-        change_something(world, lab)
+        change_something(world, builders)
         world.replicas[0].apply_to(len(world.log.changes), world.now)
     world.run(2)
     assert converged(world, follower)
@@ -98,10 +98,10 @@
 
 
 @pytest.mark.parametrize("fault", ["cut off", "behind", "silent"])
-def test_a_follower_leaves_a_bad_replica_for_a_good_one(lab, fault: str) -> None:
-    world = lab.World(1, replicas=2)
-    follower = world.add_follower("f", BALANCER, lab.address(100))
-    world.log.upsert(lab.service(1))
+def test_a_follower_leaves_a_bad_replica_for_a_good_one(builders, fault: str) -> None:
+    world = builders.World(1, replicas=2)
+    follower = world.add_follower("f", BALANCER, builders.address(100))
+    world.log.upsert(builders.service(1))
     for replica in world.replicas:
         replica.apply_to(1, world.now)
     world.run(1)
@@ -112,9 +112,9 @@
     elif fault == "silent":
         bad.tick = lambda now: None
     else:
-        world.log.upsert(lab.service(2))
+        world.log.upsert(builders.service(2))
         good.apply_to(2, world.now)
-        follower.core.table.update(2, [lab.service(2)], [])
+        follower.core.table.update(2, [builders.service(2)], [])
     world.run(1.5)
     assert follower.link.replica is bad, "left before the limit"
     world.run(2)
@@ -128,10 +128,10 @@
     assert follower.core.fresh(world.now)
 
 
-def test_without_a_quorum_followers_keep_their_table_and_back_off(lab) -> None:
-    world = lab.World(2, replicas=2)
-    follower = world.add_follower("f", BALANCER, lab.address(100))
-    world.log.upsert(lab.service(1))
+def test_without_a_quorum_followers_keep_their_table_and_back_off(builders) -> None:
+    world = builders.World(2, replicas=2)
+    follower = world.add_follower("f", BALANCER, builders.address(100))
+    world.log.upsert(builders.service(1))
     for replica in world.replicas:
         replica.apply_to(1, world.now)
     world.run(1)
@@ -139,7 +139,7 @@
         replica.cut_off_since = world.now
     world.run(60)
     assert not follower.core.fresh(world.now)
-    assert set(follower.core.table.entries()) == {lab.service(1)}
+    assert set(follower.core.table.entries()) == {builders.service(1)}
     assert 3 <= len(follower.connects) <= 60
     for replica in world.replicas:
         replica.cut_off_since = None
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -27,13 +27,13 @@
 
 
 @pytest.fixture
-def core(lab) -> FollowerCore:
+def core(builders) -> FollowerCore:
     """A follower at revision 10 with service 1, connected at time 0 to one of two replicas."""
-    facts = lab.facts("f", SubscriberRole.AGENT, lab.address(1))
-    replicas = [lab.address(200), lab.address(201)]
+    facts = builders.facts("f", SubscriberRole.AGENT, builders.address(1))
+    replicas = [builders.address(200), builders.address(201)]
     core = FollowerCore(FollowerConfig(), facts, replicas, random.Random(7))
     connect(core, 0.0)
-    core.message(Snapshot(10, 0, 1, [lab.service(1)]), 0.0)
+    core.message(Snapshot(10, 0, 1, [builders.service(1)]), 0.0)
     return core
 
 
@@ -83,14 +83,14 @@
 }
 
 
-def with_services(message, lab):
+def with_services(message, builders):
     """Put the services in place of their IDs in the table above."""
     match message:
         case Delta():
-            upserts = [lab.service(each) for each in message.upserts]
+            upserts = [builders.service(each) for each in message.upserts]
             return Delta(message.base_revision, message.revision, upserts, [])
         case Snapshot():
-            entries = [lab.service(each) for each in message.entries]
+            entries = [builders.service(each) for each in message.entries]
             return Snapshot(message.revision, message.part, message.parts, entries)
     return message
 
@@ -98,20 +98,20 @@
 @pytest.mark.parametrize(
     ("messages", "reason", "services", "revision"), FAULTS.values(), ids=FAULTS.keys()
 )
-def test_faults(lab, core, messages, reason, services, revision) -> None:
+def test_faults(builders, core, messages, reason, services, revision) -> None:
     effects = []
     for message in messages:
-        effects += core.message(with_services(message, lab), 0.1)
+        effects += core.message(with_services(message, builders), 0.1)
     assert leave_reason(effects) is reason
     assert {each.service_id for each in core.table.services()} == services
     assert core.table.revision == revision
 
 
-def test_parts_of_a_snapshot_do_not_outlive_the_connection(lab, core) -> None:
-    core.message(Snapshot(12, 0, 2, [lab.service(2)]), 0.1)
+def test_parts_of_a_snapshot_do_not_outlive_the_connection(builders, core) -> None:
+    core.message(Snapshot(12, 0, 2, [builders.service(2)]), 0.1)
     core.disconnected(0.2)
     connect(core, 1.0)
-    assert leave_reason(core.message(Snapshot(12, 1, 2, [lab.service(3)]), 1.1)) is not None
+    assert leave_reason(core.message(Snapshot(12, 1, 2, [builders.service(3)]), 1.1)) is not None
     assert core.table.revision == 10
 
 
@@ -151,10 +151,10 @@
     assert (send.message.revision, send.message.incarnation) == (10, 5)
 
 
-def test_a_table_is_fresh_only_once_it_has_the_replicas_revision(lab, core) -> None:
+def test_a_table_is_fresh_only_once_it_has_the_replicas_revision(builders, core) -> None:
     core.message(Heartbeat(11, 100, 0), 1.0)
     assert not core.fresh(1.0)
-    core.message(Delta(10, 11, [lab.service(2)], []), 1.2)
+    core.message(Delta(10, 11, [builders.service(2)], []), 1.2)
     assert core.fresh(1.2)
     assert core.freshness_age(1.2) == pytest.approx(0.3)
     assert not core.fresh(3.0)
@@ -176,14 +176,14 @@
     assert core.connected(effect.endpoint, 4.1) == []
 
 
-def test_services_may_swap_listeners_within_one_update(lab, core) -> None:
-    core.message(Delta(10, 11, [lab.service(2)], []), 0.1)
+def test_services_may_swap_listeners_within_one_update(builders, core) -> None:
+    core.message(Delta(10, 11, [builders.service(2)], []), 0.1)
     swapped = [
-        msgspec.structs.replace(lab.service(2), listener=lab.service(1).listener),
-        msgspec.structs.replace(lab.service(1), listener=lab.service(2).listener),
+        msgspec.structs.replace(builders.service(2), listener=builders.service(1).listener),
+        msgspec.structs.replace(builders.service(1), listener=builders.service(2).listener),
     ]
     core.message(Delta(11, 12, swapped, []), 0.2)
-    found = [core.table.service_at(lab.service(each).listener) for each in (1, 2)]
+    found = [core.table.service_at(builders.service(each).listener) for each in (1, 2)]
     assert found == swapped
 
 
@@ -200,8 +200,13 @@
     return tried
 
 
-def test_a_follower_finds_control_after_every_configured_replica_was_replaced(lab, core) -> None:
-    configured, present = [lab.address(200), lab.address(201)], [lab.address(202), lab.address(203)]
+def test_a_follower_finds_control_after_every_configured_replica_was_replaced(
+    builders, core
+) -> None:
+    configured, present = (
+        [builders.address(200), builders.address(201)],
+        [builders.address(202), builders.address(203)],
+    )
     core.message(ReplicaEndpoints(11, present), 0.1)
     core.message(ReplicaEndpoints(10, configured), 0.1)
     core.disconnected(1.0)
@@ -210,8 +215,8 @@
     assert tried[0] in present
 
 
-def test_configured_replicas_are_tried_when_the_learned_ones_stay_away(lab, core) -> None:
-    configured, learned = [lab.address(200), lab.address(201)], [lab.address(202)]
+def test_configured_replicas_are_tried_when_the_learned_ones_stay_away(builders, core) -> None:
+    configured, learned = [builders.address(200), builders.address(201)], [builders.address(202)]
     core.message(ReplicaEndpoints(11, learned), 0.1)
     core.message(ReplicaEndpoints(12, []), 0.1)
     core.disconnected(1.0)
@@ -220,9 +225,9 @@
     assert tried[-1] in configured
 
 
-def test_a_follower_stays_with_a_replica_that_is_not_listed_any_more(lab, core) -> None:
+def test_a_follower_stays_with_a_replica_that_is_not_listed_any_more(builders, core) -> None:
     following = core.replica
-    assert core.message(ReplicaEndpoints(11, [lab.address(202)]), 0.1) == []
+    assert core.message(ReplicaEndpoints(11, [builders.address(202)]), 0.1) == []
     core.message(Heartbeat(10, 0, 0), 0.2)
     assert core.replica == following
 
--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -25,8 +25,8 @@
 MAX_MOVE_SECONDS = 5.0
 
 
-def loaded_world(lab, seed: int):
-    class LoadedWorld(lab.World):
+def loaded_world(builders, seed: int):
+    class LoadedWorld(builders.World):
         """A world whose replicas take time for their subscribers."""
 
         def __init__(self) -> None:
@@ -91,14 +91,14 @@
     return sum(each.core.fresh(world.now) for each in world.followers)
 
 
-def joined_world(lab, seed: int):
+def joined_world(builders, seed: int):
     """Return a world all of whose followers have joined, one after the other, and are fresh."""
-    world = loaded_world(lab, seed)
-    world.log.upsert(lab.service(1))
+    world = loaded_world(builders, seed)
+    world.log.upsert(builders.service(1))
     for replica in world.replicas:
         replica.apply_to(1, world.now)
     for number in range(FOLLOWERS):
-        world.add_follower(f"b{number}", SubscriberRole.BALANCER, lab.address(number))
+        world.add_follower(f"b{number}", SubscriberRole.BALANCER, builders.address(number))
         world.run(STEP_SECONDS)
     world.run(SETTLE_SECONDS)
     assert fresh_count(world) == FOLLOWERS
@@ -107,8 +107,10 @@
 
 
 @pytest.mark.parametrize(("outage_seconds", "most_joins"), [(2.5, 360), (8.0, 2400)])
-def test_a_fleet_comes_back_after_an_outage_of_control(lab, outage_seconds, most_joins) -> None:
-    world = joined_world(lab, seed=1)
+def test_a_fleet_comes_back_after_an_outage_of_control(
+    builders, outage_seconds, most_joins
+) -> None:
+    world = joined_world(builders, seed=1)
     world.elected_at = world.now + outage_seconds
     world.run(outage_seconds)
     began = world.now
@@ -119,8 +121,8 @@
     assert world.joins <= most_joins
 
 
-def test_subscribers_of_a_cut_off_replica_are_on_a_fresh_one_within_seconds(lab) -> None:
-    world = joined_world(lab, seed=2)
+def test_subscribers_of_a_cut_off_replica_are_on_a_fresh_one_within_seconds(builders) -> None:
+    world = joined_world(builders, seed=2)
     cut_off, began = world.replicas[0], world.now
     world.cut_off = cut_off
     concerned = [each for each in world.followers if each.link.replica is cut_off]
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -29,10 +29,12 @@
 
 
 @pytest.fixture
-def table(lab) -> VersionedTable:
+def table(builders) -> VersionedTable:
     """A table at revision 3: a service with two members."""
     table = VersionedTable()
-    for revision, entry in enumerate([lab.service(1), lab.member(1, 1), lab.member(2, 1)], 1):
+    for revision, entry in enumerate(
+        [builders.service(1), builders.member(1, 1), builders.member(2, 1)], 1
+    ):
         table.upsert(entry, revision)
     return table
 
@@ -60,29 +62,29 @@
     return core.message(subscriber_id, Acknowledge(revision, True, 0), now)
 
 
-def test_a_small_table_is_sent_at_once(lab, core, table) -> None:
-    effects = core.subscriber_opened(1, lab.subscribe(), 0.0)
+def test_a_small_table_is_sent_at_once(builders, core, table) -> None:
+    effects = core.subscriber_opened(1, builders.subscribe(), 0.0)
     (snapshot,) = of_type(Delta, effects)
     assert set(snapshot.upserts) == set(table.entries())
 
 
-def test_a_delta_is_encoded_once_for_all_of_a_scope(lab, core, table) -> None:
+def test_a_delta_is_encoded_once_for_all_of_a_scope(builders, core, table) -> None:
     for number in range(50):
-        core.subscriber_opened(number, lab.subscribe(name=f"b{number}", revision=3), 0.0)
-    table.upsert(lab.member(3, 1), 4)
+        core.subscriber_opened(number, builders.subscribe(name=f"b{number}", revision=3), 0.0)
+    table.upsert(builders.member(3, 1), 4)
     effects = core.table_advanced(0.1)
     assert len(effects) == 50
     assert len({id(effect.payload) for effect in effects}) == 1
 
 
-def test_a_large_table_is_paced_by_the_links_budget(lab, table) -> None:
+def test_a_large_table_is_paced_by_the_links_budget(builders, table) -> None:
     for number in range(20_000):
-        table.upsert(lab.member(number, 1), 4)
+        table.upsert(builders.member(number, 1), 4)
     table.horizon = 1
     config = PublisherConfig(link_burst_bytes=100_000, outstanding_limit=10**6)
     core = PublisherCore(table, config)
     core.tick(0.0, 0.0)
-    lengths = [len(e.payload) for e in core.subscriber_opened(1, lab.subscribe(), 0.0)]
+    lengths = [len(e.payload) for e in core.subscriber_opened(1, builders.subscribe(), 0.0)]
     sent, longest = sum(lengths), max(lengths)
     assert 100_000 <= sent <= 100_000 + longest
     now = 0.0
@@ -93,21 +95,21 @@
     assert 0.9 * 60 * 5000 <= sent - 100_000 <= 60 * 5000 + longest
 
 
-def test_changes_wait_as_one_delta_while_a_subscriber_is_slow(lab, core, table) -> None:
-    core.subscriber_opened(1, lab.subscribe(revision=3), 0.0)
+def test_changes_wait_as_one_delta_while_a_subscriber_is_slow(builders, core, table) -> None:
+    core.subscriber_opened(1, builders.subscribe(revision=3), 0.0)
     sent = []
     for revision in range(4, 304):
-        table.upsert(lab.member(1, 1, weight=revision), revision)
+        table.upsert(builders.member(1, 1, weight=revision), revision)
         sent += of_type(Delta, core.table_advanced(1.0))
     assert [each.revision for each in sent] == [4, 5, 6, 7]
     (delta,) = of_type(Delta, acknowledge(core, 1, 7, 2.0))
     assert (delta.base_revision, delta.revision) == (7, 303)
-    assert delta.upserts == [lab.member(1, 1, weight=303)]
+    assert delta.upserts == [builders.member(1, 1, weight=303)]
 
 
-def test_heartbeats_cost_only_what_is_due_and_tell_the_quorums_age(lab, core) -> None:
+def test_heartbeats_cost_only_what_is_due_and_tell_the_quorums_age(builders, core) -> None:
     for number in range(2000):
-        subscribe = lab.subscribe(name=f"b{number}", revision=3)
+        subscribe = builders.subscribe(name=f"b{number}", revision=3)
         core.subscriber_opened(number, subscribe, number / 4000)
     assert core.next_deadline() == 0.5
     assert len(core.tick(0.55, 0.25)) == 201
@@ -116,43 +118,45 @@
     assert core.tick(0.6, 1.5) == []
 
 
-def test_a_publisher_that_stood_still_tells_its_true_age(lab, core) -> None:
-    assert closings(core.subscriber_opened(1, lab.subscribe(), 10.0)) == [
+def test_a_publisher_that_stood_still_tells_its_true_age(builders, core) -> None:
+    assert closings(core.subscriber_opened(1, builders.subscribe(), 10.0)) == [
         (1, CloseReason.STALE_REPLICA)
     ]
 
 
 @pytest.mark.parametrize("quorum_age", [2.1, math.inf])
-def test_a_replica_without_quorum_refuses(lab, core, quorum_age: float) -> None:
+def test_a_replica_without_quorum_refuses(builders, core, quorum_age: float) -> None:
     core.tick(1.0, quorum_age)
-    effects = core.subscriber_opened(1, lab.subscribe(), 1.0)
+    effects = core.subscriber_opened(1, builders.subscribe(), 1.0)
     assert messages(effects) == [Reject("stale-replica", "stale-replica", 1000)]
     assert core.subscriber_count == 0
 
 
-def test_other_refusals_and_closings(lab, table) -> None:
+def test_other_refusals_and_closings(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(subscriber_limit=1))
     core.tick(0.0, 0.0)
-    core.subscriber_opened(1, lab.subscribe(), 0.0)
-    assert closings(core.subscriber_opened(2, lab.subscribe(name="x"), 0.0)) == [
+    core.subscriber_opened(1, builders.subscribe(), 0.0)
+    assert closings(core.subscriber_opened(2, builders.subscribe(name="x"), 0.0)) == [
         (2, CloseReason.TOO_MANY_SUBSCRIBERS)
     ]
-    assert closings(core.message(1, lab.subscribe(), 0.0)) == [(1, CloseReason.SUBSCRIBED_TWICE)]
+    assert closings(core.message(1, builders.subscribe(), 0.0)) == [
+        (1, CloseReason.SUBSCRIBED_TWICE)
+    ]
     assert core.message(1, Acknowledge(1, True, 0), 0.0) == []
 
 
-def test_a_silent_subscriber_is_closed_and_a_reconnect_takes_over(lab, core) -> None:
-    core.subscriber_opened(1, lab.subscribe(), 0.0)
+def test_a_silent_subscriber_is_closed_and_a_reconnect_takes_over(builders, core) -> None:
+    core.subscriber_opened(1, builders.subscribe(), 0.0)
     core.tick(0.1, 0.0)
-    assert closings(core.subscriber_opened(2, lab.subscribe(), 1.0)) == [
+    assert closings(core.subscriber_opened(2, builders.subscribe(), 1.0)) == [
         (1, CloseReason.RECONNECTED)
     ]
     effects = [effect for step in range(140) for effect in core.tick(step / 20, 0.0)]
     assert closings(effects) == [(2, CloseReason.SILENT)]
 
 
-def test_a_publisher_that_stood_still_hears_its_subscribers_first(lab, core) -> None:
-    core.subscriber_opened(1, lab.subscribe(), 0.0)
+def test_a_publisher_that_stood_still_hears_its_subscribers_first(builders, core) -> None:
+    core.subscriber_opened(1, builders.subscribe(), 0.0)
     core.tick(0.1, 0.0)
     assert closings(core.tick(20.0, 0.0)) == []
     steps = [20.0 + step / 20 for step in range(1, 140)]
@@ -160,13 +164,15 @@
     assert closed_at == [pytest.approx(25.0, abs=0.6)]
 
 
-def test_an_agent_is_registered_and_hears_of_it_at_once(lab, core) -> None:
-    subscribe = lab.subscribe(AGENT, lab.address(1), name="host-1")
-    wanted = RegisterAgent(lab.address(1), "boot", "host-1", "a")
+def test_an_agent_is_registered_and_hears_of_it_at_once(builders, core) -> None:
+    subscribe = builders.subscribe(AGENT, builders.address(1), name="host-1")
+    wanted = RegisterAgent(builders.address(1), "boot", "host-1", "a")
     assert core.subscriber_opened(1, subscribe, 0.0)[0] == wanted
     proposals = [e for step in range(1, 21) for e in core.tick(step / 10, 0.0)]
     assert proposals.count(wanted) == 2
-    assert messages(core.agent_registered(lab.address(1), "boot", 7, 2.1)) == [Heartbeat(3, 100, 7)]
+    assert messages(core.agent_registered(builders.address(1), "boot", 7, 2.1)) == [
+        Heartbeat(3, 100, 7)
+    ]
     later = [e for step in range(22, 40) for e in core.tick(step / 10, 0.0)]
     assert wanted not in later
     assert of_type(Heartbeat, later)[-1].incarnation == 7
@@ -174,59 +180,59 @@
     assert (link.subscribe.boot_id, link.incarnation) == ("boot", 7)
 
 
-def test_the_older_process_at_an_address_is_refused(lab, core) -> None:
-    at = lab.address(1)
-    core.subscriber_opened(1, lab.subscribe(AGENT, at, boot_id="old"), 0.0)
+def test_the_older_process_at_an_address_is_refused(builders, core) -> None:
+    at = builders.address(1)
+    core.subscriber_opened(1, builders.subscribe(AGENT, at, boot_id="old"), 0.0)
     core.agent_registered(at, "old", 1, 0.0)
-    core.subscriber_opened(2, lab.subscribe(AGENT, at, boot_id="new"), 1.0)
+    core.subscriber_opened(2, builders.subscribe(AGENT, at, boot_id="new"), 1.0)
     effects = core.agent_registered(at, "new", 2, 1.0)
     assert closings(effects) == [(1, CloseReason.REPLACED)]
     assert of_type(Reject, effects)[0].kind == REPLACED_KIND
-    thawed = lab.subscribe(AGENT, at, boot_id="old", incarnation=1, revision=3)
+    thawed = builders.subscribe(AGENT, at, boot_id="old", incarnation=1, revision=3)
     effects = core.subscriber_opened(3, thawed, 1.5)
     assert closings(effects) == [(3, CloseReason.REPLACED)]
     assert not [each for each in effects if isinstance(each, RegisterAgent)]
     assert [each.subscribe.boot_id for each in core.links()] == ["new"]
 
 
-def test_a_replica_behind_proposes_nothing_for_an_agent_that_was_registered(lab, core) -> None:
-    at = lab.address(1)
+def test_a_replica_behind_proposes_nothing_for_an_agent_that_was_registered(builders, core) -> None:
+    at = builders.address(1)
     core.agent_registered(at, "old", 1, 0.0)
-    ahead = lab.subscribe(AGENT, at, boot_id="new", incarnation=2, revision=9)
+    ahead = builders.subscribe(AGENT, at, boot_id="new", incarnation=2, revision=9)
     effects = core.subscriber_opened(1, ahead, 0.0)
     assert messages(effects) == [Heartbeat(3, 0, 0)]
     assert len(effects) == 1
     assert messages(core.agent_registered(at, "new", 2, 0.1)) == [Heartbeat(3, 100, 2)]
 
 
-def test_an_agent_refused_by_control_is_closed(lab, core) -> None:
-    core.subscriber_opened(1, lab.subscribe(AGENT, lab.address(1)), 0.0)
-    assert core.agent_refused(lab.address(1), "another") == []
-    effects = core.agent_refused(lab.address(1), "boot")
+def test_an_agent_refused_by_control_is_closed(builders, core) -> None:
+    core.subscriber_opened(1, builders.subscribe(AGENT, builders.address(1)), 0.0)
+    assert core.agent_refused(builders.address(1), "another") == []
+    effects = core.agent_refused(builders.address(1), "boot")
     assert closings(effects) == [(1, CloseReason.REPLACED)]
 
 
-def test_an_agent_gets_its_own_service_and_another_when_it_moves(lab, core, table) -> None:
-    table.upsert(lab.service(2), 4)
-    table.upsert(lab.fleet_key(0), 4)
+def test_an_agent_gets_its_own_service_and_another_when_it_moves(builders, core, table) -> None:
+    table.upsert(builders.service(2), 4)
+    table.upsert(builders.fleet_key(0), 4)
     core.table_advanced(0.0)
-    effects = core.subscriber_opened(1, lab.subscribe(AGENT, lab.address(1)), 0.0)
+    effects = core.subscriber_opened(1, builders.subscribe(AGENT, builders.address(1)), 0.0)
     (first,) = of_type(Snapshot, effects)
-    members = {lab.member(1, 1), lab.member(2, 1)}
-    assert set(first.entries) == {lab.service(1), lab.fleet_key(0), *members}
-    table.upsert(lab.member(2, 2), 5)
+    members = {builders.member(1, 1), builders.member(2, 1)}
+    assert set(first.entries) == {builders.service(1), builders.fleet_key(0), *members}
+    table.upsert(builders.member(2, 2), 5)
     (left,) = of_type(Delta, core.table_advanced(0.1))
-    assert (left.upserts, [key.address for key in left.removals]) == ([], [lab.address(2)])
-    table.upsert(lab.member(1, 2), 6)
+    assert (left.upserts, [key.address for key in left.removals]) == ([], [builders.address(2)])
+    table.upsert(builders.member(1, 2), 6)
     (moved,) = of_type(Snapshot, core.table_advanced(0.2))
-    members = {lab.member(1, 2), lab.member(2, 2)}
-    assert set(moved.entries) == {lab.service(2), lab.fleet_key(0), *members}
+    members = {builders.member(1, 2), builders.member(2, 2)}
+    assert set(moved.entries) == {builders.service(2), builders.fleet_key(0), *members}
 
 
-def test_the_links_tell_what_each_subscriber_acknowledged(lab, core, table) -> None:
-    core.subscriber_opened(1, lab.subscribe(name="b1", at=lab.address(10)), 0.0)
-    core.subscriber_opened(2, lab.subscribe(name="b2", at=lab.address(11)), 0.0)
-    core.subscriber_opened(3, lab.subscribe(AGENT, lab.address(1), name="a1"), 0.0)
+def test_the_links_tell_what_each_subscriber_acknowledged(builders, core, table) -> None:
+    core.subscriber_opened(1, builders.subscribe(name="b1", at=builders.address(10)), 0.0)
+    core.subscriber_opened(2, builders.subscribe(name="b2", at=builders.address(11)), 0.0)
+    core.subscriber_opened(3, builders.subscribe(AGENT, builders.address(1), name="a1"), 0.0)
     acknowledge(core, 1, 3, 0.5)
     core.message(3, Acknowledge(3, False, 17), 0.7)
     links = {link.subscribe.name: link for link in core.links()}
@@ -241,9 +247,11 @@
     assert core.subscriber_count == 2
 
 
-def test_agents_of_a_service_share_the_bytes_of_its_snapshot(lab, core) -> None:
+def test_agents_of_a_service_share_the_bytes_of_its_snapshot(builders, core) -> None:
     sent = [
-        core.subscriber_opened(each, lab.subscribe(AGENT, lab.address(each), name=str(each)), 0.0)
+        core.subscriber_opened(
+            each, builders.subscribe(AGENT, builders.address(each), name=str(each)), 0.0
+        )
         for each in (1, 2)
     ]
     first, second = (effects[-1].payload for effects in sent)
@@ -251,58 +259,58 @@
     assert isinstance(FROM_PUBLISHER_DECODER.decode(first), Snapshot)
 
 
-def test_subscribers_are_told_of_the_replicas_once_and_when_they_change(lab, core) -> None:
-    first, second = [lab.address(200)], [lab.address(200), lab.address(201)]
-    assert of_type(ReplicaEndpoints, core.subscriber_opened(1, lab.subscribe(), 0.0)) == []
+def test_subscribers_are_told_of_the_replicas_once_and_when_they_change(builders, core) -> None:
+    first, second = [builders.address(200)], [builders.address(200), builders.address(201)]
+    assert of_type(ReplicaEndpoints, core.subscriber_opened(1, builders.subscribe(), 0.0)) == []
     assert of_type(ReplicaEndpoints, core.replicas_changed(7, first)) == [
         ReplicaEndpoints(7, first)
     ]
     assert core.replicas_changed(8, first) == []
-    opened = core.subscriber_opened(2, lab.subscribe(name="b2"), 0.0)
+    opened = core.subscriber_opened(2, builders.subscribe(name="b2"), 0.0)
     assert of_type(ReplicaEndpoints, opened) == [ReplicaEndpoints(7, first)]
     assert len(of_type(ReplicaEndpoints, core.replicas_changed(9, second))) == 2
 
 
-def test_snapshots_begin_in_turn_and_refused_ones_come_back_one_by_one(lab, table) -> None:
+def test_snapshots_begin_in_turn_and_refused_ones_come_back_one_by_one(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(join_limit=2, retries_per_second=10))
     core.tick(0.0, 0.0)
-    opened = [core.subscriber_opened(n, lab.subscribe(name=f"b{n}"), 0.0) for n in range(5)]
+    opened = [core.subscriber_opened(n, builders.subscribe(name=f"b{n}"), 0.0) for n in range(5)]
     rejects = [each for effects in opened for each in of_type(Reject, effects)]
     assert [each.kind for each in rejects] == ["too-many-snapshots"] * 3
     assert [each.retry_after_ms for each in rejects] == [1000, 1100, 1200]
-    holds_a_table = lab.subscribe(name="b5", revision=2)
+    holds_a_table = builders.subscribe(name="b5", revision=2)
     assert of_type(Reject, core.subscriber_opened(5, holds_a_table, 0.0)) == []
     acknowledge(core, 0, 3, 0.1)
-    assert of_type(Reject, core.subscriber_opened(6, lab.subscribe(name="b6"), 0.1)) == []
-    assert of_type(Reject, core.subscriber_opened(7, lab.subscribe(name="b7"), 0.1)) != []
+    assert of_type(Reject, core.subscriber_opened(6, builders.subscribe(name="b6"), 0.1)) == []
+    assert of_type(Reject, core.subscriber_opened(7, builders.subscribe(name="b7"), 0.1)) != []
     core.subscriber_closed(1)
-    assert of_type(Reject, core.subscriber_opened(8, lab.subscribe(name="b8"), 0.1)) == []
+    assert of_type(Reject, core.subscriber_opened(8, builders.subscribe(name="b8"), 0.1)) == []
 
 
-def test_a_slow_join_keeps_others_out_for_a_bounded_time(lab, table) -> None:
+def test_a_slow_join_keeps_others_out_for_a_bounded_time(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(join_limit=1, join_seconds=2.0))
     core.tick(0.0, 0.0)
-    core.subscriber_opened(1, lab.subscribe(name="b1"), 0.0)
-    assert of_type(Reject, core.subscriber_opened(2, lab.subscribe(name="b2"), 1.9)) != []
-    assert of_type(Reject, core.subscriber_opened(3, lab.subscribe(name="b3"), 2.0)) == []
+    core.subscriber_opened(1, builders.subscribe(name="b1"), 0.0)
+    assert of_type(Reject, core.subscriber_opened(2, builders.subscribe(name="b2"), 1.9)) != []
+    assert of_type(Reject, core.subscriber_opened(3, builders.subscribe(name="b3"), 2.0)) == []
 
 
-def test_turns_of_refused_subscribers_end_at_the_longest_retry(lab, core) -> None:
+def test_turns_of_refused_subscribers_end_at_the_longest_retry(builders, core) -> None:
     core.tick(0.0, math.inf)
     waits = [
-        of_type(Reject, core.subscriber_opened(n, lab.subscribe(), 0.0))[0].retry_after_ms
+        of_type(Reject, core.subscriber_opened(n, builders.subscribe(), 0.0))[0].retry_after_ms
         for n in range(4000)
     ]
     assert (min(waits), max(waits)) == (1000, 4000)
     assert max(waits.count(each) for each in set(waits)) <= 3
 
 
-def test_a_change_goes_out_in_slices_to_each_subscriber_once(lab, table) -> None:
+def test_a_change_goes_out_in_slices_to_each_subscriber_once(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(slice_subscribers=20))
     core.tick(0.0, 0.0)
     for number in range(50):
-        core.subscriber_opened(number, lab.subscribe(name=f"b{number}", revision=3), 0.0)
-    table.upsert(lab.member(3, 1), 4)
+        core.subscriber_opened(number, builders.subscribe(name=f"b{number}", revision=3), 0.0)
+    table.upsert(builders.member(3, 1), 4)
     slices = [core.table_advanced(0.1)]
     core.subscriber_closed(49)
     while core.next_deadline() < 0.1:
--- a/tests/distribution/test_registrations.py
+++ b/tests/distribution/test_registrations.py
@@ -42,10 +42,12 @@
 
 
 @pytest.mark.parametrize("incarnation", [0, 2])
-def test_a_replica_that_catches_up_does_not_refuse_the_newest_process(lab, incarnation):
+def test_a_replica_that_catches_up_does_not_refuse_the_newest_process(builders, incarnation):
     core = PublisherCore(VersionedTable(), PublisherConfig())
     core.tick(0.0, 0.0)
-    newest = lab.subscribe(SubscriberRole.AGENT, ADDRESS, boot_id="new", incarnation=incarnation)
+    newest = builders.subscribe(
+        SubscriberRole.AGENT, ADDRESS, boot_id="new", incarnation=incarnation
+    )
     core.subscriber_opened(1, newest, 0.0)
     # The log tells of the former process first.
     assert not [
--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -112,14 +112,14 @@
 
 
 @pytest.fixture
-def make_runner(lab):
+def make_runner(builders):
     def make(
         *hosts: PublisherHost,
         role: SubscriberRole = SubscriberRole.BALANCER,
         cluster: str = CLUSTER,
     ) -> FollowerRunner:
         replicas = [host.server.endpoint for host in hosts]
-        facts = lab.facts("f", role, lab.address(1))
+        facts = builders.facts("f", role, builders.address(1))
         core = FollowerCore(FollowerConfig(), facts, replicas, random.Random(3))
         return FollowerRunner(core, cluster, lambda table: CHANGES.append(table.revision))
 
@@ -128,29 +128,29 @@
 
 
 @pytest.fixture
-def table(lab) -> VersionedTable:
+def table(builders) -> VersionedTable:
     table = VersionedTable()
-    table.upsert(lab.service(1), 1)
-    table.upsert(lab.member(1, 1), 2)
+    table.upsert(builders.service(1), 1)
+    table.upsert(builders.member(1, 1), 2)
     return table
 
 
 def test_a_follower_takes_changes_and_moves_on_when_its_replica_ends(
-    lab, table, make_runner
+    builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
         async with PublisherHost(table) as first, PublisherHost(table) as second:
             runner = make_runner(first, second)
             async with running(runner):
                 await until(runner.fresh)
-                table.upsert(lab.member(2, 1), 3)
+                table.upsert(builders.member(2, 1), 3)
                 for host in (first, second):
                     host.perform(host.core.table_advanced(time.monotonic()))
                 await until(lambda: runner.table.revision == 3)
                 serving, other = (first, second) if first.connections else (second, first)
                 await serving.server.close()
                 await until(lambda: bool(other.connections and other.core.links()))
-                table.upsert(lab.member(3, 1), 4)
+                table.upsert(builders.member(3, 1), 4)
                 other.perform(other.core.table_advanced(time.monotonic()))
                 runner.healthy, runner.open_flows = True, 9
                 (link,) = other.core.links()
@@ -181,7 +181,7 @@
 
 
 def test_an_agent_hears_its_incarnation_and_stops_when_it_is_replaced(
-    lab, table, make_runner
+    builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
         async with PublisherHost(table) as host:
@@ -189,7 +189,7 @@
             async with running(runner) as task:
                 await until(lambda: runner.incarnation == 4)
                 now = time.monotonic()
-                host.perform(host.core.agent_registered(lab.address(1), "newer", 5, now))
+                host.perform(host.core.agent_registered(builders.address(1), "newer", 5, now))
                 await asyncio.wait_for(asyncio.shield(task), timeout=10)
                 assert runner.incarnation == 0
                 assert not runner.fresh()
