--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -52,8 +52,8 @@
     Proposed,
     Ready,
 )
-from jasperwalk.consensus.output import ReadyBuilder
 from jasperwalk.consensus.progress import Progress
+from jasperwalk.consensus.ready_builder import ReadyBuilder
 from jasperwalk.consensus.state import ReplicaState, Role
 
 
