--- a/tests/control/fleet/test_autopilot.py
+++ b/tests/control/fleet/test_autopilot.py
@@ -32,7 +32,7 @@
 FIVE = [voter(number) for number in range(1, 6)]
 
 
-def pilot(*requests):
+def make_autopilot(*requests):
     made = Autopilot()
     for replica_id, at, founding in requests:
         made.record_request(JoinRequest(replica_id, address(at), founding), 0.0)
@@ -76,22 +76,22 @@
 )
 def test_the_next_change(requests, listed, silent, change):
     ages = {each.replica_id: SILENT if each.replica_id in silent else 0.0 for each in listed}
-    assert pilot(*requests).next_change(members(*listed), ages, 1.0) == change
+    assert make_autopilot(*requests).next_change(members(*listed), ages, 1.0) == change
 
 
 def test_a_removed_replica_is_never_added_again():
-    made = pilot((2, 2, False))
+    made = make_autopilot((2, 2, False))
     listed = members(*FIVE[2:], removed=[2])
     assert made.next_change(listed, {}, 1.0) is None
 
 
 def test_a_newcomer_that_asks_no_longer_is_forgotten():
-    made = pilot((9, 9, False))
+    made = make_autopilot((9, 9, False))
     assert made.next_change(members(*FIVE), {}, REQUEST_LIFETIME_SECONDS + 0.1) is None
 
 
 def test_two_lost_disks_are_replaced_one_after_the_other_and_five_voters_remain():
-    made = pilot((11, 1, False), (12, 2, False))
+    made = make_autopilot((11, 1, False), (12, 2, False))
     listed, ages, sizes = members(*FIVE), {1: SILENT, 2: SILENT}, []
     for _ in range(20):
         change = made.next_change(listed, ages, 1.0)
