--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -9,11 +9,11 @@
 from jasperwalk.consensus.config import RaftConfig
 from jasperwalk.consensus.durable import DurableState, HardState, SnapshotData
 from jasperwalk.consensus.entries import EMPTY_MEMBERSHIP, EntryKind, LogEntry, Membership
-from jasperwalk.consensus.freshness import QuorumContact
 from jasperwalk.consensus.log import RaftLog
 from jasperwalk.consensus.members import MembershipHistory
 from jasperwalk.consensus.messages import RaftMessage
 from jasperwalk.consensus.outcomes import InvariantViolation, Outgoing
+from jasperwalk.consensus.quorum_contact import QuorumContact
 from jasperwalk.consensus.stall_grace import StallGrace
 
 
