--- a/src/jasperwalk/settings/loading.py
+++ b/src/jasperwalk/settings/loading.py
@@ -10,10 +10,10 @@
 from pydantic import ValidationError
 
 from jasperwalk.settings.errors import WHOLE_FILE, SettingsError
-from jasperwalk.settings.explaining import explain_validation_error
 from jasperwalk.settings.models import ProcessSettings
 from jasperwalk.settings.overrides import Override, apply_override, parse_override
 from jasperwalk.settings.types import BASE_FOLDER
+from jasperwalk.settings.validation_errors import explain_validation_error
 
 FLAGS_ONLY = "(flags)"
 """Named as the source of the settings when there is no file."""
