--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -193,7 +193,7 @@
                 case Connect():
                     self.connects.append((now, effect.endpoint))
                     self.link = self.world.open_link(effect.endpoint)
-                    self.world.greet(self, now)
+                    self.world.complete_connection(self, now)
                 case Disconnect():
                     self.reasons.append(effect.reason)
                     self.drop_link()
@@ -253,7 +253,7 @@
         replica.links[link.number] = link
         return link
 
-    def greet(self, follower: Follower, now: float) -> None:
+    def complete_connection(self, follower: Follower, now: float) -> None:
         endpoint = follower.link.replica.endpoint
         follower.perform(follower.core.connected(endpoint, now), now)
 
--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -38,7 +38,7 @@
             self.joins = 0
             self.cut_off = None
 
-        def greet(self, follower, now: float) -> None:
+        def complete_connection(self, follower, now: float) -> None:
             link = follower.link
             self.waiting[link.replica.endpoint].append((now, link, follower))
 
@@ -63,7 +63,7 @@
                 if link.number not in replica.links:
                     continue
                 if is_join:
-                    super().greet(work, self.now)
+                    super().complete_connection(work, self.now)
                 else:
                     super().deliver_to_replica(link, work)
 
