--- a/src/jasperwalk/settings/__init__.py
+++ b/src/jasperwalk/settings/__init__.py
@@ -10,7 +10,7 @@
     ProcessSettings,
 )
 from jasperwalk.settings.overrides import Override
-from jasperwalk.settings.starting import check_before_start
+from jasperwalk.settings.startup_checks import check_before_start
 
 __all__ = [
     "AgentSettings",
