--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -14,7 +14,7 @@
 
 from jasperwalk.errors import MalformedMessage
 from jasperwalk.fleet.question_batch import KEYS_PER_FRAME, QuestionBatch
-from jasperwalk.fleet.search import Confirm, Question, Search, SearchStep, SearchVerdict
+from jasperwalk.fleet.search import Confirm, Query, Search, SearchStep, SearchVerdict
 from jasperwalk.fleet.target import Target
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import DatagramSender, PacketCodec
@@ -178,7 +178,7 @@
         self.counters.search_questions += len(steps)
         for step in steps:
             target = step.target
-            if isinstance(step, Question):
+            if isinstance(step, Query):
                 target.note_question(now)
                 self._batch.ask(target, search.key)
                 continue
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -45,7 +45,7 @@
 """Rounds beyond the second at most: enough for `SILENT_QUESTIONS` in `SILENT_SECONDS`."""
 
 
-class Question(msgspec.Struct, frozen=True):
+class Query(msgspec.Struct, frozen=True):
     """Ask an agent whether it holds the flow."""
 
     target: Target
@@ -65,7 +65,7 @@
     packet: bytes
 
 
-SearchStep = Question | Probe | Confirm
+SearchStep = Query | Probe | Confirm
 
 
 class SearchVerdict(enum.Enum):
@@ -204,7 +204,7 @@
         self.rounds += 1
         self.deadline = now + ANSWER_SECONDS
         self.asked = dict.fromkeys(targets)
-        return [Question(target) for target in targets]
+        return [Query(target) for target in targets]
 
     def _probe_next(self, now: float) -> list[SearchStep]:
         """Show the first packet to the next candidate whose agent does not know.
@@ -252,7 +252,7 @@
     def _ask_again(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
         self.deadline = now + REPEAT_SECONDS
-        return [Question(target) for target in targets]
+        return [Query(target) for target in targets]
 
     def _denies_by_silence(self, target: Target) -> bool:
         """Tell whether an agent's silence says as much as its answer would.
