--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -18,7 +18,9 @@
     return MemberEntry(AT, 1, "h", "a", 1, 4, AdminState.ENABLED, status, incarnation)
 
 
-def seen(silence: float = 0.0, healthy: bool = True, incarnation: int = 3) -> AgentObservation:
+def observation(
+    silence: float = 0.0, healthy: bool = True, incarnation: int = 3
+) -> AgentObservation:
     return AgentObservation(AT, incarnation, healthy, silence)
 
 
@@ -33,24 +35,40 @@
 
 
 CASES = {
-    "well": (member(ONLINE), [seen()], None),
-    "comes back": (member(OFFLINE), [seen()], ONLINE),
-    "just within the limit": (member(ONLINE), [seen(3.0)], None),
-    "silent": (member(ONLINE), [seen(3.1)], OFFLINE),
+    "well": (member(ONLINE), [observation()], None),
+    "comes back": (member(OFFLINE), [observation()], ONLINE),
+    "just within the limit": (member(ONLINE), [observation(3.0)], None),
+    "silent": (member(ONLINE), [observation(3.1)], OFFLINE),
     "never seen": (member(ONLINE), [], OFFLINE),
-    "back end down": (member(ONLINE), [seen(healthy=False)], UNHEALTHY),
-    "back end still down": (member(UNHEALTHY), [seen(healthy=False)], None),
-    "back end well again": (member(UNHEALTHY), [seen()], ONLINE),
-    "back end down and then silent": (member(UNHEALTHY), [seen(3.1, healthy=False)], OFFLINE),
-    "comes back with its back end down": (member(OFFLINE), [seen(healthy=False)], UNHEALTHY),
-    "silence does not bring back": (member(OFFLINE), [seen(9.0)], None),
-    "seen by another replica": (member(ONLINE), [seen(9.0), seen(0.5)], None),
-    "older news does not count": (member(ONLINE), [seen(0.1), seen(2.0, healthy=False)], None),
-    "older process": (member(OFFLINE), [seen(incarnation=2)], None),
-    "older process in place of the registered": (member(ONLINE), [seen(incarnation=2)], OFFLINE),
-    "both processes": (member(OFFLINE), [seen(0.2, incarnation=2), seen(0.1)], ONLINE),
-    "unregistered process": (member(OFFLINE), [seen(incarnation=0)], None),
-    "member without registration": (member(UNREGISTERED, 0), [seen()], None),
+    "back end down": (member(ONLINE), [observation(healthy=False)], UNHEALTHY),
+    "back end still down": (member(UNHEALTHY), [observation(healthy=False)], None),
+    "back end well again": (member(UNHEALTHY), [observation()], ONLINE),
+    "back end down and then silent": (
+        member(UNHEALTHY),
+        [observation(3.1, healthy=False)],
+        OFFLINE,
+    ),
+    "comes back with its back end down": (member(OFFLINE), [observation(healthy=False)], UNHEALTHY),
+    "silence does not bring back": (member(OFFLINE), [observation(9.0)], None),
+    "seen by another replica": (member(ONLINE), [observation(9.0), observation(0.5)], None),
+    "older news does not count": (
+        member(ONLINE),
+        [observation(0.1), observation(2.0, healthy=False)],
+        None,
+    ),
+    "older process": (member(OFFLINE), [observation(incarnation=2)], None),
+    "older process in place of the registered": (
+        member(ONLINE),
+        [observation(incarnation=2)],
+        OFFLINE,
+    ),
+    "both processes": (
+        member(OFFLINE),
+        [observation(0.2, incarnation=2), observation(0.1)],
+        ONLINE,
+    ),
+    "unregistered process": (member(OFFLINE), [observation(incarnation=0)], None),
+    "member without registration": (member(UNREGISTERED, 0), [observation()], None),
 }
 
 
@@ -77,7 +95,7 @@
 
 def test_a_new_leader_acts_on_what_it_hears_during_its_grace(tracker) -> None:
     tracker.leader_started(100.0)
-    tracker.observe(seen(healthy=False), 100.1)
+    tracker.observe(observation(healthy=False), 100.1)
     assert [each.operating_status for each in tracker.evaluate([member(ONLINE)], 100.1)] == [
         UNHEALTHY
     ]
@@ -88,7 +106,7 @@
     for second in range(40):
         now = 100.0 + second
         well = second > 20 or second % 4 < 2
-        tracker.observe(seen(healthy=well), now)
+        tracker.observe(observation(healthy=well), now)
         for change in tracker.evaluate([entry], now):
             entry = msgspec.structs.replace(entry, operating_status=change.operating_status)
             if change.operating_status is ONLINE:
@@ -98,7 +116,7 @@
 
 
 def test_agents_that_are_no_members_are_forgotten(tracker) -> None:
-    tracker.observe(seen(), 100.0)
+    tracker.observe(observation(), 100.0)
     tracker.evaluate([], 100.0)
     assert len(tracker.evaluate([member(ONLINE)], 100.0)) == 1
 
@@ -110,7 +128,7 @@
         address = Endpoint("127.0.0.1", 8000 + number)
         members.append(msgspec.structs.replace(member(), address=address))
         if number >= silent:
-            reports.append(msgspec.structs.replace(seen(), address=address))
+            reports.append(msgspec.structs.replace(observation(), address=address))
     return members, reports
 
 
@@ -128,7 +146,7 @@
 def test_the_silence_of_most_members_is_doubted_for_a_while(tracker, count, silent, expected):
     members, heard = _many(count, silent)
     for each in members:
-        tracker.observe(msgspec.structs.replace(seen(), address=each.address), 100.0)
+        tracker.observe(msgspec.structs.replace(observation(), address=each.address), 100.0)
     now, changes = 100.0, []
     while not changes:
         now += 0.5
@@ -145,5 +163,5 @@
         # From second 108 on they come back, forty each half second.
         back = members[: max(0, (half_second - 216) * 40)] if now > 100.0 else members
         for each in back:
-            tracker.observe(msgspec.structs.replace(seen(), address=each.address), now)
+            tracker.observe(msgspec.structs.replace(observation(), address=each.address), now)
         assert tracker.evaluate(members, now) == []
