--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -33,7 +33,7 @@
 from jasperwalk.agent.process import Agent
 from jasperwalk.balancer.agent_sockets import SOCKET_BUFFER_BYTES
 from jasperwalk.balancer.core import BalancerCore
-from jasperwalk.config.table import KeyEntry, KeyPurpose, TableEntry
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose, TableEntry
 from jasperwalk.distribution.follower_table import FollowerTable
 from jasperwalk.messages.codec import encode
 from jasperwalk.messages.distribution import (
--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -21,7 +21,7 @@
 from bench.traffic import AGENT_HOSTS, KEY, member_entry, service_entry
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import Changes, VersionedTable
-from jasperwalk.config.table import MemberEntry, TableEntry
+from jasperwalk.config.table_entries import MemberEntry, TableEntry
 from jasperwalk.control.in_force import InForceLedger
 from jasperwalk.control.subscriber_reports import SubscriberReporter
 from jasperwalk.distribution.follower import FollowerCore
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -11,7 +11,7 @@
 from multiprocessing.synchronize import Event as ProcessEvent
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     HealthMonitor,
     KeyEntry,
--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -22,7 +22,7 @@
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
 from jasperwalk.agent.slot_search import AskBudget, Pause, SlotSearch
-from jasperwalk.config.table import Objective
+from jasperwalk.config.table_entries import Objective
 
 BORROWING_REASONS = frozenset(
     {NotRunReason.QUEUE_FULL, NotRunReason.DEADLINE_TOO_SHORT, NotRunReason.SHEDDING}
--- a/src/jasperwalk/agent/connection_id_factory.py
+++ b/src/jasperwalk/agent/connection_id_factory.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.stateless_reset import reset_token
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.routing.connection_ids import NONCE_LENGTH, ConnectionIdCodec, RoutableId
 
 RESET_TOKEN_LENGTH = 16
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -42,7 +42,7 @@
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import SlowStart
 from jasperwalk.agent.stray_packets import StrayPackets, answer_header
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.messages.codec import encode
 from jasperwalk.messages.datagram_seal import DatagramSeal
 from jasperwalk.messages.datagrams import ForwardedDatagram
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -30,7 +30,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import SlowStart
-from jasperwalk.config.table import accepts_new_work
+from jasperwalk.config.table_entries import accepts_new_work
 from jasperwalk.errors import InvalidAddress
 from jasperwalk.messages.datagrams import ForwardedDatagram
 from jasperwalk.routing.candidates import CandidateIndex
--- a/src/jasperwalk/agent/key_renewal.py
+++ b/src/jasperwalk/agent/key_renewal.py
@@ -15,7 +15,7 @@
 from jasperwalk.agent.connection import RoutableServerConnection
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.stateless_reset import reset_token
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.routing.connection_ids import CONNECTION_ID_LENGTH, ROTATION_SHIFT
 
 FLOW_KEY_PURPOSES = (KeyPurpose.CONNECTION_ID, KeyPurpose.STATELESS_RESET)
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.neighbours import Neighbours
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.config.table import accepts_new_work
+from jasperwalk.config.table_entries import accepts_new_work
 
 
 class SlotLender:
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import MemberEntry
+from jasperwalk.config.table_entries import MemberEntry
 
 KNOWN_SECONDS = 0.25
 """Time for which a count of free slots is taken for true."""
--- a/src/jasperwalk/agent/service_view.py
+++ b/src/jasperwalk/agent/service_view.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     KeyEntry,
     KeyPurpose,
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.neighbours import Neighbours
-from jasperwalk.config.table import MemberEntry
+from jasperwalk.config.table_entries import MemberEntry
 
 ASKS_IN_A_ROW = 3
 FIRST_PAUSE_SECONDS = 0.01
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -23,7 +23,7 @@
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.stateless_reset import reset_packet, reset_token
-from jasperwalk.config.table import KeyPurpose, MemberEntry, OperatingStatus
+from jasperwalk.config.table_entries import KeyPurpose, MemberEntry, OperatingStatus
 from jasperwalk.messages.codec import encode
 from jasperwalk.messages.datagrams import ForwardedDatagram
 from jasperwalk.messages.proxy_protocol import destination_of, pack_header, source_of
--- a/src/jasperwalk/agent/ticket_desk.py
+++ b/src/jasperwalk/agent/ticket_desk.py
@@ -38,7 +38,7 @@
     WaitForFirst,
     request_digest,
 )
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 
 RunHere = Callable[[Request, float, ResponseSink], Awaitable[Outcome]]
 """Runs a request at this agent's back end, given its deadline."""
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -22,7 +22,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.requests import HeaderFields, Request
-from jasperwalk.config.table import KeyEntry
+from jasperwalk.config.table_entries import KeyEntry
 from jasperwalk.errors import JasperwalkError, MalformedMessage
 from jasperwalk.messages.codec import Decoder, encode
 
--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -36,7 +36,7 @@
     SocketAddress,
 )
 from jasperwalk.balancer.routes import AgentNetworks, RouteTable, RoutingTable, ServiceRoute
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     KeyEntry,
     KeyPurpose,
     OperatingStatus,
--- a/src/jasperwalk/balancer/routes.py
+++ b/src/jasperwalk/balancer/routes.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import PACKED_ENDPOINT_LENGTH, Endpoint
 from jasperwalk.balancer.forwarding import encode_prefix
 from jasperwalk.balancer.outcomes import SocketAddress
-from jasperwalk.config.table import KeyEntry, KeyPurpose, MemberEntry, ServiceEntry
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose, MemberEntry, ServiceEntry
 from jasperwalk.routing.connection_ids import (
     SERVICE_ID_END,
     SERVICE_ID_START,
--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -21,7 +21,7 @@
     change_options,
 )
 from jasperwalk.cli.output import Printer, format_table
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.control.views import KeyList, KeyView
 from jasperwalk.settings.types import NAME_PATTERN
 from jasperwalk.transport.certificates import (
--- a/src/jasperwalk/config/member_states.py
+++ b/src/jasperwalk/config/member_states.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, OperatingStatus
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -16,7 +16,7 @@
 )
 from jasperwalk.config.problems import ProblemCollector, ProblemKind, ValuesError
 from jasperwalk.config.service_fields import REFERENCE_PATTERN, SERVICE_FIELDS, sole_reference
-from jasperwalk.config.table import HealthMonitor, Objective, ServiceLimits
+from jasperwalk.config.table_entries import HealthMonitor, Objective, ServiceLimits
 from jasperwalk.config.templates import ServiceTemplate, Template
 from jasperwalk.config.tenants import Tenant, resolve_values
 
--- a/src/jasperwalk/config/routing_table.py
+++ b/src/jasperwalk/config/routing_table.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     EntryKey,
     FleetKeyKey,
     KeyEntry,
--- a/src/jasperwalk/config/service_fields.py
+++ b/src/jasperwalk/config/service_fields.py
@@ -13,7 +13,7 @@
     ParameterType,
     ValueShape,
 )
-from jasperwalk.config.table import Objective
+from jasperwalk.config.table_entries import Objective
 
 REFERENCE_PATTERN = re.compile(r"\$\{([^}]*)\}")
 
--- a/src/jasperwalk/control/api_changes.py
+++ b/src/jasperwalk/control/api_changes.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk.control.api_requests import (
     change_id_of,
     expected_revision_of,
--- a/src/jasperwalk/control/api_reads.py
+++ b/src/jasperwalk/control/api_reads.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from jasperwalk.config.table import KeyEntry, KeyPurpose, MemberEntry, accepts_new_work
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose, MemberEntry, accepts_new_work
 from jasperwalk.control.api_changes import json_response, outcome_response
 from jasperwalk.control.api_requests import accepts_stale, integer_query_of, wait_seconds_of
 from jasperwalk.control.in_force import InForce
--- a/src/jasperwalk/control/api_requests.py
+++ b/src/jasperwalk/control/api_requests.py
@@ -9,7 +9,7 @@
 import msgspec
 from aiohttp import web
 
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.control.problem import BadRequest
 
 IF_MATCH_PATTERN = re.compile(r'^"([0-9]{1,18})"$')
--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import VersionedTable
-from jasperwalk.config.table import FleetKeyKey, KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import FleetKeyKey, KeyEntry, KeyPurpose
 from jasperwalk.control.state.commands import ActivateKey, InstallKey, KeyCommand, RetireKey
 from jasperwalk.control.state.fleet_keys import (
     SPARE_KEYS,
--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -15,7 +15,7 @@
 import structlog
 
 from jasperwalk.config.member_states import MemberStatus, PlatformState
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk.control.control_runner import ControlRunner
 from jasperwalk.control.in_force import SubscriberSighting
 from jasperwalk.control.key_duties import (
--- a/src/jasperwalk/control/state/commands.py
+++ b/src/jasperwalk/control/state/commands.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import MemberStatus, PlatformState
-from jasperwalk.config.table import AdminState, KeyPurpose
+from jasperwalk.config.table_entries import AdminState, KeyPurpose
 from jasperwalk.errors import MalformedMessage
 from jasperwalk.messages import codec
 
--- a/src/jasperwalk/control/state/fleet_keys.py
+++ b/src/jasperwalk/control/state/fleet_keys.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from jasperwalk.config.routing_table import VersionedTable
-from jasperwalk.config.table import FleetKeyKey, KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import FleetKeyKey, KeyEntry, KeyPurpose
 from jasperwalk.control.state.commands import (
     ActivateKey,
     InstallKey,
--- a/src/jasperwalk/control/state/host_states.py
+++ b/src/jasperwalk/control/state/host_states.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 
 HIGHEST_HOST_COUNT = 100_000
 """Hosts that may be draining at once, for each source; a bound on memory."""
--- a/src/jasperwalk/control/state/incarnations.py
+++ b/src/jasperwalk/control/state/incarnations.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import MemberStatus
-from jasperwalk.config.table import OperatingStatus
+from jasperwalk.config.table_entries import OperatingStatus
 from jasperwalk.control.state.commands import RegisterAgent
 from jasperwalk.control.state.fleet_refusals import IncarnationsExhausted, SupersededBoot
 from jasperwalk.control.state.outcomes import LimitReached
--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -6,7 +6,7 @@
 from jasperwalk.config.conflicts import Claims, Owner, RenderedTenant
 from jasperwalk.config.rendering import RenderedMember, RenderedService
 from jasperwalk.config.routing_table import VersionedTable
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     MemberEntry,
     MemberKey,
     OperatingStatus,
--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import DEFAULT_TOMBSTONE_LIMIT, VersionedTable
-from jasperwalk.config.table import MemberEntry
+from jasperwalk.config.table_entries import MemberEntry
 from jasperwalk.control.state.change_register import (
     DEFAULT_CHANGE_LIMIT,
     LONGEST_CHANGE_ID,
--- a/src/jasperwalk/control/state/state_image.py
+++ b/src/jasperwalk/control/state/state_image.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.config.problems import TemplateError
 from jasperwalk.config.routing_table import TableImage
-from jasperwalk.config.table import KeyEntry
+from jasperwalk.config.table_entries import KeyEntry
 from jasperwalk.config.templates import parse_template
 from jasperwalk.config.tenants import Tenant
 from jasperwalk.control.state.canonical import canonical_pieces
--- a/src/jasperwalk/distribution/follower_table.py
+++ b/src/jasperwalk/distribution/follower_table.py
@@ -6,7 +6,7 @@
 from types import MappingProxyType
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     EntryKey,
     FleetKeyKey,
     KeyEntry,
--- a/src/jasperwalk/distribution/scope_history.py
+++ b/src/jasperwalk/distribution/scope_history.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import Changes, VersionedTable
-from jasperwalk.config.table import MemberEntry, MemberKey
+from jasperwalk.config.table_entries import MemberEntry, MemberKey
 
 STEP_LIMIT = 4_096
 """Steps of the table that are remembered; an agent from before them is sent a snapshot."""
--- a/src/jasperwalk/distribution/snapshot_assembly.py
+++ b/src/jasperwalk/distribution/snapshot_assembly.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from jasperwalk.config.table import TableEntry
+from jasperwalk.config.table_entries import TableEntry
 from jasperwalk.messages.distribution import Snapshot
 
 MAX_SNAPSHOT_PARTS = 65_536
--- a/src/jasperwalk/distribution/update_encoder.py
+++ b/src/jasperwalk/distribution/update_encoder.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import Changes, VersionedTable
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     EntryKey,
     FleetKeyKey,
     KeyEntry,
--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -16,7 +16,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import MemberStatus
-from jasperwalk.config.table import MemberEntry, OperatingStatus
+from jasperwalk.config.table_entries import MemberEntry, OperatingStatus
 from jasperwalk.membership.mass_silence import MassSilence, MassSilenceConfig
 
 REPORTING_STATUSES = frozenset({OperatingStatus.ONLINE, OperatingStatus.UNHEALTHY})
--- a/src/jasperwalk/membership/platform.py
+++ b/src/jasperwalk/membership/platform.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import PlatformState
-from jasperwalk.config.table import AdminState, MemberEntry
+from jasperwalk.config.table_entries import AdminState, MemberEntry
 from jasperwalk.errors import InvalidAddress, JasperwalkError
 
 MAX_LIST_BYTES = 16 * 1024 * 1024
--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -14,7 +14,7 @@
 import hmac
 from collections.abc import Iterable
 
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.messages.codec import PROTOCOL_VERSION, encode
 from jasperwalk.messages.datagrams import SealedDatagram
 
--- a/src/jasperwalk/messages/distribution.py
+++ b/src/jasperwalk/messages/distribution.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import EntryKey, TableEntry
+from jasperwalk.config.table_entries import EntryKey, TableEntry
 from jasperwalk.messages.codec import Decoder
 
 
--- a/src/jasperwalk/routing/candidates.py
+++ b/src/jasperwalk/routing/candidates.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from jasperwalk.config.table import MemberEntry, accepts_new_work
+from jasperwalk.config.table_entries import MemberEntry, accepts_new_work
 from jasperwalk.routing.rendezvous import (
     CandidatePair,
     Contender,
--- a/src/jasperwalk/routing/connection_ids.py
+++ b/src/jasperwalk/routing/connection_ids.py
@@ -26,7 +26,7 @@
 from cryptography.hazmat.primitives.ciphers import Cipher, CipherContext, algorithms, modes
 
 from jasperwalk.addresses import PACKED_ENDPOINT_LENGTH, Endpoint
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.errors import JasperwalkError
 
 CONNECTION_ID_LENGTH = 17
--- a/src/jasperwalk_lab/baselines/flow_table.py
+++ b/src/jasperwalk_lab/baselines/flow_table.py
@@ -22,7 +22,7 @@
 from jasperwalk.balancer.core import LARGEST_DATAGRAM, BalancerCore
 from jasperwalk.balancer.outcomes import DropReason, Forward, Outcomes
 from jasperwalk.balancer.routes import RoutingTable
-from jasperwalk.config.table import KeyPurpose, OperatingStatus
+from jasperwalk.config.table_entries import KeyPurpose, OperatingStatus
 from jasperwalk.messages.codec import PROTOCOL_VERSION, encode
 from jasperwalk.messages.datagram_seal import DatagramSeal
 from jasperwalk.messages.datagrams import ForwardedDatagram
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk_lab.simulator.hosts import AgentHost, BalancerHost, ControlHost, Host
 from jasperwalk_lab.simulator.operators import Administrator
 from jasperwalk_lab.simulator.record import Interval, Restart
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk.control.state.commands import (
     ApplyTemplate,
     OperatorCommand,
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState, KeyPurpose, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, KeyPurpose, OperatingStatus
 from jasperwalk.control.applied import AppliedEntry
 from jasperwalk.control.replica import ControlReplica
 from jasperwalk.control.state.outcomes import Outcome
--- a/tests/agent/conftest.py
+++ b/tests/agent/conftest.py
@@ -31,7 +31,7 @@
 from jasperwalk.agent.outgoing import ToAgent, ToFabric
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     HealthMonitor,
     KeyEntry,
--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.datagram_guard import DropReason
 from jasperwalk.agent.handover import ANSWER_SECONDS
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk.messages.codec import Decoder
 from jasperwalk.messages.datagrams import ForwardedDatagram
 
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent import go_away
 from jasperwalk.agent.go_away import GoAways
 from jasperwalk.agent.http3 import GO_AWAY_STREAM_ID, RequestHeaders
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 
 CONTROL_STREAM = 0
 
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import LARGEST_SHARE, SlowStart
 from jasperwalk.balancer.core import BalancerCore
-from jasperwalk.config.table import AdminState, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, OperatingStatus
 from jasperwalk.distribution.follower_table import FollowerTable
 from jasperwalk.messages.codec import Decoder
 from jasperwalk.messages.datagrams import ForwardedDatagram
--- a/tests/agent/test_key_renewal.py
+++ b/tests/agent/test_key_renewal.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent import key_renewal
 from jasperwalk.agent.key_renewal import OldestKeys
 from jasperwalk.agent.stateless_reset import reset_token
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.routing.connection_ids import ConnectionIdCodec, RoutableId
 
 NEW_SECRETS = {KeyPurpose.CONNECTION_ID: b"C" * 16, KeyPurpose.STATELESS_RESET: b"R" * 32}
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -37,7 +37,7 @@
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.slot_asker import BorrowedSlot, IdleLinks, LendingLink, SlotAsker
 from jasperwalk.agent.tickets import TICKET_PATH
-from jasperwalk.config.table import AdminState, Objective, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
 from jasperwalk.messages.codec import encode
 from jasperwalk.transport.hello import ConnectionKind, make_hello
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -14,7 +14,7 @@
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request
 from jasperwalk.agent.sinks import MOST_UNSENT_BYTES
-from jasperwalk.config.table import AdminState
+from jasperwalk.config.table_entries import AdminState
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.messages.distribution import FromSubscriber, Heartbeat, Snapshot
 from jasperwalk.routing.connection_ids import ConnectionIdCodec
--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.agent.datagram_guard import DropReason
-from jasperwalk.config.table import AdminState, KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import AdminState, KeyEntry, KeyPurpose
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.messages.datagram_seal import DatagramSeal
 from jasperwalk.messages.datagrams import DatagramMessage, SealedDatagram
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -12,7 +12,7 @@
     TicketStore,
     request_digest,
 )
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 
 
 def _key(secret, rotation=0, active=True):
--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -10,7 +10,7 @@
 from jasperwalk.balancer.core import LARGEST_DATAGRAM, BalancerCore
 from jasperwalk.balancer.outcomes import DropReason, Forward
 from jasperwalk.balancer.refusals import REFUSAL_SECONDS
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     HealthMonitor,
     KeyEntry,
--- a/tests/balancer/test_process.py
+++ b/tests/balancer/test_process.py
@@ -8,7 +8,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.process import BalancerProcess
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     HealthMonitor,
     KeyEntry,
--- a/tests/config/test_conflicts.py
+++ b/tests/config/test_conflicts.py
@@ -15,7 +15,7 @@
     find_conflicts,
 )
 from jasperwalk.config.rendering import RenderedMember, RenderedService
-from jasperwalk.config.table import HealthMonitor, Objective, ServiceLimits
+from jasperwalk.config.table_entries import HealthMonitor, Objective, ServiceLimits
 
 
 def endpoint(number: int) -> Endpoint:
--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -13,7 +13,7 @@
     StaleRevision,
     VersionedTable,
 )
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     EntryKey,
     HealthMonitor,
--- a/tests/config/test_templates.py
+++ b/tests/config/test_templates.py
@@ -12,7 +12,7 @@
 from jasperwalk.config.problems import MAX_PROBLEMS, TemplateError, ValuesError
 from jasperwalk.config.problems import ProblemKind as Kind
 from jasperwalk.config.rendering import render
-from jasperwalk.config.table import Objective
+from jasperwalk.config.table_entries import Objective
 from jasperwalk.config.templates import parse_template
 from jasperwalk.config.tenants import Tenant
 
--- a/tests/control/test_keys.py
+++ b/tests/control/test_keys.py
@@ -11,7 +11,7 @@
 from structlog.testing import capture_logs
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.control.peer_links import PeerLink, PeerNetwork
 from jasperwalk.control.process import ControlProcess
 from jasperwalk.control.replica import ReplicaConfig
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -5,7 +5,7 @@
 import pytest
 from aiohttp import web
 
-from jasperwalk.config.table import AdminState, KeyEntry, KeyPurpose, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, KeyEntry, KeyPurpose, OperatingStatus
 from jasperwalk.control import proposals
 
 TENANT = "/v1/tenants/mreza"
--- a/tests/control_state/test_determinism.py
+++ b/tests/control_state/test_determinism.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import MemberStatus, PlatformState
-from jasperwalk.config.table import AdminState, KeyPurpose, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, KeyPurpose, OperatingStatus
 from jasperwalk.control.state.commands import (
     ApplyTemplate,
     Command,
--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -6,7 +6,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import KeyPurpose
+from jasperwalk.config.table_entries import KeyPurpose
 from jasperwalk.control import key_duties
 from jasperwalk.control.key_duties import AgentKeys
 from jasperwalk.control.state.commands import ActivateKey, InstallKey, RetireKey, RotateKey
--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -10,7 +10,12 @@
 from jasperwalk.config.member_states import MemberStatus, PlatformState
 from jasperwalk.config.problems import ProblemKind
 from jasperwalk.config.routing_table import SnapshotRequired
-from jasperwalk.config.table import AdminState, KeyPurpose, OperatingStatus, accepts_new_work
+from jasperwalk.config.table_entries import (
+    AdminState,
+    KeyPurpose,
+    OperatingStatus,
+    accepts_new_work,
+)
 from jasperwalk.control.state.commands import (
     ApplyTemplate,
     Command,
--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.routing_table import VersionedTable
-from jasperwalk.config.table import (
+from jasperwalk.config.table_entries import (
     AdminState,
     EntryKey,
     HealthMonitor,
--- a/tests/distribution/test_convergence.py
+++ b/tests/distribution/test_convergence.py
@@ -2,7 +2,13 @@
 
 import pytest
 
-from jasperwalk.config.table import FleetKeyKey, KeyPurpose, MemberEntry, MemberKey, ServiceKey
+from jasperwalk.config.table_entries import (
+    FleetKeyKey,
+    KeyPurpose,
+    MemberEntry,
+    MemberKey,
+    ServiceKey,
+)
 from jasperwalk.distribution.follower_events import LeaveReason
 from jasperwalk.messages.distribution import SubscriberRole
 
--- a/tests/lab/test_baselines.py
+++ b/tests/lab/test_baselines.py
@@ -9,7 +9,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.outcomes import DropReason
 from jasperwalk.config.rendering import render
-from jasperwalk.config.table import AdminState, MemberEntry, OperatingStatus, ServiceEntry
+from jasperwalk.config.table_entries import AdminState, MemberEntry, OperatingStatus, ServiceEntry
 from jasperwalk.distribution.follower_table import FollowerTable
 from jasperwalk.messages.codec import Decoder
 from jasperwalk.messages.datagrams import DatagramMessage, SealedDatagram
--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -4,7 +4,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState, MemberEntry, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, MemberEntry, OperatingStatus
 from jasperwalk.membership.liveness import AgentObservation, LivenessConfig, LivenessTracker
 
 AT = Endpoint("127.0.0.1", 7000)
--- a/tests/membership/test_platform.py
+++ b/tests/membership/test_platform.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.member_states import PlatformState
-from jasperwalk.config.table import AdminState, MemberEntry, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, MemberEntry, OperatingStatus
 from jasperwalk.membership.platform import (
     InvalidPlatformList,
     PlatformReconciler,
--- a/tests/messages/test_datagram_seal.py
+++ b/tests/messages/test_datagram_seal.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.messages.datagram_seal import DatagramSeal
 from jasperwalk.messages.datagrams import DatagramMessage, ForwardedDatagram, SealedDatagram
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -1,7 +1,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import AdminState, MemberEntry, OperatingStatus
+from jasperwalk.config.table_entries import AdminState, MemberEntry, OperatingStatus
 from jasperwalk.routing.candidates import CandidateIndex
 
 
--- a/tests/routing/test_connection_ids.py
+++ b/tests/routing/test_connection_ids.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.config.table import KeyEntry, KeyPurpose
+from jasperwalk.config.table_entries import KeyEntry, KeyPurpose
 from jasperwalk.routing.connection_ids import (
     CONNECTION_ID_LENGTH,
     ConnectionIdCodec,
