--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from jasperwalk.errors import MalformedMessage
-from jasperwalk.fleet.question_batch import KEYS_PER_FRAME, QuestionBatch
+from jasperwalk.fleet.question_batch import KEYS_PER_FRAME, QueryBatch
 from jasperwalk.fleet.search import Confirm, Query, Search, SearchStep, SearchVerdict
 from jasperwalk.fleet.target import Target
 from jasperwalk.fleet.targets import TargetPool
@@ -88,7 +88,7 @@
 
     def __post_init__(self) -> None:
         """Prepare the frames that searches share."""
-        self._batch = QuestionBatch(self.send)
+        self._batch = QueryBatch(self.send)
 
     def __len__(self) -> int:
         """Return how many searches are open."""
--- a/src/jasperwalk/fleet/question_batch.py
+++ b/src/jasperwalk/fleet/question_batch.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class QuestionBatch:
+class QueryBatch:
     """Collects questions until `flush`."""
 
     send: DatagramSender
