--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -32,7 +32,7 @@
     WarmUpUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTicks
+from jasperwalk.fleet.search_ticks import SearchTimer
 from jasperwalk.fleet.settings import AgentNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
@@ -113,7 +113,7 @@
             send=self._frames.send,
             log=decisions,
         )
-        self._ticks = SearchTicks(self._frames, self.helper.has_pending, self.helper.tick)
+        self._ticks = SearchTimer(self._frames, self.helper.has_pending, self.helper.tick)
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -28,7 +28,7 @@
     RoutesUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTicks
+from jasperwalk.fleet.search_ticks import SearchTimer
 from jasperwalk.fleet.settings import BalancerNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
@@ -106,7 +106,7 @@
         )
         self._intake = PacketIntake(self.core)
         self._taking_in = False
-        self._ticks = SearchTicks(self._frames, self.core.has_pending, self.core.tick)
+        self._ticks = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
--- a/src/jasperwalk/fleet/search_ticks.py
+++ b/src/jasperwalk/fleet/search_ticks.py
@@ -11,7 +11,7 @@
 TICK_SECONDS = 0.02
 
 
-class SearchTicks:
+class SearchTimer:
     """Calls `tick` with the time while `has_pending`, once the frames that came were read."""
 
     def __init__(
