--- a/src/jasperwalk/concurrency.py
+++ b/src/jasperwalk/concurrency.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-LATE_END_SECONDS = 2.0
+CANCELLATION_WARNING_SECONDS = 2.0
 """Time after its cancellation from which a part is reported as still running. Closing a connection,
 the longest thing that a part does at its end, takes a second at most."""
 
@@ -36,7 +36,7 @@
     """Wait for cancelled tasks."""
     running = set(tasks)
     while running:
-        _, running = await asyncio.wait(running, timeout=LATE_END_SECONDS)
+        _, running = await asyncio.wait(running, timeout=CANCELLATION_WARNING_SECONDS)
         for task in running:
             logger.warning(
                 "cancelled-part-still-runs",
