--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -237,7 +237,7 @@
             self.helper.receive_reply(data, sender, now)
         else:
             self.core.receive_frame(data, sender, now)
-        self._ticks.keep_up()
+        self._ticks.ensure_scheduled()
 
     def _host_packet(self, data: bytes, _sender: SocketAddress) -> None:
         self.core.receive_host_packet(data, time.monotonic())
--- a/src/jasperwalk/fleet/search_ticks.py
+++ b/src/jasperwalk/fleet/search_ticks.py
@@ -25,7 +25,7 @@
         self._tick = tick
         self._ticking = False
 
-    def keep_up(self) -> None:
+    def ensure_scheduled(self) -> None:
         """Go on ticking where there is reason to; call after whatever may give one."""
         if not self._ticking and self._has_pending():
             self._ticking = True
@@ -36,4 +36,4 @@
         # An answer that was not read yet is not missing.
         if self._frames.catch_up():
             self._tick(time.monotonic())
-        self.keep_up()
+        self.ensure_scheduled()
