--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -33,7 +33,7 @@
 class Replica:
     """A host: a core, its disk and a state machine that is the list of applied commands."""
 
-    def __init__(self, world: World, replica_id: int, disk_id: str) -> None:
+    def __init__(self, world: SimulatedCluster, replica_id: int, disk_id: str) -> None:
         self.world = world
         self.disk = DurableState(replica_id=replica_id, disk_id=disk_id, fresh=True)
         self.unsynced: Ready | None = None
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class World:
+class SimulatedCluster:
     """Replicas, the network between them, and what must always hold."""
 
     seed: int
@@ -245,6 +245,6 @@
 
 
 @pytest.fixture
-def make_world() -> Callable[[int, int], World]:
+def make_world() -> Callable[[int, int], SimulatedCluster]:
     """Return the constructor of a world: (seed, number of replicas)."""
-    return World
+    return SimulatedCluster
