--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -23,7 +23,7 @@
 
     async def found():
         await cluster.__aenter__()
-        await until(lambda: all(each.life.is_current() for each in cluster.replicas))
+        await until(lambda: all(each.fleet_replica.is_current() for each in cluster.replicas))
 
     asyncio.run_coroutine_threadsafe(found(), loop).result()
     try:
