--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -106,7 +106,7 @@
         )
         self._intake = PacketIntake(self.core)
         self._taking_in = False
-        self._ticks = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
+        self._search_timer = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
@@ -187,7 +187,7 @@
         if self._intake.has_work() and not self._taking_in:
             self._taking_in = True
             asyncio.get_running_loop().call_soon(self._take_in_more)
-        self._ticks.ensure_scheduled()
+        self._search_timer.ensure_scheduled()
 
     def _take_in_more(self) -> None:
         self._taking_in = False
@@ -195,7 +195,7 @@
 
     def _frame(self, data: bytes, sender: SocketAddress) -> None:
         self.core.receive_reply(data, sender, time.monotonic())
-        self._ticks.ensure_scheduled()
+        self._search_timer.ensure_scheduled()
 
     def _send_to_caller(self, packet: bytes, caller: SocketAddress) -> None:
         self._callers.send(packet, (caller[0], self._callers_port))
@@ -296,4 +296,4 @@
                 home=str(self._link.home),
             )
             self.core.routes_changed(time.monotonic())
-            self._ticks.ensure_scheduled()
+            self._search_timer.ensure_scheduled()
