--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -245,6 +245,6 @@
 
 
 @pytest.fixture
-def make_world() -> Callable[[int, int], SimulatedCluster]:
+def make_cluster() -> Callable[[int, int], SimulatedCluster]:
     """Return the constructor of a world: (seed, number of replicas)."""
     return SimulatedCluster
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -62,16 +62,16 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5])
-def test_a_cluster_founds_itself_and_commits(make_world, size):
-    world = make_world(1, size)
+def test_a_cluster_founds_itself_and_commits(make_cluster, size):
+    world = make_cluster(1, size)
     world.commit(b"a")
     world.run(1.0)
     assert all(one.applied == [b"a"] for one in world.replicas.values())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_even_split_accepts_nothing_on_either_side(make_world, seed):
-    world = make_world(seed, 4)
+def test_even_split_accepts_nothing_on_either_side(make_cluster, seed):
+    world = make_cluster(seed, 4)
     world.commit(b"before")
     world.run(1.0)
     old_leader = world.await_leader().disk.replica_id
@@ -88,8 +88,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_second_replica_lost_right_after_a_repair_loses_nothing(make_world, seed):
-    world = make_world(seed, 3)
+def test_second_replica_lost_right_after_a_repair_loses_nothing(make_cluster, seed):
+    world = make_cluster(seed, 3)
     acknowledged = [b"%d" % number for number in range(12)]
     for command in acknowledged:
         world.commit(command)
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("wiped_is_founder", [True, False])
-def test_a_wiped_replica_never_votes_and_can_be_replaced(make_world, seed, wiped_is_founder):
-    world = make_world(seed, 3)
+def test_a_wiped_replica_never_votes_and_can_be_replaced(make_cluster, seed, wiped_is_founder):
+    world = make_cluster(seed, 3)
     world.commit(b"kept")
     wiped = 1 if wiped_is_founder else 2
     world.kill(wiped)
@@ -125,8 +125,8 @@
     assert world.replicas[4].node.membership.voter_ids() == sorted({2, 3, 4, 1} - {wiped})
 
 
-def test_a_replacement_that_is_wiped_under_its_id_is_ignored(make_world):
-    world = make_world(1, 3)
+def test_a_replacement_that_is_wiped_under_its_id_is_ignored(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"kept")
     world.kill(3)
     replace(world, 3, 4)
@@ -142,8 +142,8 @@
     assert empty.disk.disk_id not in world.granted_by
 
 
-def test_founding_waits_for_every_initial_member(make_world):
-    world = make_world(1, 3)
+def test_founding_waits_for_every_initial_member(make_cluster):
+    world = make_cluster(1, 3)
     world.kill(3)
     world.run(5.0)
     assert world.leader() is None
@@ -151,8 +151,8 @@
     world.commit(b"a")
 
 
-def test_an_answer_to_an_earlier_disk_founds_nothing(make_world):
-    world = make_world(1, 3)
+def test_an_answer_to_an_earlier_disk_founds_nothing(make_cluster):
+    world = make_cluster(1, 3)
     founder = world.replicas[1].node
     for sender in (2, 3):
         founder.receive(sender, FoundingReply("earlier disk", "disk", None), world.now)
@@ -160,15 +160,15 @@
 
 
 @pytest.mark.parametrize("sender", [1, 3])
-def test_a_replica_without_members_answers_no_vote_request(make_world, sender):
-    world = make_world(1, 3)
+def test_a_replica_without_members_answers_no_vote_request(make_cluster, sender):
+    world = make_cluster(1, 3)
     node = world.replicas[2].node
     node.receive(sender, RequestVote(1, 0, 0, False), world.now)
     assert node.ready().is_empty()
 
 
-def test_members_change_one_at_a_time_and_ids_are_never_reused(make_world):
-    world = make_world(1, 3)
+def test_members_change_one_at_a_time_and_ids_are_never_reused(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     follower = other_than(world, world.await_leader().disk.replica_id)
     assert refused(world, AddLearner(2)) is RefusalReason.REPLICA_EXISTS
@@ -182,8 +182,8 @@
     assert refused(world, AddLearner(follower)) is RefusalReason.REPLICA_ID_USED
 
 
-def test_a_learner_is_promoted_only_when_it_holds_the_log(make_world):
-    world = make_world(1, 3)
+def test_a_learner_is_promoted_only_when_it_holds_the_log(make_cluster):
+    world = make_cluster(1, 3)
     world.add(4)
     change(world, AddLearner(4))
     world.run_until(lambda: has_caught_up(world, 4))
@@ -193,8 +193,8 @@
     assert refused(world, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
 
 
-def test_a_learner_with_a_new_disk_starts_over(make_world):
-    world = make_world(1, 3)
+def test_a_learner_with_a_new_disk_starts_over(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     world.add(4)
     change(world, AddLearner(4))
@@ -206,14 +206,14 @@
     world.run_until(lambda: replacement.applied == [b"a"])
 
 
-def test_last_voter_stays(make_world):
-    world = make_world(1, 1)
+def test_last_voter_stays(make_cluster):
+    world = make_cluster(1, 1)
     world.commit(b"a")
     assert refused(world, RemoveReplica(1)) is RefusalReason.LAST_VOTER
 
 
-def test_a_leader_that_removes_itself_hands_over(make_world):
-    world = make_world(1, 3)
+def test_a_leader_that_removes_itself_hands_over(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     leader = world.await_leader()
     change(world, RemoveReplica(leader.disk.replica_id))
@@ -223,8 +223,8 @@
     world.commit(b"b")
 
 
-def test_a_new_leader_changes_members_only_after_an_entry_of_its_term(make_world):
-    world = make_world(1, 3)
+def test_a_new_leader_changes_members_only_after_an_entry_of_its_term(make_cluster):
+    world = make_cluster(1, 3)
     world.cut({1}, {2}, {3})
     world.run(0.5)
     world.cuts.clear()
@@ -234,8 +234,8 @@
     assert refused(world, AddLearner(4)) is RefusalReason.LEADER_NOT_SETTLED
 
 
-def test_a_far_behind_replica_catches_up_by_chunked_snapshot(make_world):
-    world = make_world(1, 3)
+def test_a_far_behind_replica_catches_up_by_chunked_snapshot(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"first")
     late = other_than(world, world.await_leader().disk.replica_id)
     world.kill(late)
@@ -251,8 +251,8 @@
     assert world.replicas[late].disk.snapshot is not None
 
 
-def test_a_cut_off_leader_steps_down_and_everyones_quorum_age_grows(make_world):
-    world = make_world(1, 3)
+def test_a_cut_off_leader_steps_down_and_everyones_quorum_age_grows(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     world.run(1.0)
     leader = world.await_leader()
@@ -268,8 +268,8 @@
     assert all(node.quorum_age(world.now) == math.inf for node in nodes)
 
 
-def test_a_follower_of_a_leader_without_quorum_knows(make_world):
-    world = make_world(1, 5)
+def test_a_follower_of_a_leader_without_quorum_knows(make_cluster):
+    world = make_cluster(1, 5)
     world.commit(b"a")
     world.run(1.0)
     leader = world.await_leader()
@@ -280,8 +280,8 @@
     assert follower.node.quorum_age(world.now) > 0.6
 
 
-def test_heartbeats_read_late_after_a_freeze_do_not_look_fresh(make_world):
-    world = make_world(1, 3)
+def test_heartbeats_read_late_after_a_freeze_do_not_look_fresh(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     world.run(2.0)
     leader = world.await_leader()
@@ -294,8 +294,8 @@
     assert frozen.node.quorum_age(world.now + 3.0) > 2.5
 
 
-def test_a_returning_replica_does_not_depose_the_leader(make_world):
-    world = make_world(1, 3)
+def test_a_returning_replica_does_not_depose_the_leader(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     leader = world.await_leader()
     term = leader.node.term
@@ -307,8 +307,8 @@
     assert (leader.node.is_leader, leader.node.term) == (True, term)
 
 
-def test_proposals_are_bounded_in_number_and_size(make_world):
-    world = make_world(1, 3)
+def test_proposals_are_bounded_in_number_and_size(make_cluster):
+    world = make_cluster(1, 3)
     node = world.await_leader().node
     limit = world.config.max_pending_entries
     outcomes = [node.propose(b"x", world.now) for _ in range(limit + 1)]
@@ -318,8 +318,8 @@
     assert isinstance(node.propose(b"x" * size, world.now), CommandTooLarge)
 
 
-def test_a_vote_is_on_disk_before_it_is_sent(make_world):
-    world = make_world(1, 3)
+def test_a_vote_is_on_disk_before_it_is_sent(make_cluster):
+    world = make_cluster(1, 3)
     world.commit(b"a")
     world.run(1.0)
     voter = world.replicas[other_than(world, world.await_leader().disk.replica_id)]
@@ -331,8 +331,8 @@
     assert (ready.persist.hard_state.term, ready.persist.hard_state.voted_for) == (term, candidate)
 
 
-def test_a_joining_replica_waits_and_never_campaigns(make_world):
-    world = make_world(1, 1)
+def test_a_joining_replica_waits_and_never_campaigns(make_cluster):
+    world = make_cluster(1, 1)
     config = RaftConfig(initial_members=(InitialMember(1),))
     node = RaftNode(config, world.add(7).disk, world.random, 0.0)
     node.tick(100.0)
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -48,8 +48,8 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_faults_break_no_safety_property(make_world, size, seed):
-    world = make_world(seed, size)
+def test_random_faults_break_no_safety_property(make_cluster, size, seed):
+    world = make_cluster(seed, size)
     world.slow_sync = 0.2
     world.faults.loss = 0.05
     world.faults.duplication = 0.05
@@ -126,8 +126,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_wiped_replicas_are_replaced_under_faults_and_nothing_is_lost(make_world, seed):
-    world = make_world(seed, 3)
+def test_wiped_replicas_are_replaced_under_faults_and_nothing_is_lost(make_cluster, seed):
+    world = make_cluster(seed, 3)
     world.commit(b"first")
     world.slow_sync = 0.2
     world.faults.loss = 0.05
--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -20,8 +20,8 @@
 
 @pytest.mark.parametrize("size", [2, 3, 5])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_another_leads_well_within_an_election_timeout(make_world, seed, size):
-    world = make_world(seed, size)
+def test_another_leads_well_within_an_election_timeout(make_cluster, seed, size):
+    world = make_cluster(seed, size)
     world.commit(b"first")
     leader = world.await_leader()
     term = leader.node.term
@@ -42,15 +42,15 @@
         assert [each for each in successor.applied if each != b"after"] == [b"first", b"last"]
 
 
-def test_alone_or_without_contact_a_leader_keeps_its_leadership(make_world):
-    world = make_world(1, 1)
+def test_alone_or_without_contact_a_leader_keeps_its_leadership(make_cluster):
+    world = make_cluster(1, 1)
     world.commit(b"a")
     assert not world.await_leader().node.transfer_leadership(world.now)
-    assert not make_world(1, 3).replicas[1].node.transfer_leadership(0.0)
+    assert not make_cluster(1, 3).replicas[1].node.transfer_leadership(0.0)
 
 
-def test_a_transfer_that_nobody_hears_is_given_up(make_world):
-    world = make_world(2, 3)
+def test_a_transfer_that_nobody_hears_is_given_up(make_cluster):
+    world = make_cluster(2, 3)
     world.commit(b"before")
     leader = world.await_leader()
     faults = world.faults
@@ -72,8 +72,8 @@
 @pytest.mark.parametrize(
     ("sender", "term_offset"), [("stranger", 0), ("leader", -1), ("leader", 1)]
 )
-def test_only_the_present_leader_can_ask_for_a_campaign(make_world, sender, term_offset):
-    world = make_world(3, 3)
+def test_only_the_present_leader_can_ask_for_a_campaign(make_cluster, sender, term_offset):
+    world = make_cluster(3, 3)
     world.commit(b"before")
     world.run(0.5)
     leader = world.await_leader()
@@ -87,8 +87,8 @@
     assert followers[0].node.role is Role.FOLLOWER
 
 
-def test_votes_for_a_campaign_nobody_asked_for_are_refused_as_before(make_world):
-    world = make_world(4, 3)
+def test_votes_for_a_campaign_nobody_asked_for_are_refused_as_before(make_cluster):
+    world = make_cluster(4, 3)
     world.commit(b"before")
     world.run(0.5)
     leader = world.await_leader()
