--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -19,7 +19,7 @@
 from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
 from jasperwalk.fleet.bound_sockets import AgentSockets, bind_agent
-from jasperwalk.fleet.figures import ProcessFigures, metrics_server
+from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -132,7 +132,7 @@
             Endpoint.parse(settings.readiness_listen), readiness_interface(lambda: not self._gone)
         )
 
-        figures = ProcessFigures(
+        figures = ProcessMetrics(
             process="agent",
             counters=lambda: {
                 **self.core.counters.figures(),
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -16,7 +16,7 @@
 from jasperwalk.balancer.datagrams.paced_link import PacedLink
 from jasperwalk.balancer.datagrams.packet_intake import PacketIntake
 from jasperwalk.fleet.bound_sockets import BalancerSockets, bind_balancer
-from jasperwalk.fleet.figures import ProcessFigures, metrics_server
+from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -112,7 +112,7 @@
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
 
-        figures = ProcessFigures(
+        figures = ProcessMetrics(
             process="balancer",
             counters=self._counts,
             gauges={
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -25,7 +25,7 @@
 from jasperwalk.control.fleet.zone_orders import ZoneOrders
 from jasperwalk.control.storage_faults import StorageFaults
 from jasperwalk.errors import JasperwalkError
-from jasperwalk.fleet.figures import ProcessFigures, metrics_server
+from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.messages import CLUSTER_ID
 from jasperwalk.flows.routes import RouteSet
 from jasperwalk.transport.framed import FramedConnection
@@ -63,7 +63,7 @@
             lambda: self._replica, self._known_zones, settings.orders_repeat_ms / 1000
         )
         self._http = HttpServer(operators, interface(service, zone_orders, operators.port))
-        figures = ProcessFigures(
+        figures = ProcessMetrics(
             process="control",
             counters=lambda: {
                 **vars(service.counters),
--- a/src/jasperwalk/fleet/figures.py
+++ b/src/jasperwalk/fleet/figures.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(eq=False, repr=False)
-class ProcessFigures:
+class ProcessMetrics:
     """What one process tells: `counters` gives its counts by name when asked."""
 
     process: str
@@ -65,7 +65,7 @@
     return name.replace("_", " ").capitalize() + "."
 
 
-def metrics_server(address: str, path: str, figures: ProcessFigures) -> HttpServer | None:
+def metrics_server(address: str, path: str, figures: ProcessMetrics) -> HttpServer | None:
     """Return the server of a process' figures, None where the settings name no address."""
     if not address:
         return None
--- a/tests/fleet/test_figures.py
+++ b/tests/fleet/test_figures.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jasperwalk.fleet.figures import ProcessFigures, metrics_server
+from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.observability.latency import LatencyHistogram
 
 
@@ -10,7 +10,7 @@
     latency = LatencyHistogram()
     for seconds in (0.0005, 0.02, 0.02, 99.0):
         latency.observe(seconds)
-    return ProcessFigures(
+    return ProcessMetrics(
         process="agent",
         counters=lambda: {"flows_refused": 3},
         gauges={"flows": lambda: 7},
