--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -33,8 +33,8 @@
 class Replica:
     """A host: a core, its disk and a state machine that is the list of applied commands."""
 
-    def __init__(self, world: SimulatedCluster, replica_id: int, disk_id: str) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster, replica_id: int, disk_id: str) -> None:
+        self.cluster = cluster
         self.disk = DurableState(replica_id=replica_id, disk_id=disk_id, fresh=True)
         self.unsynced: Ready | None = None
         self.node: RaftNode | None = None
@@ -50,8 +50,8 @@
         self.unsynced = None
         if durable.snapshot is not None:
             self.restore(durable.snapshot.index, durable.snapshot.state)
-        world = self.world
-        self.node = RaftNode(world.config, durable, Random(world.random.random()), world.now)
+        cluster = self.cluster
+        self.node = RaftNode(cluster.config, durable, Random(cluster.random.random()), cluster.now)
 
     def restore(self, index: int, state: bytes) -> None:
         self.applied = state.split(b"|") if state else []
@@ -63,7 +63,7 @@
             ready = self.node.ready()
             if ready.is_empty():
                 return
-            if ready.persist is not None and self.world.random.random() < self.world.slow_sync:
+            if ready.persist is not None and self.cluster.random.random() < self.cluster.slow_sync:
                 self.unsynced = ready
                 return
             self.finish(ready)
@@ -74,7 +74,7 @@
             self.sync(ready.persist)
             self.node.persisted()
         for outgoing in ready.messages:
-            self.world.send(self.disk.replica_id, outgoing.to, outgoing.message)
+            self.cluster.send(self.disk.replica_id, outgoing.to, outgoing.message)
         if ready.install_snapshot is not None:
             self.restore(ready.install_snapshot.index, ready.install_snapshot.state)
         for entry in ready.committed:
@@ -90,7 +90,7 @@
 
     def apply(self, entry: LogEntry) -> None:
         assert entry.index == self.applied_index + 1
-        self.world.check_committed(entry)
+        self.cluster.check_committed(entry)
         self.applied_index = entry.index
         if entry.kind is EntryKind.COMMAND:
             self.applied.append(entry.data)
