--- a/src/jasperwalk/fleet/figures.py
+++ b/src/jasperwalk/fleet/figures.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from prometheus_client.metrics_core import Metric
 
-TEXT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+PROMETHEUS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 @dataclass(eq=False, repr=False)
@@ -73,6 +73,6 @@
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path != path:
             return HttpResponse(404)
-        return HttpResponse(200, figures.render(), {"Content-Type": TEXT_TYPE})
+        return HttpResponse(200, figures.render(), {"Content-Type": PROMETHEUS_CONTENT_TYPE})
 
     return HttpServer(Endpoint.parse(address), handle)
