--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -57,7 +57,7 @@
         self.applied = state.split(b"|") if state else []
         self.applied_index = index
 
-    def pump(self) -> None:
+    def process_ready(self) -> None:
         """Follow the host protocol; syncing may take until a later tick."""
         while self.node is not None and self.unsynced is None:
             ready = self.node.ready()
@@ -166,12 +166,12 @@
             if receiver is None or receiver.node is None or (sender, to) in self.cuts:
                 continue
             receiver.node.receive(sender, message, self.now)
-            receiver.pump()
+            receiver.process_ready()
         for replica in list(self.replicas.values()):
             if replica.node is not None:
                 replica.finish_sync()
                 replica.node.tick(self.now)
-                replica.pump()
+                replica.process_ready()
                 self.check_leader(replica)
 
     def run(self, seconds: float) -> None:
@@ -211,7 +211,7 @@
             leader = self.await_leader(among)
             assert leader.node is not None
             leader.node.propose(command, self.now)
-            leader.pump()
+            leader.process_ready()
             self.run(0.5)
 
     # Invariants
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -28,7 +28,7 @@
     while not isinstance(outcome, Proposed):
         leader = cluster.await_leader()
         outcome = leader.node.propose_membership(wanted, cluster.now)
-        leader.pump()
+        leader.process_ready()
         cluster.run(0.2)
     cluster.run_until(lambda: outcome.index in cluster.committed)
 
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -30,7 +30,7 @@
         leader = cluster.leader()
         if leader is not None:
             leader.node.transfer_leadership(cluster.now)
-            leader.pump()
+            leader.process_ready()
     elif fault == 2:
         # A one-way cut: the victim hears nobody, but is heard.
         cluster.cuts |= {(other, victim) for other in cluster.replicas}
@@ -116,7 +116,7 @@
             self.finish(node)
             return
         node.propose_membership(change, self.cluster.now)
-        leader.pump()
+        leader.process_ready()
 
     def finish(self, node) -> None:
         """Switch the lost replica off once the whole change is committed."""
--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -14,7 +14,7 @@
     cluster.commit(b"before")
     leader = cluster.await_leader()
     assert leader.node.transfer_leadership(cluster.now)
-    leader.pump()
+    leader.process_ready()
     return leader
 
 
@@ -29,7 +29,7 @@
     assert isinstance(leader.node.propose(b"last", cluster.now), Proposed)
     assert leader.node.transfer_leadership(cluster.now)
     assert isinstance(leader.node.propose(b"refused", cluster.now), NotLeader)
-    leader.pump()
+    leader.process_ready()
     cluster.run(cluster.config.election_timeout_seconds / 4)
     successor = cluster.leader()
     assert successor is not None and successor is not leader
@@ -56,7 +56,7 @@
     faults = cluster.faults
     faults.loss = 1.0
     assert leader.node.transfer_leadership(cluster.now)
-    leader.pump()
+    leader.process_ready()
     cluster.run(0.1)
     assert leader.node.is_transferring
     faults.loss = 0.0
