--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -85,7 +85,7 @@
         return seconds[len(seconds) // 2]
 
 
-class HostPaces:
+class HostServiceTimes:
     """Compares figures within kinds; a kind is a service and a listener."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_paces import HostPaces
+from jasperwalk.fleet.host_paces import HostServiceTimes
 from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
@@ -56,7 +56,7 @@
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
     weighs_pace: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
-    _paces: HostPaces = field(default_factory=HostPaces)
+    _paces: HostServiceTimes = field(default_factory=HostServiceTimes)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -14,7 +14,7 @@
     MOST_SLOW_SHARE,
     NEUTRAL_SECONDS,
     WHOLE_SECONDS,
-    HostPaces,
+    HostServiceTimes,
     bounded_factor,
     factor_at_age,
 )
@@ -153,7 +153,7 @@
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
-    paces = HostPaces()
+    paces = HostServiceTimes()
     for number in range(LEAST_FIGURES - 1):
         assert paces.factor("web", KIND, encode_pace(USUAL), 0.2 * number) is None
     assert paces.factor("web", KIND, encode_pace(USUAL), 1.0) == 1.0
@@ -162,7 +162,7 @@
 
 
 def test_the_number_of_kinds_is_bounded():
-    paces = HostPaces()
+    paces = HostServiceTimes()
     for number in range(3 * MOST_KINDS):
         paces.factor("web", number.to_bytes(6, "big"), encode_pace(USUAL), 1.0)
     assert len(paces._kinds) <= MOST_KINDS
