--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -55,7 +55,7 @@
     is_bearable: bool
 
 
-class KindFigures:
+class KindServiceTimes:
     """The newest figures of one kind of request, in seconds, and their median."""
 
     __slots__ = ("_figures", "_median", "_median_at")
@@ -89,7 +89,7 @@
     """Compares figures within kinds; a kind is a service and a listener."""
 
     def __init__(self) -> None:
-        self._kinds: OrderedDict[tuple[str, bytes], KindFigures] = OrderedDict()
+        self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
         self._slow_counts: dict[str, SlowCount] = {}
 
     def factor(self, service: str, listener: bytes, code: int, now: float) -> float | None:
@@ -114,10 +114,10 @@
             self._slow_counts[service] = count
         return count.is_bearable
 
-    def _figures_of(self, kind: tuple[str, bytes]) -> KindFigures:
+    def _figures_of(self, kind: tuple[str, bytes]) -> KindServiceTimes:
         figures = self._kinds.get(kind)
         if figures is None:
-            figures = self._kinds[kind] = KindFigures()
+            figures = self._kinds[kind] = KindServiceTimes()
             if len(self._kinds) > MOST_KINDS:
                 self._kinds.popitem(last=False)
         else:
