--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -17,7 +17,7 @@
     return all(one.applied_index >= newest for one in cluster.replicas.values())
 
 
-def provoke(cluster) -> None:
+def inject_fault(cluster) -> None:
     """Let one random fault begin or end."""
     fault = cluster.random.randrange(7)
     victim = cluster.random.choice(sorted(cluster.replicas))
@@ -65,7 +65,7 @@
             if isinstance(outcome, Proposed):
                 proposed[outcome.index] = (outcome.term, command)
         cluster.run(0.4)
-        provoke(cluster)
+        inject_fault(cluster)
         cluster.check_logs_match()
     acknowledged = [
         command
@@ -147,7 +147,7 @@
         if any(entry.data == command for entry in cluster.committed.values()):
             acknowledged.append(command)
         if operator.lost is None:
-            provoke(cluster)
+            inject_fault(cluster)
             if cluster.random.random() < 0.3:
                 repairs += 1
                 operator.wipe(cluster.random.choice(sorted(cluster.replicas)))
