--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -41,7 +41,7 @@
 """A median that was worked out less long ago is used again, and so is a count of slow hosts."""
 
 
-class WeighedHost(Protocol):
+class WeightedHost(Protocol):
     """A host as the comparison needs it."""
 
     def pace_weight(self, now: float) -> float:
@@ -105,7 +105,7 @@
         median = figures.median(now)
         return None if median is None else bounded_factor(seconds / median)
 
-    def may_weigh(self, service: str, hosts: Sequence[WeighedHost], now: float) -> bool:
+    def may_weigh(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
         """Tell whether few enough of a service's hosts are known as slow to do without them."""
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_SECONDS:
