--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -27,7 +27,7 @@
 
     loss: float = 0.0
     duplication: float = 0.0
-    longest_delay_seconds: float = 0.01
+    max_delay_seconds: float = 0.01
 
 
 class Replica:
@@ -152,7 +152,7 @@
             self.granted_by.add(message.disk_id)
         copies = 1 + (self.random.random() < self.faults.duplication)
         for _ in range(copies):
-            delay = self.random.random() * self.faults.longest_delay_seconds
+            delay = self.random.random() * self.faults.max_delay_seconds
             if self.random.random() >= self.faults.loss:
                 item = (self.now + delay, next(self.counter), sender, to, message)
                 heapq.heappush(self.queue, item)
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -53,7 +53,7 @@
     cluster.slow_sync = 0.2
     cluster.faults.loss = 0.05
     cluster.faults.duplication = 0.05
-    cluster.faults.longest_delay_seconds = 0.2
+    cluster.faults.max_delay_seconds = 0.2
     proposed: dict[int, tuple[int, bytes]] = {}
     for round_number in range(ROUNDS):
         for replica in cluster.replicas.values():
@@ -132,7 +132,7 @@
     cluster.slow_sync = 0.2
     cluster.faults.loss = 0.05
     cluster.faults.duplication = 0.05
-    cluster.faults.longest_delay_seconds = 0.2
+    cluster.faults.max_delay_seconds = 0.2
     operator = Operator(cluster)
     acknowledged = [b"first"]
     repairs = 0
