--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -48,7 +48,7 @@
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
 
 
-class SlowCount(msgspec.Struct, frozen=True):
+class SlowHostCheck(msgspec.Struct, frozen=True):
     """Whether few enough hosts of a service were known as slow, and when they were counted."""
 
     counted_at: float
@@ -90,7 +90,7 @@
 
     def __init__(self) -> None:
         self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
-        self._slow_counts: dict[str, SlowCount] = {}
+        self._slow_counts: dict[str, SlowHostCheck] = {}
 
     def factor(self, service: str, listener: bytes, code: int, now: float) -> float | None:
         """Take a figure; return how many times as long as usual its host takes.
@@ -110,7 +110,7 @@
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_SECONDS:
             slow = sum(host.pace_weight(now) > 1.0 for host in hosts)
-            count = SlowCount(now, slow <= MOST_SLOW_SHARE * len(hosts))
+            count = SlowHostCheck(now, slow <= MOST_SLOW_SHARE * len(hosts))
             self._slow_counts[service] = count
         return count.is_bearable
 
