--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -11,7 +11,7 @@
 MEMBERS = Membership(members=[Member(each, f"disk-{each}", True) for each in (1, 2, 3)])
 
 
-def started(first_election_seconds, seed):
+def start_node(first_election_seconds, seed):
     config = RaftConfig((), 0.1, 1.0, first_election_seconds=first_election_seconds)
     hard_state = HardState(term=3, voted_for=None, founding=MEMBERS)
     durable = DurableState(1, "disk-1", hard_state=hard_state)
@@ -20,16 +20,16 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_process_that_just_started_campaigns_soon(seed):
-    assert 10.2 <= started(0.4, seed).next_deadline() <= 10.4
+    assert 10.2 <= start_node(0.4, seed).next_deadline() <= 10.4
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_without_the_setting_the_ordinary_wait_holds(seed):
-    assert 11.0 <= started(None, seed).next_deadline() <= 12.0
+    assert 11.0 <= start_node(None, seed).next_deadline() <= 12.0
 
 
 def test_the_early_campaign_changes_no_term_before_a_quorum_agrees():
-    node = started(0.4, 1)
+    node = start_node(0.4, 1)
     node.tick(10.5)
     assert node.term == 3
     assert all(sent.message.pre_vote for sent in node.ready().messages)
@@ -37,13 +37,13 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_campaign_before_a_quorum_is_there_is_repeated_soon(seed):
-    node = started(0.4, seed)
+    node = start_node(0.4, seed)
     node.tick(10.4)
     assert 10.8 <= node.next_deadline() <= 11.2
 
 
 def test_campaigns_in_vain_become_as_rare_as_ordinary_ones():
-    node = started(0.4, 1)
+    node = start_node(0.4, 1)
     now = 10.0
     for _ in range(8):
         now = node.next_deadline()
@@ -52,7 +52,7 @@
 
 
 def test_who_has_heard_a_leader_waits_the_ordinary_time():
-    node = started(0.4, 1)
+    node = start_node(0.4, 1)
     heartbeat = AppendEntries(3, 0, 0, 0, 10.1, 0.0, [])
     node.receive(2, heartbeat, 10.1)
     node.ready()
