--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -52,7 +52,7 @@
     """Whether few enough hosts of a service were known as slow, and when they were counted."""
 
     counted_at: float
-    is_bearable: bool
+    can_avoid_slow: bool
 
 
 class KindServiceTimes:
@@ -112,7 +112,7 @@
             slow = sum(host.pace_weight(now) > 1.0 for host in hosts)
             count = SlowHostCheck(now, slow <= MOST_SLOW_SHARE * len(hosts))
             self._slow_counts[service] = count
-        return count.is_bearable
+        return count.can_avoid_slow
 
     def _figures_of(self, kind: tuple[str, bytes]) -> KindServiceTimes:
         figures = self._kinds.get(kind)
