--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -9,7 +9,7 @@
 SEEDS = range(1, 11)
 
 
-def begin(cluster):
+def start_transfer(cluster):
     """Commit something, then have the leader transfer its leadership; return it."""
     cluster.commit(b"before")
     leader = cluster.await_leader()
