--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -105,7 +105,7 @@
         median = figures.median(now)
         return None if median is None else bounded_factor(seconds / median)
 
-    def may_weigh(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
+    def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
         """Tell whether few enough of a service's hosts are known as slow to do without them."""
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_SECONDS:
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -148,7 +148,7 @@
         if stays_near:
             candidates = self._with_room_near(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_pace = self.weighs_pace and self._paces.may_weigh(service, usable, now)
+        by_pace = self.weighs_pace and self._paces.can_avoid_slow_hosts(service, usable, now)
         return min(
             candidates,
             key=lambda target: self._cost(target, other_zone_cost, by_pace, now),
