--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -22,7 +22,7 @@
 SEEDS = range(1, 6)
 
 
-def change(cluster, wanted):
+def commit_change(cluster, wanted):
     """Propose a change of members on the leader until it is taken, and let it commit."""
     outcome = None
     while not isinstance(outcome, Proposed):
@@ -42,12 +42,12 @@
 
 def replace(cluster, lost, new):
     """Replace a replica the way an operator does."""
-    change(cluster, RemoveReplica(lost))
+    commit_change(cluster, RemoveReplica(lost))
     del cluster.replicas[lost]
     cluster.add(new)
-    change(cluster, AddLearner(new))
+    commit_change(cluster, AddLearner(new))
     cluster.run_until(lambda: has_caught_up(cluster, new))
-    change(cluster, PromoteLearner(new))
+    commit_change(cluster, PromoteLearner(new))
 
 
 def has_caught_up(cluster, learner):
@@ -178,14 +178,14 @@
     assert refused(cluster, AddLearner(5)) is RefusalReason.CHANGE_IN_PROGRESS
     cluster.run(1.0)
     assert refused(cluster, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
-    change(cluster, RemoveReplica(follower))
+    commit_change(cluster, RemoveReplica(follower))
     assert refused(cluster, AddLearner(follower)) is RefusalReason.REPLICA_ID_USED
 
 
 def test_a_learner_is_promoted_only_when_it_holds_the_log(make_cluster):
     cluster = make_cluster(1, 3)
     cluster.add(4)
-    change(cluster, AddLearner(4))
+    commit_change(cluster, AddLearner(4))
     cluster.run_until(lambda: has_caught_up(cluster, 4))
     cluster.kill(4)
     for number in range(cluster.config.promotion_lag_entries + 1):
@@ -197,7 +197,7 @@
     cluster = make_cluster(1, 3)
     cluster.commit(b"a")
     cluster.add(4)
-    change(cluster, AddLearner(4))
+    commit_change(cluster, AddLearner(4))
     cluster.run_until(lambda: has_caught_up(cluster, 4))
     replacement = cluster.add(4)
     progress = cluster.await_leader().node.progress_of(4)
@@ -216,7 +216,7 @@
     cluster = make_cluster(1, 3)
     cluster.commit(b"a")
     leader = cluster.await_leader()
-    change(cluster, RemoveReplica(leader.disk.replica_id))
+    commit_change(cluster, RemoveReplica(leader.disk.replica_id))
     cluster.run(1.0)
     assert not leader.node.is_leader
     del cluster.replicas[leader.disk.replica_id]
