--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -16,7 +16,7 @@
 
 from jasperwalk.flows.pace import decode_pace
 
-EQUAL_FACTOR = 1.5
+TYPICAL_RATIO = 1.5
 """Hosts within this factor of the median count as equal: requests of one kind differ by as much."""
 HIGHEST_FACTOR = 4.0
 """A pace changes the expected wait by at most this factor; four waits are more than an agent lets
@@ -127,7 +127,7 @@
 
 def bounded_factor(ratio: float) -> float:
     """Return the factor that a ratio of paces counts as."""
-    if 1.0 / EQUAL_FACTOR <= ratio <= EQUAL_FACTOR:
+    if 1.0 / TYPICAL_RATIO <= ratio <= TYPICAL_RATIO:
         return 1.0
     return min(max(ratio, LOWEST_FACTOR), HIGHEST_FACTOR)
 
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -5,7 +5,6 @@
 import pytest
 
 from jasperwalk.fleet.host_paces import (
-    EQUAL_FACTOR,
     FIGURE_SECONDS,
     HIGHEST_FACTOR,
     LEAST_FIGURES,
@@ -13,6 +12,7 @@
     MOST_KINDS,
     MOST_SLOW_SHARE,
     NEUTRAL_SECONDS,
+    TYPICAL_RATIO,
     WHOLE_SECONDS,
     HostServiceTimes,
     bounded_factor,
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("ratio", [1.0, 1.4, 1 / 1.4])
 def test_between_equals_every_choice_is_as_without_figures(ratio):
-    assert max(ratio, 1 / ratio) < EQUAL_FACTOR
+    assert max(ratio, 1 / ratio) < TYPICAL_RATIO
     plain, weighed = Bench(weighs_pace=False), Bench()
     for bench in (plain, weighed):
         bench.tell_usual()
