--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -33,7 +33,7 @@
     cluster.run_until(lambda: outcome.index in cluster.committed)
 
 
-def refused(cluster, wanted):
+def refusal_reason(cluster, wanted):
     """Return why the leader refuses a change."""
     outcome = cluster.await_leader().node.propose_membership(wanted, cluster.now)
     assert isinstance(outcome, MembershipRefused)
@@ -171,15 +171,15 @@
     cluster = make_cluster(1, 3)
     cluster.commit(b"a")
     follower = other_than(cluster, cluster.await_leader().disk.replica_id)
-    assert refused(cluster, AddLearner(2)) is RefusalReason.REPLICA_EXISTS
-    assert refused(cluster, RemoveReplica(9)) is RefusalReason.REPLICA_UNKNOWN
-    assert refused(cluster, PromoteLearner(2)) is RefusalReason.NOT_A_LEARNER
+    assert refusal_reason(cluster, AddLearner(2)) is RefusalReason.REPLICA_EXISTS
+    assert refusal_reason(cluster, RemoveReplica(9)) is RefusalReason.REPLICA_UNKNOWN
+    assert refusal_reason(cluster, PromoteLearner(2)) is RefusalReason.NOT_A_LEARNER
     cluster.await_leader().node.propose_membership(AddLearner(4), cluster.now)
-    assert refused(cluster, AddLearner(5)) is RefusalReason.CHANGE_IN_PROGRESS
+    assert refusal_reason(cluster, AddLearner(5)) is RefusalReason.CHANGE_IN_PROGRESS
     cluster.run(1.0)
-    assert refused(cluster, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
+    assert refusal_reason(cluster, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
     commit_change(cluster, RemoveReplica(follower))
-    assert refused(cluster, AddLearner(follower)) is RefusalReason.REPLICA_ID_USED
+    assert refusal_reason(cluster, AddLearner(follower)) is RefusalReason.REPLICA_ID_USED
 
 
 def test_a_learner_is_promoted_only_when_it_holds_the_log(make_cluster):
@@ -190,7 +190,7 @@
     cluster.kill(4)
     for number in range(cluster.config.promotion_lag_entries + 1):
         cluster.commit(b"%d" % number)
-    assert refused(cluster, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
+    assert refusal_reason(cluster, PromoteLearner(4)) is RefusalReason.NOT_CAUGHT_UP
 
 
 def test_a_learner_with_a_new_disk_starts_over(make_cluster):
@@ -209,7 +209,7 @@
 def test_last_voter_stays(make_cluster):
     cluster = make_cluster(1, 1)
     cluster.commit(b"a")
-    assert refused(cluster, RemoveReplica(1)) is RefusalReason.LAST_VOTER
+    assert refusal_reason(cluster, RemoveReplica(1)) is RefusalReason.LAST_VOTER
 
 
 def test_a_leader_that_removes_itself_hands_over(make_cluster):
@@ -231,7 +231,7 @@
     while cluster.leader() is None:
         cluster.step()
     cluster.slow_sync = 1.0
-    assert refused(cluster, AddLearner(4)) is RefusalReason.LEADER_NOT_SETTLED
+    assert refusal_reason(cluster, AddLearner(4)) is RefusalReason.LEADER_NOT_SETTLED
 
 
 def test_a_far_behind_replica_catches_up_by_chunked_snapshot(make_cluster):
