--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -18,7 +18,7 @@
 
 TYPICAL_RATIO = 1.5
 """Hosts within this factor of the median count as equal: requests of one kind differ by as much."""
-HIGHEST_FACTOR = 4.0
+MAX_SLOWDOWN = 4.0
 """A pace changes the expected wait by at most this factor; four waits are more than an agent lets
 requests queue for."""
 LOWEST_FACTOR = 0.5
@@ -129,7 +129,7 @@
     """Return the factor that a ratio of paces counts as."""
     if 1.0 / TYPICAL_RATIO <= ratio <= TYPICAL_RATIO:
         return 1.0
-    return min(max(ratio, LOWEST_FACTOR), HIGHEST_FACTOR)
+    return min(max(ratio, LOWEST_FACTOR), MAX_SLOWDOWN)
 
 
 def factor_at_age(factor: float, age_seconds: float) -> float:
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from jasperwalk.fleet.host_paces import HIGHEST_FACTOR, factor_at_age
+from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, factor_at_age
 from jasperwalk.fleet.messages import HostPhase, NodeRecord
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import (
@@ -115,7 +115,7 @@
 
     def note_slow(self) -> None:
         """Note that the agent refused a new flow because its host is slow."""
-        self.pace_factor = HIGHEST_FACTOR
+        self.pace_factor = MAX_SLOWDOWN
 
     def is_passed_over(self, now: float) -> bool:
         """Tell whether the agent is chosen only if no other is left: it was silent, or refused."""
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_paces import HIGHEST_FACTOR, LEAST_FIGURES
+from jasperwalk.fleet.host_paces import LEAST_FIGURES, MAX_SLOWDOWN
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
 from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
@@ -51,7 +51,7 @@
     bench.learn_usual()
     slow, _ = bench.open(1.0)
     bench.accept(slow, SLOW, 1.0)
-    assert bench.target(slow).pace_factor == HIGHEST_FACTOR
+    assert bench.target(slow).pace_factor == MAX_SLOWDOWN
     asked = []
     for _ in range(6):
         number, _ = bench.open(1.1)
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -6,9 +6,9 @@
 
 from jasperwalk.fleet.host_paces import (
     FIGURE_SECONDS,
-    HIGHEST_FACTOR,
     LEAST_FIGURES,
     LOWEST_FACTOR,
+    MAX_SLOWDOWN,
     MOST_KINDS,
     MOST_SLOW_SHARE,
     NEUTRAL_SECONDS,
@@ -72,7 +72,7 @@
     bench.tell_usual()
     bench.tell(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
-        bench.target(number).note_load(4 * HIGHEST_FACTOR, 1.0)
+        bench.target(number).note_load(4 * MAX_SLOWDOWN, 1.0)
     assert bench.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
 
 
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    ("code", "bound"), [(HIGHEST_PACE, HIGHEST_FACTOR), (1, LOWEST_FACTOR)], ids=["slow", "fast"]
+    ("code", "bound"), [(HIGHEST_PACE, MAX_SLOWDOWN), (1, LOWEST_FACTOR)], ids=["slow", "fast"]
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
     bench = Bench()
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("ratio", [0.0, 1e-9, 0.5, 1.0, 1.5, 4.0, 1e9])
 def test_every_ratio_gives_a_bounded_factor(ratio):
-    assert LOWEST_FACTOR <= bounded_factor(ratio) <= HIGHEST_FACTOR
+    assert LOWEST_FACTOR <= bounded_factor(ratio) <= MAX_SLOWDOWN
 
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
@@ -139,7 +139,7 @@
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
         bench.tell(number, 8 * USUAL)
-    assert all(bench.target(number).pace_factor == HIGHEST_FACTOR for number in slow)
+    assert all(bench.target(number).pace_factor == MAX_SLOWDOWN for number in slow)
     assert bench.chosen() == plain.chosen()
 
 
