--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -40,7 +40,7 @@
     return outcome.reason
 
 
-def replace(cluster, lost, new):
+def replace_replica(cluster, lost, new):
     """Replace a replica the way an operator does."""
     commit_change(cluster, RemoveReplica(lost))
     del cluster.replicas[lost]
@@ -95,7 +95,7 @@
         cluster.commit(command)
     lost = other_than(cluster, cluster.await_leader().disk.replica_id)
     cluster.kill(lost)
-    replace(cluster, lost, 4)
+    replace_replica(cluster, lost, 4)
     cluster.kill(cluster.await_leader().disk.replica_id)
     cluster.commit(b"last")
     cluster.run(1.0)
@@ -118,7 +118,7 @@
     assert empty.disk.disk_id not in cluster.granted_by
     assert empty.node.is_displaced
     holder.start()
-    replace(cluster, wiped, 4)
+    replace_replica(cluster, wiped, 4)
     cluster.commit(b"last")
     cluster.run(1.0)
     assert cluster.replicas[4].applied[-1] == b"last"
@@ -129,7 +129,7 @@
     cluster = make_cluster(1, 3)
     cluster.commit(b"kept")
     cluster.kill(3)
-    replace(cluster, 3, 4)
+    replace_replica(cluster, 3, 4)
     cluster.kill(4)
     empty = cluster.add(4)
     cluster.commit(b"more")
