--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -21,7 +21,7 @@
 MAX_SLOWDOWN = 4.0
 """A pace changes the expected wait by at most this factor; four waits are more than an agent lets
 requests queue for."""
-LOWEST_FACTOR = 0.5
+MIN_SLOWDOWN = 0.5
 """The same for fast hosts: all balancers together shall not overrun one."""
 WHOLE_SECONDS = 1.0
 """Age up to which a figure counts whole."""
@@ -129,7 +129,7 @@
     """Return the factor that a ratio of paces counts as."""
     if 1.0 / TYPICAL_RATIO <= ratio <= TYPICAL_RATIO:
         return 1.0
-    return min(max(ratio, LOWEST_FACTOR), MAX_SLOWDOWN)
+    return min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
 
 
 def factor_at_age(factor: float, age_seconds: float) -> float:
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -7,8 +7,8 @@
 from jasperwalk.fleet.host_paces import (
     FIGURE_SECONDS,
     LEAST_FIGURES,
-    LOWEST_FACTOR,
     MAX_SLOWDOWN,
+    MIN_SLOWDOWN,
     MOST_KINDS,
     MOST_SLOW_SHARE,
     NEUTRAL_SECONDS,
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    ("code", "bound"), [(HIGHEST_PACE, MAX_SLOWDOWN), (1, LOWEST_FACTOR)], ids=["slow", "fast"]
+    ("code", "bound"), [(HIGHEST_PACE, MAX_SLOWDOWN), (1, MIN_SLOWDOWN)], ids=["slow", "fast"]
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
     bench = Bench()
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("ratio", [0.0, 1e-9, 0.5, 1.0, 1.5, 4.0, 1e9])
 def test_every_ratio_gives_a_bounded_factor(ratio):
-    assert LOWEST_FACTOR <= bounded_factor(ratio) <= MAX_SLOWDOWN
+    assert MIN_SLOWDOWN <= bounded_factor(ratio) <= MAX_SLOWDOWN
 
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
