--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture
-def filled(tmp_path: Path) -> Path:
+def populated_folder(tmp_path: Path) -> Path:
     """Return a folder with entries 1 to 30 over several segments, a vote and a snapshot."""
     storage = open_storage(tmp_path / "data")
     storage.load()
@@ -58,10 +58,10 @@
     return sorted(folder.glob("segment-*.log"))
 
 
-def test_all_that_was_persisted_is_loaded(filled):
-    assert len(segments(filled)) > 3
-    assert not (filled / "segment-0000000001.log").exists()
-    durable = load(filled)
+def test_all_that_was_persisted_is_loaded(populated_folder):
+    assert len(segments(populated_folder)) > 3
+    assert not (populated_folder / "segment-0000000001.log").exists()
+    durable = load(populated_folder)
     assert durable.hard_state == HardState(term=7, voted_for=2)
     assert durable.snapshot == snapshot(20)
     assert durable.entries[0].index <= 16
@@ -74,39 +74,39 @@
     assert not load(tmp_path).fresh
 
 
-def test_a_conflicting_tail_is_replaced(filled):
-    storage = open_storage(filled)
+def test_a_conflicting_tail_is_replaced(populated_folder):
+    storage = open_storage(populated_folder)
     storage.load()
     storage.persist(PersistBatch(entries=[entry(25, 2), entry(26, 2)]))
     storage.close()
-    assert load(filled).entries[-3:] == [entry(24), entry(25, 2), entry(26, 2)]
+    assert load(populated_folder).entries[-3:] == [entry(24), entry(25, 2), entry(26, 2)]
 
 
-def test_a_leaders_snapshot_replaces_the_log(filled):
-    storage = open_storage(filled)
+def test_a_leaders_snapshot_replaces_the_log(populated_folder):
+    storage = open_storage(populated_folder)
     storage.load()
     batch = PersistBatch(None, snapshot(50, 3), 50, [entry(51, 3)], 50)
     storage.persist(batch)
     storage.close()
-    durable = load(filled)
+    durable = load(populated_folder)
     assert (durable.snapshot, durable.entries) == (snapshot(50, 3), [entry(51, 3)])
 
 
 @pytest.mark.parametrize("newer", [snapshot(50, 3), snapshot(25, 3)])
-def test_a_crash_between_snapshot_and_log_is_mended(filled, newer, monkeypatch):
-    storage = open_storage(filled)
+def test_a_crash_between_snapshot_and_log_is_mended(populated_folder, newer, monkeypatch):
+    storage = open_storage(populated_folder)
     storage.load()
     with monkeypatch.context() as patch:
         patch.setattr(storage._log, "append", lambda record: (_ for _ in ()).throw(OSError()))
         with pytest.raises(WriteFailed):
             storage.persist(PersistBatch(snapshot=newer, reset_index=newer.index))
     storage.close()
-    assert load(filled).entries == []
-    storage = open_storage(filled)
+    assert load(populated_folder).entries == []
+    storage = open_storage(populated_folder)
     storage.load()
     storage.persist(PersistBatch(entries=[entry(newer.index + 1, 3)]))
     storage.close()
-    assert load(filled).entries == [entry(newer.index + 1, 3)]
+    assert load(populated_folder).entries == [entry(newer.index + 1, 3)]
 
 
 def last_frame_start(path: Path) -> int:
@@ -115,8 +115,8 @@
 
 
 @pytest.mark.parametrize("kept", ["nothing", "5 bytes", "header", "all but 1", "zeros"])
-def test_a_torn_tail_is_cut_back(filled, kept):
-    path = segments(filled)[-1]
+def test_a_torn_tail_is_cut_back(populated_folder, kept):
+    path = segments(populated_folder)[-1]
     before = path.read_bytes()
     torn = encode_frame(b"x" * 2000)
     tails = {
@@ -127,12 +127,12 @@
         "zeros": torn[:900] + bytes(len(torn) - 900),
     }
     path.write_bytes(before + tails[kept])
-    storage = open_storage(filled)
+    storage = open_storage(populated_folder)
     assert storage.load().entries[-1] == entry(30)
     assert storage.torn_bytes == len(tails[kept])
     storage.persist(PersistBatch(entries=[entry(31)]))
     storage.close()
-    assert load(filled).entries[-1] == entry(31)
+    assert load(populated_folder).entries[-1] == entry(31)
 
 
 def flip(path: Path, offset: int) -> None:
@@ -141,15 +141,20 @@
     path.write_bytes(bytes(data))
 
 
-def test_a_flipped_byte_anywhere_is_refused(filled):
-    for path in [*segments(filled), filled / "snapshot", filled / "manifest", filled / "identity"]:
+def test_a_flipped_byte_anywhere_is_refused(populated_folder):
+    for path in [
+        *segments(populated_folder),
+        populated_folder / "snapshot",
+        populated_folder / "manifest",
+        populated_folder / "identity",
+    ]:
         whole = path.read_bytes()
         for offset in range(len(whole)):
             flip(path, offset)
             with pytest.raises(CorruptFile):
-                load(filled)
+                load(populated_folder)
             path.write_bytes(whole)
-    assert load(filled).entries[-1] == entry(30)
+    assert load(populated_folder).entries[-1] == entry(30)
 
 
 DAMAGES = {
@@ -177,18 +182,18 @@
 
 
 @pytest.mark.parametrize("name", DAMAGES)
-def test_damage_is_refused_and_nothing_changed(filled, name):
+def test_damage_is_refused_and_nothing_changed(populated_folder, name):
     damage, error = DAMAGES[name]
-    damage(filled)
-    files = {path: path.read_bytes() for path in filled.iterdir()}
+    damage(populated_folder)
+    files = {path: path.read_bytes() for path in populated_folder.iterdir()}
     with pytest.raises(error):
-        load(filled)
-    assert {path: path.read_bytes() for path in filled.iterdir()} == files
+        load(populated_folder)
+    assert {path: path.read_bytes() for path in populated_folder.iterdir()} == files
 
 
-def test_a_folder_of_another_replica_is_refused(filled):
+def test_a_folder_of_another_replica_is_refused(populated_folder):
     with pytest.raises(IdentityMismatch):
-        open_storage(filled, replica_id=2).load()
+        open_storage(populated_folder, replica_id=2).load()
 
 
 def test_a_folder_in_use_is_refused(tmp_path):
@@ -199,8 +204,8 @@
     storage.close()
 
 
-def test_after_a_failed_sync_nothing_more_is_taken(filled, monkeypatch):
-    storage = open_storage(filled)
+def test_after_a_failed_sync_nothing_more_is_taken(populated_folder, monkeypatch):
+    storage = open_storage(populated_folder)
     storage.load()
     with monkeypatch.context() as patch:
         patch.setattr("os.fsync", lambda _: (_ for _ in ()).throw(OSError("no")))
