--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -23,7 +23,7 @@
 requests queue for."""
 MIN_SLOWDOWN = 0.5
 """The same for fast hosts: all balancers together shall not overrun one."""
-WHOLE_SECONDS = 1.0
+FULL_WEIGHT_SECONDS = 1.0
 """Age up to which a figure counts whole."""
 NEUTRAL_SECONDS = 2.0
 """Age from which it counts nothing, so that a slow host is tried again."""
@@ -136,7 +136,7 @@
     """Return what a factor still counts for at an age."""
     if factor == 1.0 or age_seconds >= NEUTRAL_SECONDS:
         return 1.0
-    if age_seconds <= WHOLE_SECONDS:
+    if age_seconds <= FULL_WEIGHT_SECONDS:
         return factor
-    worth = (NEUTRAL_SECONDS - age_seconds) / (NEUTRAL_SECONDS - WHOLE_SECONDS)
+    worth = (NEUTRAL_SECONDS - age_seconds) / (NEUTRAL_SECONDS - FULL_WEIGHT_SECONDS)
     return float(factor**worth)
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -6,6 +6,7 @@
 
 from jasperwalk.fleet.host_paces import (
     FIGURE_SECONDS,
+    FULL_WEIGHT_SECONDS,
     LEAST_FIGURES,
     MAX_SLOWDOWN,
     MIN_SLOWDOWN,
@@ -13,7 +14,6 @@
     MOST_SLOW_SHARE,
     NEUTRAL_SECONDS,
     TYPICAL_RATIO,
-    WHOLE_SECONDS,
     HostServiceTimes,
     bounded_factor,
     factor_at_age,
@@ -123,7 +123,9 @@
 
 
 def test_a_figure_counts_less_with_age():
-    weights = [factor_at_age(4.0, age) for age in (0.0, WHOLE_SECONDS, 1.5, NEUTRAL_SECONDS, 99.0)]
+    weights = [
+        factor_at_age(4.0, age) for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, NEUTRAL_SECONDS, 99.0)
+    ]
     assert weights == pytest.approx([4.0, 4.0, 2.0, 1.0, 1.0])
 
 
