--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -162,8 +162,8 @@
     "middle segment missing": (lambda f: segments(f)[1].unlink(), MissingFile),
     "last segment missing": (lambda f: segments(f)[-1].unlink(), MissingFile),
     "last segment empty": (lambda f: segments(f)[-1].write_bytes(b""), MissingFile),
-    "middle segment cut": (lambda f: cut(segments(f)[1], 3), CorruptFile),
-    "snapshot cut": (lambda f: cut(f / "snapshot", 3), CorruptFile),
+    "middle segment cut": (lambda f: truncate(segments(f)[1], 3), CorruptFile),
+    "snapshot cut": (lambda f: truncate(f / "snapshot", 3), CorruptFile),
     "snapshot missing": (lambda f: (f / "snapshot").unlink(), MissingFile),
     "manifest missing": (lambda f: (f / "manifest").unlink(), MissingFile),
     "identity missing": (lambda f: (f / "identity").unlink(), MissingFile),
@@ -171,7 +171,7 @@
 }
 
 
-def cut(path: Path, count: int) -> None:
+def truncate(path: Path, count: int) -> None:
     path.write_bytes(path.read_bytes()[:-count])
 
 
