--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -25,7 +25,7 @@
 """The same for fast hosts: all balancers together shall not overrun one."""
 FULL_WEIGHT_SECONDS = 1.0
 """Age up to which a figure counts whole."""
-NEUTRAL_SECONDS = 2.0
+MAX_SLOWDOWN_AGE_SECONDS = 2.0
 """Age from which it counts nothing, so that a slow host is tried again."""
 MOST_SLOW_SHARE = 0.5
 """Where more of a service's hosts than this are known as slow, none counts as such: the others
@@ -134,9 +134,11 @@
 
 def factor_at_age(factor: float, age_seconds: float) -> float:
     """Return what a factor still counts for at an age."""
-    if factor == 1.0 or age_seconds >= NEUTRAL_SECONDS:
+    if factor == 1.0 or age_seconds >= MAX_SLOWDOWN_AGE_SECONDS:
         return 1.0
     if age_seconds <= FULL_WEIGHT_SECONDS:
         return factor
-    worth = (NEUTRAL_SECONDS - age_seconds) / (NEUTRAL_SECONDS - FULL_WEIGHT_SECONDS)
+    worth = (MAX_SLOWDOWN_AGE_SECONDS - age_seconds) / (
+        MAX_SLOWDOWN_AGE_SECONDS - FULL_WEIGHT_SECONDS
+    )
     return float(factor**worth)
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -9,10 +9,10 @@
     FULL_WEIGHT_SECONDS,
     LEAST_FIGURES,
     MAX_SLOWDOWN,
+    MAX_SLOWDOWN_AGE_SECONDS,
     MIN_SLOWDOWN,
     MOST_KINDS,
     MOST_SLOW_SHARE,
-    NEUTRAL_SECONDS,
     TYPICAL_RATIO,
     HostServiceTimes,
     bounded_factor,
@@ -118,13 +118,14 @@
     target.note_load(2.0, 1.0)
     load = target.relative_load(1.0)
     assert target.weighed_load(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
-    old = 1.0 + NEUTRAL_SECONDS
+    old = 1.0 + MAX_SLOWDOWN_AGE_SECONDS
     assert target.weighed_load(old) == target.relative_load(old)
 
 
 def test_a_figure_counts_less_with_age():
     weights = [
-        factor_at_age(4.0, age) for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, NEUTRAL_SECONDS, 99.0)
+        factor_at_age(4.0, age)
+        for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, MAX_SLOWDOWN_AGE_SECONDS, 99.0)
     ]
     assert weights == pytest.approx([4.0, 4.0, 2.0, 1.0, 1.0])
 
