--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -135,7 +135,7 @@
     assert load(populated_folder).entries[-1] == entry(31)
 
 
-def flip(path: Path, offset: int) -> None:
+def flip_bit(path: Path, offset: int) -> None:
     data = bytearray(path.read_bytes())
     data[offset] ^= 0x10
     path.write_bytes(bytes(data))
@@ -150,7 +150,7 @@
     ]:
         whole = path.read_bytes()
         for offset in range(len(whole)):
-            flip(path, offset)
+            flip_bit(path, offset)
             with pytest.raises(CorruptFile):
                 load(populated_folder)
             path.write_bytes(whole)
