--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -27,7 +27,7 @@
 """Age up to which a figure counts whole."""
 MAX_SLOWDOWN_AGE_SECONDS = 2.0
 """Age from which it counts nothing, so that a slow host is tried again."""
-MOST_SLOW_SHARE = 0.5
+MAX_SLOW_SHARE = 0.5
 """Where more of a service's hosts than this are known as slow, none counts as such: the others
 could not take their load."""
 LEAST_FIGURES = 5
@@ -110,7 +110,7 @@
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_SECONDS:
             slow = sum(host.pace_weight(now) > 1.0 for host in hosts)
-            count = SlowHostCheck(now, slow <= MOST_SLOW_SHARE * len(hosts))
+            count = SlowHostCheck(now, slow <= MAX_SLOW_SHARE * len(hosts))
             self._slow_counts[service] = count
         return count.can_avoid_slow
 
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -8,11 +8,11 @@
     FIGURE_SECONDS,
     FULL_WEIGHT_SECONDS,
     LEAST_FIGURES,
+    MAX_SLOW_SHARE,
     MAX_SLOWDOWN,
     MAX_SLOWDOWN_AGE_SECONDS,
     MIN_SLOWDOWN,
     MOST_KINDS,
-    MOST_SLOW_SHARE,
     TYPICAL_RATIO,
     HostServiceTimes,
     bounded_factor,
@@ -136,7 +136,7 @@
 
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
-    slow = range(1, 2 + round(MOST_SLOW_SHARE * HOSTS))
+    slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
     bench, plain = Bench(), Bench(weighs_pace=False)
     for _ in range(LEAST_FIGURES):
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
