--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -136,10 +136,10 @@
 
 
 @pytest.mark.parametrize(("flaw", "installed"), [(0, 3), (1, 0)])
-def test_a_snapshot_is_installed_only_with_the_right_checksum(flaw, installed):
+def test_a_snapshot_is_installed_only_with_the_right_checksum(checksum_error, installed):
     node = make_node()
     checksum = SnapshotData(3, 1, FOUNDING, b"state").checksum()
-    chunk = InstallSnapshot(1, 3, 1, FOUNDING, checksum ^ flaw, 5, 0, b"state", 1.0)
+    chunk = InstallSnapshot(1, 3, 1, FOUNDING, checksum ^ checksum_error, 5, 0, b"state", 1.0)
     node.receive(2, chunk, 1.0)
     assert node.commit_index == installed
     messages, _ = finish(node)
