--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -30,7 +30,7 @@
 MAX_SLOW_SHARE = 0.5
 """Where more of a service's hosts than this are known as slow, none counts as such: the others
 could not take their load."""
-LEAST_FIGURES = 5
+MIN_SAMPLES = 5
 """Figures of a kind that a median rests on at least."""
 FIGURES_PER_KIND = 32
 FIGURE_SECONDS = 30.0
@@ -79,7 +79,7 @@
     def _work_out(self, now: float) -> float | None:
         while self._figures and now - self._figures[0][0] > FIGURE_SECONDS:
             self._figures.popleft()
-        if len(self._figures) < LEAST_FIGURES:
+        if len(self._figures) < MIN_SAMPLES:
             return None
         seconds = sorted(figure for _, figure in self._figures)
         return seconds[len(seconds) // 2]
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_paces import LEAST_FIGURES, MAX_SLOWDOWN
+from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
 from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
@@ -41,7 +41,7 @@
         return self.pool.at((endpoint.host, endpoint.port))
 
     def learn_usual(self):
-        for _ in range(4 * LEAST_FIGURES):
+        for _ in range(4 * MIN_SAMPLES):
             number, _ = self.open(0.5)
             self.accept(number, USUAL, 0.5)
 
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -7,10 +7,10 @@
 from jasperwalk.fleet.host_paces import (
     FIGURE_SECONDS,
     FULL_WEIGHT_SECONDS,
-    LEAST_FIGURES,
     MAX_SLOW_SHARE,
     MAX_SLOWDOWN,
     MAX_SLOWDOWN_AGE_SECONDS,
+    MIN_SAMPLES,
     MIN_SLOWDOWN,
     MOST_KINDS,
     TYPICAL_RATIO,
@@ -138,7 +138,7 @@
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
     bench, plain = Bench(), Bench(weighs_pace=False)
-    for _ in range(LEAST_FIGURES):
+    for _ in range(MIN_SAMPLES):
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
         bench.tell(number, 8 * USUAL)
@@ -157,7 +157,7 @@
 
 def test_nothing_is_compared_with_few_or_old_figures():
     paces = HostServiceTimes()
-    for number in range(LEAST_FIGURES - 1):
+    for number in range(MIN_SAMPLES - 1):
         assert paces.factor("web", KIND, encode_pace(USUAL), 0.2 * number) is None
     assert paces.factor("web", KIND, encode_pace(USUAL), 1.0) == 1.0
     late = 1.0 + FIGURE_SECONDS + 1.0
