--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -61,7 +61,7 @@
 
 
 @pytest.fixture
-def others(tmp_path):
+def other_cluster_certificates(tmp_path):
     """A cluster of the same name with a CA of its own."""
     return _make_certificates(tmp_path / "others")
 
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -143,10 +143,12 @@
 
 @LOOPS
 @pytest.mark.parametrize("case", ["wrong CA", "expired", "wrong CA of server", "expired server"])
-def test_certificates_that_do_not_hold_are_refused(certificates, others, run, case):
+def test_certificates_that_do_not_hold_are_refused(
+    certificates, other_cluster_certificates, run, case
+):
     async def scenario():
-        server_side = others if case == "wrong CA of server" else certificates
-        client_side = others if case == "wrong CA" else certificates
+        server_side = other_cluster_certificates if case == "wrong CA of server" else certificates
+        client_side = other_cluster_certificates if case == "wrong CA" else certificates
         server_life = EXPIRED if case == "expired server" else DAY
         client_life = EXPIRED if case == "expired" else DAY
         async with serving(server_side.tls("control", "control-1", server_life)) as server:
@@ -158,18 +160,22 @@
 
 
 @LOOPS
-def test_a_client_whose_ca_the_server_does_not_know_learns_of_it(certificates, others, run):
+def test_a_client_whose_ca_the_server_does_not_know_learns_of_it(
+    certificates, other_cluster_certificates, run
+):
     """The client knows both CAs, as in the middle of a change of the CA."""
 
     async def scenario():
         async with serving(certificates.tls("control", "control-1")) as server:
-            identity = others.issue("control", "control-2")
-            ca_file = others.folder / "ca.pem"
+            identity = other_cluster_certificates.issue("control", "control-2")
+            ca_file = other_cluster_certificates.folder / "ca.pem"
             ca_file.write_bytes(
                 ca_file.read_bytes() + (certificates.folder / "ca.pem").read_bytes()
             )
             with pytest.raises(TlsError):
-                await echoed(server, LinkTls(files_of(identity, others.folder), identity))
+                await echoed(
+                    server, LinkTls(files_of(identity, other_cluster_certificates.folder), identity)
+                )
 
     run(scenario())
 
