--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -32,7 +32,7 @@
 could not take their load."""
 MIN_SAMPLES = 5
 """Figures of a kind that a median rests on at least."""
-FIGURES_PER_KIND = 32
+SAMPLES_PER_KIND = 32
 FIGURE_SECONDS = 30.0
 """Figures older than this are not compared with."""
 MOST_KINDS = 128
@@ -61,7 +61,7 @@
     __slots__ = ("_figures", "_median", "_median_at")
 
     def __init__(self) -> None:
-        self._figures: deque[tuple[float, float]] = deque(maxlen=FIGURES_PER_KIND)
+        self._figures: deque[tuple[float, float]] = deque(maxlen=SAMPLES_PER_KIND)
         self._median: float | None = None
         self._median_at = float("-inf")
 
