--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -51,7 +51,7 @@
         identity = self.issue(role, name, lifetime, cluster_id)
         return LinkTls(files_of(identity, self.folder), identity, clock=lambda: self.now)
 
-    def pass_poll(self):
+    def advance_past_poll(self):
         self.now += POLL_SECONDS
 
 
--- a/tests/control/test_keys.py
+++ b/tests/control/test_keys.py
@@ -179,7 +179,7 @@
         assert {each["kind"] for each in refusals} == {"certificate-refused"}
         assert not link.connected
         certificates.issue("control", "control-2")
-        certificates.pass_poll()
+        certificates.advance_past_poll()
         await wait_for(lambda: link.connected)
         task.cancel()
         await server.close()
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -216,7 +216,7 @@
                     await echoed(server, client_tls)
             certificates.issue("control", "control-1")
             certificates.issue("control", "control-2")
-            certificates.pass_poll()
+            certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
             if renewed == "ca":
                 former_tls._watch.changed = lambda: False  # a process that kept its old files
@@ -238,10 +238,10 @@
         async with serving(server_tls) as server:
             for content in (b"", certificates.folder.joinpath("ca.key").read_bytes()):
                 key_file.write_bytes(content)
-                certificates.pass_poll()
+                certificates.advance_past_poll()
                 assert await echoed(server, client_tls) == b"hello"
             key_file.write_bytes(whole)
-            certificates.pass_poll()
+            certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
 
     asyncio.run(scenario())
