--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -33,7 +33,7 @@
 MIN_SAMPLES = 5
 """Figures of a kind that a median rests on at least."""
 SAMPLES_PER_KIND = 32
-FIGURE_SECONDS = 30.0
+MAX_SAMPLE_AGE_SECONDS = 30.0
 """Figures older than this are not compared with."""
 MOST_KINDS = 128
 """Kinds that are compared; the one that was not heard of for longest makes room."""
@@ -77,7 +77,7 @@
         return self._median
 
     def _work_out(self, now: float) -> float | None:
-        while self._figures and now - self._figures[0][0] > FIGURE_SECONDS:
+        while self._figures and now - self._figures[0][0] > MAX_SAMPLE_AGE_SECONDS:
             self._figures.popleft()
         if len(self._figures) < MIN_SAMPLES:
             return None
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -5,8 +5,8 @@
 import pytest
 
 from jasperwalk.fleet.host_paces import (
-    FIGURE_SECONDS,
     FULL_WEIGHT_SECONDS,
+    MAX_SAMPLE_AGE_SECONDS,
     MAX_SLOW_SHARE,
     MAX_SLOWDOWN,
     MAX_SLOWDOWN_AGE_SECONDS,
@@ -160,7 +160,7 @@
     for number in range(MIN_SAMPLES - 1):
         assert paces.factor("web", KIND, encode_pace(USUAL), 0.2 * number) is None
     assert paces.factor("web", KIND, encode_pace(USUAL), 1.0) == 1.0
-    late = 1.0 + FIGURE_SECONDS + 1.0
+    late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
     assert paces.factor("web", KIND, encode_pace(9 * USUAL), late) is None
 
 
