--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -42,7 +42,7 @@
     assert 10.8 <= node.next_deadline() <= 11.2
 
 
-def test_campaigns_in_vain_become_as_rare_as_ordinary_ones():
+def test_failed_campaigns_back_off_to_the_normal_wait():
     node = start_node(0.4, 1)
     now = 10.0
     for _ in range(8):
