--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -35,7 +35,7 @@
 SAMPLES_PER_KIND = 32
 MAX_SAMPLE_AGE_SECONDS = 30.0
 """Figures older than this are not compared with."""
-MOST_KINDS = 128
+MAX_KINDS = 128
 """Kinds that are compared; the one that was not heard of for longest makes room."""
 MEDIAN_SECONDS = 0.1
 """A median that was worked out less long ago is used again, and so is a count of slow hosts."""
@@ -118,7 +118,7 @@
         figures = self._kinds.get(kind)
         if figures is None:
             figures = self._kinds[kind] = KindServiceTimes()
-            if len(self._kinds) > MOST_KINDS:
+            if len(self._kinds) > MAX_KINDS:
                 self._kinds.popitem(last=False)
         else:
             self._kinds.move_to_end(kind)
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -6,13 +6,13 @@
 
 from jasperwalk.fleet.host_paces import (
     FULL_WEIGHT_SECONDS,
+    MAX_KINDS,
     MAX_SAMPLE_AGE_SECONDS,
     MAX_SLOW_SHARE,
     MAX_SLOWDOWN,
     MAX_SLOWDOWN_AGE_SECONDS,
     MIN_SAMPLES,
     MIN_SLOWDOWN,
-    MOST_KINDS,
     TYPICAL_RATIO,
     HostServiceTimes,
     bounded_factor,
@@ -166,6 +166,6 @@
 
 def test_the_number_of_kinds_is_bounded():
     paces = HostServiceTimes()
-    for number in range(3 * MOST_KINDS):
+    for number in range(3 * MAX_KINDS):
         paces.factor("web", number.to_bytes(6, "big"), encode_pace(USUAL), 1.0)
-    assert len(paces._kinds) <= MOST_KINDS
+    assert len(paces._kinds) <= MAX_KINDS
