--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_without_the_setting_the_ordinary_wait_holds(seed):
+def test_without_the_setting_the_normal_wait_holds(seed):
     assert 11.0 <= start_node(None, seed).next_deadline() <= 12.0
 
 
