--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -37,7 +37,7 @@
 """Figures older than this are not compared with."""
 MAX_KINDS = 128
 """Kinds that are compared; the one that was not heard of for longest makes room."""
-MEDIAN_SECONDS = 0.1
+MEDIAN_CACHE_SECONDS = 0.1
 """A median that was worked out less long ago is used again, and so is a count of slow hosts."""
 
 
@@ -71,7 +71,7 @@
 
     def median(self, now: float) -> float | None:
         """Return the median of the newest figures, None where there are too few."""
-        if self._median is None or now - self._median_at >= MEDIAN_SECONDS:
+        if self._median is None or now - self._median_at >= MEDIAN_CACHE_SECONDS:
             self._median = self._work_out(now)
             self._median_at = now
         return self._median
@@ -108,7 +108,7 @@
     def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
         """Tell whether few enough of a service's hosts are known as slow to do without them."""
         count = self._slow_counts.get(service)
-        if count is None or now - count.counted_at >= MEDIAN_SECONDS:
+        if count is None or now - count.counted_at >= MEDIAN_CACHE_SECONDS:
             slow = sum(host.pace_weight(now) > 1.0 for host in hosts)
             count = SlowHostCheck(now, slow <= MAX_SLOW_SHARE * len(hosts))
             self._slow_counts[service] = count
