--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -51,7 +51,7 @@
     assert 1.0 <= node.next_deadline() - now <= 2.0
 
 
-def test_who_has_heard_a_leader_waits_the_ordinary_time():
+def test_a_replica_that_had_a_leader_waits_the_normal_time():
     node = start_node(0.4, 1)
     heartbeat = AppendEntries(3, 0, 0, 0, 10.1, 0.0, [])
     node.receive(2, heartbeat, 10.1)
