--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -72,11 +72,11 @@
     def median(self, now: float) -> float | None:
         """Return the median of the newest figures, None where there are too few."""
         if self._median is None or now - self._median_at >= MEDIAN_CACHE_SECONDS:
-            self._median = self._work_out(now)
+            self._median = self._compute(now)
             self._median_at = now
         return self._median
 
-    def _work_out(self, now: float) -> float | None:
+    def _compute(self, now: float) -> float | None:
         while self._figures and now - self._figures[0][0] > MAX_SAMPLE_AGE_SECONDS:
             self._figures.popleft()
         if len(self._figures) < MIN_SAMPLES:
