--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("newer", [snapshot(50, 3), snapshot(25, 3)])
-def test_a_crash_between_snapshot_and_log_is_mended(populated_folder, newer, monkeypatch):
+def test_a_crash_between_snapshot_and_log_is_repaired(populated_folder, newer, monkeypatch):
     storage = open_storage(populated_folder)
     storage.load()
     with monkeypatch.context() as patch:
