--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -100,9 +100,9 @@
         seconds = decode_pace(code)
         if seconds is None:
             return None
-        figures = self._figures_of((service, listener))
-        figures.add(seconds, now)
-        median = figures.median(now)
+        samples = self._figures_of((service, listener))
+        samples.add(seconds, now)
+        median = samples.median(now)
         return None if median is None else bounded_factor(seconds / median)
 
     def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
@@ -115,14 +115,14 @@
         return count.can_avoid_slow
 
     def _figures_of(self, kind: tuple[str, bytes]) -> KindServiceTimes:
-        figures = self._kinds.get(kind)
-        if figures is None:
-            figures = self._kinds[kind] = KindServiceTimes()
+        samples = self._kinds.get(kind)
+        if samples is None:
+            samples = self._kinds[kind] = KindServiceTimes()
             if len(self._kinds) > MAX_KINDS:
                 self._kinds.popitem(last=False)
         else:
             self._kinds.move_to_end(kind)
-        return figures
+        return samples
 
 
 def bounded_factor(ratio: float) -> float:
