--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -205,7 +205,7 @@
     assert (reply.term, reply.success, node.last_index) == (5, False, 0)
 
 
-def test_a_follower_whose_host_stood_still_reads_what_waits_before_it_campaigns():
+def test_a_stalled_follower_reads_buffered_messages_before_it_campaigns():
     node = make_node()
     append(node, 1, (0, 0), [], now=1.0)
     finish(node)
