--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -81,7 +81,7 @@
             self._figures.popleft()
         if len(self._figures) < MIN_SAMPLES:
             return None
-        seconds = sorted(figure for _, figure in self._figures)
+        seconds = sorted(sample for _, sample in self._figures)
         return seconds[len(seconds) // 2]
 
 
