--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(("answered_at", "leads"), [(60.1, True), (None, False)])
-def test_a_leader_whose_host_stood_still_reads_what_waits_before_it_steps_down(answered_at, leads):
+def test_a_stalled_leader_reads_buffered_messages_before_it_steps_down(answered_at, leads):
     node = make_node()
     elect(node)
     finish(node)
