--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -61,13 +61,13 @@
     __slots__ = ("_figures", "_median", "_median_at")
 
     def __init__(self) -> None:
-        self._figures: deque[tuple[float, float]] = deque(maxlen=SAMPLES_PER_KIND)
+        self._samples: deque[tuple[float, float]] = deque(maxlen=SAMPLES_PER_KIND)
         self._median: float | None = None
         self._median_at = float("-inf")
 
     def add(self, seconds: float, now: float) -> None:
         """Take a figure."""
-        self._figures.append((now, seconds))
+        self._samples.append((now, seconds))
 
     def median(self, now: float) -> float | None:
         """Return the median of the newest figures, None where there are too few."""
@@ -77,11 +77,11 @@
         return self._median
 
     def _compute(self, now: float) -> float | None:
-        while self._figures and now - self._figures[0][0] > MAX_SAMPLE_AGE_SECONDS:
-            self._figures.popleft()
-        if len(self._figures) < MIN_SAMPLES:
+        while self._samples and now - self._samples[0][0] > MAX_SAMPLE_AGE_SECONDS:
+            self._samples.popleft()
+        if len(self._samples) < MIN_SAMPLES:
             return None
-        seconds = sorted(sample for _, sample in self._figures)
+        seconds = sorted(sample for _, sample in self._samples)
         return seconds[len(seconds) // 2]
 
 
