--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -216,7 +216,7 @@
     assert (node.role, node.leader_id) == (Role.FOLLOWER, 2)
 
 
-def test_a_follower_whose_host_is_always_late_still_campaigns():
+def test_a_follower_whose_ticks_are_always_late_still_campaigns():
     node = make_node()
     append(node, 1, (0, 0), [], now=1.0)
     finish(node)
