--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -100,7 +100,7 @@
         seconds = decode_pace(code)
         if seconds is None:
             return None
-        samples = self._figures_of((service, listener))
+        samples = self._samples_of((service, listener))
         samples.add(seconds, now)
         median = samples.median(now)
         return None if median is None else bounded_factor(seconds / median)
@@ -114,7 +114,7 @@
             self._slow_counts[service] = count
         return count.can_avoid_slow
 
-    def _figures_of(self, kind: tuple[str, bytes]) -> KindServiceTimes:
+    def _samples_of(self, kind: tuple[str, bytes]) -> KindServiceTimes:
         samples = self._kinds.get(kind)
         if samples is None:
             samples = self._kinds[kind] = KindServiceTimes()
