--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -204,7 +204,7 @@
     storage.close()
 
 
-def test_after_a_failed_sync_nothing_more_is_taken(populated_folder, monkeypatch):
+def test_after_a_failed_sync_no_write_is_accepted(populated_folder, monkeypatch):
     storage = open_storage(populated_folder)
     storage.load()
     with monkeypatch.context() as patch:
