--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -16,7 +16,6 @@
 from jasperwalk.balancer.datagrams.paced_link import PacedLink
 from jasperwalk.balancer.datagrams.packet_intake import PacketIntake
 from jasperwalk.fleet.bound_sockets import BalancerSockets, bind_balancer
-from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -27,6 +26,7 @@
     NodeRole,
     RoutesUpdate,
 )
+from jasperwalk.fleet.metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
 from jasperwalk.fleet.search_ticks import SearchTimer
 from jasperwalk.fleet.settings import BalancerNodeSettings
@@ -112,7 +112,7 @@
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
 
-        figures = ProcessMetrics(
+        metrics = ProcessMetrics(
             process="balancer",
             counters=self._counts,
             gauges={
@@ -132,7 +132,7 @@
                 "flow_search": self.core.search_latency,
             },
         )
-        self._metrics = metrics_server(settings.metrics_listen, settings.metrics_path, figures)
+        self._metrics = metrics_server(settings.metrics_listen, settings.metrics_path, metrics)
 
     def _counts(self) -> dict[str, int]:
         pacing = {} if self._pacer is None else vars(self._pacer.counters)
--- a/src/jasperwalk/fleet/figures.py
+++ b/src/jasperwalk/fleet/figures.py
@@ -65,7 +65,7 @@
     return name.replace("_", " ").capitalize() + "."
 
 
-def metrics_server(address: str, path: str, figures: ProcessMetrics) -> HttpServer | None:
+def metrics_server(address: str, path: str, metrics: ProcessMetrics) -> HttpServer | None:
     """Return the server of a process' figures, None where the settings name no address."""
     if not address:
         return None
@@ -73,6 +73,6 @@
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path != path:
             return HttpResponse(404)
-        return HttpResponse(200, figures.render(), {"Content-Type": PROMETHEUS_CONTENT_TYPE})
+        return HttpResponse(200, metrics.render(), {"Content-Type": PROMETHEUS_CONTENT_TYPE})
 
     return HttpServer(Endpoint.parse(address), handle)
