--- a/tests/observability/test_decisions.py
+++ b/tests/observability/test_decisions.py
@@ -14,7 +14,7 @@
         return self.now
 
 
-def test_lines_beyond_the_budget_are_dropped_and_told_of_later():
+def test_lines_beyond_the_budget_are_dropped_and_counted_in_the_next_line():
     clock = Clock()
     log = DecisionLog(clock, lines_per_second=2.0, burst_lines=3.0)
     with capture_logs() as lines:
