--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -92,7 +92,7 @@
         self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
         self._slow_counts: dict[str, SlowHostCheck] = {}
 
-    def factor(self, service: str, listener: bytes, code: int, now: float) -> float | None:
+    def slowdown(self, service: str, listener: bytes, code: int, now: float) -> float | None:
         """Take a figure; return how many times as long as usual its host takes.
 
         That is 1.0 for what counts as equal, and None where nothing can be said.
@@ -132,13 +132,13 @@
     return min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
 
 
-def factor_at_age(factor: float, age_seconds: float) -> float:
+def factor_at_age(slowdown: float, age_seconds: float) -> float:
     """Return what a factor still counts for at an age."""
-    if factor == 1.0 or age_seconds >= MAX_SLOWDOWN_AGE_SECONDS:
+    if slowdown == 1.0 or age_seconds >= MAX_SLOWDOWN_AGE_SECONDS:
         return 1.0
     if age_seconds <= FULL_WEIGHT_SECONDS:
-        return factor
+        return slowdown
     worth = (MAX_SLOWDOWN_AGE_SECONDS - age_seconds) / (
         MAX_SLOWDOWN_AGE_SECONDS - FULL_WEIGHT_SECONDS
     )
-    return float(factor**worth)
+    return float(slowdown**worth)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -169,9 +169,9 @@
         """Take what an agent told of its host's pace for requests of a listener."""
         if not self.weighs_pace:
             return
-        factor = self._paces.factor(target.record.service, listener, code, now)
-        if factor is not None:
-            target.pace_factor = factor
+        slowdown = self._paces.slowdown(target.record.service, listener, code, now)
+        if slowdown is not None:
+            target.pace_factor = slowdown
             target.pace_at = now
 
     def _cost(self, target: Target, other_zone_cost: float, by_pace: bool, now: float) -> float:
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -158,14 +158,14 @@
 def test_nothing_is_compared_with_few_or_old_figures():
     paces = HostServiceTimes()
     for number in range(MIN_SAMPLES - 1):
-        assert paces.factor("web", KIND, encode_pace(USUAL), 0.2 * number) is None
-    assert paces.factor("web", KIND, encode_pace(USUAL), 1.0) == 1.0
+        assert paces.slowdown("web", KIND, encode_pace(USUAL), 0.2 * number) is None
+    assert paces.slowdown("web", KIND, encode_pace(USUAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert paces.factor("web", KIND, encode_pace(9 * USUAL), late) is None
+    assert paces.slowdown("web", KIND, encode_pace(9 * USUAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
     paces = HostServiceTimes()
     for number in range(3 * MAX_KINDS):
-        paces.factor("web", number.to_bytes(6, "big"), encode_pace(USUAL), 1.0)
+        paces.slowdown("web", number.to_bytes(6, "big"), encode_pace(USUAL), 1.0)
     assert len(paces._kinds) <= MAX_KINDS
