--- a/tests/observability/test_decisions.py
+++ b/tests/observability/test_decisions.py
@@ -27,7 +27,7 @@
     assert log.dropped == 7
 
 
-def test_a_stalled_reader_stalls_no_writer_and_gets_whole_lines_again():
+def test_a_stalled_reader_does_not_block_the_writer_and_gets_complete_lines():
     reading, writing = os.pipe()
     output = NonBlockingOutput(writing)
     line = "x" * 999 + "\n"
