--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -103,7 +103,7 @@
         samples = self._samples_of((service, listener))
         samples.add(seconds, now)
         median = samples.median(now)
-        return None if median is None else bounded_factor(seconds / median)
+        return None if median is None else bounded_slowdown(seconds / median)
 
     def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
         """Tell whether few enough of a service's hosts are known as slow to do without them."""
@@ -125,7 +125,7 @@
         return samples
 
 
-def bounded_factor(ratio: float) -> float:
+def bounded_slowdown(ratio: float) -> float:
     """Return the factor that a ratio of paces counts as."""
     if 1.0 / TYPICAL_RATIO <= ratio <= TYPICAL_RATIO:
         return 1.0
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -15,7 +15,7 @@
     MIN_SLOWDOWN,
     TYPICAL_RATIO,
     HostServiceTimes,
-    bounded_factor,
+    bounded_slowdown,
     factor_at_age,
 )
 from jasperwalk.fleet.messages import FleetUpdate
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("ratio", [0.0, 1e-9, 0.5, 1.0, 1.5, 4.0, 1e9])
 def test_every_ratio_gives_a_bounded_factor(ratio):
-    assert MIN_SLOWDOWN <= bounded_factor(ratio) <= MAX_SLOWDOWN
+    assert MIN_SLOWDOWN <= bounded_slowdown(ratio) <= MAX_SLOWDOWN
 
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
