--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5])
-def test_a_cluster_founds_itself_and_commits(make_cluster, size):
+def test_a_new_cluster_is_founded_and_commits(make_cluster, size):
     cluster = make_cluster(1, size)
     cluster.commit(b"a")
     cluster.run(1.0)
