--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -132,7 +132,7 @@
     return min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
 
 
-def factor_at_age(slowdown: float, age_seconds: float) -> float:
+def slowdown_at_age(slowdown: float, age_seconds: float) -> float:
     """Return what a factor still counts for at an age."""
     if slowdown == 1.0 or age_seconds >= MAX_SLOWDOWN_AGE_SECONDS:
         return 1.0
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, factor_at_age
+from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, slowdown_at_age
 from jasperwalk.fleet.messages import HostPhase, NodeRecord
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import (
@@ -166,7 +166,7 @@
 
     def pace_weight(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
-        return factor_at_age(self.pace_factor, now - self.pace_at)
+        return slowdown_at_age(self.pace_factor, now - self.pace_at)
 
     def weighed_load(self, now: float) -> float:
         """Return the expected wait, counted in requests of usual length for each slot.
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -16,7 +16,7 @@
     TYPICAL_RATIO,
     HostServiceTimes,
     bounded_slowdown,
-    factor_at_age,
+    slowdown_at_age,
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
@@ -124,7 +124,7 @@
 
 def test_a_figure_counts_less_with_age():
     weights = [
-        factor_at_age(4.0, age)
+        slowdown_at_age(4.0, age)
         for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, MAX_SLOWDOWN_AGE_SECONDS, 99.0)
     ]
     assert weights == pytest.approx([4.0, 4.0, 2.0, 1.0, 1.0])
