--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -234,7 +234,7 @@
     assert refusal_reason(cluster, AddLearner(4)) is RefusalReason.LEADER_NOT_SETTLED
 
 
-def test_a_far_behind_replica_catches_up_by_chunked_snapshot(make_cluster):
+def test_a_replica_far_behind_catches_up_by_chunked_snapshot(make_cluster):
     cluster = make_cluster(1, 3)
     cluster.commit(b"first")
     late = other_than(cluster, cluster.await_leader().disk.replica_id)
