--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -138,7 +138,7 @@
         return 1.0
     if age_seconds <= FULL_WEIGHT_SECONDS:
         return slowdown
-    worth = (MAX_SLOWDOWN_AGE_SECONDS - age_seconds) / (
+    weight = (MAX_SLOWDOWN_AGE_SECONDS - age_seconds) / (
         MAX_SLOWDOWN_AGE_SECONDS - FULL_WEIGHT_SECONDS
     )
-    return float(slowdown**worth)
+    return float(slowdown**weight)
