--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -212,7 +212,7 @@
     assert refusal_reason(cluster, RemoveReplica(1)) is RefusalReason.LAST_VOTER
 
 
-def test_a_leader_that_removes_itself_hands_over(make_cluster):
+def test_a_leader_that_removes_itself_steps_down(make_cluster):
     cluster = make_cluster(1, 3)
     cluster.commit(b"a")
     leader = cluster.await_leader()
