--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -268,7 +268,7 @@
     assert all(node.quorum_age(cluster.now) == math.inf for node in nodes)
 
 
-def test_a_follower_of_a_leader_without_quorum_knows(make_cluster):
+def test_a_follower_knows_that_its_leader_lacks_a_quorum(make_cluster):
     cluster = make_cluster(1, 5)
     cluster.commit(b"a")
     cluster.run(1.0)
