--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -80,8 +80,8 @@
     suspect_until: float = float("-inf")
     refuses_until: float = float("-inf")
     pace_factor: float = 1.0
-    """How many times as long as usual its host takes for a request, and `pace_at` when told."""
-    pace_at: float = float("-inf")
+    """How many times as long as usual its host takes for a request, and `slowdown_at` when told."""
+    slowdown_at: float = float("-inf")
     zone_drained: bool = False
     """True while the host's zone takes no new flows."""
     slow_until: float = float("-inf")
@@ -166,7 +166,7 @@
 
     def pace_weight(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
-        return slowdown_at_age(self.pace_factor, now - self.pace_at)
+        return slowdown_at_age(self.pace_factor, now - self.slowdown_at)
 
     def weighed_load(self, now: float) -> float:
         """Return the expected wait, counted in requests of usual length for each slot.
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -172,7 +172,7 @@
         slowdown = self._paces.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
             target.pace_factor = slowdown
-            target.pace_at = now
+            target.slowdown_at = now
 
     def _cost(self, target: Target, other_zone_cost: float, by_pace: bool, now: float) -> float:
         load = target.weighed_load(now) if by_pace else target.relative_load(now)
