--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -198,7 +198,7 @@
     assert (reply.success, reply.rejected_index, reply.next_index) == (False, previous[0], hint)
 
 
-def test_a_stale_leader_learns_the_term():
+def test_a_stale_leader_is_told_the_newer_term():
     node = make_node(term=5)
     append(node, 4, (0, 0), [command(1, 4)])
     (reply,), _ = finish(node)
