--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -44,7 +44,7 @@
 class WeightedHost(Protocol):
     """A host as the comparison needs it."""
 
-    def pace_weight(self, now: float) -> float:
+    def current_slowdown(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
 
 
@@ -109,7 +109,7 @@
         """Tell whether few enough of a service's hosts are known as slow to do without them."""
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_CACHE_SECONDS:
-            slow = sum(host.pace_weight(now) > 1.0 for host in hosts)
+            slow = sum(host.current_slowdown(now) > 1.0 for host in hosts)
             count = SlowHostCheck(now, slow <= MAX_SLOW_SHARE * len(hosts))
             self._slow_counts[service] = count
         return count.can_avoid_slow
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -164,7 +164,7 @@
         load = (load + sent) / capacity
         return (load + 1.0 / capacity) * SLOW_START_FACTOR if now < self.slow_until else load
 
-    def pace_weight(self, now: float) -> float:
+    def current_slowdown(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
         return slowdown_at_age(self.pace_factor, now - self.slowdown_at)
 
@@ -177,7 +177,7 @@
         load = self.relative_load(now)
         if self.pace_factor == 1.0:
             return load
-        weight = self.pace_weight(now)
+        weight = self.current_slowdown(now)
         return load if weight == 1.0 else (load + 1.0) * weight - 1.0
 
     def is_lost(self, now: float) -> bool:
