--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -206,7 +206,7 @@
     cluster.run_until(lambda: replacement.applied == [b"a"])
 
 
-def test_last_voter_stays(make_cluster):
+def test_the_last_voter_cannot_be_removed(make_cluster):
     cluster = make_cluster(1, 1)
     cluster.commit(b"a")
     assert refusal_reason(cluster, RemoveReplica(1)) is RefusalReason.LAST_VOTER
