--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -168,7 +168,7 @@
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
         return slowdown_at_age(self.pace_factor, now - self.slowdown_at)
 
-    def weighed_load(self, now: float) -> float:
+    def expected_wait(self, now: float) -> float:
         """Return the expected wait, counted in requests of usual length for each slot.
 
         A new request waits for those before it, and it is itself worked on as slowly. Where the
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -175,7 +175,7 @@
             target.slowdown_at = now
 
     def _cost(self, target: Target, other_zone_cost: float, by_pace: bool, now: float) -> float:
-        load = target.weighed_load(now) if by_pace else target.relative_load(now)
+        load = target.expected_wait(now) if by_pace else target.relative_load(now)
         cost = load + self.source.random() * JITTER
         if target.record.zone != self.zone:
             cost += other_zone_cost
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -117,9 +117,9 @@
     bench.pool.note_pace(target, KIND, code, 1.0)
     target.note_load(2.0, 1.0)
     load = target.relative_load(1.0)
-    assert target.weighed_load(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
+    assert target.expected_wait(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
     old = 1.0 + MAX_SLOWDOWN_AGE_SECONDS
-    assert target.weighed_load(old) == target.relative_load(old)
+    assert target.expected_wait(old) == target.relative_load(old)
 
 
 def test_a_figure_counts_less_with_age():
