--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -49,7 +49,7 @@
     assert not make_cluster(1, 3).replicas[1].node.transfer_leadership(0.0)
 
 
-def test_a_transfer_that_nobody_hears_is_given_up(make_cluster):
+def test_a_transfer_without_an_answer_is_aborted(make_cluster):
     cluster = make_cluster(2, 3)
     cluster.commit(b"before")
     leader = cluster.await_leader()
