--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -69,9 +69,9 @@
     return _best(judge)
 
 
-def _choice_time(weighs_pace: bool) -> float:
+def _choice_time(uses_service_times: bool) -> float:
     """Time the choice of an agent where hosts are equal."""
-    pool = TargetPool("a", random.Random(SEED), weighs_pace=weighs_pace)
+    pool = TargetPool("a", random.Random(SEED), uses_service_times=uses_service_times)
     records = [_record(number) for number in range(AGENTS)]
     pool.update(FleetUpdate(True, records, []), 0.0)
     for target in pool.all_targets():
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -228,7 +228,7 @@
     def _note_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
         refuses_seconds = REFUSES_FOR_SECONDS.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
-        if reply.flags == RefusalReason.SLOW and self.pool.weighs_pace:
+        if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
             target.note_slow()
         self.counters.open_retries += 1
         self.log.note(
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -80,7 +80,7 @@
             settings.zone,
             self._random,
             settings.zone_regions,
-            weighs_pace=settings.policies.host_pace,
+            uses_service_times=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
         self._callers = DatagramSocket(bound.callers, self._packet, self._take_in)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -54,7 +54,7 @@
     _targets: dict[Endpoint, Target] = field(default_factory=dict)
     _by_service: dict[str, list[Target]] = field(default_factory=dict)
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
-    weighs_pace: bool = True
+    uses_service_times: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
     _paces: HostServiceTimes = field(default_factory=HostServiceTimes)
     directory_since: float | None = None
@@ -148,7 +148,7 @@
         if stays_near:
             candidates = self._with_room_near(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_pace = self.weighs_pace and self._paces.can_avoid_slow_hosts(service, usable, now)
+        by_pace = self.uses_service_times and self._paces.can_avoid_slow_hosts(service, usable, now)
         return min(
             candidates,
             key=lambda target: self._cost(target, other_zone_cost, by_pace, now),
@@ -167,7 +167,7 @@
 
     def note_pace(self, target: Target, listener: bytes, code: int, now: float) -> None:
         """Take what an agent told of its host's pace for requests of a listener."""
-        if not self.weighs_pace:
+        if not self.uses_service_times:
             return
         slowdown = self._paces.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
