--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -87,7 +87,7 @@
     assert followers[0].node.role is Role.FOLLOWER
 
 
-def test_votes_for_a_campaign_nobody_asked_for_are_refused_as_before(make_cluster):
+def test_a_leaders_voters_refuse_a_campaign_that_it_did_not_ask_for(make_cluster):
     cluster = make_cluster(4, 3)
     cluster.commit(b"before")
     cluster.run(0.5)
