--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -148,10 +148,12 @@
         if stays_near:
             candidates = self._with_room_near(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_pace = self.uses_service_times and self._paces.can_avoid_slow_hosts(service, usable, now)
+        by_expected_wait = self.uses_service_times and self._paces.can_avoid_slow_hosts(
+            service, usable, now
+        )
         return min(
             candidates,
-            key=lambda target: self._cost(target, other_zone_cost, by_pace, now),
+            key=lambda target: self._cost(target, other_zone_cost, by_expected_wait, now),
             default=None,
         )
 
@@ -174,8 +176,10 @@
             target.pace_factor = slowdown
             target.slowdown_at = now
 
-    def _cost(self, target: Target, other_zone_cost: float, by_pace: bool, now: float) -> float:
-        load = target.expected_wait(now) if by_pace else target.relative_load(now)
+    def _cost(
+        self, target: Target, other_zone_cost: float, by_expected_wait: bool, now: float
+    ) -> float:
+        load = target.expected_wait(now) if by_expected_wait else target.relative_load(now)
         cost = load + self.source.random() * JITTER
         if target.record.zone != self.zone:
             cost += other_zone_cost
