--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -105,7 +105,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(steps=STEPS, start=st.integers(0, 60), tombstone_limit=st.integers(0, 4))
-def test_changes_bring_any_follower_to_the_same_content(
+def test_changes_bring_any_copy_to_the_same_content(
     steps: list[tuple[int, int]], start: int, tombstone_limit: int
 ) -> None:
     """Weight 0 stands for a removal; `start` is the revision at which the follower left."""
