--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -56,7 +56,7 @@
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
     uses_service_times: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
-    _paces: HostServiceTimes = field(default_factory=HostServiceTimes)
+    _service_times: HostServiceTimes = field(default_factory=HostServiceTimes)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
@@ -148,7 +148,7 @@
         if stays_near:
             candidates = self._with_room_near(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_expected_wait = self.uses_service_times and self._paces.can_avoid_slow_hosts(
+        by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
             service, usable, now
         )
         return min(
@@ -171,7 +171,7 @@
         """Take what an agent told of its host's pace for requests of a listener."""
         if not self.uses_service_times:
             return
-        slowdown = self._paces.slowdown(target.record.service, listener, code, now)
+        slowdown = self._service_times.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
             target.pace_factor = slowdown
             target.slowdown_at = now
