--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -50,7 +50,7 @@
     assert (settings.heartbeat_ms, settings.replica_stale_ms) == (500, 2000)
 
 
-def test_paths_count_from_the_file(settings_file, tmp_path):
+def test_relative_paths_start_at_the_settings_file(settings_file, tmp_path):
     control = load_settings(settings_file(CONTROL), ControlSettings)
     agent = load_settings(settings_file(AGENT), AgentSettings)
     assert control.data_folder == tmp_path / "data"
