--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -75,7 +75,7 @@
     records = [_record(number) for number in range(AGENTS)]
     pool.update(FleetUpdate(True, records, []), 0.0)
     for target in pool.all_targets():
-        pool.note_pace(target, LISTENER, encode_pace(WORK_SECONDS), 0.0)
+        pool.record_service_time(target, LISTENER, encode_pace(WORK_SECONDS), 0.0)
     keys = [random.Random(number).randbytes(12) for number in range(COUNT // 10)]
 
     def choose() -> None:
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -214,7 +214,7 @@
         was_accepted = opening.is_accepted()
         if reply.kind is FrameKind.ACCEPTED:
             opening.answers[target] = OpeningAnswer.ACCEPTED
-            self.pool.note_pace(target, self.codec.listener_of(key), reply.flags, now)
+            self.pool.record_service_time(target, self.codec.listener_of(key), reply.flags, now)
             if not was_accepted:
                 flow.target = target
                 self._opened(key, flow, opening, now)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -167,7 +167,7 @@
             and target.relative_load(now) < NEAR_LOAD_PER_SLOT
         ]
 
-    def note_pace(self, target: Target, listener: bytes, code: int, now: float) -> None:
+    def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
         """Take what an agent told of its host's pace for requests of a listener."""
         if not self.uses_service_times:
             return
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -43,7 +43,7 @@
         return self.pool.at((endpoint.host, endpoint.port))
 
     def tell(self, number, seconds, now=1.0, kind=KIND):
-        self.pool.note_pace(self.target(number), kind, encode_pace(seconds), now)
+        self.pool.record_service_time(self.target(number), kind, encode_pace(seconds), now)
 
     def tell_usual(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
@@ -103,7 +103,7 @@
 def test_agents_that_tell_nothing_are_chosen_as_before():
     plain, silent = Bench(uses_service_times=False), Bench()
     for number in range(1, HOSTS + 1):
-        silent.pool.note_pace(silent.target(number), KIND, UNKNOWN_PACE, 1.0)
+        silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_PACE, 1.0)
     assert plain.chosen() == silent.chosen()
 
 
@@ -114,7 +114,7 @@
     bench = Bench()
     bench.tell_usual()
     target = bench.target(1)
-    bench.pool.note_pace(target, KIND, code, 1.0)
+    bench.pool.record_service_time(target, KIND, code, 1.0)
     target.note_load(2.0, 1.0)
     load = target.relative_load(1.0)
     assert target.expected_wait(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
