--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -70,7 +70,7 @@
     assert settings.control == [Endpoint("127.0.0.1", 7001)]
 
 
-def test_flags_alone_make_settings():
+def test_overrides_alone_make_settings():
     overrides = [line.replace(" = ", "=") for line in FOLLOWER.splitlines()]
     assert load_settings(None, BalancerSettings, overrides).name == "p1"
 
