--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -332,7 +332,7 @@
     def _take_reply(self, target: Target, reply: AgentReply, now: float) -> None:
         key = reply.flow_key
         if reply.kind is not FrameKind.LOCATED:
-            target.note_load(reply.load, now)
+            target.record_load(reply.load, now)
         if reply.kind in (FrameKind.ACCEPTED, FrameKind.REFUSED):
             self.opener.receive_answer(key, target, reply, now)
         elif reply.kind is FrameKind.LOCATED:
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -101,7 +101,7 @@
             terms = msgspec.structs.replace(terms, route=None)
         return encode_open_head(self.service_tag, terms)
 
-    def note_load(self, load: float, now: float) -> None:
+    def record_load(self, load: float, now: float) -> None:
         """Take the load of an answer."""
         self.load = load
         self.load_at = now
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -78,7 +78,7 @@
     assert other != slow
     for now, load in ((1.0 + SLOW_SECONDS - 0.01, 5.0), (1.0 + SLOW_SECONDS, 5.0)):
         for number in range(1, HOSTS + 1):
-            bench.target(number).note_load(0.0 if number == slow else load, now)
+            bench.target(number).record_load(0.0 if number == slow else load, now)
         asked, _ = bench.open(now)
         bench.accept(asked, None, now)
         assert (asked == slow) is (now >= 1.0 + SLOW_SECONDS)
@@ -92,7 +92,7 @@
     now = 1.0 + SLOW_SECONDS
     full = CAPACITY * FULL_LOAD_PER_SLOT
     for number in range(1, HOSTS + 1):
-        bench.target(number).note_load(full if number == slow else 3 * full, now)
+        bench.target(number).record_load(full if number == slow else 3 * full, now)
     assert bench.open(now) == (slow, False)
     bench.refuse_slow(slow, now)
     other, waits = bench.take_opening()
--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -60,6 +60,6 @@
     bench = Bench(record(1, zone="b"), record(2, zone="a"))
     route_two(bench, terms)
     endpoint = address_of(2)
-    bench.pool.at((endpoint.host, endpoint.port)).note_load(1.5, 1.0)
+    bench.pool.at((endpoint.host, endpoint.port)).record_load(1.5, 1.0)
     bench.core.receive(from_caller(OPENING), 1.0)
     assert bench.take_opening()[0] == asked
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -55,7 +55,7 @@
         for _ in range(count):
             for number in range(1, HOSTS + 1):
                 load = source.random() if loads is None else loads
-                self.target(number).note_load(load, now)
+                self.target(number).record_load(load, now)
             names.append(self.pool.choose("web", source.randbytes(12), (), now).record.name)
         return names
 
@@ -72,7 +72,7 @@
     bench.tell_usual()
     bench.tell(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
-        bench.target(number).note_load(4 * MAX_SLOWDOWN, 1.0)
+        bench.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
     assert bench.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
 
 
@@ -115,7 +115,7 @@
     bench.tell_usual()
     target = bench.target(1)
     bench.pool.record_service_time(target, KIND, code, 1.0)
-    target.note_load(2.0, 1.0)
+    target.record_load(2.0, 1.0)
     load = target.relative_load(1.0)
     assert target.expected_wait(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
     old = 1.0 + MAX_SLOWDOWN_AGE_SECONDS
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -23,7 +23,7 @@
 
 def load(made, number, value, now=1.0):
     endpoint = address_of(number)
-    made.at((endpoint.host, endpoint.port)).note_load(value, now)
+    made.at((endpoint.host, endpoint.port)).record_load(value, now)
 
 
 def chosen(made, now=1.0, excluded=()):
