--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -188,7 +188,7 @@
     def _ask(self, key: bytes, opening: Opening, target: Target, now: float) -> None:
         opening.answers[target] = OpeningAnswer.MISSING
         opening.deadline = now + OPEN_TIMEOUT_SECONDS
-        target.note_sent(now)
+        target.record_sent(now)
         route = opening.route.route
         flow = Flow(target, now, opening, route.is_bulk, route.is_repeatable, opening.route.terms)
         self.flows[key] = flow
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -108,7 +108,7 @@
         self.sent_since = 0
         self.suspect_until = float("-inf")
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that a new flow was sent there."""
         self.sent_since += 1
         self.sent_at = now
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -85,7 +85,7 @@
     drawn = []
     for _ in range(20):
         target = made.choose("web", KEY, (), 1.0, stays_near=True)
-        target.note_sent(1.0)
+        target.record_sent(1.0)
         drawn.append(target.record.name)
     room = round(4 * NEAR_LOAD_PER_SLOT)
     assert set(drawn[:room]) == {"agent-2"}
@@ -259,7 +259,7 @@
     """Answers may be lost: an agent that got flows and could not say so is not busy for good."""
     made = pool(record(1), record(2))
     for _ in range(10):
-        made.at(("10.0.0.1", 7602)).note_sent(1.0)
+        made.at(("10.0.0.1", 7602)).record_sent(1.0)
     assert chosen(made, 1.0) == "agent-2"
     later = 1.0 + LOAD_FRESH_SECONDS + 12 * LOAD_HALF_LIFE_SECONDS
     load(made, 2, 0.5, now=later)
