--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -229,7 +229,7 @@
         refuses_seconds = REFUSES_FOR_SECONDS.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
         if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
-            target.note_slow()
+            target.record_slow_refusal()
         self.counters.open_retries += 1
         self.log.note(
             "flow-refused",
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -113,7 +113,7 @@
         self.sent_since += 1
         self.sent_at = now
 
-    def note_slow(self) -> None:
+    def record_slow_refusal(self) -> None:
         """Note that the agent refused a new flow because its host is slow."""
         self.pace_factor = MAX_SLOWDOWN
 
