--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -179,7 +179,7 @@
         for step in steps:
             target = step.target
             if isinstance(step, Query):
-                target.note_question(now)
+                target.record_query(now)
                 self._batch.ask(target, search.key)
                 continue
             head = target.confirm_head if isinstance(step, Confirm) else target.carry_head
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -125,7 +125,7 @@
         """Tell whether the host was slow by the last that its agent told, however long ago."""
         return self.pace_factor > 1.0
 
-    def note_question(self, now: float) -> None:
+    def record_query(self, now: float) -> None:
         """Note that the agent was asked whether it holds a flow."""
         if self.silent_since is None:
             self.silent_since = now
