--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -103,7 +103,7 @@
         target = self.pool.at(sender)
         for reply in self.searches.read_replies(data):
             key, kind = reply.flow_key, reply.kind
-            if target is None or not self.searches.note_answer(key, target, kind, now):
+            if target is None or not self.searches.record_answer(key, target, kind, now):
                 self.counters.replies_unexpected += 1
         self.searches.flush()
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -337,7 +337,7 @@
             self.opener.receive_answer(key, target, reply, now)
         elif reply.kind is FrameKind.LOCATED:
             self._take_verdict(target, reply, now)
-        elif self.searches.note_answer(key, target, reply.kind, now):
+        elif self.searches.record_answer(key, target, reply.kind, now):
             return
         elif reply.kind is FrameKind.RETURNED:
             self._returned(key, self._flows.get(key), target, reply.packet, now)
@@ -355,7 +355,7 @@
             self.reject(key, packet, "no-route")
             return
         self._search(key, packet, route, now)
-        self.searches.note_answer(key, target, FrameKind.RETURNED, now)
+        self.searches.record_answer(key, target, FrameKind.RETURNED, now)
 
     # Time
 
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -134,13 +134,13 @@
             self.counters.replies_malformed += 1
             return []
 
-    def note_answer(self, key: bytes, target: Target, kind: FrameKind, now: float) -> bool:
+    def record_answer(self, key: bytes, target: Target, kind: FrameKind, now: float) -> bool:
         """Take an agent's answer; False where the flow is not being searched."""
         search = self._searches.get(key)
         if search is None:
             return False
-        search.note_answer(target, kind)
-        target.note_answer()
+        search.record_answer(target, kind)
+        target.record_answer()
         self._advance(search, now)
         return True
 
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -125,7 +125,7 @@
         if len(self.packets) < MAXIMUM_HELD_PACKETS:
             self.packets.append(packet)
 
-    def note_answer(self, target: Target, kind: FrameKind) -> None:
+    def record_answer(self, target: Target, kind: FrameKind) -> None:
         """Take an agent's answer."""
         if kind is FrameKind.HELD:
             self.holder = target
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -133,7 +133,7 @@
             self.asked_at = now
             self.questions_unanswered += 1
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Note that the agent answered a question."""
         self.silent_since = None
         self.questions_unanswered = 0
