--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -221,11 +221,11 @@
             return
         opening.answers[target] = OpeningAnswer.REFUSED
         self.counters.openings_returned += is_taken_back
-        self._note_refusal(key, target, reply, now)
+        self._record_refusal(key, target, reply, now)
         if flow.target is target and (is_taken_back or not was_accepted):
             self._try_next(key, opening, now)
 
-    def _note_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
+    def _record_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
         refuses_seconds = REFUSES_FOR_SECONDS.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
         if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
