--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -62,7 +62,7 @@
     """Agents whose hosts handed back a packet of a flow that was not found, and when."""
 
     targets: frozenset[Target]
-    noted_at: float
+    recorded_at: float
 
 
 @dataclass(eq=False, repr=False)
@@ -158,7 +158,7 @@
     def sweep(self, now: float) -> None:
         """Forget what was remembered for too long; call every few seconds."""
         for key, known in list(self._returned_by.items()):
-            if now - known.noted_at > RETURNED_MEMORY_SECONDS:
+            if now - known.recorded_at > RETURNED_MEMORY_SECONDS:
                 del self._returned_by[key]
 
     def _advance(self, search: Search, now: float) -> None:
