--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import encode_pace
+from jasperwalk.flows.pace import encode_service_time
 from jasperwalk.scheduling.host_service_times import SLOWDOWN_CACHE_SECONDS, HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
@@ -75,7 +75,7 @@
     records = [_record(number) for number in range(AGENTS)]
     pool.update(FleetUpdate(True, records, []), 0.0)
     for target in pool.all_targets():
-        pool.record_service_time(target, LISTENER, encode_pace(WORK_SECONDS), 0.0)
+        pool.record_service_time(target, LISTENER, encode_service_time(WORK_SECONDS), 0.0)
     keys = [random.Random(number).randbytes(12) for number in range(COUNT // 10)]
 
     def choose() -> None:
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.flows.codec import PacketCodec
 from jasperwalk.flows.frames import OpeningTerms, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
+from jasperwalk.flows.pace import UNKNOWN_PACE, encode_service_time
 from jasperwalk.observability.decisions import DecisionLog
 from jasperwalk.scheduling.host_service_times import HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
@@ -91,7 +91,7 @@
         if not self.is_wanted:
             return UNKNOWN_PACE
         self.check(now)
-        return encode_pace(self.slow_host.service_seconds(self.codec.listener_of(flow_key)))
+        return encode_service_time(self.slow_host.service_seconds(self.codec.listener_of(flow_key)))
 
     def refusal(
         self, flow_key: bytes | None, busy: int, terms: OpeningTerms, now: float
--- a/src/jasperwalk/flows/pace.py
+++ b/src/jasperwalk/flows/pace.py
@@ -16,7 +16,7 @@
 HIGHEST_PACE = 0xFF
 
 
-def encode_pace(seconds: float | None) -> int:
+def encode_service_time(seconds: float | None) -> int:
     """Return the code of a time for one request, `UNKNOWN_PACE` for None and for no time."""
     if seconds is None or not 0.0 < seconds < math.inf:
         return UNKNOWN_PACE
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -6,7 +6,7 @@
 from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_PACE, encode_pace
+from jasperwalk.flows.pace import UNKNOWN_PACE, encode_service_time
 from tests.balancer.datagrams.support import Bench, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
@@ -30,7 +30,7 @@
         return self.take_opening()
 
     def accept(self, number, seconds, now):
-        flags = UNKNOWN_PACE if seconds is None else encode_pace(seconds)
+        flags = UNKNOWN_PACE if seconds is None else encode_service_time(seconds)
         self.answer(number, FrameKind.ACCEPTED, now, flags, key=key_of(self.caller))
 
     def refuse_slow(self, number, now):
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -20,7 +20,7 @@
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import HIGHEST_PACE, UNKNOWN_PACE, encode_pace
+from jasperwalk.flows.pace import HIGHEST_PACE, UNKNOWN_PACE, encode_service_time
 from tests.balancer.datagrams.support import SEED, address_of, record
 from tests.flows.support import LISTENER
 
@@ -43,7 +43,7 @@
         return self.pool.at((endpoint.host, endpoint.port))
 
     def tell(self, number, seconds, now=1.0, kind=KIND):
-        self.pool.record_service_time(self.target(number), kind, encode_pace(seconds), now)
+        self.pool.record_service_time(self.target(number), kind, encode_service_time(seconds), now)
 
     def tell_usual(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
@@ -158,14 +158,14 @@
 def test_nothing_is_compared_with_few_or_old_figures():
     paces = HostServiceTimes()
     for number in range(MIN_SAMPLES - 1):
-        assert paces.slowdown("web", KIND, encode_pace(USUAL), 0.2 * number) is None
-    assert paces.slowdown("web", KIND, encode_pace(USUAL), 1.0) == 1.0
+        assert paces.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
+    assert paces.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert paces.slowdown("web", KIND, encode_pace(9 * USUAL), late) is None
+    assert paces.slowdown("web", KIND, encode_service_time(9 * USUAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
     paces = HostServiceTimes()
     for number in range(3 * MAX_KINDS):
-        paces.slowdown("web", number.to_bytes(6, "big"), encode_pace(USUAL), 1.0)
+        paces.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
     assert len(paces._kinds) <= MAX_KINDS
--- a/tests/flows/test_pace.py
+++ b/tests/flows/test_pace.py
@@ -16,7 +16,7 @@
     HIGHEST_PACE,
     UNKNOWN_PACE,
     decode_pace,
-    encode_pace,
+    encode_service_time,
 )
 from tests.flows.support import key_of
 
@@ -27,18 +27,18 @@
 
 @pytest.mark.parametrize("seconds", [0.0005, 0.004, 0.044, 0.352, 1.0, 20.0])
 def test_a_pace_comes_back_within_half_a_step(seconds):
-    told = decode_pace(encode_pace(seconds))
+    told = decode_pace(encode_service_time(seconds))
     assert told == pytest.approx(seconds, rel=2 ** (0.5 / CODES_PER_DOUBLING) - 1)
 
 
 @pytest.mark.parametrize("seconds", [None, 0.0, -1.0, float("inf"), float("nan")])
 def test_what_is_no_time_is_not_known(seconds):
-    assert encode_pace(seconds) == UNKNOWN_PACE
+    assert encode_service_time(seconds) == UNKNOWN_PACE
 
 
 @pytest.mark.parametrize(("seconds", "code"), [(1e-9, 1), (1e9, HIGHEST_PACE)])
 def test_times_beyond_the_scale_are_told_as_its_ends(seconds, code):
-    assert encode_pace(seconds) == code
+    assert encode_service_time(seconds) == code
 
 
 @pytest.mark.parametrize("code", [UNKNOWN_PACE, -1, HIGHEST_PACE + 1])
