--- a/src/jasperwalk/fleet/host_paces.py
+++ b/src/jasperwalk/fleet/host_paces.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from jasperwalk.flows.pace import decode_pace
+from jasperwalk.flows.pace import decode_service_time
 
 TYPICAL_RATIO = 1.5
 """Hosts within this factor of the median count as equal: requests of one kind differ by as much."""
@@ -97,7 +97,7 @@
 
         That is 1.0 for what counts as equal, and None where nothing can be said.
         """
-        seconds = decode_pace(code)
+        seconds = decode_service_time(code)
         if seconds is None:
             return None
         samples = self._samples_of((service, listener))
--- a/src/jasperwalk/flows/pace.py
+++ b/src/jasperwalk/flows/pace.py
@@ -24,7 +24,7 @@
     return min(max(code, 1), HIGHEST_PACE)
 
 
-def decode_pace(code: int) -> float | None:
+def decode_service_time(code: int) -> float | None:
     """Return the seconds that a code stands for, None where it says nothing."""
     if not 0 < code <= HIGHEST_PACE:
         return None
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -11,7 +11,7 @@
     encode_open_head,
     service_tag,
 )
-from jasperwalk.flows.pace import UNKNOWN_PACE, decode_pace
+from jasperwalk.flows.pace import UNKNOWN_PACE, decode_service_time
 from jasperwalk.flows.terms import CarriedTerms
 from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
 from tests.flows.support import ENDING, OPENING, from_caller, from_host
@@ -72,12 +72,12 @@
     bench = SlowBench()
     assert bench.ask(URGENT).flags == UNKNOWN_PACE
     bench.serve(20, WORK)
-    assert decode_pace(bench.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
+    assert decode_service_time(bench.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
 
 
 def test_an_acceptance_tells_that_the_host_is_slow():
     bench = slow_bench()
-    told = decode_pace(bench.ask(PATIENT).flags)
+    told = decode_service_time(bench.ask(PATIENT).flags)
     assert told == pytest.approx(SLOW_FACTOR * WORK, rel=0.1)
 
 
--- a/tests/flows/test_pace.py
+++ b/tests/flows/test_pace.py
@@ -15,7 +15,7 @@
     CODES_PER_DOUBLING,
     HIGHEST_PACE,
     UNKNOWN_PACE,
-    decode_pace,
+    decode_service_time,
     encode_service_time,
 )
 from tests.flows.support import key_of
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("seconds", [0.0005, 0.004, 0.044, 0.352, 1.0, 20.0])
 def test_a_pace_comes_back_within_half_a_step(seconds):
-    told = decode_pace(encode_service_time(seconds))
+    told = decode_service_time(encode_service_time(seconds))
     assert told == pytest.approx(seconds, rel=2 ** (0.5 / CODES_PER_DOUBLING) - 1)
 
 
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("code", [UNKNOWN_PACE, -1, HIGHEST_PACE + 1])
 def test_a_code_that_says_nothing(code):
-    assert decode_pace(code) is None
+    assert decode_service_time(code) is None
 
 
 @pytest.mark.parametrize("code", range(HIGHEST_PACE + 1))
