--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.flows.codec import PacketCodec
 from jasperwalk.flows.frames import OpeningTerms, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_PACE, encode_service_time
+from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, encode_service_time
 from jasperwalk.observability.decisions import DecisionLog
 from jasperwalk.scheduling.host_service_times import HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
@@ -89,7 +89,7 @@
     def told(self, flow_key: bytes, now: float) -> int:
         """Return the pace as a balancer learns it with the acceptance of this flow."""
         if not self.is_wanted:
-            return UNKNOWN_PACE
+            return UNKNOWN_SERVICE_TIME
         self.check(now)
         return encode_service_time(self.slow_host.service_seconds(self.codec.listener_of(flow_key)))
 
--- a/src/jasperwalk/flows/pace.py
+++ b/src/jasperwalk/flows/pace.py
@@ -8,7 +8,7 @@
 
 import math
 
-UNKNOWN_PACE = 0
+UNKNOWN_SERVICE_TIME = 0
 SHORTEST_PACE_SECONDS = 0.0005
 """What code 1 stands for; shorter times are told as this one."""
 CODES_PER_DOUBLING = 16
@@ -17,9 +17,9 @@
 
 
 def encode_service_time(seconds: float | None) -> int:
-    """Return the code of a time for one request, `UNKNOWN_PACE` for None and for no time."""
+    """Return the code of a time for one request, `UNKNOWN_SERVICE_TIME` for None and for no time."""
     if seconds is None or not 0.0 < seconds < math.inf:
-        return UNKNOWN_PACE
+        return UNKNOWN_SERVICE_TIME
     code = 1 + round(CODES_PER_DOUBLING * math.log2(seconds / SHORTEST_PACE_SECONDS))
     return min(max(code, 1), HIGHEST_PACE)
 
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -11,7 +11,7 @@
     encode_open_head,
     service_tag,
 )
-from jasperwalk.flows.pace import UNKNOWN_PACE, decode_service_time
+from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, decode_service_time
 from jasperwalk.flows.terms import CarriedTerms
 from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
 from tests.flows.support import ENDING, OPENING, from_caller, from_host
@@ -70,7 +70,7 @@
 
 def test_an_acceptance_tells_the_pace_once_it_is_known():
     bench = SlowBench()
-    assert bench.ask(URGENT).flags == UNKNOWN_PACE
+    assert bench.ask(URGENT).flags == UNKNOWN_SERVICE_TIME
     bench.serve(20, WORK)
     assert decode_service_time(bench.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
 
@@ -126,7 +126,7 @@
 def test_switched_off_nothing_is_told_or_refused():
     bench = slow_bench(measures_pace=False)
     answer = bench.ask(URGENT)
-    assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_PACE)
+    assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_SERVICE_TIME)
     assert "host-slow" not in bench.agent.log.names()
 
 
@@ -134,7 +134,7 @@
     bench = SlowBench()
     bench.host.slow_until = 1000.0
     bench.serve(20, WORK)
-    assert bench.ask().flags == UNKNOWN_PACE
+    assert bench.ask().flags == UNKNOWN_SERVICE_TIME
 
 
 def test_another_host_is_judged_anew():
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -6,7 +6,7 @@
 from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_PACE, encode_service_time
+from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, encode_service_time
 from tests.balancer.datagrams.support import Bench, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
@@ -30,7 +30,7 @@
         return self.take_opening()
 
     def accept(self, number, seconds, now):
-        flags = UNKNOWN_PACE if seconds is None else encode_service_time(seconds)
+        flags = UNKNOWN_SERVICE_TIME if seconds is None else encode_service_time(seconds)
         self.answer(number, FrameKind.ACCEPTED, now, flags, key=key_of(self.caller))
 
     def refuse_slow(self, number, now):
@@ -60,7 +60,7 @@
     assert slow not in asked
 
 
-@pytest.mark.parametrize("flags", [UNKNOWN_PACE, 1, 255])
+@pytest.mark.parametrize("flags", [UNKNOWN_SERVICE_TIME, 1, 255])
 def test_what_is_told_with_other_answers_is_not_a_pace(flags):
     bench = PaceBench()
     bench.learn_usual()
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -20,7 +20,7 @@
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import HIGHEST_PACE, UNKNOWN_PACE, encode_service_time
+from jasperwalk.flows.pace import HIGHEST_PACE, UNKNOWN_SERVICE_TIME, encode_service_time
 from tests.balancer.datagrams.support import SEED, address_of, record
 from tests.flows.support import LISTENER
 
@@ -103,7 +103,7 @@
 def test_agents_that_tell_nothing_are_chosen_as_before():
     plain, silent = Bench(uses_service_times=False), Bench()
     for number in range(1, HOSTS + 1):
-        silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_PACE, 1.0)
+        silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_SERVICE_TIME, 1.0)
     assert plain.chosen() == silent.chosen()
 
 
--- a/tests/flows/test_pace.py
+++ b/tests/flows/test_pace.py
@@ -14,7 +14,7 @@
 from jasperwalk.flows.pace import (
     CODES_PER_DOUBLING,
     HIGHEST_PACE,
-    UNKNOWN_PACE,
+    UNKNOWN_SERVICE_TIME,
     decode_service_time,
     encode_service_time,
 )
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seconds", [None, 0.0, -1.0, float("inf"), float("nan")])
 def test_what_is_no_time_is_not_known(seconds):
-    assert encode_service_time(seconds) == UNKNOWN_PACE
+    assert encode_service_time(seconds) == UNKNOWN_SERVICE_TIME
 
 
 @pytest.mark.parametrize(("seconds", "code"), [(1e-9, 1), (1e9, HIGHEST_PACE)])
@@ -41,7 +41,7 @@
     assert encode_service_time(seconds) == code
 
 
-@pytest.mark.parametrize("code", [UNKNOWN_PACE, -1, HIGHEST_PACE + 1])
+@pytest.mark.parametrize("code", [UNKNOWN_SERVICE_TIME, -1, HIGHEST_PACE + 1])
 def test_a_code_that_says_nothing(code):
     assert decode_service_time(code) is None
 
