--- a/src/jasperwalk/flows/pace.py
+++ b/src/jasperwalk/flows/pace.py
@@ -9,7 +9,7 @@
 import math
 
 UNKNOWN_SERVICE_TIME = 0
-SHORTEST_PACE_SECONDS = 0.0005
+MIN_SERVICE_TIME_SECONDS = 0.0005
 """What code 1 stands for; shorter times are told as this one."""
 CODES_PER_DOUBLING = 16
 """Steps of 4%, and 33 s at the end of the scale: no caller waits longer for an answer."""
@@ -20,7 +20,7 @@
     """Return the code of a time for one request, `UNKNOWN_SERVICE_TIME` for None and for no time."""
     if seconds is None or not 0.0 < seconds < math.inf:
         return UNKNOWN_SERVICE_TIME
-    code = 1 + round(CODES_PER_DOUBLING * math.log2(seconds / SHORTEST_PACE_SECONDS))
+    code = 1 + round(CODES_PER_DOUBLING * math.log2(seconds / MIN_SERVICE_TIME_SECONDS))
     return min(max(code, 1), HIGHEST_PACE)
 
 
@@ -28,4 +28,4 @@
     """Return the seconds that a code stands for, None where it says nothing."""
     if not 0 < code <= HIGHEST_PACE:
         return None
-    return float(SHORTEST_PACE_SECONDS * 2.0 ** ((code - 1) / CODES_PER_DOUBLING))
+    return float(MIN_SERVICE_TIME_SECONDS * 2.0 ** ((code - 1) / CODES_PER_DOUBLING))
