--- a/src/jasperwalk/flows/pace.py
+++ b/src/jasperwalk/flows/pace.py
@@ -13,7 +13,7 @@
 """What code 1 stands for; shorter times are told as this one."""
 CODES_PER_DOUBLING = 16
 """Steps of 4%, and 33 s at the end of the scale: no caller waits longer for an answer."""
-HIGHEST_PACE = 0xFF
+MAX_SERVICE_TIME_CODE = 0xFF
 
 
 def encode_service_time(seconds: float | None) -> int:
@@ -21,11 +21,11 @@
     if seconds is None or not 0.0 < seconds < math.inf:
         return UNKNOWN_SERVICE_TIME
     code = 1 + round(CODES_PER_DOUBLING * math.log2(seconds / MIN_SERVICE_TIME_SECONDS))
-    return min(max(code, 1), HIGHEST_PACE)
+    return min(max(code, 1), MAX_SERVICE_TIME_CODE)
 
 
 def decode_service_time(code: int) -> float | None:
     """Return the seconds that a code stands for, None where it says nothing."""
-    if not 0 < code <= HIGHEST_PACE:
+    if not 0 < code <= MAX_SERVICE_TIME_CODE:
         return None
     return float(MIN_SERVICE_TIME_SECONDS * 2.0 ** ((code - 1) / CODES_PER_DOUBLING))
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -20,7 +20,7 @@
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import HIGHEST_PACE, UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.pace import MAX_SERVICE_TIME_CODE, UNKNOWN_SERVICE_TIME, encode_service_time
 from tests.balancer.datagrams.support import SEED, address_of, record
 from tests.flows.support import LISTENER
 
@@ -108,7 +108,9 @@
 
 
 @pytest.mark.parametrize(
-    ("code", "bound"), [(HIGHEST_PACE, MAX_SLOWDOWN), (1, MIN_SLOWDOWN)], ids=["slow", "fast"]
+    ("code", "bound"),
+    [(MAX_SERVICE_TIME_CODE, MAX_SLOWDOWN), (1, MIN_SLOWDOWN)],
+    ids=["slow", "fast"],
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
     bench = Bench()
--- a/tests/flows/test_pace.py
+++ b/tests/flows/test_pace.py
@@ -13,7 +13,7 @@
 )
 from jasperwalk.flows.pace import (
     CODES_PER_DOUBLING,
-    HIGHEST_PACE,
+    MAX_SERVICE_TIME_CODE,
     UNKNOWN_SERVICE_TIME,
     decode_service_time,
     encode_service_time,
@@ -36,17 +36,17 @@
     assert encode_service_time(seconds) == UNKNOWN_SERVICE_TIME
 
 
-@pytest.mark.parametrize(("seconds", "code"), [(1e-9, 1), (1e9, HIGHEST_PACE)])
+@pytest.mark.parametrize(("seconds", "code"), [(1e-9, 1), (1e9, MAX_SERVICE_TIME_CODE)])
 def test_times_beyond_the_scale_are_told_as_its_ends(seconds, code):
     assert encode_service_time(seconds) == code
 
 
-@pytest.mark.parametrize("code", [UNKNOWN_SERVICE_TIME, -1, HIGHEST_PACE + 1])
+@pytest.mark.parametrize("code", [UNKNOWN_SERVICE_TIME, -1, MAX_SERVICE_TIME_CODE + 1])
 def test_a_code_that_says_nothing(code):
     assert decode_service_time(code) is None
 
 
-@pytest.mark.parametrize("code", range(HIGHEST_PACE + 1))
+@pytest.mark.parametrize("code", range(MAX_SERVICE_TIME_CODE + 1))
 def test_an_acceptance_may_carry_any_code(code):
     sent = reply(FrameKind.ACCEPTED, code)
     assert decode_reply(encode_reply(sent), 12).flags == code
