--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -144,7 +144,7 @@
             self._find(body, tag, sender, now)
         elif kind == FrameKind.OPEN:
             self._open(body, flags, tag, sender, now)
-        elif not self.codec.is_whole(body):
+        elif not self.codec.is_complete(body):
             self.counters.frames_malformed += 1
         elif kind == FrameKind.CARRY:
             self._callers.carry(body, tag, sender, now)
@@ -160,7 +160,7 @@
         except MalformedMessage:
             self.counters.frames_malformed += 1
             return
-        if not self.codec.is_whole(request.packet):
+        if not self.codec.is_complete(request.packet):
             self.counters.frames_malformed += 1
             return
         self._flow_admission.open(request.packet, request.terms, tag, sender, now)
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -20,7 +20,7 @@
     def receive(self, packet: bytes, now: float) -> None:
         """Take a packet of the host."""
         parts = self.parts
-        if not parts.codec.is_whole(packet):
+        if not parts.codec.is_complete(packet):
             parts.counters.host_packets_malformed += 1
             return
         parts.watch.record_packet(now)
--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -77,7 +77,7 @@
         except MalformedMessage:
             self.counters.locate_frames_malformed += 1
             return
-        if not self.codec.is_whole(request.packet):
+        if not self.codec.is_complete(request.packet):
             self.counters.locate_frames_malformed += 1
             return
         self._locate(request, balancer, now)
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -112,7 +112,7 @@
 
     def key_of(self, packet: bytes) -> bytes | None:
         """Return the key of a packet's flow; count a malformed packet and return None."""
-        if self.codec.is_whole(packet):
+        if self.codec.is_complete(packet):
             return self.codec.flow_key(packet)
         self.counters.packets_malformed += 1
         return None
--- a/src/jasperwalk/flows/codec.py
+++ b/src/jasperwalk/flows/codec.py
@@ -16,12 +16,12 @@
 
 
 class PacketCodec(Protocol):
-    """Reads the heads of a fabric's packets; every method but `is_whole` wants whole ones."""
+    """Reads the heads of a fabric's packets; every method but `is_complete` wants whole ones."""
 
     flow_key_bytes: int
     """Length of a flow key."""
 
-    def is_whole(self, packet: bytes) -> bool:
+    def is_complete(self, packet: bytes) -> bool:
         """Tell whether the packet has a full head and the length that its head names."""
 
     def flow_key(self, packet: bytes) -> bytes:
--- a/tests/flows/support.py
+++ b/tests/flows/support.py
@@ -19,7 +19,7 @@
 
     flow_key_bytes = 12
 
-    def is_whole(self, packet):
+    def is_complete(self, packet):
         return len(packet) >= HEAD.size and len(packet) == HEAD.size + self.payload_bytes(packet)
 
     def flow_key(self, packet):
--- a/tests/platform_adapter/test_datagram_codec.py
+++ b/tests/platform_adapter/test_datagram_codec.py
@@ -76,12 +76,12 @@
 
 @pytest.mark.parametrize("cut", [b"", SYN[:31], SYN + b"x", packet(16, b"data")[:-1]])
 def test_packets_that_are_not_whole(cut):
-    assert not CODEC.is_whole(cut)
+    assert not CODEC.is_complete(cut)
 
 
 def test_whole_packets():
-    assert CODEC.is_whole(SYN)
-    assert CODEC.is_whole(packet(16, b"data"))
+    assert CODEC.is_complete(SYN)
+    assert CODEC.is_complete(packet(16, b"data"))
     assert CODEC.payload_bytes(packet(16, b"data")) == 4
 
 
