--- a/src/jasperwalk/flows/terms.py
+++ b/src/jasperwalk/flows/terms.py
@@ -59,8 +59,8 @@
 
 
 def _is_priority(value: Any) -> bool:
-    is_whole = isinstance(value, int) and not isinstance(value, bool)
-    return is_whole and MOST_URGENT <= value <= LEAST_URGENT
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    return is_integer and MOST_URGENT <= value <= LEAST_URGENT
 
 
 def _is_duration(value: Any) -> bool:
