--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -23,7 +23,7 @@
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot
-from jasperwalk.agent.ticket_desk import TicketDesk
+from jasperwalk.agent.ticket_desk import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
 MOST_RELAY_TARGETS = 2
@@ -56,7 +56,7 @@
         self._clock = clock
         self._random = source
         self._budget = RetryBudget()
-        self._desk = TicketDesk(view, clock, source, self._run_here, self._relay_to)
+        self._desk = TicketService(view, clock, source, self._run_here, self._relay_to)
         self.relayed = 0
         self.retried = 0
         self.open_relayed = 0
--- a/src/jasperwalk/agent/ticket_desk.py
+++ b/src/jasperwalk/agent/ticket_desk.py
@@ -46,7 +46,7 @@
 """Runs a request at another agent."""
 
 
-class TicketDesk:
+class TicketService:
     """Keeps the promise that a request under a ticket runs at most once."""
 
     def __init__(
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -21,7 +21,7 @@
 from jasperwalk.agent.packets import read_head
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request, ResponseSink, Unknown
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.ticket_desk import TicketDesk
+from jasperwalk.agent.ticket_desk import TicketService
 from jasperwalk.agent.tickets import RunNow, Ticket, TicketStore
 from jasperwalk.balancer.routes import ServiceRoute
 from jasperwalk.consensus.durable import DurableState, PersistBatch
@@ -120,7 +120,7 @@
 
 
 async def _run_elsewhere(
-    self: TicketDesk, ticket: Ticket, request: Request, deadline_at: float, sink: ResponseSink
+    self: TicketService, ticket: Ticket, request: Request, deadline_at: float, sink: ResponseSink
 ) -> Any:
     outcome = await self._relay_to(ticket.home, request, deadline_at, sink)
     if isinstance(outcome, NotRun | Unknown):
@@ -244,7 +244,7 @@
     Mutant(
         "ticket-run-elsewhere",
         "a request that may not be repeated is tried again when its home does not answer",
-        _one(TicketDesk, "_relay_home", _run_elsewhere),
+        _one(TicketService, "_relay_home", _run_elsewhere),
         "misleading-back-ends",
         1,
         "ran-twice",
