--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -108,7 +108,7 @@
         """Take a caller's packet."""
         key = self.key_of(packet)
         if key is not None:
-            self.receive_whole(key, packet, now)
+            self.receive_with_key(key, packet, now)
 
     def key_of(self, packet: bytes) -> bytes | None:
         """Return the key of a packet's flow; count a malformed packet and return None."""
@@ -121,7 +121,7 @@
         """Tell whether a flow is in the table."""
         return key in self._flows
 
-    def receive_whole(self, key: bytes, packet: bytes, now: float) -> None:
+    def receive_with_key(self, key: bytes, packet: bytes, now: float) -> None:
         """Take a caller's packet that `key_of` has looked at."""
         self._receive(key, packet, now)
         self.searches.flush()
--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -41,7 +41,7 @@
         if key is None:
             return
         if not core.codec.is_opening(packet) or core.knows(key):
-            core.receive_whole(key, packet, now)
+            core.receive_with_key(key, packet, now)
             return
         if key in self._openings:
             return
