--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -56,7 +56,7 @@
         self._clock = clock
         self._random = source
         self._budget = RetryBudget()
-        self._desk = TicketService(view, clock, source, self._run_here, self._relay_to)
+        self._ticket_service = TicketService(view, clock, source, self._run_here, self._relay_to)
         self.relayed = 0
         self.retried = 0
         self.open_relayed = 0
@@ -70,9 +70,9 @@
             if self._view().draining:
                 # A ticket's home has to stay: let a member that does issue it.
                 return await self._relay_elsewhere(request, deadline_at, sink)
-            return await self._desk.issue(request, sink)
+            return await self._ticket_service.issue(request, sink)
         if request.ticket is not None:
-            return await self._desk.run(request, deadline_at, sink, relayed=False)
+            return await self._ticket_service.run(request, deadline_at, sink, relayed=False)
         if self._view().draining:
             return await self._relay_elsewhere(request, deadline_at, sink)
         outcome = await self._run_here(request, deadline_at, sink)
@@ -95,9 +95,9 @@
         if not view.names_service(relayed.service_id):
             return NotRun(NotRunReason.NO_SERVICE)
         if request.path == TICKET_PATH and not view.draining:
-            return await self._desk.issue(request, sink)
+            return await self._ticket_service.issue(request, sink)
         if request.path != TICKET_PATH and request.ticket is not None:
-            return await self._desk.run(request, deadline_at, sink, relayed=True)
+            return await self._ticket_service.run(request, deadline_at, sink, relayed=True)
         if view.draining:
             return NotRun(NotRunReason.DRAINING)
         return await self._run_here(request, deadline_at, sink)
