--- a/src/jasperwalk/flows/routes.py
+++ b/src/jasperwalk/flows/routes.py
@@ -44,7 +44,7 @@
     routes: list[FlowRoute]
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over a route's services.
 
     Every service's credit grows by its weight at each turn; the one with the most credit is
@@ -85,7 +85,7 @@
         """What agents are told, None where the routes of its services are alike in their terms."""
         self.terms_version = 0
         """Version of the configuration that `terms` holds for."""
-        self.turns = WeightedTurns(route.backends)
+        self.turns = WeightedRoundRobin(route.backends)
         self.past_services = past_services | frozenset(route.services())
         self.allowed_regions = frozenset(route.allowed_regions)
 
--- a/tests/flows/test_routes.py
+++ b/tests/flows/test_routes.py
@@ -3,7 +3,13 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.flows.routes import FlowRoute, RouteBackend, RouteSet, RouteTable, WeightedTurns
+from jasperwalk.flows.routes import (
+    FlowRoute,
+    RouteBackend,
+    RouteSet,
+    RouteTable,
+    WeightedRoundRobin,
+)
 
 LISTENER = Endpoint("198.18.0.1", 443)
 
@@ -14,13 +20,13 @@
 
 @pytest.mark.parametrize("weights", [(90, 10), (1, 1, 1), (5, 0, 3)])
 def test_turns_give_each_service_its_exact_share(weights):
-    turns = WeightedTurns([RouteBackend(str(i), weight) for i, weight in enumerate(weights)])
+    turns = WeightedRoundRobin([RouteBackend(str(i), weight) for i, weight in enumerate(weights)])
     drawn = Counter(turns.next() for _ in range(sum(weights) * 3))
     assert drawn == Counter({str(i): w * 3 for i, w in enumerate(weights) if w})
 
 
 def test_turns_without_a_weight_choose_nothing():
-    assert WeightedTurns([RouteBackend("a", 0.0)]).next() is None
+    assert WeightedRoundRobin([RouteBackend("a", 0.0)]).next() is None
 
 
 def test_the_version_never_goes_back():
