--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -17,7 +17,7 @@
 from jasperwalk.agent.admission import Admitted, Queued, Refused
 from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.lending import SlotAsk, SlotRefusal
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
@@ -51,7 +51,7 @@
         self,
         gate: SlotGate,
         asker: SlotAsker,
-        neighbours: Neighbours,
+        neighbours: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.distribution.follower_table import FollowerTable
 
@@ -28,7 +28,7 @@
         endpoint: AgentEndpoint,
         gate: SlotGate,
         health: BackendHealth,
-        neighbours: Neighbours,
+        neighbours: PeerSlots,
         clock: Callable[[], float],
     ) -> None:
         self._view = view
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import HeldSlot, SlotAsk
 from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.config.table_entries import accepts_new_work
@@ -23,7 +23,7 @@
         gate: SlotGate,
         health: BackendHealth,
         local_run: LocalRun,
-        neighbours: Neighbours,
+        neighbours: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -38,7 +38,7 @@
     avoid_until: float
 
 
-class Neighbours:
+class PeerSlots:
     """Knowledge of the other members, by their address."""
 
     def __init__(self, source: random.Random) -> None:
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -33,7 +33,7 @@
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.agent.planned_end import PlannedEnd
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
@@ -79,7 +79,7 @@
         self.health = BackendHealth(FAILURES_TO_OFFLINE)
         self._backend = Backend(settings.backend, settings.name, self._clock)
         self._gate = SlotGate(Admission(NO_SLOTS))
-        self._neighbours = Neighbours(self._random)
+        self._neighbours = PeerSlots(self._random)
         self._current = CurrentView(
             view, self.endpoint, self._gate, self.health, self._neighbours, self._clock
         )
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.config.table_entries import MemberEntry
 
 ASKS_IN_A_ROW = 3
@@ -58,7 +58,7 @@
 class SlotSearch:
     """The search of one waiting request."""
 
-    def __init__(self, neighbours: Neighbours, budget: AskBudget) -> None:
+    def __init__(self, neighbours: PeerSlots, budget: AskBudget) -> None:
         self._neighbours = neighbours
         self._budget = budget
         self._asked: set[Endpoint] = set()
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -22,7 +22,7 @@
     serve_lending,
 )
 from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.neighbours import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
 from jasperwalk.agent.relay_server import serve_relay
@@ -95,7 +95,7 @@
         self.backend = FakeBackend()
         self.health = BackendHealth(1)
         self.gate = SlotGate(Admission(AdmissionLimits(slots, 4, 5_000)))
-        neighbours = Neighbours(source)
+        neighbours = PeerSlots(source)
         client = RelayClient("test", "test")
         local = LocalRun(self.backend, self.gate, self.health, loop.time)
         parts = (neighbours, lambda: self.view, loop.time, lend)
@@ -432,7 +432,7 @@
         loop = asyncio.get_running_loop()
         gate, asker = SlotGate(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
-        neighbours = Neighbours(random.Random(SEED))
+        neighbours = PeerSlots(random.Random(SEED))
         borrower = SlotBorrower(gate, asker, neighbours, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
         second = asyncio.ensure_future(borrower.acquire("second", loop.time() + 60))
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -9,7 +9,7 @@
     FULL_SECONDS,
     KNOWN_SECONDS,
     UNREACHABLE_SECONDS,
-    Neighbours,
+    PeerSlots,
 )
 from jasperwalk.agent.slot_search import (
     ASKS_IN_A_ROW,
@@ -39,7 +39,7 @@
 def test_a_member_that_had_nothing_is_left_alone_for_a_while(kit, case):
     learn, seconds = LEARNED[case]
     (member,) = _members(kit, 1)
-    neighbours = Neighbours(random.Random(SEED))
+    neighbours = PeerSlots(random.Random(SEED))
     learn(neighbours, member.address)
     assert neighbours.choose([member], [], seconds * 0.9) is None
     assert neighbours.choose([member], [], seconds * 1.1) == member.address
@@ -47,7 +47,7 @@
 
 def test_a_known_free_slot_counts_once_and_for_a_short_time(kit):
     (member,) = _members(kit, 1)
-    neighbours = Neighbours(random.Random(SEED))
+    neighbours = PeerSlots(random.Random(SEED))
     neighbours.learned(member.address, 1, 0.0)
     assert not neighbours.take_known_slot(member.address, KNOWN_SECONDS)
     assert neighbours.take_known_slot(member.address, 0.0)
@@ -59,7 +59,7 @@
 
 def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(kit):
     members = _members(kit, 5)
-    search = SlotSearch(Neighbours(random.Random(SEED)), AskBudget())
+    search = SlotSearch(PeerSlots(random.Random(SEED)), AskBudget())
     pauses = []
     for _ in range(5):
         steps = [search.next(members, 0.0) for _ in range(ASKS_IN_A_ROW + 1)]
@@ -73,7 +73,7 @@
 
 def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(kit):
     members, budget = _members(kit, 3), AskBudget()
-    neighbours = Neighbours(random.Random(SEED))
+    neighbours = PeerSlots(random.Random(SEED))
 
     def asks():
         steps = [SlotSearch(neighbours, budget).next(members, 0.0) for _ in range(100)]
