--- a/src/jasperwalk/flows/routes.py
+++ b/src/jasperwalk/flows/routes.py
@@ -90,7 +90,7 @@
         self.allowed_regions = frozenset(route.allowed_regions)
 
 
-def _leads_alike(one: FlowRoute, other: FlowRoute) -> bool:
+def _has_same_destinations(one: FlowRoute, other: FlowRoute) -> bool:
     """Tell whether two routes send flows to the same places."""
     is_same = one.backends == other.backends and one.allowed_regions == other.allowed_regions
     is_alike = one.is_bulk == other.is_bulk and one.is_repeatable == other.is_repeatable
@@ -149,7 +149,7 @@
             entry = entries.get(listener)
             if old is None:
                 continue
-            if _leads_alike(old, route):
+            if _has_same_destinations(old, route):
                 if entry is not None:
                     entry.route = route
                     self._entries[listener] = entry
