--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -17,7 +17,7 @@
 from jasperwalk.agent.admission import Admitted, Queued, Refused
 from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.lending import SlotAsk, SlotRefusal
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
@@ -51,14 +51,14 @@
         self,
         gate: SlotGate,
         asker: SlotAsker,
-        neighbours: PeerSlots,
+        peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
         self._gate = gate
         self._asker = asker
-        self._neighbours = neighbours
+        self._neighbours = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.distribution.follower_table import FollowerTable
 
@@ -28,7 +28,7 @@
         endpoint: AgentEndpoint,
         gate: SlotGate,
         health: BackendHealth,
-        neighbours: PeerSlots,
+        peers: PeerSlots,
         clock: Callable[[], float],
     ) -> None:
         self._view = view
@@ -37,7 +37,7 @@
         self._endpoint = endpoint
         self._gate = gate
         self._health = health
-        self._neighbours = neighbours
+        self._neighbours = peers
         self._clock = clock
         self._online_incarnation = 0
         """The incarnation that was last seen online."""
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import HeldSlot, SlotAsk
 from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.config.table_entries import accepts_new_work
@@ -23,7 +23,7 @@
         gate: SlotGate,
         health: BackendHealth,
         local_run: LocalRun,
-        neighbours: PeerSlots,
+        peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
@@ -31,7 +31,7 @@
         self._gate = gate
         self._health = health
         self._local_run = local_run
-        self._neighbours = neighbours
+        self._neighbours = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -33,7 +33,7 @@
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.planned_end import PlannedEnd
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
@@ -102,12 +102,12 @@
 
     def _make_runner(self) -> None:
         settings, gate, clock = self._settings, self._gate, self._clock
-        neighbours, view, lend = self._neighbours, self._current.get, settings.lend_slots
+        peers, view, lend = self._neighbours, self._current.get, settings.lend_slots
         local_run = LocalRun(self._backend, gate, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
         self._asker = SlotAsker(self._relay, clock)
-        self.lender = SlotLender(gate, self.health, local_run, neighbours, view, clock, lend)
-        self.borrower = SlotBorrower(gate, self._asker, neighbours, view, clock, lend)
+        self.lender = SlotLender(gate, self.health, local_run, peers, view, clock, lend)
+        self.borrower = SlotBorrower(gate, self._asker, peers, view, clock, lend)
         self.runner = RequestRunner(
             local_run, gate, self.borrower, self._relay, view, clock, self._random
         )
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.config.table_entries import MemberEntry
 
 ASKS_IN_A_ROW = 3
@@ -58,8 +58,8 @@
 class SlotSearch:
     """The search of one waiting request."""
 
-    def __init__(self, neighbours: PeerSlots, budget: AskBudget) -> None:
-        self._neighbours = neighbours
+    def __init__(self, peers: PeerSlots, budget: AskBudget) -> None:
+        self._neighbours = peers
         self._budget = budget
         self._asked: set[Endpoint] = set()
         self._pause_seconds = FIRST_PAUSE_SECONDS
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -22,7 +22,7 @@
     serve_lending,
 )
 from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.neighbours import PeerSlots
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
 from jasperwalk.agent.relay_server import serve_relay
@@ -95,10 +95,10 @@
         self.backend = FakeBackend()
         self.health = BackendHealth(1)
         self.gate = SlotGate(Admission(AdmissionLimits(slots, 4, 5_000)))
-        neighbours = PeerSlots(source)
+        peers = PeerSlots(source)
         client = RelayClient("test", "test")
         local = LocalRun(self.backend, self.gate, self.health, loop.time)
-        parts = (neighbours, lambda: self.view, loop.time, lend)
+        parts = (peers, lambda: self.view, loop.time, lend)
         self.lender = SlotLender(self.gate, self.health, local, *parts)
         self.borrower = SlotBorrower(self.gate, SlotAsker(client, loop.time), *parts)
         self.runner = RequestRunner(
@@ -432,8 +432,8 @@
         loop = asyncio.get_running_loop()
         gate, asker = SlotGate(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
-        neighbours = PeerSlots(random.Random(SEED))
-        borrower = SlotBorrower(gate, asker, neighbours, lambda: view, loop.time, True)
+        peers = PeerSlots(random.Random(SEED))
+        borrower = SlotBorrower(gate, asker, peers, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
         second = asyncio.ensure_future(borrower.acquire("second", loop.time() + 60))
         await until(lambda: borrower.asked)
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.neighbours import (
+from jasperwalk.agent.peers import (
     FULL_SECONDS,
     KNOWN_SECONDS,
     UNREACHABLE_SECONDS,
@@ -39,22 +39,22 @@
 def test_a_member_that_had_nothing_is_left_alone_for_a_while(kit, case):
     learn, seconds = LEARNED[case]
     (member,) = _members(kit, 1)
-    neighbours = PeerSlots(random.Random(SEED))
-    learn(neighbours, member.address)
-    assert neighbours.choose([member], [], seconds * 0.9) is None
-    assert neighbours.choose([member], [], seconds * 1.1) == member.address
+    peers = PeerSlots(random.Random(SEED))
+    learn(peers, member.address)
+    assert peers.choose([member], [], seconds * 0.9) is None
+    assert peers.choose([member], [], seconds * 1.1) == member.address
 
 
 def test_a_known_free_slot_counts_once_and_for_a_short_time(kit):
     (member,) = _members(kit, 1)
-    neighbours = PeerSlots(random.Random(SEED))
-    neighbours.learned(member.address, 1, 0.0)
-    assert not neighbours.take_known_slot(member.address, KNOWN_SECONDS)
-    assert neighbours.take_known_slot(member.address, 0.0)
-    assert not neighbours.take_known_slot(member.address, 0.0)
-    neighbours.learned(member.address, 1, 0.0)
-    neighbours.forget_others([])
-    assert not neighbours.take_known_slot(member.address, 0.0)
+    peers = PeerSlots(random.Random(SEED))
+    peers.learned(member.address, 1, 0.0)
+    assert not peers.take_known_slot(member.address, KNOWN_SECONDS)
+    assert peers.take_known_slot(member.address, 0.0)
+    assert not peers.take_known_slot(member.address, 0.0)
+    peers.learned(member.address, 1, 0.0)
+    peers.forget_others([])
+    assert not peers.take_known_slot(member.address, 0.0)
 
 
 def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(kit):
@@ -73,10 +73,10 @@
 
 def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(kit):
     members, budget = _members(kit, 3), AskBudget()
-    neighbours = PeerSlots(random.Random(SEED))
+    peers = PeerSlots(random.Random(SEED))
 
     def asks():
-        steps = [SlotSearch(neighbours, budget).next(members, 0.0) for _ in range(100)]
+        steps = [SlotSearch(peers, budget).next(members, 0.0) for _ in range(100)]
         return sum(isinstance(step, Ask) for step in steps)
 
     assert asks() == MOST_SAVED_ASKS
