--- a/src/jasperwalk/flows/terms.py
+++ b/src/jasperwalk/flows/terms.py
@@ -16,7 +16,7 @@
 LEAST_URGENT = 7
 NORMAL_PRIORITY = 2
 """Priority of a route that names none: two levels above it are left for what is urgent."""
-LONGEST_MS = 86_400_000
+MAX_DURATION_MS = 86_400_000
 """A day. Nobody waits longer for one answer, so that a longer time is a mistake."""
 
 
@@ -64,7 +64,7 @@
 
 
 def _is_duration(value: Any) -> bool:
-    return is_number(value) and 1 <= value <= LONGEST_MS
+    return is_number(value) and 1 <= value <= MAX_DURATION_MS
 
 
 def is_number(value: Any) -> bool:
