--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -58,7 +58,7 @@
     ) -> None:
         self._gate = gate
         self._asker = asker
-        self._neighbours = peers
+        self._peers = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
@@ -124,7 +124,7 @@
         return PATIENCE_SECONDS
 
     def _new_search(self) -> SlotSearch:
-        return SlotSearch(self._neighbours, self._budget)
+        return SlotSearch(self._peers, self._budget)
 
     async def _ask_in_a_row(self, search: SlotSearch) -> BorrowedSlot | Pause:
         while True:
@@ -145,11 +145,11 @@
         now = self._clock()
         match answer:
             case None:
-                self._neighbours.unreachable(member, now)
+                self._peers.unreachable(member, now)
             case SlotRefusal():
-                self._neighbours.learned(member, 0, now)
+                self._peers.learned(member, 0, now)
             case BorrowedSlot():
-                self._neighbours.learned(member, answer.free_slots, now)
+                self._peers.learned(member, answer.free_slots, now)
                 self.borrowed += 1
                 return answer
         return None
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -37,7 +37,7 @@
         self._endpoint = endpoint
         self._gate = gate
         self._health = health
-        self._neighbours = peers
+        self._peers = peers
         self._clock = clock
         self._online_incarnation = 0
         """The incarnation that was last seen online."""
@@ -81,7 +81,7 @@
     def _replace(self, view: ServiceView) -> None:
         before, self._view = self._view, view
         self._endpoint.set_view(view)
-        self._neighbours.forget_others(view.members)
+        self._peers.forget_others(view.members)
         self._apply_limits()
         self._begin_slow_start()
         _log_changes(before, view)
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -31,7 +31,7 @@
         self._gate = gate
         self._health = health
         self._local_run = local_run
-        self._neighbours = peers
+        self._peers = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
@@ -43,7 +43,7 @@
     def reserve(self, ask: SlotAsk) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
-        self._neighbours.learned(Endpoint.unpack(ask.asker), 0, now)
+        self._peers.learned(Endpoint.unpack(ask.asker), 0, now)
         if not self._enabled or not self._may_lend(ask.service_id, now):
             return None
         self._count += 1
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -79,9 +79,9 @@
         self.health = BackendHealth(FAILURES_TO_OFFLINE)
         self._backend = Backend(settings.backend, settings.name, self._clock)
         self._gate = SlotGate(Admission(NO_SLOTS))
-        self._neighbours = PeerSlots(self._random)
+        self._peers = PeerSlots(self._random)
         self._current = CurrentView(
-            view, self.endpoint, self._gate, self.health, self._neighbours, self._clock
+            view, self.endpoint, self._gate, self.health, self._peers, self._clock
         )
         self._make_runner()
 
@@ -102,7 +102,7 @@
 
     def _make_runner(self) -> None:
         settings, gate, clock = self._settings, self._gate, self._clock
-        peers, view, lend = self._neighbours, self._current.get, settings.lend_slots
+        peers, view, lend = self._peers, self._current.get, settings.lend_slots
         local_run = LocalRun(self._backend, gate, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
         self._asker = SlotAsker(self._relay, clock)
@@ -115,7 +115,7 @@
     def _prefers(self, member: Endpoint) -> bool:
         """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
         busy = not self._gate.admission.free_slots
-        return busy and self._neighbours.take_known_slot(member, self._clock())
+        return busy and self._peers.take_known_slot(member, self._clock())
 
     async def run(self) -> None:
         """Run until a stop signal, or until a newer process has this agent's address."""
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -59,7 +59,7 @@
     """The search of one waiting request."""
 
     def __init__(self, peers: PeerSlots, budget: AskBudget) -> None:
-        self._neighbours = peers
+        self._peers = peers
         self._budget = budget
         self._asked: set[Endpoint] = set()
         self._pause_seconds = FIRST_PAUSE_SECONDS
@@ -67,7 +67,7 @@
     def next(self, members: Sequence[MemberEntry], now: float) -> Ask | Pause:
         """Return the next step; `members` are those that accept new work."""
         if len(self._asked) < ASKS_IN_A_ROW:
-            member = self._neighbours.choose(members, self._asked, now)
+            member = self._peers.choose(members, self._asked, now)
             if member is not None and self._budget.spend():
                 self._asked.add(member)
                 return Ask(member)
