--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -109,7 +109,7 @@
 AGE_SHIFT = 4
 """On `OPEN`: the upper four bits tell how long ago the caller began, in `AGE_UNIT_SECONDS`."""
 AGE_UNIT_SECONDS = 0.1
-HIGHEST_AGE = 0xF
+MAX_AGE_UNITS = 0xF
 
 CARRIED_TERMS = struct.Struct("!BHHH")
 """Priority, objective, limit in milliseconds, group of callers."""
@@ -147,7 +147,7 @@
 
 def opening_flags(terms: OpeningTerms) -> int:
     """Return the flags of an `OPEN` frame."""
-    age = min(max(round(terms.age_seconds / AGE_UNIT_SECONDS), 0), HIGHEST_AGE)
+    age = min(max(round(terms.age_seconds / AGE_UNIT_SECONDS), 0), MAX_AGE_UNITS)
     waits = FLAG_WAIT if terms.waits else 0
     repeatable = FLAG_REPEATABLE if terms.repeatable else 0
     has_terms = FLAG_TERMS if terms.route is not None else 0
