--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class PeerState:
     """What was last learned of a member: free slots, when, and until when not to ask it."""
 
     free_slots: int
@@ -43,16 +43,16 @@
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
-        self._known: dict[Endpoint, Knowledge] = {}
+        self._known: dict[Endpoint, PeerState] = {}
 
     def learned(self, member: Endpoint, free_slots: int, now: float) -> None:
         """Note a member's free slots, as its answer or its own ask told."""
         avoid_until = now if free_slots else now + FULL_SECONDS
-        self._known[member] = Knowledge(free_slots, now, avoid_until)
+        self._known[member] = PeerState(free_slots, now, avoid_until)
 
     def unreachable(self, member: Endpoint, now: float) -> None:
         """Note that a member gave no answer."""
-        self._known[member] = Knowledge(0, now, now + UNREACHABLE_SECONDS)
+        self._known[member] = PeerState(0, now, now + UNREACHABLE_SECONDS)
 
     def forget_others(self, members: Collection[Endpoint]) -> None:
         """Forget what is known of all but `members`."""
