--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -118,7 +118,7 @@
 
 LOAD_UNIT = 0.01
 """Requests under way that one unit of the load field stands for."""
-HIGHEST_LOAD = 0xFFFF
+MAX_LOAD_UNITS = 0xFFFF
 FULL_LOAD_PER_SLOT = 1.4
 """Requests under way for each of a host's slots at which its agent refuses new flows, and a
 balancer expects it to. A host with a few slots has its next request at hand then; with one more
@@ -223,7 +223,7 @@
 
 
 def _encode_reply_head(kind: FrameKind, reply: AgentReply) -> bytes:
-    load = min(int(reply.load / LOAD_UNIT), HIGHEST_LOAD)
+    load = min(int(reply.load / LOAD_UNIT), MAX_LOAD_UNITS)
     return REPLY_HEAD.pack(kind, reply.flags, reply.tag, load, reply.capacity)
 
 
