--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -147,9 +147,9 @@
             case None:
                 self._peers.unreachable(member, now)
             case SlotRefusal():
-                self._peers.learned(member, 0, now)
+                self._peers.record_free_slots(member, 0, now)
             case BorrowedSlot():
-                self._peers.learned(member, answer.free_slots, now)
+                self._peers.record_free_slots(member, answer.free_slots, now)
                 self.borrowed += 1
                 return answer
         return None
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -45,7 +45,7 @@
         self._random = source
         self._known: dict[Endpoint, PeerState] = {}
 
-    def learned(self, member: Endpoint, free_slots: int, now: float) -> None:
+    def record_free_slots(self, member: Endpoint, free_slots: int, now: float) -> None:
         """Note a member's free slots, as its answer or its own ask told."""
         avoid_until = now if free_slots else now + FULL_SECONDS
         self._known[member] = PeerState(free_slots, now, avoid_until)
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -30,7 +30,7 @@
 
 
 LEARNED = {
-    "refused": (lambda known, member: known.learned(member, 0, 0.0), FULL_SECONDS),
+    "refused": (lambda known, member: known.record_free_slots(member, 0, 0.0), FULL_SECONDS),
     "gave no answer": (lambda known, member: known.unreachable(member, 0.0), UNREACHABLE_SECONDS),
 }
 
@@ -48,11 +48,11 @@
 def test_a_known_free_slot_counts_once_and_for_a_short_time(kit):
     (member,) = _members(kit, 1)
     peers = PeerSlots(random.Random(SEED))
-    peers.learned(member.address, 1, 0.0)
+    peers.record_free_slots(member.address, 1, 0.0)
     assert not peers.take_known_slot(member.address, KNOWN_SECONDS)
     assert peers.take_known_slot(member.address, 0.0)
     assert not peers.take_known_slot(member.address, 0.0)
-    peers.learned(member.address, 1, 0.0)
+    peers.record_free_slots(member.address, 1, 0.0)
     peers.forget_others([])
     assert not peers.take_known_slot(member.address, 0.0)
 
