--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -113,7 +113,7 @@
 
 CARRIED_TERMS = struct.Struct("!BHHH")
 """Priority, objective, limit in milliseconds, group of callers."""
-HIGHEST_CARRIED_MS = 0xFFFF
+MAX_CARRIED_MS = 0xFFFF
 """Longer times are told as this one: nothing waits for a minute."""
 
 LOAD_UNIT = 0.01
@@ -178,7 +178,7 @@
 
 
 def _carried_ms(seconds: float) -> int:
-    return min(round(seconds * 1000), HIGHEST_CARRIED_MS)
+    return min(round(seconds * 1000), MAX_CARRIED_MS)
 
 
 class OpeningRequest(msgspec.Struct, frozen=True):
