--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -145,7 +145,7 @@
         now = self._clock()
         match answer:
             case None:
-                self._peers.unreachable(member, now)
+                self._peers.record_unreachable(member, now)
             case SlotRefusal():
                 self._peers.record_free_slots(member, 0, now)
             case BorrowedSlot():
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -50,7 +50,7 @@
         avoid_until = now if free_slots else now + FULL_SECONDS
         self._known[member] = PeerState(free_slots, now, avoid_until)
 
-    def unreachable(self, member: Endpoint, now: float) -> None:
+    def record_unreachable(self, member: Endpoint, now: float) -> None:
         """Note that a member gave no answer."""
         self._known[member] = PeerState(0, now, now + UNREACHABLE_SECONDS)
 
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -31,7 +31,10 @@
 
 LEARNED = {
     "refused": (lambda known, member: known.record_free_slots(member, 0, 0.0), FULL_SECONDS),
-    "gave no answer": (lambda known, member: known.unreachable(member, 0.0), UNREACHABLE_SECONDS),
+    "gave no answer": (
+        lambda known, member: known.record_unreachable(member, 0.0),
+        UNREACHABLE_SECONDS,
+    ),
 }
 
 
