--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -149,9 +149,9 @@
             if possible:
                 self._search(key, packet, opening.route, now, possible)
                 return
-        self._carry(key, flow, packet)
+        self._forward(key, flow, packet)
 
-    def _carry(self, key: bytes, flow: Flow, packet: bytes) -> None:
+    def _forward(self, key: bytes, flow: Flow, packet: bytes) -> None:
         """Send a packet to its flow's agent; data of an upload in its turn."""
         frame = flow.target.carry_head + packet
         if flow.is_bulk and self.send_bulk is not None and self.codec.payload_bytes(packet):
@@ -285,7 +285,7 @@
         is_bulk = route is not None and route.route.is_bulk
         flow = self._flows[key] = Flow(holder, now, is_bulk=is_bulk)
         for packet in packets:
-            self._carry(key, flow, packet)
+            self._forward(key, flow, packet)
 
     def _take_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
         """Take what an agent found that has searched on this balancer's behalf."""
