--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -81,7 +81,7 @@
     def _replace(self, view: ServiceView) -> None:
         before, self._view = self._view, view
         self._endpoint.set_view(view)
-        self._peers.forget_others(view.members)
+        self._peers.keep_only(view.members)
         self._apply_limits()
         self._begin_slow_start()
         _log_changes(before, view)
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -54,7 +54,7 @@
         """Note that a member gave no answer."""
         self._known[member] = PeerState(0, now, now + UNREACHABLE_SECONDS)
 
-    def forget_others(self, members: Collection[Endpoint]) -> None:
+    def keep_only(self, members: Collection[Endpoint]) -> None:
         """Forget what is known of all but `members`."""
         self._known = {each: known for each, known in self._known.items() if each in members}
 
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -56,7 +56,7 @@
     assert peers.take_known_slot(member.address, 0.0)
     assert not peers.take_known_slot(member.address, 0.0)
     peers.record_free_slots(member.address, 1, 0.0)
-    peers.forget_others([])
+    peers.keep_only([])
     assert not peers.take_known_slot(member.address, 0.0)
 
 
