--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -187,7 +187,7 @@
             return
         self.opener.open(key, packet, route, arrived_at, now)
 
-    def _work_off_uploads(self, now: float) -> None:
+    def _process_waiting_uploads(self, now: float) -> None:
         """Open uploads that have waited for room, and reset those that came too late."""
         for key, upload in self.uploads.take_late(now):
             self.reject(key, upload.packet, "link-full")
@@ -362,7 +362,7 @@
     def tick(self, now: float) -> None:
         """Give up waiting for agents that do not answer."""
         self.opener.tick(now)
-        self._work_off_uploads(now)
+        self._process_waiting_uploads(now)
         self.searches.tick(now)
         self.delegated.tick(now)
         self.searches.flush()
