--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -19,7 +19,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.table_entries import MemberEntry
 
-KNOWN_SECONDS = 0.25
+KNOWLEDGE_TTL_SECONDS = 0.25
 """Time for which a count of free slots is taken for true."""
 FULL_SECONDS = 0.02
 """Time for which a member that refused for want of a free slot is not asked again."""
@@ -61,7 +61,7 @@
     def take_known_slot(self, member: Endpoint, now: float) -> bool:
         """Count one of a member's known free slots as taken; False if none is known."""
         known = self._known.get(member)
-        if known is None or now - known.learned_at >= KNOWN_SECONDS or not known.free_slots:
+        if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS or not known.free_slots:
             return False
         self._known[member] = replace(known, free_slots=known.free_slots - 1)
         return True
@@ -86,6 +86,6 @@
     def _expected_slots(self, member: MemberEntry, now: float) -> float:
         """Return the free slots to expect: what is known, else half of all."""
         known = self._known.get(member.address)
-        if known is None or now - known.learned_at >= KNOWN_SECONDS:
+        if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS:
             return member.slots / 2
         return known.free_slots
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -7,7 +7,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.peers import (
     FULL_SECONDS,
-    KNOWN_SECONDS,
+    KNOWLEDGE_TTL_SECONDS,
     UNREACHABLE_SECONDS,
     PeerSlots,
 )
@@ -52,7 +52,7 @@
     (member,) = _members(kit, 1)
     peers = PeerSlots(random.Random(SEED))
     peers.record_free_slots(member.address, 1, 0.0)
-    assert not peers.take_known_slot(member.address, KNOWN_SECONDS)
+    assert not peers.take_known_slot(member.address, KNOWLEDGE_TTL_SECONDS)
     assert peers.take_known_slot(member.address, 0.0)
     assert not peers.take_known_slot(member.address, 0.0)
     peers.record_free_slots(member.address, 1, 0.0)
