--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -119,7 +119,7 @@
 
     # Verdicts
 
-    def search_found(self, search: Search, holder: Target, _now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, _now: float) -> None:
         """Pass the packets on, and tell the balancer where the flow's later ones belong."""
         for packet in search.packets[search.first_is_passed_on :]:
             self.send(holder.carry_head + packet, holder.address)
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -267,7 +267,7 @@
             if not is_delegated or not self.delegated.start(key, packet, services, now):
                 self.searches.start(key, packet, services, now, possible, regions)
 
-    def search_found(self, search: Search, holder: Target, now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
         self._take_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
 
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -48,7 +48,7 @@
 class SearchHandler(Protocol):
     """What is called when searches end."""
 
-    def search_found(self, search: Search, holder: Target, now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Take the holder; the search's packets wait for it."""
 
     def search_nowhere(self, search: Search, now: float) -> None:
@@ -209,7 +209,7 @@
             asked=len(search.asked),
             waited_ms=round(1000 * (now - search.started_at), 1),
         )
-        self.handler.search_found(search, holder, now)
+        self.handler.on_search_found(search, holder, now)
 
     def _not_found(self, search: Search, now: float) -> None:
         if search.returned:
