--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -21,7 +21,7 @@
 
 KNOWLEDGE_TTL_SECONDS = 0.25
 """Time for which a count of free slots is taken for true."""
-FULL_SECONDS = 0.02
+FULL_BACKOFF_SECONDS = 0.02
 """Time for which a member that refused for want of a free slot is not asked again."""
 UNREACHABLE_SECONDS = 2.0
 """Time for which a member that gave no answer is not asked again."""
@@ -47,7 +47,7 @@
 
     def record_free_slots(self, member: Endpoint, free_slots: int, now: float) -> None:
         """Note a member's free slots, as its answer or its own ask told."""
-        avoid_until = now if free_slots else now + FULL_SECONDS
+        avoid_until = now if free_slots else now + FULL_BACKOFF_SECONDS
         self._known[member] = PeerState(free_slots, now, avoid_until)
 
     def record_unreachable(self, member: Endpoint, now: float) -> None:
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.peers import (
-    FULL_SECONDS,
+    FULL_BACKOFF_SECONDS,
     KNOWLEDGE_TTL_SECONDS,
     UNREACHABLE_SECONDS,
     PeerSlots,
@@ -30,7 +30,10 @@
 
 
 LEARNED = {
-    "refused": (lambda known, member: known.record_free_slots(member, 0, 0.0), FULL_SECONDS),
+    "refused": (
+        lambda known, member: known.record_free_slots(member, 0, 0.0),
+        FULL_BACKOFF_SECONDS,
+    ),
     "gave no answer": (
         lambda known, member: known.record_unreachable(member, 0.0),
         UNREACHABLE_SECONDS,
