--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -125,7 +125,7 @@
             self.send(holder.carry_head + packet, holder.address)
         self._end(search.key, LocateVerdict.FOUND, holder.record.endpoint.pack())
 
-    def search_nowhere(self, search: Search, _now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the balancer that the flow is held nowhere."""
         self._end(search.key, LocateVerdict.NOWHERE)
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -271,7 +271,7 @@
         """Carry the packets that waited."""
         self._take_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
 
-    def search_nowhere(self, search: Search, _now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the caller to begin anew."""
         self.reject(search.key, search.packets[-1], "held-nowhere")
 
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -51,7 +51,7 @@
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Take the holder; the search's packets wait for it."""
 
-    def search_nowhere(self, search: Search, now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, now: float) -> None:
         """Take note that every agent has denied the flow."""
 
     def search_unknown(self, search: Search, now: float) -> None:
@@ -170,7 +170,7 @@
         if search.verdict is SearchVerdict.FOUND:
             self._found(search, now)
         elif search.verdict is SearchVerdict.NOWHERE:
-            self.handler.search_nowhere(search, now)
+            self.handler.on_search_held_nowhere(search, now)
         else:
             self._not_found(search, now)
 
