--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -23,7 +23,7 @@
 """Time for which a count of free slots is taken for true."""
 FULL_BACKOFF_SECONDS = 0.02
 """Time for which a member that refused for want of a free slot is not asked again."""
-UNREACHABLE_SECONDS = 2.0
+UNREACHABLE_BACKOFF_SECONDS = 2.0
 """Time for which a member that gave no answer is not asked again."""
 CHOICES = 2
 """Members drawn for one ask."""
@@ -52,7 +52,7 @@
 
     def record_unreachable(self, member: Endpoint, now: float) -> None:
         """Note that a member gave no answer."""
-        self._known[member] = PeerState(0, now, now + UNREACHABLE_SECONDS)
+        self._known[member] = PeerState(0, now, now + UNREACHABLE_BACKOFF_SECONDS)
 
     def keep_only(self, members: Collection[Endpoint]) -> None:
         """Forget what is known of all but `members`."""
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.peers import (
     FULL_BACKOFF_SECONDS,
     KNOWLEDGE_TTL_SECONDS,
-    UNREACHABLE_SECONDS,
+    UNREACHABLE_BACKOFF_SECONDS,
     PeerSlots,
 )
 from jasperwalk.agent.slot_search import (
@@ -36,7 +36,7 @@
     ),
     "gave no answer": (
         lambda known, member: known.record_unreachable(member, 0.0),
-        UNREACHABLE_SECONDS,
+        UNREACHABLE_BACKOFF_SECONDS,
     ),
 }
 
