--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -129,7 +129,7 @@
         """Tell the balancer that the flow is held nowhere."""
         self._end(search.key, LocateVerdict.NOWHERE)
 
-    def search_unknown(self, search: Search, _now: float) -> None:
+    def on_search_inconclusive(self, search: Search, _now: float) -> None:
         """Tell the balancer that some agents did not answer."""
         self._end(search.key, LocateVerdict.UNKNOWN)
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -275,7 +275,7 @@
         """Tell the caller to begin anew."""
         self.reject(search.key, search.packets[-1], "held-nowhere")
 
-    def search_unknown(self, search: Search, now: float) -> None:
+    def on_search_inconclusive(self, search: Search, now: float) -> None:
         """Let the flow be: its caller's next packet begins another search."""
 
     def _take_holder(
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -54,7 +54,7 @@
     def on_search_held_nowhere(self, search: Search, now: float) -> None:
         """Take note that every agent has denied the flow."""
 
-    def search_unknown(self, search: Search, now: float) -> None:
+    def on_search_inconclusive(self, search: Search, now: float) -> None:
         """Take note that some agents did not answer."""
 
 
@@ -222,4 +222,4 @@
             unanswered=",".join(search.unanswered()),
             rounds=search.rounds,
         )
-        self.handler.search_unknown(search, now)
+        self.handler.on_search_inconclusive(search, now)
