--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -25,7 +25,7 @@
 """Time for which a member that refused for want of a free slot is not asked again."""
 UNREACHABLE_BACKOFF_SECONDS = 2.0
 """Time for which a member that gave no answer is not asked again."""
-CHOICES = 2
+MEMBERS_DRAWN = 2
 """Members drawn for one ask."""
 
 
@@ -76,7 +76,7 @@
         if not eligible:
             return None
         weights = [each.weight for each in eligible]
-        drawn = self._random.choices(eligible, weights=weights, k=CHOICES)
+        drawn = self._random.choices(eligible, weights=weights, k=MEMBERS_DRAWN)
         return max(drawn, key=lambda each: self._expected_slots(each, now)).address
 
     def _askable(self, member: MemberEntry, now: float) -> bool:
