--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -269,7 +269,7 @@
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
-        self._take_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
+        self._set_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
 
     def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the caller to begin anew."""
@@ -278,9 +278,7 @@
     def on_search_inconclusive(self, search: Search, now: float) -> None:
         """Let the flow be: its caller's next packet begins another search."""
 
-    def _take_holder(
-        self, key: bytes, holder: Target, packets: Sequence[bytes], now: float
-    ) -> None:
+    def _set_holder(self, key: bytes, holder: Target, packets: Sequence[bytes], now: float) -> None:
         route = self.routes.find(self.codec.listener_of(key))
         is_bulk = route is not None and route.route.is_bulk
         flow = self._flows[key] = Flow(holder, now, is_bulk=is_bulk)
@@ -296,7 +294,7 @@
         holder = self._target_at(reply.packet)
         if verdict is LocateVerdict.FOUND and holder is not None:
             # The helper has passed the first packet on.
-            self._take_holder(reply.flow_key, holder, delegation.packets[1:], now)
+            self._set_holder(reply.flow_key, holder, delegation.packets[1:], now)
         elif verdict is LocateVerdict.NOWHERE:
             self.reject(reply.flow_key, delegation.packets[-1], "held-nowhere")
         elif verdict is LocateVerdict.UNABLE:
