--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -71,7 +71,7 @@
     ) -> Endpoint | None:
         """Return the member to ask for a slot, None when none is worth it now."""
         eligible = [
-            each for each in members if each.address not in asked and self._askable(each, now)
+            each for each in members if each.address not in asked and self._may_ask(each, now)
         ]
         if not eligible:
             return None
@@ -79,7 +79,7 @@
         drawn = self._random.choices(eligible, weights=weights, k=MEMBERS_DRAWN)
         return max(drawn, key=lambda each: self._expected_slots(each, now)).address
 
-    def _askable(self, member: MemberEntry, now: float) -> bool:
+    def _may_ask(self, member: MemberEntry, now: float) -> bool:
         known = self._known.get(member.address)
         return known is None or now >= known.avoid_until
 
