--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -285,7 +285,7 @@
         for packet in packets:
             self._forward(key, flow, packet)
 
-    def _take_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
+    def _handle_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
         """Take what an agent found that has searched on this balancer's behalf."""
         delegation = self.delegated.take(reply.flow_key, helper, now)
         if delegation is None:
@@ -334,7 +334,7 @@
         if reply.kind in (FrameKind.ACCEPTED, FrameKind.REFUSED):
             self.opener.receive_answer(key, target, reply, now)
         elif reply.kind is FrameKind.LOCATED:
-            self._take_verdict(target, reply, now)
+            self._handle_verdict(target, reply, now)
         elif self.searches.record_answer(key, target, reply.kind, now):
             return
         elif reply.kind is FrameKind.RETURNED:
