--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admitted, Queued, Refused
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.lending import SlotAsk, SlotRefusal
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        gate: SlotGate,
+        gate: SlotAllocator,
         asker: SlotAsker,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import AdmissionLimits
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
@@ -26,7 +26,7 @@
         self,
         view: ServiceView,
         endpoint: AgentEndpoint,
-        gate: SlotGate,
+        gate: SlotAllocator,
         health: BackendHealth,
         peers: PeerSlots,
         clock: Callable[[], float],
--- a/src/jasperwalk/agent/gate.py
+++ b/src/jasperwalk/agent/gate.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.requests import NotRun
 
 
-class SlotGate:
+class SlotAllocator:
     """Wakes queued requests when the admission core decides on them."""
 
     def __init__(self, admission: Admission) -> None:
--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from jasperwalk.agent.backend import Backend
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.requests import NotRun, NotRunReason, Outcome, Request, ResponseSink
 
@@ -16,7 +16,7 @@
     def __init__(
         self,
         backend: Backend,
-        gate: SlotGate,
+        gate: SlotAllocator,
         health: BackendHealth,
         clock: Callable[[], float],
     ) -> None:
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -27,7 +27,7 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.dispatcher import Dispatcher
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
@@ -78,7 +78,7 @@
         self._certificate = CertificateRenewal(*certificate, server_configuration, self._clock)
         self.health = BackendHealth(FAILURES_TO_OFFLINE)
         self._backend = Backend(settings.backend, settings.name, self._clock)
-        self._gate = SlotGate(Admission(NO_SLOTS))
+        self._gate = SlotAllocator(Admission(NO_SLOTS))
         self._peers = PeerSlots(self._random)
         self._current = CurrentView(
             view, self.endpoint, self._gate, self.health, self._peers, self._clock
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
@@ -41,7 +41,7 @@
     def __init__(
         self,
         local_run: LocalRun,
-        gate: SlotGate,
+        gate: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
         view: Callable[[], ServiceView],
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent import lending
 from jasperwalk.agent.admission import Admission, AdmissionLimits
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.lending import (
@@ -94,7 +94,7 @@
         self.view = None
         self.backend = FakeBackend()
         self.health = BackendHealth(1)
-        self.gate = SlotGate(Admission(AdmissionLimits(slots, 4, 5_000)))
+        self.gate = SlotAllocator(Admission(AdmissionLimits(slots, 4, 5_000)))
         peers = PeerSlots(source)
         client = RelayClient("test", "test")
         local = LocalRun(self.backend, self.gate, self.health, loop.time)
@@ -430,7 +430,7 @@
 def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
-        gate, asker = SlotGate(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
+        gate, asker = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
         peers = PeerSlots(random.Random(SEED))
         borrower = SlotBorrower(gate, asker, peers, lambda: view, loop.time, True)
