--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -324,10 +324,10 @@
         if target is None:
             return
         for reply in replies:
-            self._take_reply(target, reply, now)
+            self._handle_reply(target, reply, now)
         self.searches.flush()
 
-    def _take_reply(self, target: Target, reply: AgentReply, now: float) -> None:
+    def _handle_reply(self, target: Target, reply: AgentReply, now: float) -> None:
         key = reply.flow_key
         if reply.kind is not FrameKind.LOCATED:
             target.record_load(reply.load, now)
