--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admitted, Queued, Refused
-from jasperwalk.agent.gate import SlotAllocator
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.lending import SlotAsk, SlotRefusal
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
@@ -49,14 +49,14 @@
 
     def __init__(
         self,
-        gate: SlotAllocator,
+        allocator: SlotAllocator,
         asker: SlotAsker,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = gate
+        self._gate = allocator
         self._asker = asker
         self._peers = peers
         self._view = view
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -9,8 +9,8 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import AdmissionLimits
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
@@ -26,7 +26,7 @@
         self,
         view: ServiceView,
         endpoint: AgentEndpoint,
-        gate: SlotAllocator,
+        allocator: SlotAllocator,
         health: BackendHealth,
         peers: PeerSlots,
         clock: Callable[[], float],
@@ -35,7 +35,7 @@
         self._newest = view
         """As the newest table has it; `_view` lags behind while a move waits."""
         self._endpoint = endpoint
-        self._gate = gate
+        self._gate = allocator
         self._health = health
         self._peers = peers
         self._clock = clock
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.gate import SlotAllocator
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import HeldSlot, SlotAsk
 from jasperwalk.agent.local_run import LocalRun
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        gate: SlotAllocator,
+        allocator: SlotAllocator,
         health: BackendHealth,
         local_run: LocalRun,
         peers: PeerSlots,
@@ -28,7 +28,7 @@
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = gate
+        self._gate = allocator
         self._health = health
         self._local_run = local_run
         self._peers = peers
--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.backend import Backend
-from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.requests import NotRun, NotRunReason, Outcome, Request, ResponseSink
 
@@ -16,12 +16,12 @@
     def __init__(
         self,
         backend: Backend,
-        gate: SlotAllocator,
+        allocator: SlotAllocator,
         health: BackendHealth,
         clock: Callable[[], float],
     ) -> None:
         self._backend = backend
-        self._gate = gate
+        self._gate = allocator
         self._health = health
         self._clock = clock
 
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -13,6 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admission, AdmissionLimits
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
@@ -27,7 +28,6 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.dispatcher import Dispatcher
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
@@ -101,15 +101,15 @@
         return endpoint
 
     def _make_runner(self) -> None:
-        settings, gate, clock = self._settings, self._gate, self._clock
+        settings, allocator, clock = self._settings, self._gate, self._clock
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
-        local_run = LocalRun(self._backend, gate, self.health, clock)
+        local_run = LocalRun(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
         self._asker = SlotAsker(self._relay, clock)
-        self.lender = SlotLender(gate, self.health, local_run, peers, view, clock, lend)
-        self.borrower = SlotBorrower(gate, self._asker, peers, view, clock, lend)
+        self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
+        self.borrower = SlotBorrower(allocator, self._asker, peers, view, clock, lend)
         self.runner = RequestRunner(
-            local_run, gate, self.borrower, self._relay, view, clock, self._random
+            local_run, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
     def _prefers(self, member: Endpoint) -> bool:
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
@@ -41,7 +41,7 @@
     def __init__(
         self,
         local_run: LocalRun,
-        gate: SlotAllocator,
+        allocator: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
         view: Callable[[], ServiceView],
@@ -49,7 +49,7 @@
         source: random.Random,
     ) -> None:
         self._local_run = local_run
-        self._gate = gate
+        self._gate = allocator
         self._borrower = borrower
         self._relay = relay
         self._view = view
--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.agent.admission import Admission, AdmissionLimits, Admitted, Queued, Refused
-from jasperwalk.agent.gate import SlotAllocator
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.requests import NotRunReason
 
 LIMITS = AdmissionLimits(slots=2, queue_length=2, queue_wait_ms=500)
@@ -144,16 +144,16 @@
 
 def test_a_slot_given_to_a_request_that_is_cancelled_in_the_same_turn_is_handed_on():
     async def main():
-        gate = SlotAllocator(Admission(AdmissionLimits(1, 4, 60_000)))
+        allocator = SlotAllocator(Admission(AdmissionLimits(1, 4, 60_000)))
         deadline_at = asyncio.get_running_loop().time() + 60
-        assert await gate.acquire("a", deadline_at) is None
+        assert await allocator.acquire("a", deadline_at) is None
         second, third = (
-            asyncio.ensure_future(gate.acquire(name, deadline_at)) for name in ("b", "c")
+            asyncio.ensure_future(allocator.acquire(name, deadline_at)) for name in ("b", "c")
         )
         await asyncio.sleep(0)
-        gate.release("a")
+        allocator.release("a")
         second.cancel()
         assert await asyncio.wait_for(third, 5) is None
-        assert gate.admission.running == 1
+        assert allocator.admission.running == 1
 
     asyncio.run(main())
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -10,8 +10,8 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import lending
 from jasperwalk.agent.admission import Admission, AdmissionLimits
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.gate import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.lending import (
@@ -94,15 +94,15 @@
         self.view = None
         self.backend = FakeBackend()
         self.health = BackendHealth(1)
-        self.gate = SlotAllocator(Admission(AdmissionLimits(slots, 4, 5_000)))
+        self.allocator = SlotAllocator(Admission(AdmissionLimits(slots, 4, 5_000)))
         peers = PeerSlots(source)
         client = RelayClient("test", "test")
-        local = LocalRun(self.backend, self.gate, self.health, loop.time)
+        local = LocalRun(self.backend, self.allocator, self.health, loop.time)
         parts = (peers, lambda: self.view, loop.time, lend)
-        self.lender = SlotLender(self.gate, self.health, local, *parts)
-        self.borrower = SlotBorrower(self.gate, SlotAsker(client, loop.time), *parts)
+        self.lender = SlotLender(self.allocator, self.health, local, *parts)
+        self.borrower = SlotBorrower(self.allocator, SlotAsker(client, loop.time), *parts)
         self.runner = RequestRunner(
-            local, self.gate, self.borrower, client, lambda: self.view, loop.time, source
+            local, self.allocator, self.borrower, client, lambda: self.view, loop.time, source
         )
         hello = make_hello(ConnectionKind.RELAY, "test", "test")
         serve = serve or (lambda connection: serve_lending(connection, self.lender))
@@ -114,7 +114,7 @@
 
     @property
     def free_slots(self):
-        return self.gate.admission.free_slots
+        return self.allocator.admission.free_slots
 
     def start(self, request_id, method="GET", path="/hold", **headers):
         fields = [(name.replace("_", "-"), value) for name, value in headers.items()]
@@ -149,7 +149,7 @@
             for host in built:
                 host.backend.release.set()
             assert await first == Answered(200)
-            await until(lambda: all(host.gate.admission.running == 0 for host in built))
+            await until(lambda: all(host.allocator.admission.running == 0 for host in built))
 
     asyncio.run(main())
 
@@ -158,7 +158,7 @@
     async def scenario(asker, lender):
         second, third = asker.start("second"), asker.start("third")
         await until(lambda: lender.backend.ran)
-        assert (asker.free_slots, asker.gate.admission.waiting, lender.free_slots) == (0, 1, 0)
+        assert (asker.free_slots, asker.allocator.admission.waiting, lender.free_slots) == (0, 1, 0)
         lender.backend.release.set()
         assert await asyncio.gather(second, third) == [Answered(200)] * 2
         assert sorted(asker.backend.ran + lender.backend.ran) == ["first", "second", "third"]
@@ -207,7 +207,7 @@
     "of another service": _other_service,
     "not registered": lambda host: _replace_view(host, incarnation=0),
     "back end down": lambda host: host.health.request_refused(),
-    "shedding": lambda host: host.gate.admission.shed(asyncio.get_running_loop().time()),
+    "shedding": lambda host: host.allocator.admission.shed(asyncio.get_running_loop().time()),
     "full": lambda host: host.start("own"),
 }
 
@@ -314,7 +314,7 @@
         second.cancel()
         await until(lambda: lender.backend.cancelled == ["second"])
         await until(lambda: lender.free_slots == 1 and not lender.lender.open_slots)
-        assert asker.gate.admission.waiting == 0
+        assert asker.allocator.admission.waiting == 0
 
     run_with_hosts(kit, scenario, {}, {})
 
@@ -350,7 +350,7 @@
         await asyncio.wait([second])
         await asyncio.wait_for(closed.wait(), LIMIT_SECONDS)
         assert asker.backend.ran.count("second") + len(requests) <= 1
-        assert asker.gate.admission.waiting == 0
+        assert asker.allocator.admission.waiting == 0
 
     run_with_hosts(kit, scenario, {}, {"serve": serve})
 
@@ -387,7 +387,7 @@
         own = lender.start("own")
         refused = SlotAsk(kit.SERVICE_ID, asker.server.endpoint.pack())
         await asyncio.sleep(0)
-        assert lender.gate.admission.waiting == 1
+        assert lender.allocator.admission.waiting == 1
         assert lender.lender.reserve(refused) is None
         asker.backend.release.set()
         assert await own == Answered(200)
@@ -399,7 +399,7 @@
 def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(kit):
     async def scenario(asker, lender):
         for host in (asker, lender):
-            host.gate.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
+            host.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
         assert await asker.start("second", method="POST", path="/names") == Answered(200)
         lender.start("own")
         await until(lambda: lender.backend.ran == ["second", "own"])
@@ -430,14 +430,14 @@
 def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
-        gate, asker = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
+        allocator, asker = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
         peers = PeerSlots(random.Random(SEED))
-        borrower = SlotBorrower(gate, asker, peers, lambda: view, loop.time, True)
+        borrower = SlotBorrower(allocator, asker, peers, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
         second = asyncio.ensure_future(borrower.acquire("second", loop.time() + 60))
         await until(lambda: borrower.asked)
-        ends = [asker.grant.set, lambda: gate.release("first")]
+        ends = [asker.grant.set, lambda: allocator.release("first")]
         for end in ends if grant_first else reversed(ends):
             end()
             for _ in range(turns_between):
@@ -445,7 +445,7 @@
         slot = await second
         await asyncio.sleep(0)
         used_here = slot == OwnSlot("second")
-        assert (gate.admission.running, gate.admission.waiting) == (int(used_here), 0)
+        assert (allocator.admission.running, allocator.admission.waiting) == (int(used_here), 0)
         assert asker.aborted == int(used_here and borrower.borrowed == 1)
 
     asyncio.run(main())
