--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -338,9 +338,9 @@
         elif self.searches.record_answer(key, target, reply.kind, now):
             return
         elif reply.kind is FrameKind.RETURNED:
-            self._returned(key, self._flows.get(key), target, reply.packet, now)
+            self._handle_returned(key, self._flows.get(key), target, reply.packet, now)
 
-    def _returned(
+    def _handle_returned(
         self, key: bytes, flow: Flow | None, target: Target, packet: bytes, now: float
     ) -> None:
         """Look for the holder of a flow that the agent's host does not hold."""
