--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -56,7 +56,7 @@
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = allocator
+        self._allocator = allocator
         self._asker = asker
         self._peers = peers
         self._view = view
@@ -69,7 +69,7 @@
     async def acquire(self, request_id: str, deadline_at: float) -> Slot | NotRun:
         """Return the first slot that comes, or why there is none."""
         self._budget.earn()
-        match self._gate.request(request_id, deadline_at):
+        match self._allocator.request(request_id, deadline_at):
             case Admitted():
                 return OwnSlot(request_id)
             case Queued():
@@ -80,20 +80,20 @@
     async def _wait(self, request_id: str) -> Slot | NotRun:
         """Wait for the own slot and look for another one."""
         if not self._enabled:
-            return _own(request_id, await self._gate.wait(request_id))
-        waiter = self._gate.waiter(request_id)
+            return _own(request_id, await self._allocator.wait(request_id))
+        waiter = self._allocator.waiter(request_id)
         searching = asyncio.ensure_future(self._search())
         try:
             await asyncio.wait((waiter, searching), return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
-            self._gate.leave(request_id)
+            self._allocator.leave(request_id)
             _give_up(searching)
             raise
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
             _give_up(searching)
             return _own(request_id, waiter.result())
-        self._gate.leave(request_id)
+        self._allocator.leave(request_id)
         return searching.result()
 
     async def _instead(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -35,7 +35,7 @@
         self._newest = view
         """As the newest table has it; `_view` lags behind while a move waits."""
         self._endpoint = endpoint
-        self._gate = allocator
+        self._allocator = allocator
         self._health = health
         self._peers = peers
         self._clock = clock
@@ -93,7 +93,7 @@
         limits = AdmissionLimits(
             member.slots, service.limits.queue_length, service.limits.queue_wait_ms
         )
-        self._gate.apply(self._gate.admission.set_limits(limits, self._clock()))
+        self._allocator.apply(self._allocator.admission.set_limits(limits, self._clock()))
         self._health.failures_to_offline = service.health_monitor.failures_to_offline
 
     def _begin_slow_start(self) -> None:
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -28,7 +28,7 @@
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = allocator
+        self._allocator = allocator
         self._health = health
         self._local_run = local_run
         self._peers = peers
@@ -48,10 +48,10 @@
             return None
         self._count += 1
         slot_id = f"lent-{self._count}"
-        if not self._gate.reserve(slot_id):
+        if not self._allocator.reserve(slot_id):
             return None
         self.open_slots += 1
-        return HeldSlot(slot_id, self._gate.admission.free_slots)
+        return HeldSlot(slot_id, self._allocator.admission.free_slots)
 
     async def run_lent(self, slot: HeldSlot, request: Request, sink: ResponseSink) -> Outcome:
         """Run a request in a held slot, and free the slot."""
@@ -65,7 +65,7 @@
     def give_back(self, slot: HeldSlot) -> None:
         """Free a held slot that was not used."""
         self.open_slots -= 1
-        self._gate.leave(slot.slot_id)
+        self._allocator.leave(slot.slot_id)
 
     def _may_lend(self, service_id: int, now: float) -> bool:
         view = self._view()
--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -21,7 +21,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._backend = backend
-        self._gate = allocator
+        self._allocator = allocator
         self._health = health
         self._clock = clock
 
@@ -34,12 +34,12 @@
             # The slot stands for the back end's work on the answer. Passing the body on
             # takes as long as the caller takes, hours for a stream, and must hold no slot.
             self._health.request_answered(self._clock())
-            self._gate.release(slot_id)
+            self._allocator.release(slot_id)
 
         try:
             outcome = await self._backend.run(request, deadline_at, sink, head_arrived)
         finally:
-            self._gate.release(slot_id)
+            self._allocator.release(slot_id)
         self._learn(outcome)
         return outcome
 
@@ -47,6 +47,6 @@
         if not isinstance(outcome, NotRun):
             return
         if outcome.reason is NotRunReason.SHEDDING:
-            self._gate.admission.shed(self._clock())
+            self._allocator.admission.shed(self._clock())
         if outcome.reason is NotRunReason.BACKEND_UNREACHABLE:
             self._health.request_refused()
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -78,10 +78,10 @@
         self._certificate = CertificateRenewal(*certificate, server_configuration, self._clock)
         self.health = BackendHealth(FAILURES_TO_OFFLINE)
         self._backend = Backend(settings.backend, settings.name, self._clock)
-        self._gate = SlotAllocator(Admission(NO_SLOTS))
+        self._allocator = SlotAllocator(Admission(NO_SLOTS))
         self._peers = PeerSlots(self._random)
         self._current = CurrentView(
-            view, self.endpoint, self._gate, self.health, self._peers, self._clock
+            view, self.endpoint, self._allocator, self.health, self._peers, self._clock
         )
         self._make_runner()
 
@@ -101,7 +101,7 @@
         return endpoint
 
     def _make_runner(self) -> None:
-        settings, allocator, clock = self._settings, self._gate, self._clock
+        settings, allocator, clock = self._settings, self._allocator, self._clock
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
         local_run = LocalRun(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
@@ -114,7 +114,7 @@
 
     def _prefers(self, member: Endpoint) -> bool:
         """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
-        busy = not self._gate.admission.free_slots
+        busy = not self._allocator.admission.free_slots
         return busy and self._peers.take_known_slot(member, self._clock())
 
     async def run(self) -> None:
@@ -198,7 +198,7 @@
             self.endpoint,
             dispatcher,
             self.runner,
-            self._gate.admission,
+            self._allocator.admission,
             self.borrower,
             self.lender,
         )
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -49,7 +49,7 @@
         source: random.Random,
     ) -> None:
         self._local_run = local_run
-        self._gate = allocator
+        self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
         self._view = view
@@ -120,7 +120,7 @@
             return outcome
         self.retried += 1
         slot_id = request.request_id
-        if await self._gate.acquire(slot_id, deadline_at) is not None:
+        if await self._allocator.acquire(slot_id, deadline_at) is not None:
             return outcome
         return await self._local_run.run(slot_id, request, deadline_at, sink)
 
