--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -134,7 +134,7 @@
 
 def _any_delta(self: FollowerCore, delta: Delta, now: float) -> Any:
     self.table.update(delta.revision, delta.upserts, delta.removals)
-    return self._advanced(now)
+    return self._on_table_changed(now)
 
 
 def _any_snapshot(self: FollowerCore, snapshot: Snapshot, now: float) -> Any:
@@ -143,7 +143,7 @@
     if entries is None:
         return []
     self.table.replace(snapshot.revision, entries)
-    return self._advanced(now)
+    return self._on_table_changed(now)
 
 
 def _subscribing_anew(original: Callable[..., Any]) -> Callable[..., Any]:
