--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -120,7 +120,7 @@
             return possible
         if not opening.is_accepted():
             # The answer is late or lost; the packet says as much.
-            self._opened(key, flow, opening, now)
+            self._on_opened(key, flow, opening, now)
         flow.opening = None
         return []
 
@@ -217,7 +217,7 @@
             self.pool.record_service_time(target, self.codec.listener_of(key), reply.flags, now)
             if not was_accepted:
                 flow.target = target
-                self._opened(key, flow, opening, now)
+                self._on_opened(key, flow, opening, now)
             return
         opening.answers[target] = OpeningAnswer.REFUSED
         self.counters.openings_returned += is_taken_back
@@ -239,7 +239,7 @@
             load=round(reply.load, 2),
         )
 
-    def _opened(self, key: bytes, flow: Flow, opening: Opening, now: float) -> None:
+    def _on_opened(self, key: bytes, flow: Flow, opening: Opening, now: float) -> None:
         self._waiting_for_answers.pop(key, None)
         self.counters.flows_opened += 1
         self.latency.observe(now - opening.arrived_at)
