--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -86,14 +86,14 @@
         try:
             await asyncio.wait((waiter, searching), return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
-            self._allocator.leave(request_id)
+            self._allocator.withdraw(request_id)
             _give_up(searching)
             raise
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
             _give_up(searching)
             return _own(request_id, waiter.result())
-        self._allocator.leave(request_id)
+        self._allocator.withdraw(request_id)
         return searching.result()
 
     async def _instead(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
--- a/src/jasperwalk/agent/gate.py
+++ b/src/jasperwalk/agent/gate.py
@@ -45,10 +45,10 @@
             return await self._waiters[request_id]
         except asyncio.CancelledError:
             # The slot may have been given in the same turn of the loop: hand it on.
-            self.leave(request_id)
+            self.withdraw(request_id)
             raise
 
-    def leave(self, request_id: str) -> None:
+    def withdraw(self, request_id: str) -> None:
         """Forget a request that needs no slot here; one that it was given is handed on."""
         self._waiters.pop(request_id, None)
         self.apply(self.admission.cancelled(request_id, self._loop.time()))
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -65,7 +65,7 @@
     def give_back(self, slot: HeldSlot) -> None:
         """Free a held slot that was not used."""
         self.open_slots -= 1
-        self._allocator.leave(slot.slot_id)
+        self._allocator.withdraw(slot.slot_id)
 
     def _may_lend(self, service_id: int, now: float) -> bool:
         view = self._view()
