--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -168,7 +168,7 @@
             return
         del self._searches[search.key]
         if search.verdict is SearchVerdict.FOUND:
-            self._found(search, now)
+            self._on_found(search, now)
         elif search.verdict is SearchVerdict.NOWHERE:
             self.handler.on_search_held_nowhere(search, now)
         else:
@@ -197,7 +197,7 @@
             self._take_steps(search, steps, now)
             self._advance(search, now)
 
-    def _found(self, search: Search, now: float) -> None:
+    def _on_found(self, search: Search, now: float) -> None:
         holder = search.holder
         assert holder is not None
         self.counters.searches_found += 1
