--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued request: when it gives up, and whether its deadline is the reason."""
 
     gives_up_at: float
@@ -70,7 +70,7 @@
     def __init__(self, limits: AdmissionLimits) -> None:
         self._limits = limits
         self._running: dict[str, float] = {}
-        self._queue: OrderedDict[str, Waiting] = OrderedDict()
+        self._queue: OrderedDict[str, QueuedRequest] = OrderedDict()
         self._service_seconds = INITIAL_SERVICE_SECONDS
         self._shedding_until = float("-inf")
 
@@ -110,7 +110,7 @@
             self._running[request_id] = now
             return Admitted(request_id)
         longest = now + self._limits.queue_wait_ms / 1000
-        self._queue[request_id] = Waiting(min(longest, deadline_at), deadline_at < longest)
+        self._queue[request_id] = QueuedRequest(min(longest, deadline_at), deadline_at < longest)
         return Queued(request_id)
 
     def finished(self, request_id: str, now: float) -> list[Decision]:
