--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -172,7 +172,7 @@
         elif search.verdict is SearchVerdict.NOWHERE:
             self.handler.on_search_held_nowhere(search, now)
         else:
-            self._not_found(search, now)
+            self._on_inconclusive(search, now)
 
     def _take_steps(self, search: Search, steps: list[SearchStep], now: float) -> None:
         self.counters.search_questions += len(steps)
@@ -211,7 +211,7 @@
         )
         self.handler.on_search_found(search, holder, now)
 
-    def _not_found(self, search: Search, now: float) -> None:
+    def _on_inconclusive(self, search: Search, now: float) -> None:
         if search.returned:
             self._returned_by[search.key] = ReturnedBy(search.returned, now)
         self.counters.searches_given_up += 1
