--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -60,7 +60,7 @@
 class QueuedRequest:
     """A queued request: when it gives up, and whether its deadline is the reason."""
 
-    gives_up_at: float
+    expires_at: float
     by_deadline: bool
 
 
@@ -144,7 +144,7 @@
         """Return when the next queued request gives up."""
         if not self._queue:
             return None
-        return min(waiting.gives_up_at for waiting in self._queue.values())
+        return min(waiting.expires_at for waiting in self._queue.values())
 
     def _has_free_slot(self) -> bool:
         return len(self._running) < self._limits.slots and not self._queue
@@ -175,7 +175,7 @@
         expired = [
             (request_id, waiting)
             for request_id, waiting in self._queue.items()
-            if waiting.gives_up_at <= now
+            if waiting.expires_at <= now
         ]
         decisions: list[Decision] = []
         for request_id, waiting in expired:
