--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -207,8 +207,8 @@
         if flow is None or opening is None:
             return
         answer = opening.answers.get(target)
-        is_taken_back = _takes_acceptance_back(answer, reply)
-        if answer is not OpeningAnswer.MISSING and not is_taken_back:
+        is_revoked = _takes_acceptance_back(answer, reply)
+        if answer is not OpeningAnswer.MISSING and not is_revoked:
             # Not asked, or an answer to a copy: the first one counts.
             return
         was_accepted = opening.is_accepted()
@@ -220,9 +220,9 @@
                 self._on_opened(key, flow, opening, now)
             return
         opening.answers[target] = OpeningAnswer.REFUSED
-        self.counters.openings_returned += is_taken_back
+        self.counters.openings_returned += is_revoked
         self._record_refusal(key, target, reply, now)
-        if flow.target is target and (is_taken_back or not was_accepted):
+        if flow.target is target and (is_revoked or not was_accepted):
             self._try_next(key, opening, now)
 
     def _record_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
