--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -207,7 +207,7 @@
         if flow is None or opening is None:
             return
         answer = opening.answers.get(target)
-        is_revoked = _takes_acceptance_back(answer, reply)
+        is_revoked = _revokes_acceptance(answer, reply)
         if answer is not OpeningAnswer.MISSING and not is_revoked:
             # Not asked, or an answer to a copy: the first one counts.
             return
@@ -290,7 +290,7 @@
                 self._try_next(key, opening, now)
 
 
-def _takes_acceptance_back(answer: OpeningAnswer | None, reply: AgentReply) -> bool:
+def _revokes_acceptance(answer: OpeningAnswer | None, reply: AgentReply) -> bool:
     """Tell whether an agent that accepted a flow now says that its host handed the packet back.
 
     An agent answers before its host does. Other refusals after an acceptance are answers to
