--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -17,7 +17,7 @@
 """Weight of the newest service time in the moving average."""
 INITIAL_SERVICE_SECONDS = 0.05
 MIN_RETRY_AFTER_MS = 100
-LONGEST_RETRY_AFTER_MS = 30_000
+MAX_RETRY_AFTER_MS = 30_000
 SHED_SECONDS = 1.0
 """Time for which new requests are refused after the back end shed one."""
 
@@ -195,5 +195,5 @@
 
     def _refuse(self, request_id: str, reason: NotRunReason, wait_seconds: float) -> Refused:
         wait_ms = int(wait_seconds * 1000)
-        retry_after_ms = max(MIN_RETRY_AFTER_MS, min(wait_ms, LONGEST_RETRY_AFTER_MS))
+        retry_after_ms = max(MIN_RETRY_AFTER_MS, min(wait_ms, MAX_RETRY_AFTER_MS))
         return Refused(request_id, NotRun(reason, retry_after_ms))
