--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -138,7 +138,9 @@
         self.counters.flows_not_opened += 1
         if opening.may_be_open_at():
             # Its caller may have an answer already; if not, its next copy begins anew.
-            self.log.note("flow-unanswered", flow=self.codec.describe(key), **_tried(opening))
+            self.log.note(
+                "flow-unanswered", flow=self.codec.describe(key), **_attempt_fields(opening)
+            )
             return
         self.reject(key, opening.packet, f"no-host-after-{len(opening.answers)}-agents")
 
@@ -250,7 +252,7 @@
             agent=flow.target.record.name,
             waited_ms=round(1000 * (now - opening.arrived_at), 1),
             load=round(flow.target.load, 2),
-            **_tried(opening),
+            **_attempt_fields(opening),
         )
 
     # Time
@@ -300,7 +302,7 @@
     return is_returned and answer is OpeningAnswer.ACCEPTED
 
 
-def _tried(opening: Opening) -> dict[str, object]:
+def _attempt_fields(opening: Opening) -> dict[str, object]:
     """Return what a log line tells of the agents that were asked."""
     unanswered = [
         target.record.name
