--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -37,7 +37,7 @@
 from jasperwalk.agent.http3 import HeaderList, Http3Flow, RequestEvent, StreamReference
 from jasperwalk.agent.key_renewal import OldestKeys, oldest_keys
 from jasperwalk.agent.outgoing import Outgoing, ToAgent, ToFabric
-from jasperwalk.agent.packets import SHORTEST_INITIAL_DATAGRAM, PacketHead
+from jasperwalk.agent.packets import MIN_INITIAL_DATAGRAM_BYTES, PacketHead
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import SlowStart
@@ -211,7 +211,7 @@
             raise DatagramDropped(DropReason.UNKNOWN_FLOW)
 
     def _negotiate_version(self, admitted: AdmittedDatagram, now: float) -> None:
-        large_enough = len(admitted.datagram.payload) >= SHORTEST_INITIAL_DATAGRAM
+        large_enough = len(admitted.datagram.payload) >= MIN_INITIAL_DATAGRAM_BYTES
         if large_enough and self._negotiations.allows(now):
             negotiation = encode_quic_version_negotiation(
                 source_cid=admitted.head.destination,
@@ -227,7 +227,7 @@
         if remembered is not None and datagram.hops < MOST_HOPS:
             self._hand_on(remembered, datagram)
             return
-        if not head.initial or len(datagram.payload) < SHORTEST_INITIAL_DATAGRAM:
+        if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
         state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
--- a/src/jasperwalk/agent/packets.py
+++ b/src/jasperwalk/agent/packets.py
@@ -10,7 +10,7 @@
 from jasperwalk.routing.connection_ids import CONNECTION_ID_LENGTH
 
 LONG_HEADER_BIT = 0x80
-SHORTEST_INITIAL_DATAGRAM = 1200
+MIN_INITIAL_DATAGRAM_BYTES = 1200
 """Bytes of the smallest datagram that may carry a caller's Initial (RFC 9000, 14.1)."""
 
 
