--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -147,7 +147,7 @@
     def _next_target(self, key: bytes, opening: Opening, now: float) -> Target | None:
         """Choose the next agent to ask, and whether the flow may wait there."""
         opening.waits = False
-        if opening.is_last:
+        if opening.is_final_attempt:
             return None
         if len(opening.answers) < MAXIMUM_TRIES:
             target = self._choose(key, opening, tuple(opening.answers), now)
@@ -160,7 +160,7 @@
                 return target
         if not opening.answers:
             return None
-        opening.waits = opening.is_last = True
+        opening.waits = opening.is_final_attempt = True
         return self._choose(key, opening, tuple(opening.may_be_open_at()), now)
 
     def _is_known_full(self, target: Target, opening: Opening, now: float) -> bool:
--- a/src/jasperwalk/balancer/datagrams/openings.py
+++ b/src/jasperwalk/balancer/datagrams/openings.py
@@ -37,7 +37,7 @@
     answers: dict[Target, OpeningAnswer] = msgspec.field(default_factory=dict)
     waits: bool = False
     """True if the agent asked last may let the flow wait for room."""
-    is_last: bool = False
+    is_final_attempt: bool = False
     """True once no further agent is to be asked."""
 
     def may_be_open_at(self) -> list[Target]:
