--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -9,8 +9,8 @@
 from jasperwalk.balancer.routes import RoutingTable
 from jasperwalk.routing.candidates import CandidateIndex
 from jasperwalk.routing.quic_packets import (
+    MIN_INITIAL_PAYLOAD_BYTES,
     SHORTEST_INITIAL_CONNECTION_ID,
-    SMALLEST_INITIAL_DATAGRAM,
     PacketHeader,
     PacketKind,
 )
@@ -43,7 +43,7 @@
 
     def refuse(self, payload_length: int, header: PacketHeader, now: float) -> DropReason | None:
         """Return why a packet of this length, in bytes, may not open a flow; None if it may."""
-        if payload_length < SMALLEST_INITIAL_DATAGRAM:
+        if payload_length < MIN_INITIAL_PAYLOAD_BYTES:
             return DropReason.SMALL_INITIAL
         is_initial = header.kind is PacketKind.INITIAL
         if is_initial and len(header.connection_id) < SHORTEST_INITIAL_CONNECTION_ID:
--- a/src/jasperwalk/routing/quic_packets.py
+++ b/src/jasperwalk/routing/quic_packets.py
@@ -34,7 +34,7 @@
 SHORTEST_INITIAL_CONNECTION_ID = 8
 """Shortest connection ID, in bytes, that a client may choose for its first Initial."""
 
-SMALLEST_INITIAL_DATAGRAM = 1200
+MIN_INITIAL_PAYLOAD_BYTES = 1200
 """Smallest UDP payload, in bytes, that may open a connection (RFC 9000 section 14.1)."""
 
 
