--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -114,7 +114,7 @@
         """
         opening = flow.opening
         assert opening is not None
-        possible = opening.may_be_open_at()
+        possible = opening.possible_holders()
         if len(possible) > 1:
             self.forget(key)
             return possible
@@ -136,7 +136,7 @@
         if not opening.answers and self._park(key, opening, now):
             return
         self.counters.flows_not_opened += 1
-        if opening.may_be_open_at():
+        if opening.possible_holders():
             # Its caller may have an answer already; if not, its next copy begins anew.
             self.log.note(
                 "flow-unanswered", flow=self.codec.describe(key), **_attempt_fields(opening)
@@ -161,7 +161,7 @@
         if not opening.answers:
             return None
         opening.waits = opening.is_final_attempt = True
-        return self._choose(key, opening, tuple(opening.may_be_open_at()), now)
+        return self._choose(key, opening, tuple(opening.possible_holders()), now)
 
     def _is_known_full(self, target: Target, opening: Opening, now: float) -> bool:
         """Tell whether an agent need not be asked whether its host has room at once.
--- a/src/jasperwalk/balancer/datagrams/openings.py
+++ b/src/jasperwalk/balancer/datagrams/openings.py
@@ -40,7 +40,7 @@
     is_final_attempt: bool = False
     """True once no further agent is to be asked."""
 
-    def may_be_open_at(self) -> list[Target]:
+    def possible_holders(self) -> list[Target]:
         """Return the agents that were asked and have not refused."""
         refused = OpeningAnswer.REFUSED
         return [target for target, answer in self.answers.items() if answer is not refused]
