--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -41,7 +41,7 @@
 
 Callers repeat it sooner too, and their first flight may be more than one datagram.
 """
-MOST_REMEMBERED = 20_000
+MAX_REMEMBERED = 20_000
 MOST_HOPS = 2
 """Hand-overs between agents that one datagram may take."""
 
@@ -188,7 +188,7 @@
         while self._remembered:
             connection_id, handed = next(iter(self._remembered.items()))
             expired = now - handed.at >= REMEMBERED_SECONDS
-            if not expired and len(self._remembered) <= MOST_REMEMBERED:
+            if not expired and len(self._remembered) <= MAX_REMEMBERED:
                 return
             del self._remembered[connection_id]
 
