--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -145,9 +145,9 @@
             return
         opening = flow.opening
         if opening is not None:
-            possible = self.opener.follow_up(key, flow, now)
-            if possible:
-                self._search(key, packet, opening.route, now, possible)
+            possible_holders = self.opener.follow_up(key, flow, now)
+            if possible_holders:
+                self._search(key, packet, opening.route, now, possible_holders)
                 return
         self._forward(key, flow, packet)
 
@@ -254,18 +254,18 @@
         packet: bytes,
         route: RouteEntry,
         now: float,
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
     ) -> None:
-        """Look for the holder of a flow; `possible` are the agents that may have taken it."""
+        """Look for the holder of a flow; `possible_holders` are the agents that may have taken it."""
         if key in self.searches:
             self.searches.hold(key, packet)
         elif not self.delegated.hold(key, packet):
             services = sorted(route.past_services)
             regions = route.allowed_regions
             # A helper shows the packet to hosts wherever they are.
-            is_delegated = not possible and not regions
+            is_delegated = not possible_holders and not regions
             if not is_delegated or not self.delegated.start(key, packet, services, now):
-                self.searches.start(key, packet, services, now, possible, regions)
+                self.searches.start(key, packet, services, now, possible_holders, regions)
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -108,7 +108,7 @@
         packet: bytes,
         services: list[str],
         now: float,
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> Search | None:
         """Begin a search among the agents of these services; None where too many are open.
@@ -118,10 +118,10 @@
         if len(self._searches) >= MAXIMUM_SEARCHES:
             return None
         self.counters.searches += 1
-        self.counters.searches_confirming += bool(possible)
+        self.counters.searches_confirming += bool(possible_holders)
         known = self._returned_by.get(key)
         returned = frozenset[Target]() if known is None else known.targets
-        search = Search(key, packet, services, now, returned, possible, regions)
+        search = Search(key, packet, services, now, returned, possible_holders, regions)
         self._searches[key] = search
         self._advance(search, now)
         return search
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -89,12 +89,12 @@
         services: list[str],
         now: float,
         returned: frozenset[Target] = frozenset(),
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> None:
         """Begin with one packet; `returned` are agents whose hosts handed one back before.
 
-        `possible` are the agents that may have taken the flow when it was opened: they are given
+        `possible_holders` are the agents that may have taken the flow when it was opened: they are given
         the packet first, and the one whose host the caller has chosen passes it on. Packets are
         shown to hosts in `regions` only, where any are named; questions hold no packet.
         """
@@ -115,7 +115,7 @@
         # Ordered: the same answers have to lead to the same questions.
         self._candidates: dict[Target, None] = {}
         self._asked_all = False
-        self._possible = tuple(possible)
+        self._possible = tuple(possible_holders)
         self._confirming = False
         self.first_is_passed_on = False
         """True once the holder has got the first packet with the question."""
@@ -186,11 +186,11 @@
         return self._begin_round(asked, now)
 
     def _ask_possible(self, now: float) -> list[SearchStep]:
-        possible, self._possible = self._possible, ()
+        possible_holders, self._possible = self._possible, ()
         self._confirming = True
         self.deadline = now + CONFIRM_SECONDS
-        self.asked = dict.fromkeys(possible)
-        return [Confirm(target, self.packets[0]) for target in possible]
+        self.asked = dict.fromkeys(possible_holders)
+        return [Confirm(target, self.packets[0]) for target in possible_holders]
 
     def _ask_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
         candidates = self._find_candidates(pool)
