--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -27,7 +27,7 @@
 from jasperwalk.agent.flow_table import FlowTable
 from jasperwalk.agent.flow_upkeep import FlowUpkeep
 from jasperwalk.agent.handover import (
-    MOST_HOPS,
+    MAX_HOPS,
     AgentState,
     HandOn,
     Handover,
@@ -224,7 +224,7 @@
     def _new_flow(self, admitted: AdmittedDatagram, now: float) -> None:
         head, datagram = admitted.head, admitted.datagram
         remembered = self._handover.remembered(head.destination, now)
-        if remembered is not None and datagram.hops < MOST_HOPS:
+        if remembered is not None and datagram.hops < MAX_HOPS:
             self._hand_on(remembered, datagram)
             return
         if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -17,7 +17,7 @@
 it takes no new work, tries the other candidate. If the silent target comes back to life, the
 caller keeps to whichever answered first (RFC 9000, section 7.2).
 
-Loops: each hand-over raises `hops`, which ends at `MOST_HOPS`. The second hand-over is made
+Loops: each hand-over raises `hops`, which ends at `MAX_HOPS`. The second hand-over is made
 only by an agent whose table is newer than the first one's, or that remembers its choice.
 """
 
@@ -42,7 +42,7 @@
 Callers repeat it sooner too, and their first flight may be more than one datagram.
 """
 MAX_REMEMBERED = 20_000
-MOST_HOPS = 2
+MAX_HOPS = 2
 """Hand-overs between agents that one datagram may take."""
 
 
@@ -196,7 +196,7 @@
 def _may_hand_on(datagram: ForwardedDatagram, view: ServiceView) -> bool:
     if datagram.hops == 0:
         return True
-    return datagram.hops < MOST_HOPS and view.revision > datagram.revision
+    return datagram.hops < MAX_HOPS and view.revision > datagram.revision
 
 
 def _first_other(
