--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -115,7 +115,7 @@
         # Ordered: the same answers have to lead to the same questions.
         self._candidates: dict[Target, None] = {}
         self._asked_all = False
-        self._possible = tuple(possible_holders)
+        self._possible_holders = tuple(possible_holders)
         self._confirming = False
         self.first_is_passed_on = False
         """True once the holder has got the first packet with the question."""
@@ -152,7 +152,7 @@
         """Go on as far as answers and time allow; the second round begins by another call."""
         if self.verdict is not SearchVerdict.OPEN or self._pausing:
             return []
-        if self._possible:
+        if self._possible_holders:
             return self._ask_possible(now)
         if self._confirming:
             if self.unanswered() and now < self.deadline:
@@ -186,7 +186,7 @@
         return self._begin_round(asked, now)
 
     def _ask_possible(self, now: float) -> list[SearchStep]:
-        possible_holders, self._possible = self._possible, ()
+        possible_holders, self._possible_holders = self._possible_holders, ()
         self._confirming = True
         self.deadline = now + CONFIRM_SECONDS
         self.asked = dict.fromkeys(possible_holders)
