--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -36,7 +36,7 @@
 
 DEFAULT_DEADLINE_MS = 30_000
 """Used before the service's own limits are known."""
-MOST_OPEN_REQUESTS = 8_192
+MAX_OPEN_REQUESTS = 8_192
 
 logger = structlog.get_logger(__name__)
 
@@ -111,7 +111,7 @@
 
     def _start(self, stream: StreamReference, request: Request) -> None:
         sink = self._sink(stream)
-        if len(self._open) >= MOST_OPEN_REQUESTS:
+        if len(self._open) >= MAX_OPEN_REQUESTS:
             answer = not_run_answer(NotRun(NotRunReason.QUEUE_FULL))
             self._track(stream, sink, asyncio.ensure_future(self._reject(answer, sink)))
             return
