--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -44,7 +44,7 @@
 waits 1.4 s for an answer."""
 MAXIMUM_PARKED = 4096
 
-REFUSES_FOR_SECONDS = {
+REFUSAL_SECONDS_BY_REASON = {
     RefusalReason.ZONE_DRAINED: REFUSING_SECONDS,
     RefusalReason.WARMING_UP: REFUSING_SECONDS,
     RefusalReason.FAILING: FAILING_SECONDS,
@@ -228,7 +228,7 @@
             self._try_next(key, opening, now)
 
     def _record_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
-        refuses_seconds = REFUSES_FOR_SECONDS.get(RefusalReason(reply.flags), 0.0)
+        refuses_seconds = REFUSAL_SECONDS_BY_REASON.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
         if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
             target.record_slow_refusal()
