--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -40,7 +40,7 @@
 """Time for which a connection is kept; shorter than the lender's."""
 OLDEST_SECONDS = 60.0
 """Age up to which a connection is used again: certificates and keys may be renewed."""
-MOST_IDLE_LINKS = 4
+MAX_IDLE_LINKS = 4
 """Connections that are kept to one member."""
 
 
@@ -72,7 +72,7 @@
         kept = LendingLink(link.member, link.connection, link.opened_at, self._clock())
         links = self._links.setdefault(link.member, [])
         links.append(kept)
-        if len(links) > MOST_IDLE_LINKS:
+        if len(links) > MAX_IDLE_LINKS:
             links.pop(0).connection.abort()
         self._drop_old()
 
