--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -37,7 +37,7 @@
 """An agent answers a new flow within a few milliseconds; after this the next one is tried."""
 MAXIMUM_TRIES = 4
 """Agents that are tried for one new flow before one is asked to let it wait."""
-FRESH_LOAD_SECONDS = 0.05
+MAX_LOAD_AGE_SECONDS = 0.05
 """A figure of load older than about one request's work says little of the room there is now."""
 LONGEST_PARKING_SECONDS = 0.9
 """A new flow without any ready host waits this long for one that is expected; its caller
@@ -169,7 +169,7 @@
         Where requests are ordered by their terms an old figure does not say so: a flow that waits
         at one host while another has room comes late, or makes others late.
         """
-        is_old = now - target.load_at > FRESH_LOAD_SECONDS
+        is_old = now - target.load_at > MAX_LOAD_AGE_SECONDS
         if opening.route.terms is not None and is_old:
             return False
         return target.relative_load(now) >= FULL_LOAD_PER_SLOT
