--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -38,7 +38,7 @@
 """Time within which an asked agent has to answer; it decides at once."""
 IDLE_SECONDS = 10.0
 """Time for which a connection is kept; shorter than the lender's."""
-OLDEST_SECONDS = 60.0
+MAX_LINK_AGE_SECONDS = 60.0
 """Age up to which a connection is used again: certificates and keys may be renewed."""
 MAX_IDLE_LINKS = 4
 """Connections that are kept to one member."""
@@ -96,7 +96,7 @@
 
 
 def _is_fresh(link: LendingLink, now: float) -> bool:
-    return now - link.kept_at < IDLE_SECONDS and now - link.opened_at < OLDEST_SECONDS
+    return now - link.kept_at < IDLE_SECONDS and now - link.opened_at < MAX_LINK_AGE_SECONDS
 
 
 @dataclass(frozen=True)
