--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -39,7 +39,7 @@
 """Agents that are tried for one new flow before one is asked to let it wait."""
 MAX_LOAD_AGE_SECONDS = 0.05
 """A figure of load older than about one request's work says little of the room there is now."""
-LONGEST_PARKING_SECONDS = 0.9
+MAX_PARKING_SECONDS = 0.9
 """A new flow without any ready host waits this long for one that is expected; its caller
 waits 1.4 s for an answer."""
 MAXIMUM_PARKED = 4096
@@ -265,7 +265,7 @@
         return True
 
     def _may_wait_for_host(self, opening: Opening, now: float) -> bool:
-        is_late = now - opening.arrived_at >= LONGEST_PARKING_SECONDS
+        is_late = now - opening.arrived_at >= MAX_PARKING_SECONDS
         route = opening.route
         return not is_late and self.pool.expects_hosts(
             route.route.services(), now, route.allowed_regions
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -2,7 +2,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.flow_opener import (
-    LONGEST_PARKING_SECONDS,
+    MAX_PARKING_SECONDS,
     MAXIMUM_TRIES,
     OPEN_TIMEOUT_SECONDS,
 )
@@ -375,9 +375,9 @@
     bench = Bench(record(1))
     bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     bench.core.receive(SYN, 1.0)
-    bench.core.tick(1.0 + LONGEST_PARKING_SECONDS - 0.01)
+    bench.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
     assert bench.resets == []
-    bench.core.tick(1.01 + LONGEST_PARKING_SECONDS)
+    bench.core.tick(1.01 + MAX_PARKING_SECONDS)
     assert bench.resets == [RESET_TO_CALLER]
     assert not bench.core.has_pending()
 
