--- a/src/jasperwalk/agent/requests.py
+++ b/src/jasperwalk/agent/requests.py
@@ -19,7 +19,7 @@
 NOT_RUN_HEADER = "jasperwalk-not-run"
 TICKET_HEADER = "idempotency-key"
 OWN_PREFIX = "jasperwalk-"
-LONGEST_DEADLINE_MS = 24 * 3600 * 1000
+MAX_DEADLINE_MS = 24 * 3600 * 1000
 
 HOP_BY_HOP = frozenset(
     {
@@ -176,7 +176,7 @@
     for name, value in headers:
         if name != DEADLINE_HEADER or not (value.isascii() and value.isdigit()):
             continue
-        if len(value) > len(str(LONGEST_DEADLINE_MS)):
-            return LONGEST_DEADLINE_MS
-        return min(int(value), LONGEST_DEADLINE_MS)
+        if len(value) > len(str(MAX_DEADLINE_MS)):
+            return MAX_DEADLINE_MS
+        return min(int(value), MAX_DEADLINE_MS)
     return None
