--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -42,7 +42,7 @@
 MAX_PARKING_SECONDS = 0.9
 """A new flow without any ready host waits this long for one that is expected; its caller
 waits 1.4 s for an answer."""
-MAXIMUM_PARKED = 4096
+MAX_PARKED = 4096
 
 REFUSAL_SECONDS_BY_REASON = {
     RefusalReason.ZONE_DRAINED: REFUSING_SECONDS,
@@ -259,7 +259,7 @@
 
     def _park(self, key: bytes, opening: Opening, now: float) -> bool:
         """Let a flow wait for the first ready host, if one is expected in a moment."""
-        if len(self._parked) >= MAXIMUM_PARKED or not self._may_wait_for_host(opening, now):
+        if len(self._parked) >= MAX_PARKED or not self._may_wait_for_host(opening, now):
             return False
         self._parked[key] = opening
         return True
