--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -20,7 +20,7 @@
 """Time for which an answer spares the next question."""
 SILENCE_HOLDS_SECONDS = 5.0
 """Time for which silence counts, until the question is put again."""
-MOST_WAITING = 200
+MAX_WAITING_PACKETS = 200
 """Packets kept for one agent while the question is out."""
 
 
@@ -62,7 +62,7 @@
             home.verdict = Verdict.ASKED
             home.waiting.append(packet)
             return Verdict.ASK
-        if home.verdict is Verdict.ASKED and len(home.waiting) < MOST_WAITING:
+        if home.verdict is Verdict.ASKED and len(home.waiting) < MAX_WAITING_PACKETS:
             home.waiting.append(packet)
         return home.verdict
 
