--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -35,7 +35,7 @@
 
 OPEN_TIMEOUT_SECONDS = 0.1
 """An agent answers a new flow within a few milliseconds; after this the next one is tried."""
-MAXIMUM_TRIES = 4
+MAX_TRIES = 4
 """Agents that are tried for one new flow before one is asked to let it wait."""
 MAX_LOAD_AGE_SECONDS = 0.05
 """A figure of load older than about one request's work says little of the room there is now."""
@@ -149,7 +149,7 @@
         opening.waits = False
         if opening.is_final_attempt:
             return None
-        if len(opening.answers) < MAXIMUM_TRIES:
+        if len(opening.answers) < MAX_TRIES:
             target = self._choose(key, opening, tuple(opening.answers), now)
             if target is not None:
                 # Asking an agent that is known to be full, and then the next one, costs a
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -3,7 +3,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.flow_opener import (
     MAX_PARKING_SECONDS,
-    MAXIMUM_TRIES,
+    MAX_TRIES,
     OPEN_TIMEOUT_SECONDS,
 )
 from jasperwalk.fleet.messages import HostPhase
@@ -86,7 +86,7 @@
 def test_no_more_agents_are_tried_than_the_limit():
     bench = Bench(*(record(number) for number in range(1, 10)))
     bench.core.receive(SYN, 1.0)
-    for _ in range(MAXIMUM_TRIES):
+    for _ in range(MAX_TRIES):
         number, waits = bench.take_opening()
         assert not waits
         bench.refuse(number, 1.01)
