--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -40,7 +40,7 @@
 CONNECT_TIMEOUT_SECONDS = 1.0
 READ_BUFFER_BYTES = 32_768
 """Response bytes read ahead of a slow caller."""
-LONGEST_HEADER_FIELD = 16_384
+MAX_HEADER_FIELD_BYTES = 16_384
 LONGEST_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
 CLIENT_MADE_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -60,7 +60,7 @@
             auto_decompress=False,
             skip_auto_headers=CLIENT_MADE_FIELDS,
             read_bufsize=READ_BUFFER_BYTES,
-            max_field_size=LONGEST_HEADER_FIELD,
+            max_field_size=MAX_HEADER_FIELD_BYTES,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
             middlewares=(_send_once,),
         )
