--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -42,7 +42,7 @@
     send: DatagramSender
     counters: FlowCounters
     latency: LatencyHistogram
-    is_wanted: bool
+    is_enabled: bool
     _open: dict[bytes, Delegation] = field(default_factory=dict)
 
     def __len__(self) -> int:
@@ -60,7 +60,7 @@
 
     def start(self, key: bytes, packet: bytes, services: list[str], now: float) -> bool:
         """Let an agent search; False where there is none to ask."""
-        if not self.is_wanted or len(self._open) >= MAXIMUM_DELEGATIONS:
+        if not self.is_enabled or len(self._open) >= MAXIMUM_DELEGATIONS:
             return False
         helper = self.pool.helper(key, now)
         if helper is None:
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -79,7 +79,7 @@
             send=self.send,
             counters=self.counters,
             latency=self.search_latency,
-            is_wanted=self.delegates_searches,
+            is_enabled=self.delegates_searches,
         )
         self.opener = FlowOpener(
             codec=self.codec,
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -21,7 +21,7 @@
 def delegating(count=3, **options):
     """Return a balancer that lets agents search, and has got a packet of an unknown flow."""
     bench = Bench(*(record(number) for number in range(1, count + 1)), **options)
-    bench.core.delegated.is_wanted = True
+    bench.core.delegated.is_enabled = True
     bench.core.receive(DATA, 1.0)
     return bench
 
@@ -128,7 +128,7 @@
 
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
     bench = Bench(record(1, zone="b"), record(2), record(3))
-    bench.core.delegated.is_wanted = True
+    bench.core.delegated.is_enabled = True
     bench.learn(removed=[address_of(3)], now=0.5)
     bench.core.receive(DATA, 1.0)
     assert helper_of(bench) == 2
--- a/tests/balancer/datagrams/test_zones.py
+++ b/tests/balancer/datagrams/test_zones.py
@@ -116,7 +116,7 @@
 
 def test_a_packet_is_shown_to_no_host_elsewhere_and_to_no_helper():
     bench = Bench(record(1, zone="a"), record(2, zone="c"))
-    bench.core.delegated.is_wanted = True
+    bench.core.delegated.is_enabled = True
     restrict(bench, "there")
     bench.core.receive(from_caller(0, b"data"), 10.0)
     assert [(kind, agent) for kind, agent, _ in bench.take_sent()] == [(FrameKind.FIND, 2)]
