--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -41,7 +41,7 @@
 READ_BUFFER_BYTES = 32_768
 """Response bytes read ahead of a slow caller."""
 MAX_HEADER_FIELD_BYTES = 16_384
-LONGEST_RETRY_AFTER_DIGITS = 5
+MAX_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
 CLIENT_MADE_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """Fields that aiohttp would add by itself."""
@@ -195,5 +195,5 @@
 
 def _retry_after_ms(response: aiohttp.ClientResponse) -> int:
     text = response.headers.get("retry-after", "")
-    valid = text.isascii() and text.isdigit() and len(text) <= LONGEST_RETRY_AFTER_DIGITS
+    valid = text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS
     return int(text) * 1000 if valid else DEFAULT_RETRY_AFTER_MS
