--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -20,7 +20,7 @@
 from jasperwalk.flows.frames import encode_locate, service_tag
 from jasperwalk.observability.latency import LatencyHistogram
 
-ANSWER_SECONDS = 0.8
+ANSWER_TIMEOUT_SECONDS = 0.8
 """An agent has its verdict after its rounds and the pause between them, or not at all."""
 MAXIMUM_DELEGATIONS = 4096
 
@@ -82,7 +82,7 @@
     def tick(self, now: float) -> None:
         """Give up agents that do not answer: the caller's next packet goes to another one."""
         for key, delegation in list(self._open.items()):
-            if now - delegation.started_at < ANSWER_SECONDS:
+            if now - delegation.started_at < ANSWER_TIMEOUT_SECONDS:
                 break
             delegation.helper.suspect_until = now + SUSPECT_SECONDS
             self.counters.searches_unanswered += 1
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -25,7 +25,7 @@
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.frames import FrameKind
 
-ANSWER_SECONDS = 0.06
+ANSWER_TIMEOUT_SECONDS = 0.06
 """How long a round waits for agents that do not answer."""
 CONFIRM_SECONDS = 0.15
 """How long the agents that may have taken a flow may take to say which of them has it."""
@@ -202,7 +202,7 @@
 
     def _begin_round(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
-        self.deadline = now + ANSWER_SECONDS
+        self.deadline = now + ANSWER_TIMEOUT_SECONDS
         self.asked = dict.fromkeys(targets)
         return [Query(target) for target in targets]
 
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jasperwalk.balancer.datagrams.delegated_searches import ANSWER_SECONDS
+from jasperwalk.balancer.datagrams.delegated_searches import ANSWER_TIMEOUT_SECONDS
 from jasperwalk.fleet.search import MAXIMUM_HELD_PACKETS
 from jasperwalk.flows.frames import (
     FrameKind,
@@ -88,10 +88,10 @@
 def test_an_agent_that_does_not_answer_is_passed_over():
     bench = delegating()
     first = helper_of(bench)
-    bench.core.tick(1.0 + ANSWER_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     assert not bench.core.has_pending()
     assert bench.core.counters.searches_unanswered == 1
-    bench.core.receive(DATA, 1.05 + ANSWER_SECONDS)
+    bench.core.receive(DATA, 1.05 + ANSWER_TIMEOUT_SECONDS)
     assert helper_of(bench) != first
 
 
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -3,7 +3,7 @@
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.fleet.question_batch import KEYS_PER_FRAME
 from jasperwalk.fleet.search import (
-    ANSWER_SECONDS,
+    ANSWER_TIMEOUT_SECONDS,
     MAXIMUM_HELD_PACKETS,
     PROBE_SECONDS,
     ROUND_GRID_SECONDS,
@@ -91,8 +91,8 @@
     bench = searching(record(1), record(2))
     asked(bench)
     deny(bench, [1], 1.01)
-    bench.core.tick(1.0 + ANSWER_SECONDS)
-    bench.core.tick(1.1 + ANSWER_SECONDS + SECOND_ROUND_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
+    bench.core.tick(1.1 + ANSWER_TIMEOUT_SECONDS + SECOND_ROUND_SECONDS)
     assert asked(bench) == {1, 2}
     deny(bench, [1], 1.4)
     bench.core.tick(2.0)
@@ -324,9 +324,9 @@
 def test_an_agent_that_was_learnt_during_the_search_is_shown_the_packet():
     """A balancer that has just started knows no agent; agents that restarted do not know."""
     bench = searching()
-    bench.core.tick(1.0 + ANSWER_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     bench.learn(record(1), whole=True, now=1.1)
-    bench.core.tick(1.0 + ANSWER_SECONDS + SETTLING_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS + SETTLING_SECONDS)
     assert asked(bench) == {1}
     bench.answer(1, FrameKind.UNSURE, 1.35)
     assert bench.take_sent() == [(FrameKind.CARRY, 1, DATA)]
