--- a/src/jasperwalk/agent/connection.py
+++ b/src/jasperwalk/agent/connection.py
@@ -22,7 +22,7 @@
 from aioquic.quic.packet import QuicFrameType
 from aioquic.quic.packet_builder import QuicPacketBuilder
 
-MOST_CONNECTION_IDS = 8
+MAX_CONNECTION_IDS = 8
 """Most unretired connection IDs that a connection hands out, as in aioquic."""
 
 ConnectionIdSource = Callable[[], bytes]
@@ -117,7 +117,7 @@
             self._issue_connection_id()
 
     def _most_connection_ids(self) -> int:
-        return min(MOST_CONNECTION_IDS, int(self._remote_active_connection_id_limit))
+        return min(MAX_CONNECTION_IDS, int(self._remote_active_connection_id_limit))
 
     def _issue_connection_id(self) -> None:
         issued = self._routable_connection_id(sequence_number=self._host_cid_seq, was_sent=False)
