--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -22,7 +22,7 @@
 
 ANSWER_TIMEOUT_SECONDS = 0.8
 """An agent has its verdict after its rounds and the pause between them, or not at all."""
-MAXIMUM_DELEGATIONS = 4096
+MAX_DELEGATIONS = 4096
 
 
 class Delegation(msgspec.Struct, eq=False):
@@ -60,7 +60,7 @@
 
     def start(self, key: bytes, packet: bytes, services: list[str], now: float) -> bool:
         """Let an agent search; False where there is none to ask."""
-        if not self.is_enabled or len(self._open) >= MAXIMUM_DELEGATIONS:
+        if not self.is_enabled or len(self._open) >= MAX_DELEGATIONS:
             return False
         helper = self.pool.helper(key, now)
         if helper is None:
