--- a/src/jasperwalk/agent/connection.py
+++ b/src/jasperwalk/agent/connection.py
@@ -101,7 +101,7 @@
         if self._renewal_waits:
             return
         self._retire_prior_to = self._host_cid_seq
-        for _ in range(self._most_connection_ids()):
+        for _ in range(self._connection_id_limit()):
             self._issue_connection_id()
 
     def _replenish_connection_ids(self) -> None:
@@ -113,10 +113,10 @@
         present = sum(
             1 for each in self._host_cids if each.sequence_number >= self._retire_prior_to
         )
-        for _ in range(self._most_connection_ids() - present):
+        for _ in range(self._connection_id_limit() - present):
             self._issue_connection_id()
 
-    def _most_connection_ids(self) -> int:
+    def _connection_id_limit(self) -> int:
         return min(MAX_CONNECTION_IDS, int(self._remote_active_connection_id_limit))
 
     def _issue_connection_id(self) -> None:
