--- a/src/jasperwalk/balancer/datagrams/early_packets.py
+++ b/src/jasperwalk/balancer/datagrams/early_packets.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.balancer.datagrams.arrived_packet import ArrivedPacket
 
-LONGEST_HOLD_SECONDS = 0.9
+MAX_HOLD_SECONDS = 0.9
 """A caller waits 1.4 s for an answer to its opening packet; older ones are not worth a host."""
 MAXIMUM_PACKETS = 2048
 """Bound of the memory: about 2.5 MB of packets; the oldest go first."""
@@ -35,7 +35,7 @@
 
     def take(self, now: float) -> list[ArrivedPacket]:
         """Take all packets that are young enough, in the order of their coming."""
-        oldest = now - LONGEST_HOLD_SECONDS
+        oldest = now - MAX_HOLD_SECONDS
         taken = [early for early in self._packets if early.arrived_at >= oldest]
         self._packets.clear()
         return taken
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -2,7 +2,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.early_packets import (
-    LONGEST_HOLD_SECONDS,
+    MAX_HOLD_SECONDS,
     MAXIMUM_PACKETS,
     EarlyPackets,
 )
@@ -61,7 +61,7 @@
 
 def test_packets_that_are_too_old_are_dropped():
     bench = early(SYN)
-    routes_come(bench, now=1.01 + LONGEST_HOLD_SECONDS)
+    routes_come(bench, now=1.01 + MAX_HOLD_SECONDS)
     assert bench.take_sent() == []
 
 
@@ -70,7 +70,7 @@
     bench.learn(record(1, HostPhase.UNKNOWN), now=1.4)
     routes_come(bench)
     assert bench.core.has_pending()
-    bench.core.tick(1.01 + LONGEST_HOLD_SECONDS)
+    bench.core.tick(1.01 + MAX_HOLD_SECONDS)
     assert len(bench.resets) == 1
 
 
