--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -12,7 +12,7 @@
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.runner import RequestRunner
 
-LONGEST_DELIVERY_SECONDS = 5.0
+MAX_DELIVERY_SECONDS = 5.0
 """Time for callers to acknowledge the last answers before a planned end of their flows."""
 IDLE_POLL_SECONDS = 0.1
 """Interval at which the end of the last request is looked for."""
@@ -43,13 +43,13 @@
         Returns False where that was not so within `grace_seconds`.
         """
         began_at = self._clock()
-        patient_until = began_at + LONGEST_DELIVERY_SECONDS
+        patient_until = began_at + MAX_DELIVERY_SECONDS
         while True:
             now = self._clock()
             if now - began_at >= grace_seconds:
                 return False
             if self._dispatcher.open_requests + self._open_for_others():
-                patient_until = now + LONGEST_DELIVERY_SECONDS
+                patient_until = now + MAX_DELIVERY_SECONDS
             elif not self._endpoint.has_undelivered_answers or now >= patient_until:
                 return True
             await asyncio.sleep(IDLE_POLL_SECONDS)
