--- a/src/jasperwalk/balancer/datagrams/early_packets.py
+++ b/src/jasperwalk/balancer/datagrams/early_packets.py
@@ -15,7 +15,7 @@
 
 MAX_HOLD_SECONDS = 0.9
 """A caller waits 1.4 s for an answer to its opening packet; older ones are not worth a host."""
-MAXIMUM_PACKETS = 2048
+MAX_PACKETS = 2048
 """Bound of the memory: about 2.5 MB of packets; the oldest go first."""
 
 
@@ -23,7 +23,7 @@
 class EarlyPackets:
     """Keeps the newest packets, for a moment."""
 
-    _packets: deque[ArrivedPacket] = field(default_factory=lambda: deque(maxlen=MAXIMUM_PACKETS))
+    _packets: deque[ArrivedPacket] = field(default_factory=lambda: deque(maxlen=MAX_PACKETS))
 
     def __len__(self) -> int:
         """Return how many packets are kept."""
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -3,7 +3,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.early_packets import (
     MAX_HOLD_SECONDS,
-    MAXIMUM_PACKETS,
+    MAX_PACKETS,
     EarlyPackets,
 )
 from jasperwalk.fleet.messages import HostPhase
@@ -85,9 +85,9 @@
 
 def test_a_full_store_keeps_the_newest():
     store = EarlyPackets()
-    for number in range(MAXIMUM_PACKETS + 1):
+    for number in range(MAX_PACKETS + 1):
         store.hold(number.to_bytes(4, "big"), 1.0)
     taken = store.take(1.0)
-    assert len(taken) == MAXIMUM_PACKETS
+    assert len(taken) == MAX_PACKETS
     assert taken[0].packet == (1).to_bytes(4, "big")
     assert len(store) == 0
