--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -29,7 +29,7 @@
 TICKET_PATH = "/.well-known/jasperwalk/tickets"
 TICKET_LIFETIME_SECONDS = 3600.0
 MAC_LENGTH = 16
-LONGEST_TICKET = 512
+MAX_TICKET_LENGTH = 512
 NONCE_LENGTH = 12
 MOST_TICKETS = 20_000
 MOST_STORED_BYTES = 64 * 1024 * 1024
@@ -80,7 +80,7 @@
 
     def open(self, text: str) -> Ticket:
         """Check and decode a ticket; raise `InvalidTicket`."""
-        if len(text) > LONGEST_TICKET or not text.isascii():
+        if len(text) > MAX_TICKET_LENGTH or not text.isascii():
             raise InvalidTicket
         try:
             sealed = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
