--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from jasperwalk.balancer.datagrams.counters import FlowCounters
-from jasperwalk.fleet.search import MAXIMUM_HELD_PACKETS
+from jasperwalk.fleet.search import MAX_HELD_PACKETS
 from jasperwalk.fleet.target import SUSPECT_SECONDS, Target
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import DatagramSender
@@ -54,7 +54,7 @@
         delegation = self._open.get(key)
         if delegation is None:
             return False
-        if len(delegation.packets) < MAXIMUM_HELD_PACKETS:
+        if len(delegation.packets) < MAX_HELD_PACKETS:
             delegation.packets.append(packet)
         return True
 
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -37,7 +37,7 @@
 """No second round begins earlier after the directory was received first: agents may be missing."""
 ROUND_GRID_SECONDS = 0.02
 """Second rounds begin at multiples of this."""
-MAXIMUM_HELD_PACKETS = 16
+MAX_HELD_PACKETS = 16
 ROUNDS = 2
 REPEAT_SECONDS = 0.06
 """Pace of asking again those whose silence would settle the search; they are few."""
@@ -122,7 +122,7 @@
 
     def hold(self, packet: bytes) -> None:
         """Keep another packet of the flow."""
-        if len(self.packets) < MAXIMUM_HELD_PACKETS:
+        if len(self.packets) < MAX_HELD_PACKETS:
             self.packets.append(packet)
 
     def record_answer(self, target: Target, kind: FrameKind) -> None:
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.balancer.datagrams.delegated_searches import ANSWER_TIMEOUT_SECONDS
-from jasperwalk.fleet.search import MAXIMUM_HELD_PACKETS
+from jasperwalk.fleet.search import MAX_HELD_PACKETS
 from jasperwalk.flows.frames import (
     FrameKind,
     LocateVerdict,
@@ -123,7 +123,7 @@
     for _ in range(100):
         bench.core.receive(MORE, 1.005)
     verdict(bench, helper, LocateVerdict.FOUND, holder=2)
-    assert len(bench.take_sent()) == MAXIMUM_HELD_PACKETS - 1
+    assert len(bench.take_sent()) == MAX_HELD_PACKETS - 1
 
 
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -4,7 +4,7 @@
 from jasperwalk.fleet.question_batch import KEYS_PER_FRAME
 from jasperwalk.fleet.search import (
     ANSWER_TIMEOUT_SECONDS,
-    MAXIMUM_HELD_PACKETS,
+    MAX_HELD_PACKETS,
     PROBE_SECONDS,
     ROUND_GRID_SECONDS,
     ROUND_PAUSE_SECONDS,
@@ -147,7 +147,7 @@
     for _ in range(100):
         bench.core.receive(MORE, 1.01)
     bench.answer(1, FrameKind.HELD, 1.02)
-    assert len(bench.take_sent()) == MAXIMUM_HELD_PACKETS
+    assert len(bench.take_sent()) == MAX_HELD_PACKETS
 
 
 @pytest.mark.parametrize("count", [0, 1])
