--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -31,7 +31,7 @@
 MAC_LENGTH = 16
 MAX_TICKET_LENGTH = 512
 NONCE_LENGTH = 12
-MOST_TICKETS = 20_000
+MAX_TICKETS = 20_000
 MOST_STORED_BYTES = 64 * 1024 * 1024
 MOST_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
@@ -179,7 +179,7 @@
 class TicketStore:
     """What the home remembers of used tickets. Nothing is forgotten before its expiry."""
 
-    def __init__(self, most_tickets: int = MOST_TICKETS) -> None:
+    def __init__(self, most_tickets: int = MAX_TICKETS) -> None:
         self._most_tickets = most_tickets
         self._uses: OrderedDict[bytes, Use] = OrderedDict()
         self._stored_bytes = 0
