--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -23,7 +23,7 @@
 from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.token_bucket import TokenBucket
 
-MAXIMUM_SEARCHES = 4096
+MAX_SEARCHES = 4096
 QUESTIONS_PER_SECOND = 600.0
 QUESTIONS_AT_ONCE = 1200.0
 """Budget of one process's frames that ask everyone."""
@@ -115,7 +115,7 @@
 
         `regions` are those that the flow's hosts may be in, empty where every region may.
         """
-        if len(self._searches) >= MAXIMUM_SEARCHES:
+        if len(self._searches) >= MAX_SEARCHES:
             return None
         self.counters.searches += 1
         self.counters.searches_confirming += bool(possible_holders)
