--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -32,7 +32,7 @@
 MAX_TICKET_LENGTH = 512
 NONCE_LENGTH = 12
 MAX_TICKETS = 20_000
-MOST_STORED_BYTES = 64 * 1024 * 1024
+MAX_STORED_BYTES = 64 * 1024 * 1024
 MOST_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
 KEPT_AFTER_EXPIRY_SECONDS = 60.0
@@ -197,7 +197,7 @@
         expires_at = ticket.expires_at_ms / 1000
         if expires_at <= now:
             return Expired()
-        if len(self._uses) >= self._most_tickets or self._stored_bytes >= MOST_STORED_BYTES:
+        if len(self._uses) >= self._most_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
         self._uses[ticket.nonce] = Use(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
         return RunNow()
