--- a/src/jasperwalk/balancer/datagrams/paced_link.py
+++ b/src/jasperwalk/balancer/datagrams/paced_link.py
@@ -8,7 +8,7 @@
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.scheduling.link_pacer import LinkPacer
 
-LEAST_PAUSE_SECONDS = 0.008
+MIN_PAUSE_SECONDS = 0.008
 """Shortest pause between two looks: each costs a small machine some of its processor."""
 
 
@@ -35,7 +35,7 @@
         pause_seconds = None if self._scheduled else self._pacer.pause()
         if pause_seconds is not None:
             self._scheduled = True
-            delay_seconds = max(pause_seconds, LEAST_PAUSE_SECONDS)
+            delay_seconds = max(pause_seconds, MIN_PAUSE_SECONDS)
             asyncio.get_running_loop().call_later(delay_seconds, self._release)
 
     def _release(self) -> None:
