--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -33,7 +33,7 @@
 NONCE_LENGTH = 12
 MAX_TICKETS = 20_000
 MAX_STORED_BYTES = 64 * 1024 * 1024
-MOST_ANSWER_BYTES = 256 * 1024
+MAX_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
 KEPT_AFTER_EXPIRY_SECONDS = 60.0
 
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class StoredAnswer:
-    """An answer as kept for resends; `body` is cut at `MOST_ANSWER_BYTES`."""
+    """An answer as kept for resends; `body` is cut at `MAX_ANSWER_BYTES`."""
 
     status: int
     headers: HeaderFields
@@ -119,7 +119,7 @@
 
     def append(self, data: bytes) -> None:
         """Keep a piece of the body unless the answer grows too long."""
-        if self.cut or len(self.body) + len(data) > MOST_ANSWER_BYTES:
+        if self.cut or len(self.body) + len(data) > MAX_ANSWER_BYTES:
             self.cut = True
             self.body.clear()
             return
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.agent.requests import Request
 from jasperwalk.agent.tickets import (
-    MOST_ANSWER_BYTES,
+    MAX_ANSWER_BYTES,
     InvalidTicket,
     StoredAnswer,
     Ticket,
@@ -122,7 +122,7 @@
 
 def test_an_answer_is_kept_whole_or_not_at_all():
     answer = StoredAnswer(200, [])
-    answer.append(b"x" * MOST_ANSWER_BYTES)
+    answer.append(b"x" * MAX_ANSWER_BYTES)
     assert not answer.cut
     answer.append(b"x")
     assert answer.cut
