--- a/src/jasperwalk/balancer/datagrams/paced_link.py
+++ b/src/jasperwalk/balancer/datagrams/paced_link.py
@@ -22,16 +22,16 @@
     def send(self, datagram: bytes, address: SocketAddress) -> None:
         """Send a small datagram before those of bulk flows."""
         self._pacer.send(datagram, address, time.monotonic())
-        self._keep_up()
+        self._schedule_release()
 
     def send_bulk(
         self, flow_key: bytes, number: int, datagram: bytes, address: SocketAddress
     ) -> None:
         """Send a datagram of a bulk flow in its turn."""
         self._pacer.send_bulk(flow_key, number, datagram, address, time.monotonic())
-        self._keep_up()
+        self._schedule_release()
 
-    def _keep_up(self) -> None:
+    def _schedule_release(self) -> None:
         pause_seconds = None if self._scheduled else self._pacer.pause()
         if pause_seconds is not None:
             self._scheduled = True
@@ -41,4 +41,4 @@
     def _release(self) -> None:
         self._scheduled = False
         self._pacer.release(time.monotonic())
-        self._keep_up()
+        self._schedule_release()
