--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -179,8 +179,8 @@
 class TicketStore:
     """What the home remembers of used tickets. Nothing is forgotten before its expiry."""
 
-    def __init__(self, most_tickets: int = MAX_TICKETS) -> None:
-        self._most_tickets = most_tickets
+    def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
+        self._most_tickets = max_tickets
         self._uses: OrderedDict[bytes, Use] = OrderedDict()
         self._stored_bytes = 0
 
@@ -233,7 +233,7 @@
 
     def _forget(self, now: float) -> None:
         # Uses are in order of arrival and forget times differ by a lifetime at most, so an
-        # early entry may hold later ones back for that long: bounded by `most_tickets`.
+        # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
             nonce, use = next(iter(self._uses.items()))
             if use.forget_at > now or not use.finished:
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -108,7 +108,7 @@
 
 
 def test_a_full_store_refuses_and_forgets_nothing(kit):
-    store = TicketStore(most_tickets=2)
+    store = TicketStore(max_tickets=2)
     names = [
         type(store.use(_ticket(kit, bytes([number]) * 12), ONE, 0.0)).__name__
         for number in (1, 2, 3, 1)
