--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -16,7 +16,7 @@
 from jasperwalk.balancer.datagrams.arrived_packet import ArrivedPacket
 from jasperwalk.balancer.datagrams.flow_balancer import FlowBalancer
 
-OPENINGS_AT_ONCE = 8
+OPENINGS_PER_BATCH = 8
 """New flows taken between two looks at the sockets."""
 LONGEST_INTAKE_SECONDS = 0.4
 """A new flow that has not been taken by then is reset."""
@@ -52,7 +52,7 @@
     def work(self, now: float) -> None:
         """Open some of the waiting flows, the newest first, and reset those that are too old."""
         self._reject_late(now)
-        for _ in range(OPENINGS_AT_ONCE):
+        for _ in range(OPENINGS_PER_BATCH):
             if not self._openings:
                 return
             _, opening = self._openings.popitem(last=True)
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -4,7 +4,7 @@
 from jasperwalk.balancer.datagrams.packet_intake import (
     LONGEST_INTAKE_SECONDS,
     MAXIMUM_WAITING,
-    OPENINGS_AT_ONCE,
+    OPENINGS_PER_BATCH,
     PacketIntake,
 )
 from jasperwalk.flows.frames import FrameKind
@@ -37,7 +37,7 @@
 
 def test_new_flows_are_opened_newest_first_and_some_at_a_time():
     bench, desk = intake()
-    packets = [syn(port) for port in range(OPENINGS_AT_ONCE + 3)]
+    packets = [syn(port) for port in range(OPENINGS_PER_BATCH + 3)]
     for packet in packets:
         desk.take(packet, 1.0)
     desk.work(1.0)
