--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -180,7 +180,7 @@
     """What the home remembers of used tickets. Nothing is forgotten before its expiry."""
 
     def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
-        self._most_tickets = max_tickets
+        self._max_tickets = max_tickets
         self._uses: OrderedDict[bytes, Use] = OrderedDict()
         self._stored_bytes = 0
 
@@ -197,7 +197,7 @@
         expires_at = ticket.expires_at_ms / 1000
         if expires_at <= now:
             return Expired()
-        if len(self._uses) >= self._most_tickets or self._stored_bytes >= MAX_STORED_BYTES:
+        if len(self._uses) >= self._max_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
         self._uses[ticket.nonce] = Use(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
         return RunNow()
