--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -18,7 +18,7 @@
 
 OPENINGS_PER_BATCH = 8
 """New flows taken between two looks at the sockets."""
-LONGEST_INTAKE_SECONDS = 0.4
+MAX_INTAKE_SECONDS = 0.4
 """A new flow that has not been taken by then is reset."""
 MAXIMUM_WAITING = 1024
 
@@ -61,7 +61,7 @@
     def _reject_late(self, now: float) -> None:
         while self._openings:
             oldest = next(iter(self._openings.values()))
-            if now - oldest.arrived_at <= LONGEST_INTAKE_SECONDS:
+            if now - oldest.arrived_at <= MAX_INTAKE_SECONDS:
                 return
             self._reject_oldest()
 
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -2,7 +2,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.packet_intake import (
-    LONGEST_INTAKE_SECONDS,
+    MAX_INTAKE_SECONDS,
     MAXIMUM_WAITING,
     OPENINGS_PER_BATCH,
     PacketIntake,
@@ -71,7 +71,7 @@
     bench, desk = intake()
     desk.take(syn(1), 1.0)
     desk.take(syn(2), 1.2)
-    desk.work(1.01 + LONGEST_INTAKE_SECONDS)
+    desk.work(1.01 + MAX_INTAKE_SECONDS)
     assert opened(bench) == [syn(2)]
     assert [to for _, to in bench.resets] == [("100.64.0.9", 1)]
 
