--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -26,7 +26,7 @@
 from jasperwalk.agent.ticket_desk import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
-MOST_RELAY_TARGETS = 2
+MAX_RELAY_TARGETS = 2
 """Members that are asked for one request of a draining agent."""
 RETRIED_REASONS = frozenset(
     {NotRunReason.BACKEND_UNREACHABLE, NotRunReason.SHEDDING, NotRunReason.QUEUE_FULL}
@@ -140,7 +140,7 @@
     ) -> Outcome:
         """Run a request of a draining agent's flow at another member."""
         outcome: Outcome = NotRun(NotRunReason.DRAINING)
-        for target in self._targets()[:MOST_RELAY_TARGETS]:
+        for target in self._targets()[:MAX_RELAY_TARGETS]:
             outcome = await self._relay_to(target, request, deadline_at, sink)
             if not isinstance(outcome, NotRun):
                 return outcome
