--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -20,7 +20,7 @@
 """New flows taken between two looks at the sockets."""
 MAX_INTAKE_SECONDS = 0.4
 """A new flow that has not been taken by then is reset."""
-MAXIMUM_WAITING = 1024
+MAX_WAITING_OPENINGS = 1024
 
 
 @dataclass(eq=False, repr=False)
@@ -45,7 +45,7 @@
             return
         if key in self._openings:
             return
-        if len(self._openings) >= MAXIMUM_WAITING:
+        if len(self._openings) >= MAX_WAITING_OPENINGS:
             self._reject_oldest()
         self._openings[key] = ArrivedPacket(packet, now)
 
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -3,7 +3,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.packet_intake import (
     MAX_INTAKE_SECONDS,
-    MAXIMUM_WAITING,
+    MAX_WAITING_OPENINGS,
     OPENINGS_PER_BATCH,
     PacketIntake,
 )
@@ -78,7 +78,7 @@
 
 def test_a_full_intake_lets_the_oldest_go():
     bench, desk = intake()
-    for port in range(MAXIMUM_WAITING + 1):
+    for port in range(MAX_WAITING_OPENINGS + 1):
         desk.take(syn(port + 1), 1.0)
     assert [to for _, to in bench.resets] == [("100.64.0.9", 1)]
 
