--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -49,7 +49,7 @@
 from jasperwalk.messages.proxy_protocol import destination_of, source_of
 from jasperwalk.routing.connection_ids import RoutableId
 
-MOST_FLOWS = 8_192
+MAX_FLOWS = 8_192
 VERSION_NEGOTIATIONS_PER_SECOND = 200
 
 
@@ -61,7 +61,7 @@
         configuration: QuicConfiguration,
         view: ServiceView,
         source: random.Random,
-        most_flows: int = MOST_FLOWS,
+        most_flows: int = MAX_FLOWS,
     ) -> None:
         self._configuration = configuration
         self._most_flows = most_flows
