--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -51,14 +51,14 @@
 
     def work(self, now: float) -> None:
         """Open some of the waiting flows, the newest first, and reset those that are too old."""
-        self._reject_late(now)
+        self._reject_expired(now)
         for _ in range(OPENINGS_PER_BATCH):
             if not self._openings:
                 return
             _, opening = self._openings.popitem(last=True)
             self.core.open(opening.packet, opening.arrived_at, now)
 
-    def _reject_late(self, now: float) -> None:
+    def _reject_expired(self, now: float) -> None:
         while self._openings:
             oldest = next(iter(self._openings.values()))
             if now - oldest.arrived_at <= MAX_INTAKE_SECONDS:
