--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -61,10 +61,10 @@
         configuration: QuicConfiguration,
         view: ServiceView,
         source: random.Random,
-        most_flows: int = MAX_FLOWS,
+        max_flows: int = MAX_FLOWS,
     ) -> None:
         self._configuration = configuration
-        self._most_flows = most_flows
+        self._most_flows = max_flows
         self.slow_start = SlowStart()
         self.table_fresh = False
         """Set by the adapter: the view was the newest of a quorum just now."""
