--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -30,7 +30,7 @@
     core: FlowBalancer
     _openings: OrderedDict[bytes, ArrivedPacket] = field(default_factory=OrderedDict)
 
-    def has_work(self) -> bool:
+    def has_waiting(self) -> bool:
         """Tell whether new flows wait for `work`."""
         return bool(self._openings)
 
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -32,7 +32,7 @@
     desk.take(syn(1), 1.0)
     desk.take(DATA, 1.0)
     assert [kind for kind, _, _ in bench.take_sent()] == [FrameKind.FIND]
-    assert desk.has_work()
+    assert desk.has_waiting()
 
 
 def test_new_flows_are_opened_newest_first_and_some_at_a_time():
@@ -42,11 +42,11 @@
         desk.take(packet, 1.0)
     desk.work(1.0)
     assert opened(bench) == packets[:2:-1]
-    assert desk.has_work()
+    assert desk.has_waiting()
     desk.take(syn(1000), 1.1)
     desk.work(1.1)
     assert opened(bench) == [syn(1000), *packets[2::-1]]
-    assert not desk.has_work()
+    assert not desk.has_waiting()
 
 
 def test_a_copy_of_a_waiting_packet_changes_nothing():
@@ -98,4 +98,4 @@
     for packet in (b"", b"x", syn(1)[:-1]):
         desk.take(packet, 1.0)
     assert bench.core.counters.packets_malformed == 3
-    assert not desk.has_work()
+    assert not desk.has_waiting()
