--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -64,7 +64,7 @@
         max_flows: int = MAX_FLOWS,
     ) -> None:
         self._configuration = configuration
-        self._most_flows = max_flows
+        self._max_flows = max_flows
         self.slow_start = SlowStart()
         self.table_fresh = False
         """Set by the adapter: the view was the newest of a quorum just now."""
@@ -238,7 +238,7 @@
                 removed = self._view.removed
                 raise DatagramDropped(DropReason.REMOVED if removed else DropReason.NO_TARGET)
             case Take():
-                if len(self._flows) >= self._most_flows:
+                if len(self._flows) >= self._max_flows:
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
 
