--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -31,11 +31,11 @@
     _openings: OrderedDict[bytes, ArrivedPacket] = field(default_factory=OrderedDict)
 
     def has_waiting(self) -> bool:
-        """Tell whether new flows wait for `work`."""
+        """Tell whether new flows wait for `open_waiting`."""
         return bool(self._openings)
 
     def take(self, packet: bytes, now: float) -> None:
-        """Take a packet; new flows wait for `work`."""
+        """Take a packet; new flows wait for `open_waiting`."""
         core = self.core
         key = core.key_of(packet)
         if key is None:
@@ -49,7 +49,7 @@
             self._reject_oldest()
         self._openings[key] = ArrivedPacket(packet, now)
 
-    def work(self, now: float) -> None:
+    def open_waiting(self, now: float) -> None:
         """Open some of the waiting flows, the newest first, and reset those that are too old."""
         self._reject_expired(now)
         for _ in range(OPENINGS_PER_BATCH):
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -183,7 +183,7 @@
 
     def _take_in(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
-        self._intake.work(time.monotonic())
+        self._intake.open_waiting(time.monotonic())
         if self._intake.has_waiting() and not self._taking_in:
             self._taking_in = True
             asyncio.get_running_loop().call_soon(self._take_in_more)
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -40,11 +40,11 @@
     packets = [syn(port) for port in range(OPENINGS_PER_BATCH + 3)]
     for packet in packets:
         desk.take(packet, 1.0)
-    desk.work(1.0)
+    desk.open_waiting(1.0)
     assert opened(bench) == packets[:2:-1]
     assert desk.has_waiting()
     desk.take(syn(1000), 1.1)
-    desk.work(1.1)
+    desk.open_waiting(1.1)
     assert opened(bench) == [syn(1000), *packets[2::-1]]
     assert not desk.has_waiting()
 
@@ -54,14 +54,14 @@
     desk.take(syn(1), 1.0)
     desk.take(syn(2), 1.1)
     desk.take(syn(1), 1.2)
-    desk.work(1.2)
+    desk.open_waiting(1.2)
     assert opened(bench) == [syn(2), syn(1)]
 
 
 def test_a_copy_of_an_opened_flows_packet_does_not_wait():
     bench, desk = intake()
     desk.take(syn(1), 1.0)
-    desk.work(1.0)
+    desk.open_waiting(1.0)
     opened(bench)
     desk.take(syn(1), 1.2)
     assert opened(bench) == [syn(1)]
@@ -71,7 +71,7 @@
     bench, desk = intake()
     desk.take(syn(1), 1.0)
     desk.take(syn(2), 1.2)
-    desk.work(1.01 + MAX_INTAKE_SECONDS)
+    desk.open_waiting(1.01 + MAX_INTAKE_SECONDS)
     assert opened(bench) == [syn(2)]
     assert [to for _, to in bench.resets] == [("100.64.0.9", 1)]
 
@@ -86,7 +86,7 @@
 def test_without_routes_new_flows_are_kept_with_the_time_of_their_coming():
     bench, desk = intake(version=0)
     desk.take(syn(1), 1.0)
-    desk.work(1.0)
+    desk.open_waiting(1.0)
     assert opened(bench) == []
     bench.route(1, "web")
     bench.core.routes_changed(1.5)
