--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -17,7 +17,7 @@
 
 ASKS_IN_A_ROW = 3
 FIRST_PAUSE_SECONDS = 0.01
-LONGEST_PAUSE_SECONDS = 0.02
+MAX_PAUSE_SECONDS = 0.02
 ASKS_PER_REQUEST = 2.0
 """Asks that each arrival at the agent earns for the shared budget."""
 MOST_SAVED_ASKS = 40.0
@@ -73,5 +73,5 @@
                 return Ask(member)
         self._asked.clear()
         pause = Pause(self._pause_seconds)
-        self._pause_seconds = min(2 * self._pause_seconds, LONGEST_PAUSE_SECONDS)
+        self._pause_seconds = min(2 * self._pause_seconds, MAX_PAUSE_SECONDS)
         return pause
