--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -40,7 +40,7 @@
 from jasperwalk.transport.http_server import HttpServer, serving
 
 SWEEP_SECONDS = 4.0
-LEAVING_SECONDS = 1.6
+DRAINING_SECONDS = 1.6
 """After a stop signal the balancer is not ready but carries packets until the fabric, which
 asks twice a second and wants two misses, sends it none."""
 
@@ -169,7 +169,7 @@
         await stop.wait()
         self._stopping = True
         logger.info("balancer-stopping", flows=len(self.core))
-        await asyncio.sleep(min(LEAVING_SECONDS, self._settings.stop_grace_ms / 2000))
+        await asyncio.sleep(min(DRAINING_SECONDS, self._settings.stop_grace_ms / 2000))
         for job in jobs:
             job.cancel()
         await asyncio.gather(*jobs, return_exceptions=True)
