--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -16,7 +16,7 @@
 from jasperwalk.config.table_entries import MemberEntry
 
 ASKS_IN_A_ROW = 3
-FIRST_PAUSE_SECONDS = 0.01
+INITIAL_PAUSE_SECONDS = 0.01
 MAX_PAUSE_SECONDS = 0.02
 ASKS_PER_REQUEST = 2.0
 """Asks that each arrival at the agent earns for the shared budget."""
@@ -62,7 +62,7 @@
         self._peers = peers
         self._budget = budget
         self._asked: set[Endpoint] = set()
-        self._pause_seconds = FIRST_PAUSE_SECONDS
+        self._pause_seconds = INITIAL_PAUSE_SECONDS
 
     def next(self, members: Sequence[MemberEntry], now: float) -> Ask | Pause:
         """Return the next step; `members` are those that accept new work."""
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -13,7 +13,7 @@
 )
 from jasperwalk.agent.slot_search import (
     ASKS_IN_A_ROW,
-    FIRST_PAUSE_SECONDS,
+    INITIAL_PAUSE_SECONDS,
     MAX_PAUSE_SECONDS,
     MOST_SAVED_ASKS,
     Ask,
@@ -73,7 +73,7 @@
         assert len(asked) == ASKS_IN_A_ROW
         assert isinstance(steps[-1], Pause)
         pauses.append(steps[-1].seconds)
-    assert (pauses[0], pauses[-1]) == (FIRST_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
+    assert (pauses[0], pauses[-1]) == (INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
     assert pauses == sorted(pauses)
 
 
