--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -83,7 +83,7 @@
             uses_service_times=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
-        self._callers = DatagramSocket(bound.callers, self._packet, self._take_in)
+        self._callers = DatagramSocket(bound.callers, self._packet, self._open_waiting)
         self._frames = DatagramSocket(bound.frames, self._frame)
         self._callers_port = Endpoint.parse(settings.callers_listen).port
         self._decisions = DecisionLog(
@@ -181,7 +181,7 @@
     def _packet(self, data: bytes, _sender: SocketAddress) -> None:
         self._intake.take(data, time.monotonic())
 
-    def _take_in(self) -> None:
+    def _open_waiting(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
         self._intake.open_waiting(time.monotonic())
         if self._intake.has_waiting() and not self._taking_in:
@@ -191,7 +191,7 @@
 
     def _take_in_more(self) -> None:
         self._taking_in = False
-        self._take_in()
+        self._open_waiting()
 
     def _frame(self, data: bytes, sender: SocketAddress) -> None:
         self.core.receive_reply(data, sender, time.monotonic())
