--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -20,18 +20,18 @@
 MAX_PAUSE_SECONDS = 0.02
 ASKS_PER_REQUEST = 2.0
 """Asks that each arrival at the agent earns for the shared budget."""
-MOST_SAVED_ASKS = 40.0
+MAX_SAVED_REQUESTS = 40.0
 
 
 class AskBudget:
     """Token bucket that is filled by arrivals, not by time."""
 
     def __init__(self) -> None:
-        self._tokens = MOST_SAVED_ASKS
+        self._tokens = MAX_SAVED_REQUESTS
 
     def earn(self) -> None:
         """Note an arrival."""
-        self._tokens = min(MOST_SAVED_ASKS, self._tokens + ASKS_PER_REQUEST)
+        self._tokens = min(MAX_SAVED_REQUESTS, self._tokens + ASKS_PER_REQUEST)
 
     def spend(self) -> bool:
         """Take a token for one ask; False when there is none."""
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -15,7 +15,7 @@
     ASKS_IN_A_ROW,
     INITIAL_PAUSE_SECONDS,
     MAX_PAUSE_SECONDS,
-    MOST_SAVED_ASKS,
+    MAX_SAVED_REQUESTS,
     Ask,
     AskBudget,
     Pause,
@@ -85,6 +85,6 @@
         steps = [SlotSearch(peers, budget).next(members, 0.0) for _ in range(100)]
         return sum(isinstance(step, Ask) for step in steps)
 
-    assert asks() == MOST_SAVED_ASKS
+    assert asks() == MAX_SAVED_REQUESTS
     budget.earn()
     assert asks() == 2
