--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -105,7 +105,7 @@
             caller_resend_seconds=settings.caller_resend_ms / 1000,
         )
         self._intake = PacketIntake(self.core)
-        self._taking_in = False
+        self._is_opening_scheduled = False
         self._search_timer = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
@@ -184,13 +184,13 @@
     def _open_waiting(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
         self._intake.open_waiting(time.monotonic())
-        if self._intake.has_waiting() and not self._taking_in:
-            self._taking_in = True
+        if self._intake.has_waiting() and not self._is_opening_scheduled:
+            self._is_opening_scheduled = True
             asyncio.get_running_loop().call_soon(self._take_in_more)
         self._search_timer.ensure_scheduled()
 
     def _take_in_more(self) -> None:
-        self._taking_in = False
+        self._is_opening_scheduled = False
         self._open_waiting()
 
     def _frame(self, data: bytes, sender: SocketAddress) -> None:
