--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -1,6 +1,6 @@
 """When a waiting request asks a neighbour for a slot, and when it pauses (sans-IO).
 
-A request asks one member after the other. After `ASKS_IN_A_ROW` refusals it pauses, longer
+A request asks one member after the other. After `MAX_CONSECUTIVE_REQUESTS` refusals it pauses, longer
 each time, since a service without free slots gains nothing from being asked. All requests of
 an agent share one budget, so that asking stays a bounded part of its work when everything
 is full.
@@ -15,7 +15,7 @@
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.config.table_entries import MemberEntry
 
-ASKS_IN_A_ROW = 3
+MAX_CONSECUTIVE_REQUESTS = 3
 INITIAL_PAUSE_SECONDS = 0.01
 MAX_PAUSE_SECONDS = 0.02
 ASKS_PER_REQUEST = 2.0
@@ -66,7 +66,7 @@
 
     def next(self, members: Sequence[MemberEntry], now: float) -> Ask | Pause:
         """Return the next step; `members` are those that accept new work."""
-        if len(self._asked) < ASKS_IN_A_ROW:
+        if len(self._asked) < MAX_CONSECUTIVE_REQUESTS:
             member = self._peers.choose(members, self._asked, now)
             if member is not None and self._budget.spend():
                 self._asked.add(member)
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -12,8 +12,8 @@
     PeerSlots,
 )
 from jasperwalk.agent.slot_search import (
-    ASKS_IN_A_ROW,
     INITIAL_PAUSE_SECONDS,
+    MAX_CONSECUTIVE_REQUESTS,
     MAX_PAUSE_SECONDS,
     MAX_SAVED_REQUESTS,
     Ask,
@@ -68,9 +68,9 @@
     search = SlotSearch(PeerSlots(random.Random(SEED)), AskBudget())
     pauses = []
     for _ in range(5):
-        steps = [search.next(members, 0.0) for _ in range(ASKS_IN_A_ROW + 1)]
+        steps = [search.next(members, 0.0) for _ in range(MAX_CONSECUTIVE_REQUESTS + 1)]
         asked = {step.member for step in steps[:-1] if isinstance(step, Ask)}
-        assert len(asked) == ASKS_IN_A_ROW
+        assert len(asked) == MAX_CONSECUTIVE_REQUESTS
         assert isinstance(steps[-1], Pause)
         pauses.append(steps[-1].seconds)
     assert (pauses[0], pauses[-1]) == (INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
