--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -186,10 +186,10 @@
         self._intake.open_waiting(time.monotonic())
         if self._intake.has_waiting() and not self._is_opening_scheduled:
             self._is_opening_scheduled = True
-            asyncio.get_running_loop().call_soon(self._take_in_more)
+            asyncio.get_running_loop().call_soon(self._continue_opening)
         self._search_timer.ensure_scheduled()
 
-    def _take_in_more(self) -> None:
+    def _continue_opening(self) -> None:
         self._is_opening_scheduled = False
         self._open_waiting()
 
