--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -18,7 +18,7 @@
 MAX_CONSECUTIVE_REQUESTS = 3
 INITIAL_PAUSE_SECONDS = 0.01
 MAX_PAUSE_SECONDS = 0.02
-ASKS_PER_REQUEST = 2.0
+SLOT_REQUESTS_PER_ARRIVAL = 2.0
 """Asks that each arrival at the agent earns for the shared budget."""
 MAX_SAVED_REQUESTS = 40.0
 
@@ -31,7 +31,7 @@
 
     def earn(self) -> None:
         """Note an arrival."""
-        self._tokens = min(MAX_SAVED_REQUESTS, self._tokens + ASKS_PER_REQUEST)
+        self._tokens = min(MAX_SAVED_REQUESTS, self._tokens + SLOT_REQUESTS_PER_ARRIVAL)
 
     def spend(self) -> bool:
         """Take a token for one ask; False when there is none."""
