--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -83,7 +83,7 @@
             uses_service_times=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
-        self._callers = DatagramSocket(bound.callers, self._packet, self._open_waiting)
+        self._callers = DatagramSocket(bound.callers, self._on_packet, self._open_waiting)
         self._frames = DatagramSocket(bound.frames, self._frame)
         self._callers_port = Endpoint.parse(settings.callers_listen).port
         self._decisions = DecisionLog(
@@ -178,7 +178,7 @@
 
     # Datagrams
 
-    def _packet(self, data: bytes, _sender: SocketAddress) -> None:
+    def _on_packet(self, data: bytes, _sender: SocketAddress) -> None:
         self._intake.take(data, time.monotonic())
 
     def _open_waiting(self) -> None:
