--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -21,7 +21,7 @@
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
-from jasperwalk.agent.slot_search import AskBudget, Pause, SlotSearch
+from jasperwalk.agent.slot_search import Pause, SlotRequestBudget, SlotSearch
 from jasperwalk.config.table_entries import Objective
 
 BORROWING_REASONS = frozenset(
@@ -62,7 +62,7 @@
         self._view = view
         self._clock = clock
         self._enabled = enabled
-        self._budget = AskBudget()
+        self._budget = SlotRequestBudget()
         self.asked = 0
         self.borrowed = 0
 
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -23,7 +23,7 @@
 MAX_SAVED_REQUESTS = 40.0
 
 
-class AskBudget:
+class SlotRequestBudget:
     """Token bucket that is filled by arrivals, not by time."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
 class SlotSearch:
     """The search of one waiting request."""
 
-    def __init__(self, peers: PeerSlots, budget: AskBudget) -> None:
+    def __init__(self, peers: PeerSlots, budget: SlotRequestBudget) -> None:
         self._peers = peers
         self._budget = budget
         self._asked: set[Endpoint] = set()
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -17,8 +17,8 @@
     MAX_PAUSE_SECONDS,
     MAX_SAVED_REQUESTS,
     Ask,
-    AskBudget,
     Pause,
+    SlotRequestBudget,
     SlotSearch,
 )
 
@@ -65,7 +65,7 @@
 
 def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(kit):
     members = _members(kit, 5)
-    search = SlotSearch(PeerSlots(random.Random(SEED)), AskBudget())
+    search = SlotSearch(PeerSlots(random.Random(SEED)), SlotRequestBudget())
     pauses = []
     for _ in range(5):
         steps = [search.next(members, 0.0) for _ in range(MAX_CONSECUTIVE_REQUESTS + 1)]
@@ -78,7 +78,7 @@
 
 
 def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(kit):
-    members, budget = _members(kit, 3), AskBudget()
+    members, budget = _members(kit, 3), SlotRequestBudget()
     peers = PeerSlots(random.Random(SEED))
 
     def asks():
