--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -84,7 +84,7 @@
         )
         bound = sockets or bind_balancer(settings)
         self._callers = DatagramSocket(bound.callers, self._on_packet, self._open_waiting)
-        self._frames = DatagramSocket(bound.frames, self._frame)
+        self._frames = DatagramSocket(bound.frames, self._on_frame)
         self._callers_port = Endpoint.parse(settings.callers_listen).port
         self._decisions = DecisionLog(
             time.monotonic, affordable_lines_per_second(settings.processors)
@@ -193,7 +193,7 @@
         self._is_opening_scheduled = False
         self._open_waiting()
 
-    def _frame(self, data: bytes, sender: SocketAddress) -> None:
+    def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         self.core.receive_reply(data, sender, time.monotonic())
         self._search_timer.ensure_scheduled()
 
