--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestSlot:
     """Ask this member now."""
 
     member: Endpoint
@@ -64,13 +64,13 @@
         self._asked: set[Endpoint] = set()
         self._pause_seconds = INITIAL_PAUSE_SECONDS
 
-    def next(self, members: Sequence[MemberEntry], now: float) -> Ask | Pause:
+    def next(self, members: Sequence[MemberEntry], now: float) -> RequestSlot | Pause:
         """Return the next step; `members` are those that accept new work."""
         if len(self._asked) < MAX_CONSECUTIVE_REQUESTS:
             member = self._peers.choose(members, self._asked, now)
             if member is not None and self._budget.spend():
                 self._asked.add(member)
-                return Ask(member)
+                return RequestSlot(member)
         self._asked.clear()
         pause = Pause(self._pause_seconds)
         self._pause_seconds = min(2 * self._pause_seconds, MAX_PAUSE_SECONDS)
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -16,8 +16,8 @@
     MAX_CONSECUTIVE_REQUESTS,
     MAX_PAUSE_SECONDS,
     MAX_SAVED_REQUESTS,
-    Ask,
     Pause,
+    RequestSlot,
     SlotRequestBudget,
     SlotSearch,
 )
@@ -69,7 +69,7 @@
     pauses = []
     for _ in range(5):
         steps = [search.next(members, 0.0) for _ in range(MAX_CONSECUTIVE_REQUESTS + 1)]
-        asked = {step.member for step in steps[:-1] if isinstance(step, Ask)}
+        asked = {step.member for step in steps[:-1] if isinstance(step, RequestSlot)}
         assert len(asked) == MAX_CONSECUTIVE_REQUESTS
         assert isinstance(steps[-1], Pause)
         pauses.append(steps[-1].seconds)
@@ -83,7 +83,7 @@
 
     def asks():
         steps = [SlotSearch(peers, budget).next(members, 0.0) for _ in range(100)]
-        return sum(isinstance(step, Ask) for step in steps)
+        return sum(isinstance(step, RequestSlot) for step in steps)
 
     assert asks() == MAX_SAVED_REQUESTS
     budget.earn()
