--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -108,7 +108,11 @@
         self._is_opening_scheduled = False
         self._search_timer = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
         self._link = HomeLink(
-            self._record, lambda: reload().replicas(), self._news, self._linked, self._random
+            self._record,
+            lambda: reload().replicas(),
+            self._on_home_message,
+            self._linked,
+            self._random,
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
 
@@ -212,7 +216,7 @@
             self._link_routes = {}
             self._link_version = 0
 
-    def _news(self, message: HomeMessage) -> None:
+    def _on_home_message(self, message: HomeMessage) -> None:
         if isinstance(message, FleetUpdate):
             self._fleet_changed(message)
         elif isinstance(message, RoutesUpdate):
