--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -16,7 +16,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admitted, Queued, Refused
 from jasperwalk.agent.allocator import SlotAllocator
-from jasperwalk.agent.lending import SlotAsk, SlotRefusal
+from jasperwalk.agent.lending import SlotRefusal, SlotRequest
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
@@ -140,7 +140,7 @@
         if view.service is None:
             return None
         self.asked += 1
-        ask = SlotAsk(view.service.service_id, view.address.pack())
+        ask = SlotRequest(view.service.service_id, view.address.pack())
         answer = await self._asker.ask(member, ask)
         now = self._clock()
         match answer:
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -7,7 +7,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.lending import HeldSlot, SlotAsk
+from jasperwalk.agent.lending import HeldSlot, SlotRequest
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
@@ -40,7 +40,7 @@
         """Lent slots and requests in them that have not ended."""
         self.lent = 0
 
-    def reserve(self, ask: SlotAsk) -> HeldSlot | None:
+    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
         self._peers.record_free_slots(Endpoint.unpack(ask.asker), 0, now)
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -1,6 +1,6 @@
 """Lending a free slot to a request that waits at another agent of the service.
 
-A framed TCP connection carries one ask after the other. The asker sends `SlotAsk` and gets
+A framed TCP connection carries one ask after the other. The asker sends `SlotRequest` and gets
 `SlotGrant` or `SlotRefusal` at once. A granted slot is held for the asker, who then sends the
 request itself, or closes the connection because a slot of its own came first. So a request
 leaves its agent only once a slot is certain, and an asker that gives up, at whatever moment
@@ -35,7 +35,7 @@
 LATE_RETRY_AFTER_MS = 100
 
 
-class SlotAsk(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class SlotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Asks an agent of this service for a free slot; `asker` has none."""
 
     service_id: int
@@ -61,7 +61,7 @@
 
 SlotAnswer = SlotGrant | SlotRefusal
 
-ASK_DECODER: Decoder[SlotAsk] = Decoder(SlotAsk)
+ASK_DECODER: Decoder[SlotRequest] = Decoder(SlotRequest)
 SLOT_ANSWER_DECODER: Decoder[SlotAnswer] = Decoder(SlotAnswer)
 LENT_DECODER: Decoder[LentRequest] = Decoder(LentRequest)
 
@@ -77,7 +77,7 @@
 class Lender(Protocol):
     """The agent's side that lends. A held slot is used or given back, just once."""
 
-    def reserve(self, ask: SlotAsk) -> HeldSlot | None:
+    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
 
     def run_lent(
@@ -97,7 +97,9 @@
             frame = await _serve_ask(connection, lender, ASK_DECODER.decode(frame))
 
 
-async def _serve_ask(connection: FramedConnection, lender: Lender, ask: SlotAsk) -> bytes | None:
+async def _serve_ask(
+    connection: FramedConnection, lender: Lender, ask: SlotRequest
+) -> bytes | None:
     """Serve one ask; return the frame of the next one, None after the last."""
     slot = lender.reserve(ask)
     if slot is None:
--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -16,8 +16,8 @@
     SLOT_ANSWER_DECODER,
     LentRequest,
     SlotAnswer,
-    SlotAsk,
     SlotRefusal,
+    SlotRequest,
 )
 from jasperwalk.agent.relay import RelayClient, pass_on
 from jasperwalk.agent.requests import (
@@ -135,7 +135,7 @@
         self._clock = clock
         self._idle = IdleLinks(clock)
 
-    async def ask(self, member: Endpoint, ask: SlotAsk) -> BorrowedSlot | SlotRefusal | None:
+    async def ask(self, member: Endpoint, ask: SlotRequest) -> BorrowedSlot | SlotRefusal | None:
         """Ask `member`; return its answer, None when it gave none in time."""
         kept = self._idle.take(member)
         if kept is not None:
@@ -154,7 +154,9 @@
         """Drop the connections that are kept."""
         self._idle.close()
 
-    async def _exchange(self, link: LendingLink, ask: SlotAsk) -> BorrowedSlot | SlotRefusal | None:
+    async def _exchange(
+        self, link: LendingLink, ask: SlotRequest
+    ) -> BorrowedSlot | SlotRefusal | None:
         answer: SlotAnswer | None = None
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -16,9 +16,9 @@
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.lending import (
     LentRequest,
-    SlotAsk,
     SlotGrant,
     SlotRefusal,
+    SlotRequest,
     serve_lending,
 )
 from jasperwalk.agent.local_run import LocalRun
@@ -363,7 +363,7 @@
         member = lender.server.endpoint
         client = RelayClient("test", "test")
         connection = await client.open(member, ConnectionKind.LENDING, 1.0)
-        await connection.send(encode(SlotAsk(kit.SERVICE_ID, asker.server.endpoint.pack())))
+        await connection.send(encode(SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())))
         await connection.receive()
         assert lender.free_slots == 0
         if leaves:
@@ -385,7 +385,7 @@
         asker.start("second")
         await until(lambda: lender.backend.ran == ["second"])
         own = lender.start("own")
-        refused = SlotAsk(kit.SERVICE_ID, asker.server.endpoint.pack())
+        refused = SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())
         await asyncio.sleep(0)
         assert lender.allocator.admission.waiting == 1
         assert lender.lender.reserve(refused) is None
@@ -456,7 +456,7 @@
 
     async def scenario(asker, lender):
         async def ask():
-            request = SlotAsk(kit.SERVICE_ID, asker.server.endpoint.pack())
+            request = SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())
             return await slot_asker.ask(lender.server.endpoint, request)
 
         async def open_one(*arguments):
