--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -111,7 +111,7 @@
             self._record,
             lambda: reload().replicas(),
             self._on_home_message,
-            self._linked,
+            self._on_link_change,
             self._random,
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
@@ -211,7 +211,7 @@
 
     # The home's news
 
-    def _linked(self, linked: bool) -> None:
+    def _on_link_change(self, linked: bool) -> None:
         if linked:
             self._link_routes = {}
             self._link_version = 0
