--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -61,7 +61,7 @@
 
 SlotAnswer = SlotGrant | SlotRefusal
 
-ASK_DECODER: Decoder[SlotRequest] = Decoder(SlotRequest)
+SLOT_REQUEST_DECODER: Decoder[SlotRequest] = Decoder(SlotRequest)
 SLOT_ANSWER_DECODER: Decoder[SlotAnswer] = Decoder(SlotAnswer)
 LENT_DECODER: Decoder[LentRequest] = Decoder(LentRequest)
 
@@ -94,7 +94,7 @@
     with contextlib.suppress(TimeoutError):
         frame: bytes | None = await _receive(connection, IDLE_SECONDS)
         while frame is not None:
-            frame = await _serve_ask(connection, lender, ASK_DECODER.decode(frame))
+            frame = await _serve_ask(connection, lender, SLOT_REQUEST_DECODER.decode(frame))
 
 
 async def _serve_ask(
