--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -224,7 +224,7 @@
         elif isinstance(message, DrainedZones):
             self._zones_changed(message)
         elif isinstance(message, HomeStatus) and message.current:
-            self._home_is_current(message)
+            self._on_home_current(message)
 
     def _fleet_changed(self, update: FleetUpdate) -> None:
         self._has_agents = True
@@ -278,7 +278,7 @@
                 home=str(self._link.home),
             )
 
-    def _home_is_current(self, status: HomeStatus) -> None:
+    def _on_home_current(self, status: HomeStatus) -> None:
         """Put the first routes of this life in force, from a home that is surely current.
 
         Not before the drained zones have come too: what was acknowledged before a loss of all
