--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -20,7 +20,7 @@
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
+from jasperwalk.agent.slot_asker import BorrowedSlot, LendingClient
 from jasperwalk.agent.slot_search import Pause, SlotRequestBudget, SlotSearch
 from jasperwalk.config.table_entries import Objective
 
@@ -50,7 +50,7 @@
     def __init__(
         self,
         allocator: SlotAllocator,
-        asker: SlotAsker,
+        asker: LendingClient,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -40,7 +40,7 @@
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import SlotAsker
+from jasperwalk.agent.slot_asker import LendingClient
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
@@ -105,7 +105,7 @@
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
         local_run = LocalRun(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
-        self._asker = SlotAsker(self._relay, clock)
+        self._asker = LendingClient(self._relay, clock)
         self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
         self.borrower = SlotBorrower(allocator, self._asker, peers, view, clock, lend)
         self.runner = RequestRunner(
--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -127,7 +127,7 @@
         self.link.connection.abort()
 
 
-class SlotAsker:
+class LendingClient:
     """Asks other agents for slots."""
 
     def __init__(self, client: RelayClient, clock: Callable[[], float]) -> None:
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -35,7 +35,7 @@
     UnknownReason,
 )
 from jasperwalk.agent.runner import RequestRunner
-from jasperwalk.agent.slot_asker import BorrowedSlot, IdleLinks, LendingLink, SlotAsker
+from jasperwalk.agent.slot_asker import BorrowedSlot, IdleLinks, LendingClient, LendingLink
 from jasperwalk.agent.tickets import TICKET_PATH
 from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
@@ -100,7 +100,7 @@
         local = LocalRun(self.backend, self.allocator, self.health, loop.time)
         parts = (peers, lambda: self.view, loop.time, lend)
         self.lender = SlotLender(self.allocator, self.health, local, *parts)
-        self.borrower = SlotBorrower(self.allocator, SlotAsker(client, loop.time), *parts)
+        self.borrower = SlotBorrower(self.allocator, LendingClient(client, loop.time), *parts)
         self.runner = RequestRunner(
             local, self.allocator, self.borrower, client, lambda: self.view, loop.time, source
         )
@@ -465,7 +465,7 @@
 
         client = RelayClient("test", "test")
         client_open, client.open = client.open, open_one
-        slot_asker = SlotAsker(client, asyncio.get_running_loop().time)
+        slot_asker = LendingClient(client, asyncio.get_running_loop().time)
         own = lender.start("own")
         assert await ask() == await ask() == SlotRefusal()
         lender.backend.release.set()
