--- a/src/jasperwalk/fleet/daemon.py
+++ b/src/jasperwalk/fleet/daemon.py
@@ -36,10 +36,10 @@
 async def _serve(main: Callable[[asyncio.Event], Awaitable[None]]) -> None:
     stop = stop_event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, _note_reload)
+    loop.add_signal_handler(signal.SIGHUP, _log_reload)
     await main(stop)
 
 
-def _note_reload() -> None:
+def _log_reload() -> None:
     """Log the signal; settings that may change (the seeds) are read anew whenever used."""
     logger.info("settings-changed")
