--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -43,7 +43,7 @@
     def reserve(self, ask: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
-        self._peers.record_free_slots(Endpoint.unpack(ask.asker), 0, now)
+        self._peers.record_free_slots(Endpoint.unpack(ask.requester), 0, now)
         if not self._enabled or not self._may_lend(ask.service_id, now):
             return None
         self._count += 1
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -36,10 +36,10 @@
 
 
 class SlotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks an agent of this service for a free slot; `asker` has none."""
+    """Asks an agent of this service for a free slot; `requester` has none."""
 
     service_id: int
-    asker: bytes
+    requester: bytes
     """The asker's packed end point."""
 
 
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -155,29 +155,33 @@
 
 
 def test_a_request_that_waits_runs_in_a_slot_of_another_member(kit):
-    async def scenario(asker, lender):
-        second, third = asker.start("second"), asker.start("third")
+    async def scenario(requester, lender):
+        second, third = requester.start("second"), requester.start("third")
         await until(lambda: lender.backend.ran)
-        assert (asker.free_slots, asker.allocator.admission.waiting, lender.free_slots) == (0, 1, 0)
+        assert (requester.free_slots, requester.allocator.admission.waiting, lender.free_slots) == (
+            0,
+            1,
+            0,
+        )
         lender.backend.release.set()
         assert await asyncio.gather(second, third) == [Answered(200)] * 2
-        assert sorted(asker.backend.ran + lender.backend.ran) == ["first", "second", "third"]
-        assert (asker.borrower.borrowed, lender.lender.lent) == (2, 2)
+        assert sorted(requester.backend.ran + lender.backend.ran) == ["first", "second", "third"]
+        assert (requester.borrower.borrowed, lender.lender.lent) == (2, 2)
 
     run_with_hosts(kit, scenario, {}, {})
 
 
 @pytest.mark.parametrize("own_slot_comes", [True, False])
 def test_where_broken_flows_weigh_most_the_own_slot_comes_first(kit, own_slot_comes):
-    async def scenario(asker, lender):
-        second = asker.start("second")
+    async def scenario(requester, lender):
+        second = requester.start("second")
         await asyncio.sleep(0)
         if own_slot_comes:
-            asker.backend.release.set()
+            requester.backend.release.set()
         lender.backend.release.set()
         assert await second == Answered(200)
         assert lender.lender.lent == (0 if own_slot_comes else 1)
-        assert bool(asker.borrower.asked) != own_slot_comes
+        assert bool(requester.borrower.asked) != own_slot_comes
 
     run_with_hosts(kit, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
 
@@ -214,14 +218,14 @@
 
 @pytest.mark.parametrize("case", LENDERS_THAT_REFUSE)
 def test_a_lender_that_may_not_lend_refuses_and_the_own_slot_serves(kit, case):
-    async def scenario(asker, lender):
+    async def scenario(requester, lender):
         LENDERS_THAT_REFUSE[case](lender)
         await asyncio.sleep(0)
-        second = asker.start("second")
-        await until(lambda: asker.borrower.asked)
-        asker.backend.release.set()
+        second = requester.start("second")
+        await until(lambda: requester.borrower.asked)
+        requester.backend.release.set()
         assert await second == Answered(200)
-        assert asker.backend.ran == ["first", "second"]
+        assert requester.backend.ran == ["first", "second"]
         assert "second" not in lender.backend.ran
         assert lender.lender.open_slots == 0
 
@@ -230,11 +234,11 @@
 
 @pytest.mark.parametrize("options", [({"lend": False}, {}), ({}, {"lend": False})])
 def test_the_setting_turns_off_asking_and_lending(kit, options):
-    async def scenario(asker, lender):
-        second = asker.start("second")
+    async def scenario(requester, lender):
+        second = requester.start("second")
         await asyncio.sleep(0.05)
-        assert bool(asker.borrower.asked) == ("lend" not in options[0])
-        asker.backend.release.set()
+        assert bool(requester.borrower.asked) == ("lend" not in options[0])
+        requester.backend.release.set()
         assert await second == Answered(200)
         assert lender.backend.ran == []
 
@@ -278,49 +282,49 @@
 def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(kit, case):
     serve, method, outcome, runs = FAILING_LENDERS[case]
 
-    async def scenario(asker, _):
-        second = asker.start("second", method=method, path="/lookup")
-        await until(lambda: asker.borrower.asked)
+    async def scenario(requester, _):
+        second = requester.start("second", method=method, path="/lookup")
+        await until(lambda: requester.borrower.asked)
         # Its own slot comes free once the lender has had its turn.
         await asyncio.sleep(0.05)
-        asker.backend.release.set()
+        requester.backend.release.set()
         assert await second == outcome
-        assert asker.backend.ran.count("second") == runs
+        assert requester.backend.ran.count("second") == runs
 
     run_with_hosts(kit, scenario, {}, {"serve": serve})
 
 
 def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(kit):
-    async def scenario(asker, _):
+    async def scenario(requester, _):
         sink = FakeSink()
         issue = Request("issue", "POST", TICKET_PATH, "", [], b"", 5_000, False)
-        await asker.runner.run(issue, sink)
+        await requester.runner.run(issue, sink)
         ticket = msgspec.json.decode(sink.body)["ticket"]
         headers = {"method": "POST", "path": "/names", "idempotency_key": ticket}
-        assert await asker.start("second", **headers) == LOST
-        asker.backend.release.set()
-        await until(lambda: asker.free_slots == 1)
-        again = await asker.start("third", **headers)
+        assert await requester.start("second", **headers) == LOST
+        requester.backend.release.set()
+        await until(lambda: requester.free_slots == 1)
+        again = await requester.start("third", **headers)
         assert again == Unknown(UnknownReason.OUTCOME_NOT_KEPT)
-        assert asker.backend.ran == ["first"]
+        assert requester.backend.ran == ["first"]
 
     run_with_hosts(kit, scenario, {}, {"serve": _take_request_and_close})
 
 
 def test_cancelling_a_lent_request_ends_it_at_the_lender(kit):
-    async def scenario(asker, lender):
-        second = asker.start("second")
+    async def scenario(requester, lender):
+        second = requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
         second.cancel()
         await until(lambda: lender.backend.cancelled == ["second"])
         await until(lambda: lender.free_slots == 1 and not lender.lender.open_slots)
-        assert asker.allocator.admission.waiting == 0
+        assert requester.allocator.admission.waiting == 0
 
     run_with_hosts(kit, scenario, {}, {})
 
 
 ENDS_DURING_AN_ASK = {
-    "the own slot comes first": lambda asker, _: asker.backend.release.set(),
+    "the own slot comes first": lambda requester, _: requester.backend.release.set(),
     "the asker cancels": lambda _, second: second.cancel(),
 }
 
@@ -340,17 +344,17 @@
             requests.append(await connection.receive())
         closed.set()
 
-    async def scenario(asker, _):
-        second = asker.start("second")
+    async def scenario(requester, _):
+        second = requester.start("second")
         await asked.wait()
         go_on.set()
         for _ in range(late_turns):  # the grant and the other end meet in different orders
             await asyncio.sleep(0)
-        ENDS_DURING_AN_ASK[case](asker, second)
+        ENDS_DURING_AN_ASK[case](requester, second)
         await asyncio.wait([second])
         await asyncio.wait_for(closed.wait(), LIMIT_SECONDS)
-        assert asker.backend.ran.count("second") + len(requests) <= 1
-        assert asker.allocator.admission.waiting == 0
+        assert requester.backend.ran.count("second") + len(requests) <= 1
+        assert requester.allocator.admission.waiting == 0
 
     run_with_hosts(kit, scenario, {}, {"serve": serve})
 
@@ -359,11 +363,11 @@
 def test_a_granted_slot_that_is_not_used_is_free_again(kit, monkeypatch, leaves):
     monkeypatch.setattr(lending, "RESERVATION_SECONDS", 5.0 if leaves else 0.02)
 
-    async def scenario(asker, lender):
+    async def scenario(requester, lender):
         member = lender.server.endpoint
         client = RelayClient("test", "test")
         connection = await client.open(member, ConnectionKind.LENDING, 1.0)
-        await connection.send(encode(SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())))
+        await connection.send(encode(SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())))
         await connection.receive()
         assert lender.free_slots == 0
         if leaves:
@@ -381,31 +385,31 @@
 
 
 def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(kit):
-    async def scenario(asker, lender):
-        asker.start("second")
+    async def scenario(requester, lender):
+        requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
         own = lender.start("own")
-        refused = SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())
+        refused = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
         await asyncio.sleep(0)
         assert lender.allocator.admission.waiting == 1
         assert lender.lender.reserve(refused) is None
-        asker.backend.release.set()
+        requester.backend.release.set()
         assert await own == Answered(200)
-        assert "own" in asker.backend.ran
+        assert "own" in requester.backend.ran
 
     run_with_hosts(kit, scenario, {}, {})
 
 
 def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(kit):
-    async def scenario(asker, lender):
-        for host in (asker, lender):
+    async def scenario(requester, lender):
+        for host in (requester, lender):
             host.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
-        assert await asker.start("second", method="POST", path="/names") == Answered(200)
+        assert await requester.start("second", method="POST", path="/names") == Answered(200)
         lender.start("own")
         await until(lambda: lender.backend.ran == ["second", "own"])
-        refused = await asker.start("third", method="POST", path="/names")
+        refused = await requester.start("third", method="POST", path="/names")
         assert isinstance(refused, NotRun)
-        assert "third" not in asker.backend.ran + lender.backend.ran
+        assert "third" not in requester.backend.ran + lender.backend.ran
 
     run_with_hosts(kit, scenario, {}, {})
 
@@ -430,14 +434,14 @@
 def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
-        allocator, asker = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
+        allocator, requester = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
         peers = PeerSlots(random.Random(SEED))
-        borrower = SlotBorrower(allocator, asker, peers, lambda: view, loop.time, True)
+        borrower = SlotBorrower(allocator, requester, peers, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
         second = asyncio.ensure_future(borrower.acquire("second", loop.time() + 60))
         await until(lambda: borrower.asked)
-        ends = [asker.grant.set, lambda: allocator.release("first")]
+        ends = [requester.grant.set, lambda: allocator.release("first")]
         for end in ends if grant_first else reversed(ends):
             end()
             for _ in range(turns_between):
@@ -446,7 +450,7 @@
         await asyncio.sleep(0)
         used_here = slot == OwnSlot("second")
         assert (allocator.admission.running, allocator.admission.waiting) == (int(used_here), 0)
-        assert asker.aborted == int(used_here and borrower.borrowed == 1)
+        assert requester.aborted == int(used_here and borrower.borrowed == 1)
 
     asyncio.run(main())
 
@@ -454,9 +458,9 @@
 def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(kit):
     opened = []
 
-    async def scenario(asker, lender):
+    async def scenario(requester, lender):
         async def ask():
-            request = SlotRequest(kit.SERVICE_ID, asker.server.endpoint.pack())
+            request = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
             return await slot_asker.ask(lender.server.endpoint, request)
 
         async def open_one(*arguments):
