--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -50,14 +50,14 @@
     def __init__(
         self,
         allocator: SlotAllocator,
-        asker: LendingClient,
+        lending_client: LendingClient,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
         self._allocator = allocator
-        self._asker = asker
+        self._asker = lending_client
         self._peers = peers
         self._view = view
         self._clock = clock
