--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -57,7 +57,7 @@
         enabled: bool,
     ) -> None:
         self._allocator = allocator
-        self._asker = lending_client
+        self._lending_client = lending_client
         self._peers = peers
         self._view = view
         self._clock = clock
@@ -141,7 +141,7 @@
             return None
         self.asked += 1
         ask = SlotRequest(view.service.service_id, view.address.pack())
-        answer = await self._asker.ask(member, ask)
+        answer = await self._lending_client.ask(member, ask)
         now = self._clock()
         match answer:
             case None:
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -105,9 +105,9 @@
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
         local_run = LocalRun(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
-        self._asker = LendingClient(self._relay, clock)
+        self._lending_client = LendingClient(self._relay, clock)
         self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
-        self.borrower = SlotBorrower(allocator, self._asker, peers, view, clock, lend)
+        self.borrower = SlotBorrower(allocator, self._lending_client, peers, view, clock, lend)
         self.runner = RequestRunner(
             local_run, allocator, self.borrower, self._relay, view, clock, self._random
         )
@@ -121,7 +121,7 @@
         """Run until a stop signal, or until a newer process has this agent's address."""
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._backend.close)
-            stack.callback(self._asker.close)
+            stack.callback(self._lending_client.close)
             ports = await self._open_ports()
             stack.push_async_callback(ports.close)
             self._current.bind(ports.address)
