--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -25,7 +25,7 @@
 
 MAX_SEARCHES = 4096
 BROADCAST_FRAMES_PER_SECOND = 600.0
-QUESTIONS_AT_ONCE = 1200.0
+BROADCAST_FRAMES_BURST = 1200.0
 """Budget of one process's frames that ask everyone."""
 RETURNED_MEMORY_SECONDS = 5.0
 """How long it is remembered which hosts do not hold a flow that was not found."""
@@ -81,7 +81,9 @@
     handler: SearchHandler
     latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     _questions: TokenBucket = field(
-        default_factory=lambda: TokenBucket(BROADCAST_FRAMES_PER_SECOND, QUESTIONS_AT_ONCE, 0.0)
+        default_factory=lambda: TokenBucket(
+            BROADCAST_FRAMES_PER_SECOND, BROADCAST_FRAMES_BURST, 0.0
+        )
     )
     _searches: dict[bytes, Search] = field(default_factory=dict)
     _returned_by: dict[bytes, ReturnedBy] = field(default_factory=dict)
