--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -21,6 +21,7 @@
     SlotRequest,
     serve_lending,
 )
+from jasperwalk.agent.lending_client import BorrowedSlot, IdleLinks, LendingClient, LendingLink
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.relay import RelayClient
@@ -35,7 +36,6 @@
     UnknownReason,
 )
 from jasperwalk.agent.runner import RequestRunner
-from jasperwalk.agent.slot_asker import BorrowedSlot, IdleLinks, LendingClient, LendingLink
 from jasperwalk.agent.tickets import TICKET_PATH
 from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
@@ -461,7 +461,7 @@
     async def scenario(requester, lender):
         async def ask():
             request = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
-            return await slot_asker.ask(lender.server.endpoint, request)
+            return await lending_client.ask(lender.server.endpoint, request)
 
         async def open_one(*arguments):
             opened.append(await client_open(*arguments))
@@ -469,7 +469,7 @@
 
         client = RelayClient("test", "test")
         client_open, client.open = client.open, open_one
-        slot_asker = LendingClient(client, asyncio.get_running_loop().time)
+        lending_client = LendingClient(client, asyncio.get_running_loop().time)
         own = lender.start("own")
         assert await ask() == await ask() == SlotRefusal()
         lender.backend.release.set()
@@ -488,11 +488,11 @@
         lookup = Request("cut", "POST", "/names", "", [], b"", 1_000, False)
         assert await slot.run(lookup, FakeSink()) == LOST
         await until(lambda: lender.free_slots == 1)
-        slot_asker._idle.keep(slot.link)
+        lending_client._idle.keep(slot.link)
         assert isinstance(await ask(), BorrowedSlot)
         assert len(opened) == 3
         opened[-1].abort()
-        slot_asker.close()
+        lending_client.close()
 
     run_with_hosts(kit, scenario, {}, {})
 
