--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -27,7 +27,7 @@
 BROADCAST_FRAMES_PER_SECOND = 600.0
 BROADCAST_FRAMES_BURST = 1200.0
 """Budget of one process's frames that ask everyone."""
-RETURNED_MEMORY_SECONDS = 5.0
+RETURNED_RETENTION_SECONDS = 5.0
 """How long it is remembered which hosts do not hold a flow that was not found."""
 
 
@@ -160,7 +160,7 @@
     def sweep(self, now: float) -> None:
         """Forget what was remembered for too long; call every few seconds."""
         for key, known in list(self._returned_by.items()):
-            if now - known.recorded_at > RETURNED_MEMORY_SECONDS:
+            if now - known.recorded_at > RETURNED_RETENTION_SECONDS:
                 del self._returned_by[key]
 
     def _advance(self, search: Search, now: float) -> None:
