--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -414,7 +414,7 @@
     run_with_hosts(kit, scenario, {}, {})
 
 
-class FakeAsker:
+class FakeLendingClient:
     """Grants when told to; its slot's connection notes that it was aborted."""
 
     def __init__(self):
@@ -434,7 +434,10 @@
 def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
-        allocator, requester = SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))), FakeAsker()
+        allocator, requester = (
+            SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))),
+            FakeLendingClient(),
+        )
         view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
         peers = PeerSlots(random.Random(SEED))
         borrower = SlotBorrower(allocator, requester, peers, lambda: view, loop.time, True)
