--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -80,7 +80,7 @@
     counters: SearchCounters
     handler: SearchHandler
     latency: LatencyHistogram = field(default_factory=LatencyHistogram)
-    _questions: TokenBucket = field(
+    _broadcast_budget: TokenBucket = field(
         default_factory=lambda: TokenBucket(
             BROADCAST_FRAMES_PER_SECOND, BROADCAST_FRAMES_BURST, 0.0
         )
@@ -193,7 +193,7 @@
         if not due:
             return
         frames = len(self.pool) * -(-len(due) // KEYS_PER_FRAME)
-        asks_everyone = self._questions.take(now, frames)
+        asks_everyone = self._broadcast_budget.take(now, frames)
         for search in due:
             steps = search.begin_second_round(self.pool, asks_everyone, now)
             self._take_steps(search, steps, now)
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -240,7 +240,7 @@
 
 def test_questions_to_everyone_are_bounded_and_no_flow_is_reset_without_them():
     bench = Bench(*many())
-    bench.core.searches._questions = TokenBucket(0.0, 59.0, 1.0)
+    bench.core.searches._broadcast_budget = TokenBucket(0.0, 59.0, 1.0)
     callers = search_many(bench, 5)
     for _, number, body in bench.take_sent():
         for key in keys_in(body):
