--- a/src/jasperwalk/agent/stateless_reset.py
+++ b/src/jasperwalk/agent/stateless_reset.py
@@ -11,7 +11,7 @@
 import random
 
 TOKEN_LENGTH = 16
-SHORTEST_PACKET = 21
+MIN_PACKET_BYTES = 21
 """Bytes of the smallest packet that can be told from a valid short-header packet."""
 LONGEST_PACKET = 43
 FIXED_BIT = 0x40
@@ -29,7 +29,7 @@
     The reset is shorter than the packet that caused it, so two ends can't loop.
     """
     length = min(received_length - 1, LONGEST_PACKET)
-    if length < SHORTEST_PACKET:
+    if length < MIN_PACKET_BYTES:
         return None
     noise = source.randbytes(length - TOKEN_LENGTH)
     first = FIXED_BIT | (noise[0] & FIXED_BIT_MASK)
