--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -165,7 +165,7 @@
 
     def _advance(self, search: Search, now: float) -> None:
         """Send what the search wants sent, and end it once it has a verdict."""
-        self._take_steps(search, search.advance(self.pool, now), now)
+        self._send_steps(search, search.advance(self.pool, now), now)
         if search.verdict is SearchVerdict.OPEN:
             return
         del self._searches[search.key]
@@ -176,7 +176,7 @@
         else:
             self._on_inconclusive(search, now)
 
-    def _take_steps(self, search: Search, steps: list[SearchStep], now: float) -> None:
+    def _send_steps(self, search: Search, steps: list[SearchStep], now: float) -> None:
         self.counters.search_questions += len(steps)
         for step in steps:
             target = step.target
@@ -196,7 +196,7 @@
         asks_everyone = self._broadcast_budget.take(now, frames)
         for search in due:
             steps = search.begin_second_round(self.pool, asks_everyone, now)
-            self._take_steps(search, steps, now)
+            self._send_steps(search, steps, now)
             self._advance(search, now)
 
     def _on_found(self, search: Search, now: float) -> None:
