--- a/src/jasperwalk/agent/stateless_reset.py
+++ b/src/jasperwalk/agent/stateless_reset.py
@@ -13,7 +13,7 @@
 TOKEN_LENGTH = 16
 MIN_PACKET_BYTES = 21
 """Bytes of the smallest packet that can be told from a valid short-header packet."""
-LONGEST_PACKET = 43
+MAX_PACKET_BYTES = 43
 FIXED_BIT = 0x40
 FIXED_BIT_MASK = 0x3F
 
@@ -28,7 +28,7 @@
 
     The reset is shorter than the packet that caused it, so two ends can't loop.
     """
-    length = min(received_length - 1, LONGEST_PACKET)
+    length = min(received_length - 1, MAX_PACKET_BYTES)
     if length < MIN_PACKET_BYTES:
         return None
     noise = source.randbytes(length - TOKEN_LENGTH)
