--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -152,7 +152,7 @@
 
     def tick(self, now: float) -> None:
         """Go on with searches whose agents did not answer."""
-        self._begin_second_rounds(now)
+        self._start_second_rounds(now)
         for search in list(self._searches.values()):
             if now >= search.deadline and search.key in self._searches:
                 self._advance(search, now)
@@ -187,7 +187,7 @@
             head = target.confirm_head if isinstance(step, Confirm) else target.carry_head
             self.send(head + step.packet, target.address)
 
-    def _begin_second_rounds(self, now: float) -> None:
+    def _start_second_rounds(self, now: float) -> None:
         """Let the searches that are due ask everyone together."""
         due = [each for each in self._searches.values() if each.is_second_round_due(now)]
         if not due:
