--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -10,7 +10,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-LARGEST_SHARE = 0.95
+MAX_DIVERTED_SHARE = 0.95
 """Share passed on at the very start: some flows have to warm the host up."""
 HASH_SEED = 0x736C6F77
 """Makes the hash independent of the one by which balancers choose candidates."""
@@ -32,5 +32,5 @@
         elapsed = now - self._began_at
         if elapsed >= duration_seconds:
             return False
-        share = LARGEST_SHARE * (1 - elapsed / duration_seconds)
+        share = MAX_DIVERTED_SHARE * (1 - elapsed / duration_seconds)
         return xxh3_64_intdigest(connection_id, HASH_SEED) < share * HASH_SPAN
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.datagram_guard import DropReason
 from jasperwalk.agent.handover import ANSWER_SECONDS
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slow_start import LARGEST_SHARE, SlowStart
+from jasperwalk.agent.slow_start import MAX_DIVERTED_SHARE, SlowStart
 from jasperwalk.balancer.core import BalancerCore
 from jasperwalk.config.table_entries import AdminState, OperatingStatus
 from jasperwalk.distribution.follower_table import FollowerTable
@@ -200,9 +200,9 @@
         passed_on.append(sum(target is not None for target, _ in results))
         assert all(result is not False for _, result in results)
     first, half, last, warm = (count / FLOWS for count in passed_on)
-    assert first > LARGEST_SHARE - 0.1
+    assert first > MAX_DIVERTED_SHARE - 0.1
     assert first < 1
-    assert abs(half - LARGEST_SHARE / 2) < 0.1
+    assert abs(half - MAX_DIVERTED_SHARE / 2) < 0.1
     assert last < 0.05
     assert warm == 0
     # A flow that was handed over stays, and so does every flow of an agent that is alone.
