--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -195,7 +195,7 @@
         frames = len(self.pool) * -(-len(due) // KEYS_PER_FRAME)
         asks_everyone = self._broadcast_budget.take(now, frames)
         for search in due:
-            steps = search.begin_second_round(self.pool, asks_everyone, now)
+            steps = search.start_second_round(self.pool, asks_everyone, now)
             self._send_steps(search, steps, now)
             self._advance(search, now)
 
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -166,10 +166,10 @@
         return self._probe_next(now) or self._end_round(pool, now)
 
     def is_second_round_due(self, now: float) -> bool:
-        """Tell whether `begin_second_round` is to be called."""
+        """Tell whether `start_second_round` is to be called."""
         return self._pausing and now >= self.deadline
 
-    def begin_second_round(
+    def start_second_round(
         self, pool: TargetPool, asks_everyone: bool, now: float
     ) -> list[SearchStep]:
         """Ask everyone, or only the candidates again where the budget does not allow more.
