--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -151,7 +151,7 @@
         if datagram.hops > 0 or state.view.service is None:
             return False
         seconds = state.view.service.limits.slow_start_ms / 1000
-        if self._slow_start.passes_on(connection_id, seconds, now):
+        if self._slow_start.diverts(connection_id, seconds, now):
             return True
         other = self._other(connection_id, datagram, state.view)
         return other is not None and state.prefers(other.target)
--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -27,7 +27,7 @@
         """Note that this agent came online just now; `now` is in seconds."""
         self._began_at = now
 
-    def passes_on(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
+    def diverts(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
         """Tell whether the flow that this Initial opens goes to the other candidate."""
         elapsed = now - self._began_at
         if elapsed >= duration_seconds:
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -236,7 +236,7 @@
             assert endpoint.open_flows == before + 1
     assert handed_on > FLOWS / 2
     slow_start = SlowStart()
-    assert not slow_start.passes_on(b"12345678", 10.0, 0.0)
+    assert not slow_start.diverts(b"12345678", 10.0, 0.0)
 
 
 @pytest.mark.parametrize(("count", "others"), [(2, 1), (5, 2)])
