--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -183,7 +183,7 @@
         asked = [each for each in self._candidates if not each.departed]
         if asks_everyone:
             asked += [each for each in pool.all_targets() if each not in self._candidates]
-        return self._begin_round(asked, now)
+        return self._start_round(asked, now)
 
     def _ask_possible(self, now: float) -> list[SearchStep]:
         possible_holders, self._possible_holders = self._possible_holders, ()
@@ -195,12 +195,12 @@
     def _ask_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
         candidates = self._find_candidates(pool)
         self._candidates = dict.fromkeys(candidates)
-        return self._begin_round(candidates, now)
+        return self._start_round(candidates, now)
 
     def _find_candidates(self, pool: TargetPool) -> list[Target]:
         return pool.candidates(self._services, self.key, self._regions)
 
-    def _begin_round(self, targets: list[Target], now: float) -> list[SearchStep]:
+    def _start_round(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
         self.deadline = now + ANSWER_TIMEOUT_SECONDS
         self.asked = dict.fromkeys(targets)
