--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -119,7 +119,7 @@
         earlier = self._remembered.pop(connection_id, None)
         silent = None if earlier is None else earlier.chosen.target
         wanted = state.can_accept and self._is_wanted(connection_id, datagram, state)
-        if wanted and (silent or not self._passes_on(connection_id, datagram, state, now)):
+        if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return Take()
         chosen = self._other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_on(datagram, view):
@@ -144,7 +144,7 @@
             return view.address in self._candidates(connection_id, view)
         return True
 
-    def _passes_on(
+    def _prefers_other(
         self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
     ) -> bool:
         # A flow that was handed over stays: two cold or busy agents would only swap their flows.
