--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -193,9 +193,9 @@
         if not due:
             return
         frames = len(self.pool) * -(-len(due) // KEYS_PER_FRAME)
-        asks_everyone = self._broadcast_budget.take(now, frames)
+        queries_all = self._broadcast_budget.take(now, frames)
         for search in due:
-            steps = search.start_second_round(self.pool, asks_everyone, now)
+            steps = search.start_second_round(self.pool, queries_all, now)
             self._send_steps(search, steps, now)
             self._advance(search, now)
 
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -170,7 +170,7 @@
         return self._pausing and now >= self.deadline
 
     def start_second_round(
-        self, pool: TargetPool, asks_everyone: bool, now: float
+        self, pool: TargetPool, queries_all: bool, now: float
     ) -> list[SearchStep]:
         """Ask everyone, or only the candidates again where the budget does not allow more.
 
@@ -178,10 +178,10 @@
         when the search began, and an agent that does not know denies nothing as a candidate.
         """
         self._pausing = False
-        self._asked_all = asks_everyone
+        self._asked_all = queries_all
         self._candidates |= dict.fromkeys(self._find_candidates(pool))
         asked = [each for each in self._candidates if not each.departed]
-        if asks_everyone:
+        if queries_all:
             asked += [each for each in pool.all_targets() if each not in self._candidates]
         return self._start_round(asked, now)
 
