--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -28,7 +28,7 @@
     caller_deadline_ms,
 )
 
-MOST_BODY_BYTES = 2 * 1024 * 1024
+MAX_BODY_BYTES = 2 * 1024 * 1024
 """Longest body of a request; it fits one frame of a relay."""
 MOST_BUFFERED_BYTES = 64 * 1024 * 1024
 """Bytes of all bodies that are being put together."""
@@ -100,7 +100,7 @@
                 HTTPStatus.BAD_REQUEST, "malformed-request", "The request is malformed."
             )
             return [RequestRejected(stream, answer)]
-        if _announced_length(partial.headers) > MOST_BODY_BYTES:
+        if _announced_length(partial.headers) > MAX_BODY_BYTES:
             return [RequestRejected(stream, _too_large_answer())]
         self._partial[stream] = partial
         return self._finish(stream, deadline_ms) if ended else []
@@ -111,7 +111,7 @@
         partial = self._partial.get(stream)
         if partial is None:  # rejected before: the rest of the body is of no interest
             return []
-        if len(partial.body) + len(data) > MOST_BODY_BYTES:
+        if len(partial.body) + len(data) > MAX_BODY_BYTES:
             self._drop(stream)
             return [RequestRejected(stream, _too_large_answer())]
         if self._buffered + len(data) > MOST_BUFFERED_BYTES:
@@ -145,7 +145,7 @@
 
 
 def _too_large_answer() -> LocalAnswer:
-    title = f"The body is longer than {MOST_BODY_BYTES} bytes."
+    title = f"The body is longer than {MAX_BODY_BYTES} bytes."
     return rejected_answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body-too-large", title)
 
 
--- a/tests/agent/test_assembly.py
+++ b/tests/agent/test_assembly.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.agent.assembly import (
-    MOST_BODY_BYTES,
+    MAX_BODY_BYTES,
     MOST_BUFFERED_BYTES,
     RequestAssembler,
     RequestReady,
@@ -68,7 +68,7 @@
     return results + (assembler.handle(RequestData(stream, b"", True), 1000) if ended else [])
 
 
-@pytest.mark.parametrize(("length", "status"), [(MOST_BODY_BYTES, 0), (MOST_BODY_BYTES + 1, 413)])
+@pytest.mark.parametrize(("length", "status"), [(MAX_BODY_BYTES, 0), (MAX_BODY_BYTES + 1, 413)])
 def test_a_body_is_bounded(length, status):
     (item,) = _send(RequestAssembler("t"), STREAM, length, ended=True)
     assert getattr(getattr(item, "answer", None), "status", 0) == status
@@ -78,8 +78,8 @@
 @pytest.mark.parametrize(
     ("announced", "refused"),
     [
-        (str(MOST_BODY_BYTES), False),
-        (str(MOST_BODY_BYTES + 1), True),
+        (str(MAX_BODY_BYTES), False),
+        (str(MAX_BODY_BYTES + 1), True),
         ("9" * 5_000, True),
         ("-5", False),
         ("many", False),
@@ -93,9 +93,9 @@
 
 def test_all_bodies_together_are_bounded_and_cancelled_ones_do_not_count():
     assembler = RequestAssembler("t")
-    streams = [StreamReference(1, 4 * n) for n in range(MOST_BUFFERED_BYTES // MOST_BODY_BYTES)]
+    streams = [StreamReference(1, 4 * n) for n in range(MOST_BUFFERED_BYTES // MAX_BODY_BYTES)]
     for stream in streams:
-        assert _send(assembler, stream, MOST_BODY_BYTES, ended=False) == []
+        assert _send(assembler, stream, MAX_BODY_BYTES, ended=False) == []
     one_more = StreamReference(2, 0)
     (item,) = _send(assembler, one_more, 1, ended=True)
     assert item.answer.status == 503
--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -4,7 +4,7 @@
 import pytest
 from aioquic.h3.connection import ErrorCode
 
-from jasperwalk.agent.assembly import MOST_BODY_BYTES, RequestAssembler, RequestReady
+from jasperwalk.agent.assembly import MAX_BODY_BYTES, RequestAssembler, RequestReady
 from jasperwalk.agent.datagram_guard import DropReason
 from jasperwalk.agent.handover import ANSWER_SECONDS
 from jasperwalk.agent.service_view import ServiceView
@@ -100,7 +100,7 @@
                 endpoint.send_data(item.stream, item.answer.body, ended=True)
 
     network.serve = serve
-    whole = b"n" * (MOST_BODY_BYTES + 1_000_000)
+    whole = b"n" * (MAX_BODY_BYTES + 1_000_000)
     response = caller.responses[caller.request("POST", "/submit", whole)]
     assert network.run(lambda: response.ended and response.stopped is not None)
     assert (response.status, response.stopped) == (413, ErrorCode.H3_NO_ERROR)
