--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -114,7 +114,7 @@
         self._pausing = False
         # Ordered: the same answers have to lead to the same questions.
         self._candidates: dict[Target, None] = {}
-        self._asked_all = False
+        self._queried_all = False
         self._possible_holders = tuple(possible_holders)
         self._confirming = False
         self.first_is_passed_on = False
@@ -178,7 +178,7 @@
         when the search began, and an agent that does not know denies nothing as a candidate.
         """
         self._pausing = False
-        self._asked_all = queries_all
+        self._queried_all = queries_all
         self._candidates |= dict.fromkeys(self._find_candidates(pool))
         asked = [each for each in self._candidates if not each.departed]
         if queries_all:
@@ -235,13 +235,13 @@
         if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
             return self._ask_again(doubtful, now)
         denied = all(self._has_denied(target, kind, now) for target, kind in self.asked.items())
-        is_nowhere = denied and self._asked_all and bool(self.asked)
+        is_nowhere = denied and self._queried_all and bool(self.asked)
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
         return []
 
     def _doubtful(self, now: float) -> list[Target]:
         """Return the agents that would deny the flow by a longer silence."""
-        if not self._asked_all:
+        if not self._queried_all:
             return []
         return [
             target
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -51,7 +51,7 @@
 
     def asks_all(self, *arguments):
         original(self, *arguments)
-        self._asked_all = True
+        self._queried_all = True
 
     monkeypatch.setattr(search.Search, "__init__", asks_all)
     assert "an open flow is not reset" in broken_promises()
