--- a/src/jasperwalk/config/routing_table.py
+++ b/src/jasperwalk/config/routing_table.py
@@ -30,7 +30,7 @@
 DEFAULT_TOMBSTONE_LIMIT = 4_096
 """Removals remembered; a follower from before the oldest of them needs a snapshot."""
 
-JOURNAL_SLACK = 1_024
+MAX_SUPERSEDED_RECORDS = 1_024
 """Superseded journal records tolerated beyond the live ones before the journal is rebuilt."""
 
 
@@ -280,7 +280,7 @@
         self._journal_revisions.append(revision)
         self._journal_keys.append(key)
         live = len(self._rows) + len(self._tombstones)
-        if len(self._journal_keys) > 2 * live + JOURNAL_SLACK:
+        if len(self._journal_keys) > 2 * live + MAX_SUPERSEDED_RECORDS:
             self._rebuild_journal()
 
     def _rebuild_journal(self) -> None:
