--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -30,7 +30,7 @@
 
 MAX_BODY_BYTES = 2 * 1024 * 1024
 """Longest body of a request; it fits one frame of a relay."""
-MOST_BUFFERED_BYTES = 64 * 1024 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 """Bytes of all bodies that are being put together."""
 MOST_LENGTH_DIGITS = 20
 """Digits that are read of a `content-length`."""
@@ -114,7 +114,7 @@
         if len(partial.body) + len(data) > MAX_BODY_BYTES:
             self._drop(stream)
             return [RequestRejected(stream, _too_large_answer())]
-        if self._buffered + len(data) > MOST_BUFFERED_BYTES:
+        if self._buffered + len(data) > MAX_BUFFERED_BYTES:
             self._drop(stream)
             return [RequestRejected(stream, not_run_answer(NotRun(NotRunReason.BODY_BUDGET)))]
         partial.body += data
--- a/tests/agent/test_assembly.py
+++ b/tests/agent/test_assembly.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.agent.assembly import (
     MAX_BODY_BYTES,
-    MOST_BUFFERED_BYTES,
+    MAX_BUFFERED_BYTES,
     RequestAssembler,
     RequestReady,
     RequestRejected,
@@ -93,7 +93,7 @@
 
 def test_all_bodies_together_are_bounded_and_cancelled_ones_do_not_count():
     assembler = RequestAssembler("t")
-    streams = [StreamReference(1, 4 * n) for n in range(MOST_BUFFERED_BYTES // MAX_BODY_BYTES)]
+    streams = [StreamReference(1, 4 * n) for n in range(MAX_BUFFERED_BYTES // MAX_BODY_BYTES)]
     for stream in streams:
         assert _send(assembler, stream, MAX_BODY_BYTES, ended=False) == []
     one_more = StreamReference(2, 0)
