--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -153,7 +153,7 @@
         if self.verdict is not SearchVerdict.OPEN or self._pausing:
             return []
         if self._possible_holders:
-            return self._ask_possible(now)
+            return self._confirm_possible_holders(now)
         if self._confirming:
             if self.unanswered() and now < self.deadline:
                 return []
@@ -185,7 +185,7 @@
             asked += [each for each in pool.all_targets() if each not in self._candidates]
         return self._start_round(asked, now)
 
-    def _ask_possible(self, now: float) -> list[SearchStep]:
+    def _confirm_possible_holders(self, now: float) -> list[SearchStep]:
         possible_holders, self._possible_holders = self._possible_holders, ()
         self._confirming = True
         self.deadline = now + CONFIRM_SECONDS
