--- a/src/jasperwalk/consensus/disk/segments.py
+++ b/src/jasperwalk/consensus/disk/segments.py
@@ -78,10 +78,10 @@
             # A segment is created whole, with its first record, before it gets its name.
             raise MissingFile(path=path)
         if end < len(data):
-            self._cut(path, end)
+            self._truncate_file(path, end)
             self.torn_bytes = len(data) - end
 
-    def _cut(self, path: Path, size: int) -> None:
+    def _truncate_file(self, path: Path, size: int) -> None:
         descriptor = os.open(path, os.O_WRONLY)
         try:
             os.ftruncate(descriptor, size)
