--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -32,7 +32,7 @@
 """Longest body of a request; it fits one frame of a relay."""
 MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 """Bytes of all bodies that are being put together."""
-MOST_LENGTH_DIGITS = 20
+MAX_LENGTH_DIGITS = 20
 """Digits that are read of a `content-length`."""
 
 FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9a-z]+")
@@ -152,7 +152,7 @@
 def _announced_length(headers: HeaderFields) -> int:
     """Return the length that `content-length` announces, 0 without a valid one."""
     value = next((value for name, value in headers if name == "content-length"), "")
-    return int(value[:MOST_LENGTH_DIGITS]) if value.isascii() and value.isdigit() else 0
+    return int(value[:MAX_LENGTH_DIGITS]) if value.isascii() and value.isdigit() else 0
 
 
 def _parse(headers: HeaderList) -> _Partial | None:
