--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -159,7 +159,7 @@
                 return []
             self._confirming = False
         if self.rounds == 0:
-            return self._ask_candidates(pool, now)
+            return self._query_candidates(pool, now)
         waits = self._probing is not None or self.unanswered()
         if waits and now < self.deadline:
             return []
@@ -192,7 +192,7 @@
         self.asked = dict.fromkeys(possible_holders)
         return [Confirm(target, self.packets[0]) for target in possible_holders]
 
-    def _ask_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
+    def _query_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
         candidates = self._find_candidates(pool)
         self._candidates = dict.fromkeys(candidates)
         return self._start_round(candidates, now)
