--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -37,8 +37,8 @@
     def on_timeout_now(self, sender: int, message: TimeoutNow, now: float) -> bool:
         """Campaign because the leader asks for it; return True when the election is won."""
         state = self._state
-        is_leaders = sender == state.leader_id and message.term == state.term
-        if state.role is not Role.FOLLOWER or not is_leaders or not state.is_voter():
+        is_from_leader = sender == state.leader_id and message.term == state.term
+        if state.role is not Role.FOLLOWER or not is_from_leader or not state.is_voter():
             return False
         return self._start_campaign(now, transferred=True)
 
