--- a/src/jasperwalk/agent/sinks.py
+++ b/src/jasperwalk/agent/sinks.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.requests import CallerGone, HeaderFields, ResponseSink
 from jasperwalk.agent.tickets import StoredAnswer
 
-MOST_UNSENT_BYTES = 65_536
+MAX_UNSENT_BYTES = 65_536
 """Response bytes that may wait for a slow caller before the back end is read no further."""
 
 
@@ -70,7 +70,7 @@
         self._flush()
 
     def _has_no_room(self) -> bool:
-        return self._endpoint.unsent_bytes(self._stream) > MOST_UNSENT_BYTES
+        return self._endpoint.unsent_bytes(self._stream) > MAX_UNSENT_BYTES
 
     async def _wait_for_progress(self) -> None:
         self._progress.clear()
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -13,7 +13,7 @@
 from jasperwalk.agent.process import Agent
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request
-from jasperwalk.agent.sinks import MOST_UNSENT_BYTES
+from jasperwalk.agent.sinks import MAX_UNSENT_BYTES
 from jasperwalk.config.table_entries import AdminState
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.messages.distribution import FromSubscriber, Heartbeat, Snapshot
@@ -463,7 +463,7 @@
         await asyncio.sleep(0.2)  # the caller acknowledges nothing
         flow = next(iter(fleet.agents[0].endpoint._flows))
         unsent = max(len(s.sender._buffer) for s in flow.connection._streams.values())
-        assert 0 < unsent <= MOST_UNSENT_BYTES + READ_BUFFER_BYTES * 4
+        assert 0 < unsent <= MAX_UNSENT_BYTES + READ_BUFFER_BYTES * 4
 
     run_with_fleet(kit, certificate, scenario)
 
