--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -233,7 +233,7 @@
             return []
         doubtful = self._doubtful(now)
         if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
-            return self._ask_again(doubtful, now)
+            return self._query_again(doubtful, now)
         denied = all(self._has_denied(target, kind, now) for target, kind in self.asked.items())
         is_nowhere = denied and self._queried_all and bool(self.asked)
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
@@ -249,7 +249,7 @@
             if kind is None and self._denies_by_silence(target) and not target.is_silent(now)
         ]
 
-    def _ask_again(self, targets: list[Target], now: float) -> list[SearchStep]:
+    def _query_again(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
         self.deadline = now + REPEAT_SECONDS
         return [Query(target) for target in targets]
