--- a/src/jasperwalk/consensus/members.py
+++ b/src/jasperwalk/consensus/members.py
@@ -90,11 +90,11 @@
 
 
 def change_members(
-    current: Membership, change: MembershipChange, progress: Progress | None, last_wanted: int
+    current: Membership, change: MembershipChange, progress: Progress | None, min_match_index: int
 ) -> Membership | RefusalReason:
     """Return the list after `change`, or why it is refused.
 
-    `progress` is what the leader knows of the replica in question, and `last_wanted` the
+    `progress` is what the leader knows of the replica in question, and `min_match_index` the
     index that a learner must hold to be promoted.
     """
     member = current.find(change.replica_id)
@@ -103,7 +103,7 @@
     if member is None:
         return RefusalReason.REPLICA_UNKNOWN
     if isinstance(change, PromoteLearner):
-        return _promote(current, member, progress, last_wanted)
+        return _promote(current, member, progress, min_match_index)
     if member.voting and len(current.voter_ids()) == 1:
         return RefusalReason.LAST_VOTER
     return current.without(change.replica_id)
@@ -118,10 +118,10 @@
 
 
 def _promote(
-    current: Membership, member: Member, progress: Progress | None, last_wanted: int
+    current: Membership, member: Member, progress: Progress | None, min_match_index: int
 ) -> Membership | RefusalReason:
     if member.voting:
         return RefusalReason.NOT_A_LEARNER
-    if progress is None or not progress.disk_id or progress.match_index < last_wanted:
+    if progress is None or not progress.disk_id or progress.match_index < min_match_index:
         return RefusalReason.NOT_CAUGHT_UP
     return current.with_member(Member(member.replica_id, progress.disk_id, True, member.address))
