--- a/src/jasperwalk/agent/retry_budget.py
+++ b/src/jasperwalk/agent/retry_budget.py
@@ -4,18 +4,18 @@
 
 RETRIES_PER_REQUEST = 0.1
 """Tokens that each first attempt earns; a retry costs one."""
-MOST_TOKENS = 10.0
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
     """Token bucket that is filled by requests, not by time."""
 
     def __init__(self) -> None:
-        self._tokens = MOST_TOKENS
+        self._tokens = MAX_TOKENS
 
     def earn(self) -> None:
         """Note a first attempt."""
-        self._tokens = min(MOST_TOKENS, self._tokens + RETRIES_PER_REQUEST)
+        self._tokens = min(MAX_TOKENS, self._tokens + RETRIES_PER_REQUEST)
 
     def spend(self) -> bool:
         """Take a token for one retry; False when there is none."""
--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -14,7 +14,7 @@
     Unknown,
     UnknownReason,
 )
-from jasperwalk.agent.retry_budget import MOST_TOKENS, RETRIES_PER_REQUEST, RetryBudget
+from jasperwalk.agent.retry_budget import MAX_TOKENS, RETRIES_PER_REQUEST, RetryBudget
 from jasperwalk.agent.runner import RequestRunner
 
 REQUESTS = 200
@@ -25,7 +25,7 @@
     budget = RetryBudget()
     for _ in range(1000):
         budget.earn()
-    assert sum(budget.spend() for _ in range(100)) == MOST_TOKENS
+    assert sum(budget.spend() for _ in range(100)) == MAX_TOKENS
     for _ in range(int(3 / RETRIES_PER_REQUEST)):
         budget.earn()
     assert 2 <= sum(budget.spend() for _ in range(100)) <= 3
@@ -49,7 +49,7 @@
         return self.elsewhere
 
 
-MOST_RETRIES = MOST_TOKENS + REQUESTS * RETRIES_PER_REQUEST
+MOST_RETRIES = MAX_TOKENS + REQUESTS * RETRIES_PER_REQUEST
 CASES = {
     # outcome here, outcome elsewhere, least and most retries
     "did not run, and not elsewhere": (UNREACHABLE, UNREACHABLE, 1, MOST_RETRIES),
