--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -208,7 +208,7 @@
             "flow-found",
             flow=self.codec.describe(search.key),
             agent=holder.record.name,
-            asked=len(search.asked),
+            asked=len(search.queried),
             waited_ms=round(1000 * (now - search.started_at), 1),
         )
         self.handler.on_search_found(search, holder, now)
@@ -220,7 +220,7 @@
         self.log.note(
             "flow-not-found",
             flow=self.codec.describe(search.key),
-            asked=len(search.asked),
+            asked=len(search.queried),
             unanswered=",".join(search.unanswered()),
             rounds=search.rounds,
         )
--- a/src/jasperwalk/fleet/question_batch.py
+++ b/src/jasperwalk/fleet/question_batch.py
@@ -29,5 +29,5 @@
         batches, self._keys = self._keys, {}
         for target, keys in batches.items():
             for start in range(0, len(keys), KEYS_PER_FRAME):
-                asked = b"".join(keys[start : start + KEYS_PER_FRAME])
-                self.send(target.find_head + asked, target.address)
+                queried = b"".join(keys[start : start + KEYS_PER_FRAME])
+                self.send(target.find_head + queried, target.address)
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -105,7 +105,7 @@
         self.rounds = 0
         self.verdict = SearchVerdict.OPEN
         self.holder: Target | None = None
-        self.asked: dict[Target, FrameKind | None] = {}
+        self.queried: dict[Target, FrameKind | None] = {}
         self._services = services
         self._regions = regions
         self._probed: set[Target] = set(returned)
@@ -137,7 +137,7 @@
             self._returned.add(target)
             if self._probing is target:
                 self._probing = None
-        self.asked[target] = kind
+        self.queried[target] = kind
 
     @property
     def returned(self) -> frozenset[Target]:
@@ -146,7 +146,7 @@
 
     def unanswered(self) -> list[str]:
         """Return the names of the agents that did not answer."""
-        return [target.record.name for target, kind in self.asked.items() if kind is None]
+        return [target.record.name for target, kind in self.queried.items() if kind is None]
 
     def advance(self, pool: TargetPool, now: float) -> list[SearchStep]:
         """Go on as far as answers and time allow; the second round begins by another call."""
@@ -180,16 +180,16 @@
         self._pausing = False
         self._queried_all = queries_all
         self._candidates |= dict.fromkeys(self._find_candidates(pool))
-        asked = [each for each in self._candidates if not each.departed]
+        queried = [each for each in self._candidates if not each.departed]
         if queries_all:
-            asked += [each for each in pool.all_targets() if each not in self._candidates]
-        return self._start_round(asked, now)
+            queried += [each for each in pool.all_targets() if each not in self._candidates]
+        return self._start_round(queried, now)
 
     def _confirm_possible_holders(self, now: float) -> list[SearchStep]:
         possible_holders, self._possible_holders = self._possible_holders, ()
         self._confirming = True
         self.deadline = now + CONFIRM_SECONDS
-        self.asked = dict.fromkeys(possible_holders)
+        self.queried = dict.fromkeys(possible_holders)
         return [Confirm(target, self.packets[0]) for target in possible_holders]
 
     def _query_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
@@ -203,7 +203,7 @@
     def _start_round(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
         self.deadline = now + ANSWER_TIMEOUT_SECONDS
-        self.asked = dict.fromkeys(targets)
+        self.queried = dict.fromkeys(targets)
         return [Query(target) for target in targets]
 
     def _probe_next(self, now: float) -> list[SearchStep]:
@@ -212,9 +212,9 @@
         Not while a candidate's answer is missing: it may hold the flow, and the packets would
         go to other hosts meanwhile.
         """
-        if any(self._is_missing(target, kind, now) for target, kind in self.asked.items()):
+        if any(self._is_missing(target, kind, now) for target, kind in self.queried.items()):
             return []
-        for target, kind in self.asked.items():
+        for target, kind in self.queried.items():
             may_hold = kind is FrameKind.UNSURE and target in self._candidates
             if may_hold and target not in self._probed and not target.departed:
                 self._probed.add(target)
@@ -234,8 +234,8 @@
         doubtful = self._doubtful(now)
         if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
             return self._query_again(doubtful, now)
-        denied = all(self._has_denied(target, kind, now) for target, kind in self.asked.items())
-        is_nowhere = denied and self._queried_all and bool(self.asked)
+        denied = all(self._has_denied(target, kind, now) for target, kind in self.queried.items())
+        is_nowhere = denied and self._queried_all and bool(self.queried)
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
         return []
 
@@ -245,7 +245,7 @@
             return []
         return [
             target
-            for target, kind in self.asked.items()
+            for target, kind in self.queried.items()
             if kind is None and self._denies_by_silence(target) and not target.is_silent(now)
         ]
 
