--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -66,9 +66,9 @@
             return MembershipRefused(RefusalReason.LEADER_NOT_SETTLED)
         if state.members.latest_index > state.commit_index:
             return MembershipRefused(RefusalReason.CHANGE_IN_PROGRESS)
-        wanted = max(state.log.last_index - state.config.promotion_lag_entries, 1)
+        min_match_index = max(state.log.last_index - state.config.promotion_lag_entries, 1)
         progress = self.progress.get(change.replica_id)
-        changed = change_members(state.membership, change, progress, wanted)
+        changed = change_members(state.membership, change, progress, min_match_index)
         if isinstance(changed, RefusalReason):
             return MembershipRefused(changed)
         entry = state.append(state.term, EntryKind.MEMBERSHIP, encode_membership(changed))
