--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -90,7 +90,7 @@
     """When the first question was asked that has had no answer yet, None where there is none."""
     questions_unanswered: int = 0
     """Questions asked since then, several at the same moment counted once."""
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
     departed: bool = False
     """True once the agent said that there is no host, or another process took its address."""
 
@@ -129,8 +129,8 @@
         """Note that the agent was asked whether it holds a flow."""
         if self.silent_since is None:
             self.silent_since = now
-        if now > self.asked_at:
-            self.asked_at = now
+        if now > self.queried_at:
+            self.queried_at = now
             self.questions_unanswered += 1
 
     def record_answer(self) -> None:
