--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -123,8 +123,8 @@
             return
         while self._may_send_entries(progress):
             self._send_entries(replica_id, progress)
-        news = progress.sent_commit_index < self._state.commit_index
-        if news and progress.mode is ProgressMode.REPLICATE:
+        commit_advanced = progress.sent_commit_index < self._state.commit_index
+        if commit_advanced and progress.mode is ProgressMode.REPLICATE:
             self._send_append(replica_id, progress, progress.next_index, 0)
 
     def _may_send_entries(self, progress: Progress) -> bool:
