--- a/src/jasperwalk/routing/connection_ids.py
+++ b/src/jasperwalk/routing/connection_ids.py
@@ -43,7 +43,7 @@
 SERVICE_ID_START = PACKED_ENDPOINT_LENGTH
 SERVICE_ID_END = SERVICE_ID_START + 3
 MAX_SERVICE_ID = 2**24 - 1
-HIGHEST_INCARNATION = 2**16 - 1
+MAX_INCARNATION = 2**16 - 1
 
 ROTATION_SHIFT = 5
 HIGHEST_ROTATION = 6
@@ -106,7 +106,7 @@
     """Encode the 11 bytes of a server ID; raise `UnencodableConnectionId`."""
     _require("port", routable.address.port, 2**16 - 1)
     _require("service_id", routable.service_id, MAX_SERVICE_ID)
-    _require("incarnation", routable.incarnation, HIGHEST_INCARNATION)
+    _require("incarnation", routable.incarnation, MAX_INCARNATION)
     return (
         routable.address.pack()
         + pack_service_id(routable.service_id)
