--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -231,7 +231,7 @@
             earliest = max(now + ROUND_PAUSE_SECONDS, (since or now) + SETTLING_SECONDS)
             self.deadline = math.ceil(earliest / ROUND_GRID_SECONDS) * ROUND_GRID_SECONDS
             return []
-        doubtful = self._doubtful(now)
+        doubtful = self._unconfirmed_denials(now)
         if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
             return self._query_again(doubtful, now)
         denied = all(self._has_denied(target, kind, now) for target, kind in self.queried.items())
@@ -239,7 +239,7 @@
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
         return []
 
-    def _doubtful(self, now: float) -> list[Target]:
+    def _unconfirmed_denials(self, now: float) -> list[Target]:
         """Return the agents that would deny the flow by a longer silence."""
         if not self._queried_all:
             return []
