--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -132,8 +132,8 @@
             return not progress.awaiting_reply
         in_flight = progress.next_index - progress.match_index - 1
         has_entries = progress.next_index <= self._state.log.last_index
-        has_room = in_flight < self._state.config.max_in_flight_entries
-        return progress.mode is ProgressMode.REPLICATE and has_entries and has_room
+        has_capacity = in_flight < self._state.config.max_in_flight_entries
+        return progress.mode is ProgressMode.REPLICATE and has_entries and has_capacity
 
     def _send_entries(self, replica_id: int, progress: Progress) -> None:
         limit = self._state.config.max_batch_entries
