--- a/src/jasperwalk/routing/connection_ids.py
+++ b/src/jasperwalk/routing/connection_ids.py
@@ -46,7 +46,7 @@
 MAX_INCARNATION = 2**16 - 1
 
 ROTATION_SHIFT = 5
-HIGHEST_ROTATION = 6
+MAX_ROTATION = 6
 """Rotation 7 marks an unroutable connection ID in the draft and is never issued."""
 
 LENGTH_BITS = CONNECTION_ID_LENGTH - 1
@@ -65,7 +65,7 @@
         """Name the rotation and the length of the secret, never the secret."""
         return (
             f"connection ID key of rotation {self.rotation} has {self.secret_length} bytes; "
-            f"expected {SECRET_LENGTH} bytes and a rotation from 0 to {HIGHEST_ROTATION}"
+            f"expected {SECRET_LENGTH} bytes and a rotation from 0 to {MAX_ROTATION}"
         )
 
 
@@ -147,7 +147,7 @@
                 self._add(key)
 
     def _add(self, key: KeyEntry) -> None:
-        if len(key.secret) != SECRET_LENGTH or not 0 <= key.rotation <= HIGHEST_ROTATION:
+        if len(key.secret) != SECRET_LENGTH or not 0 <= key.rotation <= MAX_ROTATION:
             raise UnusableConnectionIdKey(rotation=key.rotation, secret_length=len(key.secret))
         cipher = Cipher(algorithms.AES128(key.secret), modes.ECB())
         first_octet = key.rotation << ROTATION_SHIFT | LENGTH_BITS
