--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -231,9 +231,9 @@
             earliest = max(now + ROUND_PAUSE_SECONDS, (since or now) + SETTLING_SECONDS)
             self.deadline = math.ceil(earliest / ROUND_GRID_SECONDS) * ROUND_GRID_SECONDS
             return []
-        doubtful = self._unconfirmed_denials(now)
-        if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
-            return self._query_again(doubtful, now)
+        unconfirmed = self._unconfirmed_denials(now)
+        if unconfirmed and self.rounds < ROUNDS + REPEATED_ROUNDS:
+            return self._query_again(unconfirmed, now)
         denied = all(self._has_denied(target, kind, now) for target, kind in self.queried.items())
         is_nowhere = denied and self._queried_all and bool(self.queried)
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
