--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -262,6 +262,6 @@
         if not matches:
             return
         matches.sort(reverse=True)
-        held = matches[state.membership.quorum_size() - 1]
-        if held > state.commit_index and state.log.term_at(held) == state.term:
-            state.commit_to(held)
+        quorum_index = matches[state.membership.quorum_size() - 1]
+        if quorum_index > state.commit_index and state.log.term_at(quorum_index) == state.term:
+            state.commit_to(quorum_index)
