--- a/src/jasperwalk/routing/quic_packets.py
+++ b/src/jasperwalk/routing/quic_packets.py
@@ -28,7 +28,7 @@
 SHORT_CONNECTION_ID_START = 1
 SHORT_CONNECTION_ID_END = SHORT_CONNECTION_ID_START + CONNECTION_ID_LENGTH
 
-LONGEST_CONNECTION_ID = 20
+MAX_CONNECTION_ID_BYTES = 20
 """Longest connection ID, in bytes, of versions 1 and 2."""
 
 SHORTEST_INITIAL_CONNECTION_ID = 8
@@ -104,6 +104,6 @@
     kinds = _KINDS_BY_VERSION.get(version)
     if kinds is None:
         return PacketHeader(kind=PacketKind.UNKNOWN_VERSION, connection_id=connection_id)
-    if not payload[0] & FIXED_BIT or len(connection_id) > LONGEST_CONNECTION_ID:
+    if not payload[0] & FIXED_BIT or len(connection_id) > MAX_CONNECTION_ID_BYTES:
         return MALFORMED_HEADER
     return PacketHeader(kind=kinds[payload[0] & PACKET_TYPE_MASK], connection_id=connection_id)
