--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -246,7 +246,7 @@
         return [
             target
             for target, kind in self.queried.items()
-            if kind is None and self._denies_by_silence(target) and not target.is_silent(now)
+            if kind is None and self._silence_means_denial(target) and not target.is_silent(now)
         ]
 
     def _query_again(self, targets: list[Target], now: float) -> list[SearchStep]:
@@ -254,7 +254,7 @@
         self.deadline = now + REPEAT_SECONDS
         return [Query(target) for target in targets]
 
-    def _denies_by_silence(self, target: Target) -> bool:
+    def _silence_means_denial(self, target: Target) -> bool:
         """Tell whether an agent's silence says as much as its answer would.
 
         One that never saw its host could only answer that it does not know, which rules it out
@@ -274,7 +274,7 @@
         """
         if kind is FrameKind.UNSURE and target not in self._candidates:
             return True
-        if kind is None and self._denies_by_silence(target) and target.is_silent(now):
+        if kind is None and self._silence_means_denial(target) and target.is_silent(now):
             return True
         if kind is None and target.is_lost(now):
             return True
