--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -61,9 +61,9 @@
         for replica_id in self._state.membership.voter_ids():
             if replica_id != self._state.replica_id:
                 self._state.send(replica_id, request)
-        return self._count(now)
+        return self._advance_on_quorum(now)
 
-    def _count(self, now: float) -> bool:
+    def _advance_on_quorum(self, now: float) -> bool:
         """Go one step further on a quorum of votes; return True when the election is won."""
         if not self._state.membership.has_quorum(self._granted):
             return False
@@ -121,7 +121,7 @@
         if not self._matches_campaign(reply) or not self._is_from_listed_disk(sender, reply):
             return False
         self._granted.add(sender)
-        return self._count(now)
+        return self._advance_on_quorum(now)
 
     def _matches_campaign(self, reply: VoteReply) -> bool:
         if reply.pre_vote:
