--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -39,12 +39,12 @@
         self.seen_slow = []
 
     def begin(self):
-        kind, seconds = self.random.choice(self.kinds)
+        kind, service_seconds = self.random.choice(self.kinds)
         if self.random.random() < self.long_share:
-            seconds *= LONG_FACTOR
+            service_seconds *= LONG_FACTOR
         self.number += 1
         self.pace.record_request(self.number, kind, self.slots, self.now)
-        end = self.now + seconds * self.factor * self.random.uniform(0.8, 1.2)
+        end = self.now + service_seconds * self.factor * self.random.uniform(0.8, 1.2)
         self.ends.append((end, self.number))
 
     def run(self, until):
@@ -76,13 +76,13 @@
     play.factor = SLOW_WORK_FACTOR
     play.run(5.0 + SEEN_WITHIN_SECONDS)
     assert play.slow_host.is_slow()
-    assert play.slow_host.seconds("kind") > SLOW_FACTOR * WORK_SECONDS
+    assert play.slow_host.service_seconds("kind") > SLOW_FACTOR * WORK_SECONDS
     play.run(10.0)
     assert play.slow_host.is_slow()
     play.factor = 1.0
     play.run(10.0 + SEEN_WITHIN_SECONDS)
     assert not play.slow_host.is_slow()
-    assert play.slow_host.seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.3)
+    assert play.slow_host.service_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.3)
 
 
 def test_a_slow_host_is_seen_before_it_has_answered():
@@ -156,7 +156,7 @@
     play.pace.reset()
     play.slow_host.reset()
     assert not play.slow_host.is_slow()
-    assert play.slow_host.seconds("kind") is None
+    assert play.slow_host.service_seconds("kind") is None
 
 
 def test_memory_is_bounded():
