--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -9,8 +9,8 @@
 from jasperwalk.balancer.routes import RoutingTable
 from jasperwalk.routing.candidates import CandidateIndex
 from jasperwalk.routing.quic_packets import (
+    MIN_INITIAL_CONNECTION_ID_BYTES,
     MIN_INITIAL_PAYLOAD_BYTES,
-    SHORTEST_INITIAL_CONNECTION_ID,
     PacketHeader,
     PacketKind,
 )
@@ -46,7 +46,7 @@
         if payload_length < MIN_INITIAL_PAYLOAD_BYTES:
             return DropReason.SMALL_INITIAL
         is_initial = header.kind is PacketKind.INITIAL
-        if is_initial and len(header.connection_id) < SHORTEST_INITIAL_CONNECTION_ID:
+        if is_initial and len(header.connection_id) < MIN_INITIAL_CONNECTION_ID_BYTES:
             return DropReason.SHORT_CONNECTION_ID
         if not self.accepted:
             return DropReason.NO_FRESH_TABLE
--- a/src/jasperwalk/routing/quic_packets.py
+++ b/src/jasperwalk/routing/quic_packets.py
@@ -31,7 +31,7 @@
 MAX_CONNECTION_ID_BYTES = 20
 """Longest connection ID, in bytes, of versions 1 and 2."""
 
-SHORTEST_INITIAL_CONNECTION_ID = 8
+MIN_INITIAL_CONNECTION_ID_BYTES = 8
 """Shortest connection ID, in bytes, that a client may choose for its first Initial."""
 
 MIN_INITIAL_PAYLOAD_BYTES = 1200
