--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -121,7 +121,7 @@
 
     def on_search_found(self, search: Search, holder: Target, _now: float) -> None:
         """Pass the packets on, and tell the balancer where the flow's later ones belong."""
-        for packet in search.packets[search.first_is_passed_on :]:
+        for packet in search.packets[search.first_is_forwarded :]:
             self.send(holder.carry_head + packet, holder.address)
         self._end(search.key, LocateVerdict.FOUND, holder.record.endpoint.pack())
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -269,7 +269,7 @@
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
-        self._set_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
+        self._set_holder(search.key, holder, search.packets[search.first_is_forwarded :], now)
 
     def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the caller to begin anew."""
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -117,7 +117,7 @@
         self._queried_all = False
         self._possible_holders = tuple(possible_holders)
         self._confirming = False
-        self.first_is_passed_on = False
+        self.first_is_forwarded = False
         """True once the holder has got the first packet with the question."""
 
     def hold(self, packet: bytes) -> None:
@@ -130,7 +130,7 @@
         if kind is FrameKind.HELD:
             self.holder = target
             self.verdict = SearchVerdict.FOUND
-            self.first_is_passed_on = self._confirming
+            self.first_is_forwarded = self._confirming
             return
         if kind is FrameKind.RETURNED:
             self._probed.add(target)
