--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -28,7 +28,7 @@
 from jasperwalk.consensus.state import Role
 
 FOUNDING = Membership([Member(number, f"disk-{number}", True) for number in (1, 2, 3)])
-GROWN = FOUNDING.with_member(Member(4, "", False))
+WITH_LEARNER = FOUNDING.with_member(Member(4, "", False))
 CONFIG = RaftConfig(tuple(InitialMember(number) for number in (1, 2, 3)), trailing_entries=0)
 
 
@@ -155,15 +155,15 @@
 
 
 def test_a_member_list_that_was_cut_off_is_no_longer_in_force():
-    grown = LogEntry(2, 1, EntryKind.MEMBERSHIP, encode_membership(GROWN))
+    grown = LogEntry(2, 1, EntryKind.MEMBERSHIP, encode_membership(WITH_LEARNER))
     node = make_node([command(1, 1), grown])
-    assert node.membership == GROWN
+    assert node.membership == WITH_LEARNER
     append(node, 2, (1, 1), [command(2, 2)])
     assert node.membership == FOUNDING
 
 
 def test_a_snapshot_carries_the_member_list_of_its_index():
-    grown = LogEntry(2, 1, EntryKind.MEMBERSHIP, encode_membership(GROWN))
+    grown = LogEntry(2, 1, EntryKind.MEMBERSHIP, encode_membership(WITH_LEARNER))
     node = make_node([command(1, 1), grown])
     append(node, 1, (2, 1), [], commit_index=1)
     finish(node)
