--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -120,19 +120,19 @@
         """Return where a request stands."""
         return self.openings if request.opens_flow else self.requests
 
-    def lines(self, with_openings: bool) -> list[DeadlineQueue]:
+    def nonempty_queues(self, with_openings: bool) -> list[DeadlineQueue]:
         """Return the lines that have something to begin, new flows only where they are taken."""
-        lines = [self.requests] if self.requests else []
+        nonempty_queues = [self.requests] if self.requests else []
         if with_openings and self.openings:
-            lines.append(self.openings)
-        return lines
+            nonempty_queues.append(self.openings)
+        return nonempty_queues
 
     def take_next(self, with_openings: bool, answer_at: float) -> WaitingRequest:
         """Take the request whose turn it is, for an answer at this time."""
-        lines = self.lines(with_openings)
-        for line in lines:
+        nonempty_queues = self.nonempty_queues(with_openings)
+        for line in nonempty_queues:
             line.sort_out_late(answer_at)
-        return min(lines, key=DeadlineQueue.rank).take()
+        return min(nonempty_queues, key=DeadlineQueue.rank).take()
 
 
 @dataclass(eq=False, repr=False)
@@ -203,7 +203,7 @@
         return min(
             line.first_to_shed().arrived_at
             for lane in self._lanes[priority].values()
-            for line in lane.lines(with_openings=True)
+            for line in lane.nonempty_queues(with_openings=True)
         )
 
     def opening_to_shed(self, now: float) -> WaitingRequest | None:
