--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -41,7 +41,7 @@
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
 
-class LostHosts:
+class LostAgents:
     """Keeps, for agents that control calls offline, what they answered. Times in seconds."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -18,7 +18,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramDropped, DropReason
-from jasperwalk.agent.lost_hosts import LostHosts, Verdict
+from jasperwalk.agent.lost_hosts import LostAgents, Verdict
 from jasperwalk.agent.outgoing import Outgoing, ProbeAgent, ToAgent, ToFabric
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
@@ -39,7 +39,7 @@
         self.resets_sent = 0
         self._random = source
         self._limit = RateLimit(RESETS_PER_SECOND)
-        self._lost_hosts = LostHosts()
+        self._lost_hosts = LostAgents()
 
     def view_changed(self, view: ServiceView) -> None:
         """Take a new revision of the service's members."""
