--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -264,7 +264,7 @@
         """
         if target in self._candidates or target.departed:
             return False
-        return target.never_saw_its_host()
+        return target.host_never_announced()
 
     def _has_denied(self, target: Target, kind: FrameKind | None, now: float) -> bool:
         """Tell whether an agent's answer rules it out.
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -144,7 +144,7 @@
             return False
         return now - self.silent_since >= SILENT_SECONDS
 
-    def never_saw_its_host(self) -> bool:
+    def host_never_announced(self) -> bool:
         """Tell whether the host beside the agent's present process has not announced itself.
 
         Such an agent holds no flow that it has admitted. Its host may hold flows that an earlier
