--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -97,9 +97,9 @@
 ) -> TypedValue | None:
     """Replace references, then check the result against the field's own shape."""
     shape = SERVICE_FIELDS[path].shape
-    whole = sole_reference(raw)
-    if whole is not None:
-        value = values[whole]
+    sole = sole_reference(raw)
+    if sole is not None:
+        value = values[sole]
         if isinstance(value, (Endpoint, tuple)):
             return value
         return check_value(shape, value, place, problems)
