--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -130,8 +130,8 @@
     def take_next(self, with_openings: bool, answer_at: float) -> WaitingRequest:
         """Take the request whose turn it is, for an answer at this time."""
         nonempty_queues = self.nonempty_queues(with_openings)
-        for line in nonempty_queues:
-            line.sort_out_late(answer_at)
+        for queue in nonempty_queues:
+            queue.sort_out_late(answer_at)
         return min(nonempty_queues, key=DeadlineQueue.rank).take()
 
 
@@ -201,9 +201,9 @@
 
     def _oldest_arrived_at(self, priority: int) -> float:
         return min(
-            line.first_to_shed().arrived_at
+            queue.first_to_shed().arrived_at
             for lane in self._lanes[priority].values()
-            for line in lane.nonempty_queues(with_openings=True)
+            for queue in lane.nonempty_queues(with_openings=True)
         )
 
     def opening_to_shed(self, now: float) -> WaitingRequest | None:
