--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -39,11 +39,11 @@
         self.resets_sent = 0
         self._random = source
         self._limit = RateLimit(RESETS_PER_SECOND)
-        self._lost_hosts = LostAgents()
+        self._lost_agents = LostAgents()
 
     def view_changed(self, view: ServiceView) -> None:
         """Take a new revision of the service's members."""
-        self._lost_hosts.keep_only(view.members)
+        self._lost_agents.keep_only(view.members)
 
     def handle(
         self,
@@ -72,7 +72,7 @@
         self, home: MemberEntry, packet: AdmittedDatagram, view: ServiceView, now: float
     ) -> list[Outgoing]:
         """Reset the flow of an agent that is lost; pass the packet on while it may live."""
-        match self._lost_hosts.judge(home.address, packet, now):
+        match self._lost_agents.judge(home.address, packet, now):
             case Verdict.LOST:
                 return self._reset(packet, view, now)
             case Verdict.ASK:
@@ -84,7 +84,7 @@
         self, address: Endpoint, answered: bool, view: ServiceView, table_fresh: bool, now: float
     ) -> list[Outgoing]:
         """Take the outcome of a probe; return the resets that follow."""
-        waiting = self._lost_hosts.probe_ended(address, answered, now)
+        waiting = self._lost_agents.probe_ended(address, answered, now)
         home = view.members.get(address)
         # The host may have come back, or control been lost, while the question was out.
         if home is None or not _may_be_lost(home, view, table_fresh):
