--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -27,7 +27,7 @@
 
 ANSWER_TIMEOUT_SECONDS = 0.06
 """How long a round waits for agents that do not answer."""
-CONFIRM_SECONDS = 0.15
+CONFIRM_TIMEOUT_SECONDS = 0.15
 """How long the agents that may have taken a flow may take to say which of them has it."""
 PROBE_SECONDS = 0.06
 """How long one host may take to hand a packet back."""
@@ -188,7 +188,7 @@
     def _confirm_possible_holders(self, now: float) -> list[SearchStep]:
         possible_holders, self._possible_holders = self._possible_holders, ()
         self._confirming = True
-        self.deadline = now + CONFIRM_SECONDS
+        self.deadline = now + CONFIRM_TIMEOUT_SECONDS
         self.queried = dict.fromkeys(possible_holders)
         return [Confirm(target, self.packets[0]) for target in possible_holders]
 
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -7,7 +7,7 @@
     OPEN_TIMEOUT_SECONDS,
 )
 from jasperwalk.fleet.messages import HostPhase
-from jasperwalk.fleet.search import CONFIRM_SECONDS
+from jasperwalk.fleet.search import CONFIRM_TIMEOUT_SECONDS
 from jasperwalk.fleet.target import FAILING_SECONDS
 from jasperwalk.flows.frames import (
     REQUEST_HEAD,
@@ -236,12 +236,12 @@
         bench.answer(other, FrameKind.NOT_HELD, 1.31)
         bench.answer(silent, FrameKind.NOT_HELD, 1.31)
     else:
-        bench.core.tick(1.3 + CONFIRM_SECONDS)
+        bench.core.tick(1.3 + CONFIRM_TIMEOUT_SECONDS)
     assert {(kind, number) for kind, number, _ in bench.take_sent()} == {
         (FrameKind.FIND, silent),
         (FrameKind.FIND, other),
     }
-    now = 1.32 if denied else 1.31 + CONFIRM_SECONDS
+    now = 1.32 if denied else 1.31 + CONFIRM_TIMEOUT_SECONDS
     bench.answer(other, FrameKind.NOT_HELD, now)
     bench.answer(silent, FrameKind.UNSURE, now)
     assert bench.take_sent() == [(FrameKind.CARRY, silent, DATA)]
