--- a/src/jasperwalk/settings/validation_errors.py
+++ b/src/jasperwalk/settings/validation_errors.py
@@ -60,7 +60,7 @@
     if model is None:
         return "remove it"
     known_keys = list(model.model_fields)
-    near = difflib.get_close_matches(key, known_keys, n=1)
-    if near:
-        return f"did you mean {near[0]}?"
+    close_matches = difflib.get_close_matches(key, known_keys, n=1)
+    if close_matches:
+        return f"did you mean {close_matches[0]}?"
     return f"remove it; known keys are {', '.join(known_keys)}"
