--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -149,13 +149,13 @@
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
         groups = self._lanes.setdefault(request.terms.priority, {})
-        lane = groups.setdefault(request.terms.group, GroupQueue())
-        lane.of(request).add(request)
+        group_queue = groups.setdefault(request.terms.group, GroupQueue())
+        group_queue.of(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
         """Let a request go."""
-        lane = self._lanes[request.terms.priority][request.terms.group]
-        lane.of(request).remove(request)
+        group_queue = self._lanes[request.terms.priority][request.terms.group]
+        group_queue.of(request).remove(request)
         self._drop_if_empty(request)
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
@@ -186,7 +186,7 @@
         lanes = self._lanes[priority]
         if with_openings:
             return list(lanes)
-        return [group for group, lane in lanes.items() if lane.requests]
+        return [group for group, group_queue in lanes.items() if group_queue.requests]
 
     def _priority_in_turn(self, priorities: list[int]) -> int:
         """Return the most urgent priority, or now and then the one whose oldest waits longest."""
@@ -202,8 +202,8 @@
     def _oldest_arrived_at(self, priority: int) -> float:
         return min(
             queue.first_to_shed().arrived_at
-            for lane in self._lanes[priority].values()
-            for queue in lane.nonempty_queues(with_openings=True)
+            for group_queue in self._lanes[priority].values()
+            for queue in group_queue.nonempty_queues(with_openings=True)
         )
 
     def opening_to_shed(self, now: float) -> WaitingRequest | None:
@@ -214,9 +214,9 @@
         """
         for priority in sorted(self._lanes, reverse=True):
             waiting = {
-                group: len(lane.openings)
-                for group, lane in self._lanes[priority].items()
-                if lane.openings
+                group: len(group_queue.openings)
+                for group, group_queue in self._lanes[priority].items()
+                if group_queue.openings
             }
             if waiting:
                 group = self.shares.group_to_shed(waiting, now)
@@ -226,19 +226,19 @@
     def count_ahead(self, priority: int) -> int:
         """Return how many waiting requests are at least as urgent as this priority."""
         return sum(
-            len(lane)
+            len(group_queue)
             for other, groups in self._lanes.items()
             if other <= priority
-            for lane in groups.values()
+            for group_queue in groups.values()
         )
 
     def has_less_urgent_opening(self, priority: int) -> bool:
         """Tell whether a new flow waits that is less urgent than this priority."""
         return any(
-            lane.openings
+            group_queue.openings
             for other, groups in self._lanes.items()
             if other > priority
-            for lane in groups.values()
+            for group_queue in groups.values()
         )
 
     def _drop_if_empty(self, request: WaitingRequest) -> None:
