--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -45,19 +45,19 @@
     """Keeps, for agents that control calls offline, what they answered. Times in seconds."""
 
     def __init__(self) -> None:
-        self._homes: dict[Endpoint, _Home] = {}
+        self._agents: dict[Endpoint, _Home] = {}
 
     def keep_only(self, addresses: Container[Endpoint]) -> None:
         """Forget agents that are no members of the service any more."""
-        for address in [known for known in self._homes if known not in addresses]:
-            del self._homes[address]
+        for address in [known for known in self._agents if known not in addresses]:
+            del self._agents[address]
 
     def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> Verdict:
         """Judge the home of a packet, and keep the packet while that is not known.
 
         After `ASK` the caller has to see to it that `probe_ended` is called.
         """
-        home = self._homes.setdefault(address, _Home())
+        home = self._agents.setdefault(address, _Home())
         if home.verdict is not Verdict.ASKED and now >= home.holds_until:
             home.verdict = Verdict.ASKED
             home.waiting.append(packet)
@@ -68,7 +68,7 @@
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> list[AdmittedDatagram]:
         """Take the answer, or silence; return the kept packets, whose flows are now lost."""
-        home = self._homes.get(address)
+        home = self._agents.get(address)
         if home is None:
             return []
         waiting, home.waiting = home.waiting, []
