--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -29,7 +29,7 @@
 """How long a round waits for agents that do not answer."""
 CONFIRM_TIMEOUT_SECONDS = 0.15
 """How long the agents that may have taken a flow may take to say which of them has it."""
-PROBE_SECONDS = 0.06
+PROBE_TIMEOUT_SECONDS = 0.06
 """How long one host may take to hand a packet back."""
 ROUND_PAUSE_SECONDS = 0.04
 """Least pause between the first round and the second: late answers come meanwhile."""
@@ -219,7 +219,7 @@
             if may_hold and target not in self._probed and not target.departed:
                 self._probed.add(target)
                 self._probing = target
-                self.deadline = now + PROBE_SECONDS
+                self.deadline = now + PROBE_TIMEOUT_SECONDS
                 return [Probe(target, self.packets[0])]
         return []
 
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -5,7 +5,7 @@
 from jasperwalk.fleet.search import (
     ANSWER_TIMEOUT_SECONDS,
     MAX_HELD_PACKETS,
-    PROBE_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
     ROUND_GRID_SECONDS,
     ROUND_PAUSE_SECONDS,
     SETTLING_SECONDS,
@@ -131,7 +131,7 @@
     bench.answer(1, FrameKind.UNSURE, 1.01)
     bench.answer(2, FrameKind.UNSURE, 1.01)
     ((_, first, _),) = bench.take_sent()
-    bench.core.tick(1.02 + PROBE_SECONDS)
+    bench.core.tick(1.02 + PROBE_TIMEOUT_SECONDS)
     ((_, second, _),) = bench.take_sent()
     assert first != second
     bench.core.tick(1.5)
