--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -141,20 +141,20 @@
 
     shares: GroupShares
     least_share: float = DEFAULT_LEAST_SHARE
-    _lanes: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
+    _group_queues: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
     """By priority, then by group; none is empty."""
     _owed: float = 0.0
     """Requests that are due to the less urgent ones."""
 
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
-        groups = self._lanes.setdefault(request.terms.priority, {})
+        groups = self._group_queues.setdefault(request.terms.priority, {})
         group_queue = groups.setdefault(request.terms.group, GroupQueue())
         group_queue.of(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
         """Let a request go."""
-        group_queue = self._lanes[request.terms.priority][request.terms.group]
+        group_queue = self._group_queues[request.terms.priority][request.terms.group]
         group_queue.of(request).remove(request)
         self._drop_if_empty(request)
 
@@ -170,20 +170,20 @@
         priority = self._priority_in_turn(priorities)
         groups = self._groups(priority, with_openings)
         group = groups[0] if len(groups) == 1 else self.shares.group_to_serve(groups, now)
-        request = self._lanes[priority][group].take_next(with_openings, now + seconds)
+        request = self._group_queues[priority][group].take_next(with_openings, now + seconds)
         self._drop_if_empty(request)
         self.shares.record_served(group, seconds, now)
         return request
 
     def _priorities(self, with_openings: bool) -> list[int]:
         """Return the priorities that have something to begin, the most urgent first."""
-        priorities = sorted(self._lanes)
+        priorities = sorted(self._group_queues)
         if with_openings:
             return priorities
         return [each for each in priorities if self._groups(each, with_openings)]
 
     def _groups(self, priority: int, with_openings: bool) -> list[int]:
-        lanes = self._lanes[priority]
+        lanes = self._group_queues[priority]
         if with_openings:
             return list(lanes)
         return [group for group, group_queue in lanes.items() if group_queue.requests]
@@ -202,7 +202,7 @@
     def _oldest_arrived_at(self, priority: int) -> float:
         return min(
             queue.first_to_shed().arrived_at
-            for group_queue in self._lanes[priority].values()
+            for group_queue in self._group_queues[priority].values()
             for queue in group_queue.nonempty_queues(with_openings=True)
         )
 
@@ -212,22 +212,22 @@
         It is the oldest of the least urgent, of the group that is furthest over its share. Its
         caller has waited longest, so that an answer in time is least likely.
         """
-        for priority in sorted(self._lanes, reverse=True):
+        for priority in sorted(self._group_queues, reverse=True):
             waiting = {
                 group: len(group_queue.openings)
-                for group, group_queue in self._lanes[priority].items()
+                for group, group_queue in self._group_queues[priority].items()
                 if group_queue.openings
             }
             if waiting:
                 group = self.shares.group_to_shed(waiting, now)
-                return self._lanes[priority][group].openings.first_to_shed()
+                return self._group_queues[priority][group].openings.first_to_shed()
         return None
 
     def count_ahead(self, priority: int) -> int:
         """Return how many waiting requests are at least as urgent as this priority."""
         return sum(
             len(group_queue)
-            for other, groups in self._lanes.items()
+            for other, groups in self._group_queues.items()
             if other <= priority
             for group_queue in groups.values()
         )
@@ -236,14 +236,14 @@
         """Tell whether a new flow waits that is less urgent than this priority."""
         return any(
             group_queue.openings
-            for other, groups in self._lanes.items()
+            for other, groups in self._group_queues.items()
             if other > priority
             for group_queue in groups.values()
         )
 
     def _drop_if_empty(self, request: WaitingRequest) -> None:
-        groups = self._lanes[request.terms.priority]
+        groups = self._group_queues[request.terms.priority]
         if not groups[request.terms.group]:
             del groups[request.terms.group]
         if not groups:
-            del self._lanes[request.terms.priority]
+            del self._group_queues[request.terms.priority]
