--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class _Home:
+class _ProbedAgent:
     verdict: Verdict = Verdict.ASK
     holds_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
@@ -45,7 +45,7 @@
     """Keeps, for agents that control calls offline, what they answered. Times in seconds."""
 
     def __init__(self) -> None:
-        self._agents: dict[Endpoint, _Home] = {}
+        self._agents: dict[Endpoint, _ProbedAgent] = {}
 
     def keep_only(self, addresses: Container[Endpoint]) -> None:
         """Forget agents that are no members of the service any more."""
@@ -57,7 +57,7 @@
 
         After `ASK` the caller has to see to it that `probe_ended` is called.
         """
-        home = self._agents.setdefault(address, _Home())
+        home = self._agents.setdefault(address, _ProbedAgent())
         if home.verdict is not Verdict.ASKED and now >= home.holds_until:
             home.verdict = Verdict.ASKED
             home.waiting.append(packet)
