--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -42,7 +42,7 @@
 REPEAT_SECONDS = 0.06
 """Pace of asking again those whose silence would settle the search; they are few."""
 REPEATED_ROUNDS = 4
-"""Rounds beyond the second at most: enough for `SILENT_QUESTIONS` in `SILENT_SECONDS`."""
+"""Rounds beyond the second at most: enough for `SILENT_QUERIES` in `SILENT_SECONDS`."""
 
 
 class Query(msgspec.Struct, frozen=True):
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -33,7 +33,7 @@
 SILENT_SECONDS = 0.2
 """An agent that has answered no question for this long is silent; a working one answers within a
 few milliseconds, also in the second after a loss of all power."""
-SILENT_QUESTIONS = 3
+SILENT_QUERIES = 3
 """Questions in a row that have to be unanswered as well: were one in a hundred datagrams lost,
 three in a row would be one in a million."""
 SUSPECT_SECONDS = 1.0
@@ -140,7 +140,7 @@
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the agent has left several questions unanswered for a while."""
-        if self.silent_since is None or self.questions_unanswered < SILENT_QUESTIONS:
+        if self.silent_since is None or self.questions_unanswered < SILENT_QUERIES:
             return False
         return now - self.silent_since >= SILENT_SECONDS
 
