--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -116,7 +116,7 @@
         """Return how many requests wait."""
         return len(self.openings) + len(self.requests)
 
-    def of(self, request: WaitingRequest) -> DeadlineQueue:
+    def queue_for(self, request: WaitingRequest) -> DeadlineQueue:
         """Return where a request stands."""
         return self.openings if request.opens_flow else self.requests
 
@@ -150,12 +150,12 @@
         """Take a request in."""
         groups = self._group_queues.setdefault(request.terms.priority, {})
         group_queue = groups.setdefault(request.terms.group, GroupQueue())
-        group_queue.of(request).add(request)
+        group_queue.queue_for(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
         """Let a request go."""
         group_queue = self._group_queues[request.terms.priority][request.terms.group]
-        group_queue.of(request).remove(request)
+        group_queue.queue_for(request).remove(request)
         self._drop_if_empty(request)
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
