--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -57,23 +57,23 @@
 
         After `ASK` the caller has to see to it that `probe_ended` is called.
         """
-        home = self._agents.setdefault(address, _ProbedAgent())
-        if home.verdict is not Verdict.ASKED and now >= home.holds_until:
-            home.verdict = Verdict.ASKED
-            home.waiting.append(packet)
+        agent = self._agents.setdefault(address, _ProbedAgent())
+        if agent.verdict is not Verdict.ASKED and now >= agent.holds_until:
+            agent.verdict = Verdict.ASKED
+            agent.waiting.append(packet)
             return Verdict.ASK
-        if home.verdict is Verdict.ASKED and len(home.waiting) < MAX_WAITING_PACKETS:
-            home.waiting.append(packet)
-        return home.verdict
+        if agent.verdict is Verdict.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
+            agent.waiting.append(packet)
+        return agent.verdict
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> list[AdmittedDatagram]:
         """Take the answer, or silence; return the kept packets, whose flows are now lost."""
-        home = self._agents.get(address)
-        if home is None:
+        agent = self._agents.get(address)
+        if agent is None:
             return []
-        waiting, home.waiting = home.waiting, []
+        waiting, agent.waiting = agent.waiting, []
         if answered:
-            home.verdict, home.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
+            agent.verdict, agent.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
             return []
-        home.verdict, home.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
+        agent.verdict, agent.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
