--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -88,7 +88,7 @@
     unlisted_since: float | None = None
     silent_since: float | None = None
     """When the first question was asked that has had no answer yet, None where there is none."""
-    questions_unanswered: int = 0
+    unanswered_queries: int = 0
     """Questions asked since then, several at the same moment counted once."""
     queried_at: float = float("-inf")
     departed: bool = False
@@ -131,16 +131,16 @@
             self.silent_since = now
         if now > self.queried_at:
             self.queried_at = now
-            self.questions_unanswered += 1
+            self.unanswered_queries += 1
 
     def record_answer(self) -> None:
         """Note that the agent answered a question."""
         self.silent_since = None
-        self.questions_unanswered = 0
+        self.unanswered_queries = 0
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the agent has left several questions unanswered for a while."""
-        if self.silent_since is None or self.questions_unanswered < SILENT_QUERIES:
+        if self.silent_since is None or self.unanswered_queries < SILENT_QUERIES:
             return False
         return now - self.silent_since >= SILENT_SECONDS
 
