--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -85,7 +85,7 @@
         """Let a request go."""
         (self.timely if request in self.timely else self.late).remove(request)
 
-    def sort_out_late(self, answer_at: float) -> None:
+    def move_late(self, answer_at: float) -> None:
         """Put those behind that would be late with an answer at this time."""
         while self.timely and self.timely[0].wants_answer_by() < answer_at:
             self.late.append(self.timely.pop(0))
@@ -131,7 +131,7 @@
         """Take the request whose turn it is, for an answer at this time."""
         nonempty_queues = self.nonempty_queues(with_openings)
         for queue in nonempty_queues:
-            queue.sort_out_late(answer_at)
+            queue.move_late(answer_at)
         return min(nonempty_queues, key=DeadlineQueue.rank).take()
 
 
