--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -58,36 +58,36 @@
             raise DatagramDropped(DropReason.OTHER_SERVICE)
         if routable.address == view.address:
             return self._reset(packet, view, now)
-        home = view.members.get(routable.address)
-        if home is None or packet.datagram.hops > 0:
+        holder = view.members.get(routable.address)
+        if holder is None or packet.datagram.hops > 0:
             raise DatagramDropped(DropReason.OTHER_ADDRESS)
         # Resets have the look of short packets, and only such packets call for them.
-        if packet.head.version is not None or not _may_be_lost(home, view, table_fresh):
-            return [_pass_on(home, packet)]
-        if home.incarnation > routable.incarnation:
+        if packet.head.version is not None or not _may_be_lost(holder, view, table_fresh):
+            return [_pass_on(holder, packet)]
+        if holder.incarnation > routable.incarnation:
             return self._reset(packet, view, now)
-        return self._reset_if_lost(home, packet, view, now)
+        return self._reset_if_lost(holder, packet, view, now)
 
     def _reset_if_lost(
-        self, home: MemberEntry, packet: AdmittedDatagram, view: ServiceView, now: float
+        self, holder: MemberEntry, packet: AdmittedDatagram, view: ServiceView, now: float
     ) -> list[Outgoing]:
         """Reset the flow of an agent that is lost; pass the packet on while it may live."""
-        match self._lost_agents.judge(home.address, packet, now):
+        match self._lost_agents.judge(holder.address, packet, now):
             case Verdict.LOST:
                 return self._reset(packet, view, now)
             case Verdict.ASK:
-                return [_pass_on(home, packet), ProbeAgent(home.address)]
+                return [_pass_on(holder, packet), ProbeAgent(holder.address)]
             case Verdict.ASKED | Verdict.LIVES:
-                return [_pass_on(home, packet)]
+                return [_pass_on(holder, packet)]
 
     def probe_ended(
         self, address: Endpoint, answered: bool, view: ServiceView, table_fresh: bool, now: float
     ) -> list[Outgoing]:
         """Take the outcome of a probe; return the resets that follow."""
         waiting = self._lost_agents.probe_ended(address, answered, now)
-        home = view.members.get(address)
+        holder = view.members.get(address)
         # The host may have come back, or control been lost, while the question was out.
-        if home is None or not _may_be_lost(home, view, table_fresh):
+        if holder is None or not _may_be_lost(holder, view, table_fresh):
             return []
         return [reset for packet in waiting for reset in self._reset(packet, view, now)]
 
@@ -110,11 +110,11 @@
     return pack_header(vip, source_of(datagram.address_block))
 
 
-def _may_be_lost(home: MemberEntry, view: ServiceView, table_fresh: bool) -> bool:
-    offline = home.operating_status is OperatingStatus.OFFLINE
+def _may_be_lost(holder: MemberEntry, view: ServiceView, table_fresh: bool) -> bool:
+    offline = holder.operating_status is OperatingStatus.OFFLINE
     return offline and table_fresh and not view.removed
 
 
-def _pass_on(home: MemberEntry, packet: AdmittedDatagram) -> ToAgent:
+def _pass_on(holder: MemberEntry, packet: AdmittedDatagram) -> ToAgent:
     datagram = msgspec.structs.replace(packet.datagram, hops=packet.datagram.hops + 1)
-    return ToAgent(home.address, encode(datagram))
+    return ToAgent(holder.address, encode(datagram))
