--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -117,7 +117,7 @@
         """Note that the agent refused a new flow because its host is slow."""
         self.pace_factor = MAX_SLOWDOWN
 
-    def is_passed_over(self, now: float) -> bool:
+    def is_avoided(self, now: float) -> bool:
         """Tell whether the agent is chosen only if no other is left: it was silent, or refused."""
         return now < max(self.suspect_until, self.refuses_until)
 
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -163,7 +163,7 @@
             target
             for target in candidates
             if target.record.zone == self.zone
-            and not target.is_passed_over(now)
+            and not target.is_avoided(now)
             and target.relative_load(now) < NEAR_LOAD_PER_SLOT
         ]
 
@@ -183,7 +183,7 @@
         cost = load + self.source.random() * JITTER
         if target.record.zone != self.zone:
             cost += other_zone_cost
-        if target.is_passed_over(now):
+        if target.is_avoided(now):
             cost += SUSPECT_COST
         return cost
 
