--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -61,48 +61,48 @@
     Where no objective is named, time left tells nothing, and the newest goes first.
     """
 
-    timely: list[WaitingRequest] = field(default_factory=list)
+    on_time: list[WaitingRequest] = field(default_factory=list)
     """The one with least time left first."""
     late: list[WaitingRequest] = field(default_factory=list)
     """Those that cannot be in time any more, or have no objective, the oldest first."""
 
     def __len__(self) -> int:
         """Return how many requests stand in line."""
-        return len(self.timely) + len(self.late)
+        return len(self.on_time) + len(self.late)
 
     def __bool__(self) -> bool:
         """Tell whether any request stands in line."""
-        return bool(self.timely or self.late)
+        return bool(self.on_time or self.late)
 
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
         if request.terms.objective_seconds:
-            insort(self.timely, request, key=WaitingRequest.wants_answer_by)
+            insort(self.on_time, request, key=WaitingRequest.wants_answer_by)
         else:
             self.late.append(request)
 
     def remove(self, request: WaitingRequest) -> None:
         """Let a request go."""
-        (self.timely if request in self.timely else self.late).remove(request)
+        (self.on_time if request in self.on_time else self.late).remove(request)
 
     def move_late(self, answer_at: float) -> None:
         """Put those behind that would be late with an answer at this time."""
-        while self.timely and self.timely[0].wants_answer_by() < answer_at:
-            self.late.append(self.timely.pop(0))
+        while self.on_time and self.on_time[0].wants_answer_by() < answer_at:
+            self.late.append(self.on_time.pop(0))
 
     def rank(self) -> tuple[bool, float]:
         """Return what puts this line or another one first: the lower rank."""
-        if self.timely:
-            return False, self.timely[0].wants_answer_by()
+        if self.on_time:
+            return False, self.on_time[0].wants_answer_by()
         return True, -self.late[-1].arrived_at
 
     def take(self) -> WaitingRequest:
         """Take the request whose turn it is."""
-        return self.timely.pop(0) if self.timely else self.late.pop()
+        return self.on_time.pop(0) if self.on_time else self.late.pop()
 
     def first_to_shed(self) -> WaitingRequest:
         """Return the request that is least likely to be served in time."""
-        return self.late[0] if self.late else self.timely[0]
+        return self.late[0] if self.late else self.on_time[0]
 
 
 @dataclass(eq=False, repr=False)
