--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _ProbedAgent:
-    verdict: Verdict = Verdict.ASK
+    state: Verdict = Verdict.ASK
     holds_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
@@ -58,13 +58,13 @@
         After `ASK` the caller has to see to it that `probe_ended` is called.
         """
         agent = self._agents.setdefault(address, _ProbedAgent())
-        if agent.verdict is not Verdict.ASKED and now >= agent.holds_until:
-            agent.verdict = Verdict.ASKED
+        if agent.state is not Verdict.ASKED and now >= agent.holds_until:
+            agent.state = Verdict.ASKED
             agent.waiting.append(packet)
             return Verdict.ASK
-        if agent.verdict is Verdict.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
+        if agent.state is Verdict.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
             agent.waiting.append(packet)
-        return agent.verdict
+        return agent.state
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> list[AdmittedDatagram]:
         """Take the answer, or silence; return the kept packets, whose flows are now lost."""
@@ -73,7 +73,7 @@
             return []
         waiting, agent.waiting = agent.waiting, []
         if answered:
-            agent.verdict, agent.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
+            agent.state, agent.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
             return []
-        agent.verdict, agent.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
+        agent.state, agent.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
