--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -188,7 +188,7 @@
         longest = LEAVING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
         return now - self.unlisted_since >= longest
 
-    def may_help(self, now: float) -> bool:
+    def can_search(self, now: float) -> bool:
         """Tell whether the agent may be asked to search."""
         return not self.departed and self.unlisted_since is None and now >= self.suspect_until
 
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -236,7 +236,7 @@
         One in this zone where there is any that answers, always the same for a key, so that
         what a caller sends again joins the search that is under way.
         """
-        answering = [each for each in self._targets.values() if each.may_help(now)]
+        answering = [each for each in self._targets.values() if each.can_search(now)]
         near = [each for each in answering if each.record.zone == self.zone]
         return next(iter(_ranked(near or answering, key, 1)), None)
 
