--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -143,7 +143,7 @@
     least_share: float = DEFAULT_LEAST_SHARE
     _group_queues: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
     """By priority, then by group; none is empty."""
-    _owed: float = 0.0
+    _share_credit: float = 0.0
     """Requests that are due to the less urgent ones."""
 
     def add(self, request: WaitingRequest) -> None:
@@ -193,10 +193,10 @@
         most_urgent, *others = priorities
         if not others:
             return most_urgent
-        self._owed += self.least_share
-        if self._owed < 1.0:
+        self._share_credit += self.least_share
+        if self._share_credit < 1.0:
             return most_urgent
-        self._owed -= 1.0
+        self._share_credit -= 1.0
         return min(others, key=self._oldest_arrived_at)
 
     def _oldest_arrived_at(self, priority: int) -> float:
