--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -24,7 +24,7 @@
 """Packets kept for one agent while the question is out."""
 
 
-class Verdict(enum.Enum):
+class ProbeState(enum.Enum):
     """What is known of an agent."""
 
     ASK = enum.auto()
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _ProbedAgent:
-    state: Verdict = Verdict.ASK
+    state: ProbeState = ProbeState.ASK
     holds_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
@@ -52,17 +52,17 @@
         for address in [known for known in self._agents if known not in addresses]:
             del self._agents[address]
 
-    def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> Verdict:
+    def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
         """Judge the home of a packet, and keep the packet while that is not known.
 
         After `ASK` the caller has to see to it that `probe_ended` is called.
         """
         agent = self._agents.setdefault(address, _ProbedAgent())
-        if agent.state is not Verdict.ASKED and now >= agent.holds_until:
-            agent.state = Verdict.ASKED
+        if agent.state is not ProbeState.ASKED and now >= agent.holds_until:
+            agent.state = ProbeState.ASKED
             agent.waiting.append(packet)
-            return Verdict.ASK
-        if agent.state is Verdict.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
+            return ProbeState.ASK
+        if agent.state is ProbeState.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
             agent.waiting.append(packet)
         return agent.state
 
@@ -73,7 +73,7 @@
             return []
         waiting, agent.waiting = agent.waiting, []
         if answered:
-            agent.state, agent.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
+            agent.state, agent.holds_until = ProbeState.LIVES, now + ANSWER_HOLDS_SECONDS
             return []
-        agent.state, agent.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
+        agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -18,7 +18,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramDropped, DropReason
-from jasperwalk.agent.lost_hosts import LostAgents, Verdict
+from jasperwalk.agent.lost_hosts import LostAgents, ProbeState
 from jasperwalk.agent.outgoing import Outgoing, ProbeAgent, ToAgent, ToFabric
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
@@ -73,11 +73,11 @@
     ) -> list[Outgoing]:
         """Reset the flow of an agent that is lost; pass the packet on while it may live."""
         match self._lost_agents.judge(holder.address, packet, now):
-            case Verdict.LOST:
+            case ProbeState.LOST:
                 return self._reset(packet, view, now)
-            case Verdict.ASK:
+            case ProbeState.ASK:
                 return [_pass_on(holder, packet), ProbeAgent(holder.address)]
-            case Verdict.ASKED | Verdict.LIVES:
+            case ProbeState.ASKED | ProbeState.LIVES:
                 return [_pass_on(holder, packet)]
 
     def probe_ended(
