--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -27,7 +27,7 @@
 LOST_AFTER_SECONDS = 2.0
 """An agent without a control link for this long that does not answer either is lost, or cut off
 from everybody: its callers are reset, so that they try again while they still can."""
-LEAVING_LOST_AFTER_SECONDS = 10.0
+DRAINING_LOST_AFTER_SECONDS = 10.0
 """The same for an agent whose host was leaving and has not deregistered: the host may serve its
 last flows for many seconds yet, and they are not to be reset."""
 SILENT_SECONDS = 0.2
@@ -185,7 +185,7 @@
         if self.unlisted_since is None:
             return False
         is_leaving = self.record.phase is HostPhase.DRAINING
-        longest = LEAVING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
+        longest = DRAINING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
         return now - self.unlisted_since >= longest
 
     def can_search(self, now: float) -> bool:
