--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -167,7 +167,7 @@
         priorities = self._priorities(with_openings)
         if not priorities:
             return None
-        priority = self._priority_in_turn(priorities)
+        priority = self._next_priority(priorities)
         groups = self._groups(priority, with_openings)
         group = groups[0] if len(groups) == 1 else self.shares.group_to_serve(groups, now)
         request = self._group_queues[priority][group].take_next(with_openings, now + seconds)
@@ -188,7 +188,7 @@
             return list(lanes)
         return [group for group, group_queue in lanes.items() if group_queue.requests]
 
-    def _priority_in_turn(self, priorities: list[int]) -> int:
+    def _next_priority(self, priorities: list[int]) -> int:
         """Return the most urgent priority, or now and then the one whose oldest waits longest."""
         most_urgent, *others = priorities
         if not others:
