--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -27,7 +27,7 @@
 class ProbeState(enum.Enum):
     """What is known of an agent."""
 
-    ASK = enum.auto()
+    PROBE_NOW = enum.auto()
     """Nothing: the caller of this module has to ask now."""
     ASKED = enum.auto()
     LIVES = enum.auto()
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _ProbedAgent:
-    state: ProbeState = ProbeState.ASK
+    state: ProbeState = ProbeState.PROBE_NOW
     holds_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
@@ -55,13 +55,13 @@
     def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
         """Judge the home of a packet, and keep the packet while that is not known.
 
-        After `ASK` the caller has to see to it that `probe_ended` is called.
+        After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
         """
         agent = self._agents.setdefault(address, _ProbedAgent())
         if agent.state is not ProbeState.ASKED and now >= agent.holds_until:
             agent.state = ProbeState.ASKED
             agent.waiting.append(packet)
-            return ProbeState.ASK
+            return ProbeState.PROBE_NOW
         if agent.state is ProbeState.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
             agent.waiting.append(packet)
         return agent.state
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -75,7 +75,7 @@
         match self._lost_agents.judge(holder.address, packet, now):
             case ProbeState.LOST:
                 return self._reset(packet, view, now)
-            case ProbeState.ASK:
+            case ProbeState.PROBE_NOW:
                 return [_pass_on(holder, packet), ProbeAgent(holder.address)]
             case ProbeState.ASKED | ProbeState.LIVES:
                 return [_pass_on(holder, packet)]
