--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -159,8 +159,8 @@
         again otherwise, for only an answer replaces its figure.
         """
         capacity = max(self.record.capacity, UNKNOWN_CAPACITY)
-        load = self.load * _worth_at_age(now - self.load_at)
-        sent = self.sent_since * _worth_at_age(now - self.sent_at)
+        load = self.load * _load_weight_at_age(now - self.load_at)
+        sent = self.sent_since * _load_weight_at_age(now - self.sent_at)
         load = (load + sent) / capacity
         return (load + 1.0 / capacity) * SLOW_START_FACTOR if now < self.slow_until else load
 
@@ -216,7 +216,7 @@
     )
 
 
-def _worth_at_age(age_seconds: float) -> float:
+def _load_weight_at_age(age_seconds: float) -> float:
     """Return how much of a figure about an agent's load still counts."""
     if age_seconds <= LOAD_FRESH_SECONDS:
         return 1.0
