--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -77,7 +77,7 @@
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
         if request.terms.objective_seconds:
-            insort(self.on_time, request, key=WaitingRequest.wants_answer_by)
+            insort(self.on_time, request, key=WaitingRequest.answer_deadline)
         else:
             self.late.append(request)
 
@@ -87,13 +87,13 @@
 
     def move_late(self, answer_at: float) -> None:
         """Put those behind that would be late with an answer at this time."""
-        while self.on_time and self.on_time[0].wants_answer_by() < answer_at:
+        while self.on_time and self.on_time[0].answer_deadline() < answer_at:
             self.late.append(self.on_time.pop(0))
 
     def rank(self) -> tuple[bool, float]:
         """Return what puts this line or another one first: the lower rank."""
         if self.on_time:
-            return False, self.on_time[0].wants_answer_by()
+            return False, self.on_time[0].answer_deadline()
         return True, -self.late[-1].arrived_at
 
     def take(self) -> WaitingRequest:
--- a/src/jasperwalk/scheduling/waiting_request.py
+++ b/src/jasperwalk/scheduling/waiting_request.py
@@ -32,7 +32,7 @@
     arrived_at: float
     expires_at: float
 
-    def wants_answer_by(self) -> float:
+    def answer_deadline(self) -> float:
         """Return when its objective ends, infinity where none is named."""
         objective = self.terms.objective_seconds
         return self.began_at + objective if objective else float("inf")
