--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -29,7 +29,7 @@
 
     PROBE_NOW = enum.auto()
     """Nothing: the caller of this module has to ask now."""
-    ASKED = enum.auto()
+    PROBING = enum.auto()
     LIVES = enum.auto()
     LOST = enum.auto()
 
@@ -58,11 +58,11 @@
         After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
         """
         agent = self._agents.setdefault(address, _ProbedAgent())
-        if agent.state is not ProbeState.ASKED and now >= agent.holds_until:
-            agent.state = ProbeState.ASKED
+        if agent.state is not ProbeState.PROBING and now >= agent.holds_until:
+            agent.state = ProbeState.PROBING
             agent.waiting.append(packet)
             return ProbeState.PROBE_NOW
-        if agent.state is ProbeState.ASKED and len(agent.waiting) < MAX_WAITING_PACKETS:
+        if agent.state is ProbeState.PROBING and len(agent.waiting) < MAX_WAITING_PACKETS:
             agent.waiting.append(packet)
         return agent.state
 
