--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -181,8 +181,10 @@
         for service in dict.fromkeys([opening.service, *opening.route.route.services()]):
             is_bulk = opening.route.route.is_bulk
             regions = opening.route.allowed_regions
-            stays_near = opening.route.terms is not None
-            target = self.pool.choose(service, key, excluded, now, is_bulk, regions, stays_near)
+            prefers_own_zone = opening.route.terms is not None
+            target = self.pool.choose(
+                service, key, excluded, now, is_bulk, regions, prefers_own_zone
+            )
             if target is not None:
                 return target
         return None
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -136,16 +136,16 @@
         now: float,
         is_bulk: bool = False,
         regions: Collection[str] = (),
-        stays_near: bool = False,
+        prefers_own_zone: bool = False,
     ) -> Target | None:
         """Return the least loaded usable candidate for a flow key, None where there is none.
 
         `regions` are those that the flow's hosts may be in, empty where every region may. A flow
-        that `stays_near` leaves this zone only if none of its candidates here has room.
+        that `prefers_own_zone` leaves this zone only if none of its candidates here has room.
         """
         usable = [each for each in self._of_service(service, regions) if each.is_usable(now)]
         candidates = [each for each in _ranked(usable, key, CANDIDATES) if each not in excluded]
-        if stays_near:
+        if prefers_own_zone:
             candidates = self._with_room_near(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
         by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -67,7 +67,7 @@
 
 
 def chosen_near(made, excluded=(), now=1.0):
-    target = made.choose("web", KEY, excluded, now, stays_near=True)
+    target = made.choose("web", KEY, excluded, now, prefers_own_zone=True)
     return None if target is None else target.record.name
 
 
@@ -84,7 +84,7 @@
     made = two_zones(0.0)
     drawn = []
     for _ in range(20):
-        target = made.choose("web", KEY, (), 1.0, stays_near=True)
+        target = made.choose("web", KEY, (), 1.0, prefers_own_zone=True)
         target.record_sent(1.0)
         drawn.append(target.record.name)
     room = round(4 * NEAR_LOAD_PER_SLOT)
