--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -155,7 +155,7 @@
             return False
         if not codec.payload_bytes(packet) and not codec.is_ending(packet):
             return False
-        if not waiting.take_packet(packet, codec.data_number(packet)):
+        if not waiting.add_packet(packet, codec.data_number(packet)):
             self.parts.counters.request_copies_absorbed += 1
         return True
 
--- a/src/jasperwalk/scheduling/waiting_request.py
+++ b/src/jasperwalk/scheduling/waiting_request.py
@@ -37,7 +37,7 @@
         objective = self.terms.objective_seconds
         return self.began_at + objective if objective else float("inf")
 
-    def take_packet(self, packet: bytes, number: int) -> bool:
+    def add_packet(self, packet: bytes, number: int) -> bool:
         """Keep a further packet of the request in its place; False for a copy or one too many."""
         if number in self.numbers or len(self.packets) >= MAXIMUM_PACKETS:
             return False
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -150,13 +150,13 @@
 def test_packets_of_a_request_stay_in_order_and_copies_are_absorbed():
     waiting = scheduler()
     request = hold(waiting, "open", ORDINARY)
-    assert request.take_packet(b"second", 2)
-    assert not request.take_packet(b"copy", 1)
-    assert not request.take_packet(b"copy", 2)
+    assert request.add_packet(b"second", 2)
+    assert not request.add_packet(b"copy", 1)
+    assert not request.add_packet(b"copy", 2)
     assert request.packets == [b"packet", b"second"]
     for number in range(3, MAXIMUM_PACKETS + 1):
-        assert request.take_packet(b"more", number)
-    assert not request.take_packet(b"too many", 99)
+        assert request.add_packet(b"more", number)
+    assert not request.add_packet(b"too many", 99)
 
 
 def test_where_nothing_waits_nothing_is_decided():
