--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -30,7 +30,7 @@
     PROBE_NOW = enum.auto()
     """Nothing: the caller of this module has to ask now."""
     PROBING = enum.auto()
-    LIVES = enum.auto()
+    ALIVE = enum.auto()
     LOST = enum.auto()
 
 
@@ -73,7 +73,7 @@
             return []
         waiting, agent.waiting = agent.waiting, []
         if answered:
-            agent.state, agent.holds_until = ProbeState.LIVES, now + ANSWER_HOLDS_SECONDS
+            agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_HOLDS_SECONDS
             return []
         agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -77,7 +77,7 @@
                 return self._reset(packet, view, now)
             case ProbeState.PROBE_NOW:
                 return [_pass_on(holder, packet), ProbeAgent(holder.address)]
-            case ProbeState.PROBING | ProbeState.LIVES:
+            case ProbeState.PROBING | ProbeState.ALIVE:
                 return [_pass_on(holder, packet)]
 
     def probe_ended(
