--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -146,7 +146,7 @@
         usable = [each for each in self._of_service(service, regions) if each.is_usable(now)]
         candidates = [each for each in _ranked(usable, key, CANDIDATES) if each not in excluded]
         if prefers_own_zone:
-            candidates = self._with_room_near(candidates, now) or candidates
+            candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
         by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
             service, usable, now
@@ -157,7 +157,7 @@
             default=None,
         )
 
-    def _with_room_near(self, candidates: Sequence[Target], now: float) -> list[Target]:
+    def _free_in_own_zone(self, candidates: Sequence[Target], now: float) -> list[Target]:
         """Return the candidates of this zone whose hosts most likely have a slot free."""
         return [
             target
