--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -62,7 +62,7 @@
         """Return the flow's request that waits, None where there is none."""
         return self._waiting.get(key)
 
-    def opening_room(self, capacity: int, most_per_second: float | None) -> int:
+    def max_openings(self, capacity: int, most_per_second: float | None) -> int:
         """Return how many new flows may wait for a host with this many slots.
 
         `most_per_second` bounds what the host takes while it is cold, None where nothing does.
