--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -52,7 +52,7 @@
         for address in [known for known in self._agents if known not in addresses]:
             del self._agents[address]
 
-    def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
+    def check(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
         """Judge the home of a packet, and keep the packet while that is not known.
 
         After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -72,7 +72,7 @@
         self, holder: MemberEntry, packet: AdmittedDatagram, view: ServiceView, now: float
     ) -> list[Outgoing]:
         """Reset the flow of an agent that is lost; pass the packet on while it may live."""
-        match self._lost_agents.judge(holder.address, packet, now):
+        match self._lost_agents.check(holder.address, packet, now):
             case ProbeState.LOST:
                 return self._reset(packet, view, now)
             case ProbeState.PROBE_NOW:
