--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -35,7 +35,7 @@
 BULK_OTHER_ZONE_COST = 1.0
 """The same for uploads, whose every packet crosses: another zone only where this one is busier
 by a request for each slot."""
-NEAR_LOAD_PER_SLOT = 0.7
+FREE_LOAD_PER_SLOT = 0.7
 """Requests for each slot below which a host of this zone is as good for a caller as any other: it
 most likely has a slot free, so the flow need not cross zones."""
 JITTER = 0.05
@@ -164,7 +164,7 @@
             for target in candidates
             if target.record.zone == self.zone
             and not target.is_avoided(now)
-            and target.relative_load(now) < NEAR_LOAD_PER_SLOT
+            and target.relative_load(now) < FREE_LOAD_PER_SLOT
         ]
 
     def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -9,7 +9,7 @@
     LOAD_HALF_LIFE_SECONDS,
     UNLISTED_USABLE_SECONDS,
 )
-from jasperwalk.fleet.targets import CANDIDATES, NEAR_LOAD_PER_SLOT, SEARCHED_CANDIDATES, TargetPool
+from jasperwalk.fleet.targets import CANDIDATES, FREE_LOAD_PER_SLOT, SEARCHED_CANDIDATES, TargetPool
 from tests.balancer.datagrams.support import SEED, address_of, record
 
 KEY = b"flow key"
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("capacity", [1, 2, 4])
 def test_a_flow_that_stays_near_does_not_leave_a_zone_with_room(capacity):
-    busy = NEAR_LOAD_PER_SLOT * capacity
+    busy = FREE_LOAD_PER_SLOT * capacity
     made = two_zones(0.99 * busy, capacity)
     assert {chosen(made) for _ in range(20)} == {"agent-1"}
     assert {chosen_near(made) for _ in range(20)} == {"agent-2"}
@@ -87,7 +87,7 @@
         target = made.choose("web", KEY, (), 1.0, prefers_own_zone=True)
         target.record_sent(1.0)
         drawn.append(target.record.name)
-    room = round(4 * NEAR_LOAD_PER_SLOT)
+    room = round(4 * FREE_LOAD_PER_SLOT)
     assert set(drawn[:room]) == {"agent-2"}
     assert "agent-1" in drawn[room : room + 2]
     assert 9 <= drawn.count("agent-1") <= 11
