--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -85,8 +85,8 @@
 
     def _most(self, now: float) -> int:
         admission = self.parts.admission
-        most_per_second = admission.warm_up.bound(admission.host.slow_until, now)
-        return self.parts.queue.max_openings(admission.host.capacity, most_per_second)
+        max_per_second = admission.warm_up.bound(admission.host.slow_until, now)
+        return self.parts.queue.max_openings(admission.host.capacity, max_per_second)
 
     def clear(self, now: float) -> None:
         """Let go what waited too long, and all new flows where the host takes none any more."""
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -62,14 +62,14 @@
         """Return the flow's request that waits, None where there is none."""
         return self._waiting.get(key)
 
-    def max_openings(self, capacity: int, most_per_second: float | None) -> int:
+    def max_openings(self, capacity: int, max_per_second: float | None) -> int:
         """Return how many new flows may wait for a host with this many slots.
 
-        `most_per_second` bounds what the host takes while it is cold, None where nothing does.
+        `max_per_second` bounds what the host takes while it is cold, None where nothing does.
         """
         most = WAITING_PER_SLOT * capacity
-        if most_per_second is not None:
-            most = min(most, most_per_second * COLD_WAIT_SECONDS)
+        if max_per_second is not None:
+            most = min(most, max_per_second * COLD_WAIT_SECONDS)
         return max(1, math.ceil(most))
 
     def add_opening(
