--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -163,7 +163,7 @@
     """The store can't promise to remember one more use, so nothing was run."""
 
 
-Verdict = RunNow | WaitForFirst | Repeat | OutcomeUnknown | Expired | Conflict | StoreFull
+UseDecision = RunNow | WaitForFirst | Repeat | OutcomeUnknown | Expired | Conflict | StoreFull
 
 
 @dataclass(slots=True)
@@ -188,7 +188,7 @@
         """Count the remembered uses."""
         return len(self._uses)
 
-    def use(self, ticket: Ticket, digest: bytes, now: float) -> Verdict:
+    def use(self, ticket: Ticket, digest: bytes, now: float) -> UseDecision:
         """Decide on one arrival; after `RunNow` the use counts as begun."""
         self._forget(now)
         known = self._uses.get(ticket.nonce)
@@ -222,7 +222,7 @@
         return None if use is None else use.answer
 
     @staticmethod
-    def _verdict_on(use: Use, digest: bytes) -> Verdict:
+    def _verdict_on(use: Use, digest: bytes) -> UseDecision:
         if use.digest != digest:
             return Conflict()
         if not use.finished:
