--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -17,7 +17,7 @@
 from jasperwalk.flows.frames import service_tag
 from jasperwalk.routing.rendezvous import choose_best
 
-CANDIDATES = 8
+CANDIDATE_COUNT = 8
 """A new flow goes to one of this many agents of its service, by rendezvous hash of its key:
 enough for the least busy of them to be nearly the least busy of all, and few enough to ask."""
 SEARCHED_CANDIDATES = 12
@@ -144,7 +144,9 @@
         that `prefers_own_zone` leaves this zone only if none of its candidates here has room.
         """
         usable = [each for each in self._of_service(service, regions) if each.is_usable(now)]
-        candidates = [each for each in _ranked(usable, key, CANDIDATES) if each not in excluded]
+        candidates = [
+            each for each in _ranked(usable, key, CANDIDATE_COUNT) if each not in excluded
+        ]
         if prefers_own_zone:
             candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -9,7 +9,12 @@
     LOAD_HALF_LIFE_SECONDS,
     UNLISTED_USABLE_SECONDS,
 )
-from jasperwalk.fleet.targets import CANDIDATES, FREE_LOAD_PER_SLOT, SEARCHED_CANDIDATES, TargetPool
+from jasperwalk.fleet.targets import (
+    CANDIDATE_COUNT,
+    FREE_LOAD_PER_SLOT,
+    SEARCHED_CANDIDATES,
+    TargetPool,
+)
 from tests.balancer.datagrams.support import SEED, address_of, record
 
 KEY = b"flow key"
@@ -167,7 +172,7 @@
             target = made.choose("web", key, (), 1.0)
             target.sent_since += 1
             drawn.add(target.record.name)
-        assert len(drawn) == CANDIDATES
+        assert len(drawn) == CANDIDATE_COUNT
         searched = {each.record.name for each in other.candidates(["web"], key)}
         assert len(searched) == SEARCHED_CANDIDATES
         assert drawn < searched
