--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -9,14 +9,14 @@
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
-from jasperwalk.scheduling.request_scheduler import LONGEST_AGE_SECONDS, LONGEST_WAIT_SECONDS
+from jasperwalk.scheduling.request_scheduler import LONGEST_AGE_SECONDS, MAX_WAIT_SECONDS
 from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 WAITING_SHARE = 0.5
 """Part of its objective within which a new flow has to expect its answer in order to wait: the
 other part is for more urgent requests that come later, and for what takes longer than usual."""
 
-MAX_BURST_SECONDS = LONGEST_WAIT_SECONDS
+MAX_BURST_SECONDS = MAX_WAIT_SECONDS
 """A crowd that lasts no longer than its flows may wait is worked off while they wait."""
 
 
--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -34,7 +34,7 @@
 LOADING_SECONDS = 0.05
 """An upload loads the link for this long after its last data: the next ones come within a round
 trip to the caller, 10 ms as measured where zones are 0.5 ms and callers 3 ms away."""
-LONGEST_WAIT_SECONDS = 0.8
+MAX_WAIT_SECONDS = 0.8
 """A caller waits 1.4 s for an answer to its opening packet."""
 MAXIMUM_WAITING = 256
 
@@ -110,7 +110,7 @@
         late = []
         while self._waiting:
             oldest = next(iter(self._waiting.values()))
-            is_late = now - oldest.arrived_at > LONGEST_WAIT_SECONDS
+            is_late = now - oldest.arrived_at > MAX_WAIT_SECONDS
             if not is_late and len(self._waiting) <= MAXIMUM_WAITING:
                 break
             late.append(self._waiting.popitem(last=False))
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -22,7 +22,7 @@
     RefusalReason,
     opening_flags,
 )
-from jasperwalk.scheduling.request_scheduler import LONGEST_WAIT_SECONDS
+from jasperwalk.scheduling.request_scheduler import MAX_WAIT_SECONDS
 from tests.agent.datagrams.support import BALANCER, Bench
 from tests.flows.support import (
     CALLER,
@@ -155,9 +155,9 @@
     bench = Bench()
     bench.follow_up(bench.fill())
     bench.wait(1)
-    bench.agent.admit_waiting(1.0 + LONGEST_WAIT_SECONDS)
+    bench.agent.admit_waiting(1.0 + MAX_WAIT_SECONDS)
     assert bench.caller_packets == []
-    bench.agent.admit_waiting(1.01 + LONGEST_WAIT_SECONDS)
+    bench.agent.admit_waiting(1.01 + MAX_WAIT_SECONDS)
     assert [packet[12] for packet, _ in bench.caller_packets] == [RESET]
     assert bench.host_packets == []
 
@@ -202,7 +202,7 @@
     assert len(bench.host_packets) == 1
 
 
-@pytest.mark.parametrize(("age", "waits_for"), [(0.0, LONGEST_WAIT_SECONDS), (0.6, 0.6)])
+@pytest.mark.parametrize(("age", "waits_for"), [(0.0, MAX_WAIT_SECONDS), (0.6, 0.6)])
 def test_a_flow_waits_only_as_long_as_its_caller(age, waits_for):
     bench = Bench()
     bench.follow_up(bench.fill())
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -14,7 +14,7 @@
 from jasperwalk.scheduling.upload_admission import (
     EXPECTED_SECONDS,
     LOADING_SECONDS,
-    LONGEST_WAIT_SECONDS,
+    MAX_WAIT_SECONDS,
     MAXIMUM_WAITING,
     UploadAdmission,
 )
@@ -146,7 +146,7 @@
 
 def test_an_upload_that_waits_for_too_long_is_reset_before_its_caller_gives_up():
     bench = full(waiting=(3,))
-    for step in range(int(LONGEST_WAIT_SECONDS / 0.1) + 2):
+    for step in range(int(MAX_WAIT_SECONDS / 0.1) + 2):
         now = 1.0 + step * 0.1
         keep_the_link_full(bench, now)
         bench.core.tick(now)
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -7,7 +7,7 @@
 
 SERVICE_SECONDS = 0.05
 OBJECTIVE_SECONDS = 0.3
-LONGEST_WAIT_SECONDS = 0.9
+MAX_WAIT_SECONDS = 0.9
 WAITING_PER_SLOT = 7
 ASKED_HOSTS = 4
 RUSH_FROM, RUSH_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
@@ -51,7 +51,7 @@
 
     def begin(self, now):
         """Return the requests begun with their ends, and those that waited too long."""
-        expired = [each for each in self.waiting if now - each[1] > LONGEST_WAIT_SECONDS]
+        expired = [each for each in self.waiting if now - each[1] > MAX_WAIT_SECONDS]
         self.waiting = [each for each in self.waiting if each not in expired]
         begun = []
         while self.busy < self.slots and self.waiting:
