--- a/src/jasperwalk/agent/ticket_desk.py
+++ b/src/jasperwalk/agent/ticket_desk.py
@@ -126,8 +126,8 @@
     async def _run_at_home(
         self, ticket: Ticket, request: Request, deadline_at: float, sink: ResponseSink
     ) -> Outcome:
-        verdict = self._store.use(ticket, request_digest(request), self._clock())
-        match verdict:
+        decision = self._store.use(ticket, request_digest(request), self._clock())
+        match decision:
             case RunNow():
                 return await self._run_first(ticket, request, deadline_at, sink)
             case WaitForFirst():
@@ -139,7 +139,7 @@
                 answer = rejected_answer(HTTPStatus.UNPROCESSABLE_ENTITY, "ticket-conflict", title)
                 return await self._send(answer, sink)
             case OutcomeUnknown() | Expired() | StoreFull():
-                return _refusal_of(verdict)
+                return _refusal_of(decision)
 
     async def _run_first(
         self, ticket: Ticket, request: Request, deadline_at: float, sink: ResponseSink
@@ -201,8 +201,8 @@
         return Answered(answer.status)
 
 
-def _refusal_of(verdict: OutcomeUnknown | Expired | StoreFull) -> Outcome:
-    match verdict:
+def _refusal_of(decision: OutcomeUnknown | Expired | StoreFull) -> Outcome:
+    match decision:
         case OutcomeUnknown():
             return Unknown(UnknownReason.OUTCOME_NOT_KEPT)
         case Expired():
