--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -20,7 +20,7 @@
 CANDIDATE_COUNT = 8
 """A new flow goes to one of this many agents of its service, by rendezvous hash of its key:
 enough for the least busy of them to be nearly the least busy of all, and few enough to ask."""
-SEARCHED_CANDIDATES = 12
+SEARCHED_CANDIDATE_COUNT = 12
 """Agents of a service that may hold a flow by its key: the candidates when it was opened, and
 room for agents that came since."""
 FLOW_LIFETIME_SECONDS = 70.0
@@ -229,7 +229,7 @@
         found: list[Target] = []
         for service in services:
             alive = [each for each in self._of_service(service, regions) if not each.departed]
-            found += _ranked(alive, key, SEARCHED_CANDIDATES)
+            found += _ranked(alive, key, SEARCHED_CANDIDATE_COUNT)
         return found
 
     def helper(self, key: bytes, now: float) -> Target | None:
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -10,7 +10,7 @@
     ROUND_PAUSE_SECONDS,
     SETTLING_SECONDS,
 )
-from jasperwalk.fleet.targets import SEARCHED_CANDIDATES
+from jasperwalk.fleet.targets import SEARCHED_CANDIDATE_COUNT
 from jasperwalk.flows.frames import AgentReply, FrameKind, encode_answers, service_tag
 from jasperwalk.token_bucket import TokenBucket
 from tests.balancer.datagrams.support import Bench, address_of, record
@@ -166,7 +166,7 @@
 def test_only_candidates_are_asked_first_and_everyone_in_the_second_round():
     bench = searching(*many())
     first = asked(bench)
-    assert len(first) == SEARCHED_CANDIDATES
+    assert len(first) == SEARCHED_CANDIDATE_COUNT
     deny(bench, first, 1.01)
     bench.core.tick(1.01 + SECOND_ROUND_SECONDS)
     assert asked(bench) == set(range(1, 61))
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -12,7 +12,7 @@
 from jasperwalk.fleet.targets import (
     CANDIDATE_COUNT,
     FREE_LOAD_PER_SLOT,
-    SEARCHED_CANDIDATES,
+    SEARCHED_CANDIDATE_COUNT,
     TargetPool,
 )
 from tests.balancer.datagrams.support import SEED, address_of, record
@@ -174,7 +174,7 @@
             drawn.add(target.record.name)
         assert len(drawn) == CANDIDATE_COUNT
         searched = {each.record.name for each in other.candidates(["web"], key)}
-        assert len(searched) == SEARCHED_CANDIDATES
+        assert len(searched) == SEARCHED_CANDIDATE_COUNT
         assert drawn < searched
 
 
