--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -193,7 +193,7 @@
         self._forget(now)
         known = self._uses.get(ticket.nonce)
         if known is not None:
-            return self._verdict_on(known, digest)
+            return self._decide_repeat(known, digest)
         expires_at = ticket.expires_at_ms / 1000
         if expires_at <= now:
             return Expired()
@@ -222,7 +222,7 @@
         return None if use is None else use.answer
 
     @staticmethod
-    def _verdict_on(use: Use, digest: bytes) -> UseDecision:
+    def _decide_repeat(use: Use, digest: bytes) -> UseDecision:
         if use.digest != digest:
             return Conflict()
         if not use.finished:
