--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
-from jasperwalk.scheduling.request_scheduler import LONGEST_AGE_SECONDS, MAX_WAIT_SECONDS
+from jasperwalk.scheduling.request_scheduler import MAX_AGE_SECONDS, MAX_WAIT_SECONDS
 from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 WAITING_SHARE = 0.5
@@ -80,7 +80,7 @@
         ahead = parts.queue.order.count_ahead(route.priority)
         answer_seconds = parts.table.in_flight.mean_seconds
         wait_seconds = (ahead + 1) * answer_seconds / most_requests(parts.host.capacity)
-        longest = WAITING_SHARE * route.objective_seconds or LONGEST_AGE_SECONDS
+        longest = WAITING_SHARE * route.objective_seconds or MAX_AGE_SECONDS
         return age_seconds + wait_seconds + answer_seconds > longest
 
     def _most(self, now: float) -> int:
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -23,7 +23,7 @@
 
 MAX_WAIT_SECONDS = 0.9
 """A caller waits 1.4 s for an answer to its opening packet; its flow is answered before."""
-LONGEST_AGE_SECONDS = 1.2
+MAX_AGE_SECONDS = 1.2
 """The same, from when the caller began: its packet may have been on the way for long. A host
 that works for a caller who has left works for nobody."""
 LONGEST_HOLD_SECONDS = 2.0
@@ -84,7 +84,7 @@
 
     def opening_expires_at(self, terms: CarriedTerms, age_seconds: float, now: float) -> float:
         """Return until when a new flow may wait."""
-        longest_seconds = min(MAX_WAIT_SECONDS, LONGEST_AGE_SECONDS - age_seconds)
+        longest_seconds = min(MAX_WAIT_SECONDS, MAX_AGE_SECONDS - age_seconds)
         if terms.limit_seconds:
             longest_seconds = min(longest_seconds, terms.limit_seconds - age_seconds)
         return now + longest_seconds
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -7,8 +7,8 @@
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.request_order import NoShares, PriorityOrder
 from jasperwalk.scheduling.request_scheduler import (
-    LONGEST_AGE_SECONDS,
     LONGEST_HOLD_SECONDS,
+    MAX_AGE_SECONDS,
     MAX_WAIT_SECONDS,
     MAXIMUM_HELD,
     RequestScheduler,
@@ -120,7 +120,7 @@
     ("terms", "age", "wait"),
     [
         (URGENT, 0.0, MAX_WAIT_SECONDS),
-        (URGENT, 0.6, LONGEST_AGE_SECONDS - 0.6),
+        (URGENT, 0.6, MAX_AGE_SECONDS - 0.6),
         (CarriedTerms(1, 0.1, 0.5, 0), 0.2, 0.3),
     ],
 )
