--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -28,7 +28,7 @@
 EXPECTED_PHASES = frozenset((HostPhase.UNKNOWN, HostPhase.ABSENT))
 EXPECTED_SECONDS = 2.0
 """A host is expected to speak to its agent within this time of the agent's start."""
-SUSPECT_COST = 1000.0
+AVOIDED_COST = 1000.0
 """More than any load: a suspect is chosen only if no other is left."""
 OTHER_ZONE_COST = 0.12
 """What crossing zones adds to an agent's relative load: bytes between zones are paid for."""
@@ -186,7 +186,7 @@
         if target.record.zone != self.zone:
             cost += other_zone_cost
         if target.is_avoided(now):
-            cost += SUSPECT_COST
+            cost += AVOIDED_COST
         return cost
 
     def _of_service(self, service: str, regions: Collection[str]) -> Sequence[Target]:
