--- a/src/jasperwalk/agent/datagram_port.py
+++ b/src/jasperwalk/agent/datagram_port.py
@@ -31,7 +31,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due: float | None = None
         self.dispatch: Callable[[], None] = lambda: None
-        self.answers: Callable[[Endpoint], Awaitable[bool]] = _answers_never_known
+        self.is_alive: Callable[[Endpoint], Awaitable[bool]] = _answers_never_known
         """Asks an agent whether it lives; set by the process."""
         self._probes: set[asyncio.Future[None]] = set()
 
@@ -91,7 +91,7 @@
                 probe.add_done_callback(self._probes.discard)
 
     async def _probe(self, address: Endpoint) -> None:
-        answered = await self.answers(address)
+        answered = await self.is_alive(address)
         self._endpoint.probe_ended(address, answered, self._loop.time())
         self.schedule()
 
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -167,7 +167,7 @@
             port.schedule,
         )
         port.dispatch = dispatcher.dispatch
-        port.answers = self._relay.answers
+        port.is_alive = self._relay.is_alive
         return dispatcher
 
     def _follower(self, address: Endpoint) -> FollowerRunner:
--- a/src/jasperwalk/agent/relay.py
+++ b/src/jasperwalk/agent/relay.py
@@ -68,7 +68,7 @@
         finally:
             connection.abort()
 
-    async def answers(self, target: Endpoint) -> bool:
+    async def is_alive(self, target: Endpoint) -> bool:
         """Tell whether the agent at `target` is there: whether its port takes a connection.
 
         An agent that stands still is there. It may go on at any time, and its flows with it.
--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -25,9 +25,9 @@
 
 
 @pytest.mark.parametrize(("agent", "answers"), [(standing_still, True), (gone, False)])
-def test_only_a_lost_agent_gives_no_answer(agent, answers):
+def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
-        return await RelayClient("asker", "zagreb").answers(endpoint)
+        return await RelayClient("asker", "zagreb").is_alive(endpoint)
 
     with agent() as endpoint:
-        assert asyncio.run(ask(endpoint)) == answers
+        assert asyncio.run(ask(endpoint)) == is_alive
