--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -26,7 +26,7 @@
 MAX_AGE_SECONDS = 1.2
 """The same, from when the caller began: its packet may have been on the way for long. A host
 that works for a caller who has left works for nobody."""
-LONGEST_HOLD_SECONDS = 2.0
+MAX_HOLD_SECONDS = 2.0
 """A request of an open flow whose route names no limit is passed on after this time."""
 WAITING_PER_SLOT = 7.2
 """New flows that wait for each of a host's slots at most: what a host with requests of some ten
@@ -95,7 +95,7 @@
         """Let the next request of an open flow wait; None where too many do."""
         if len(self._waiting) - self._openings >= MAXIMUM_HELD:
             return None
-        expires_at = now + (terms.limit_seconds or LONGEST_HOLD_SECONDS)
+        expires_at = now + (terms.limit_seconds or MAX_HOLD_SECONDS)
         request = WaitingRequest(key, [packet], [number], terms, False, now, now, expires_at)
         self._add(request)
         return request
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -22,7 +22,7 @@
 )
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.fair_shares import FairShares
-from jasperwalk.scheduling.request_scheduler import LONGEST_HOLD_SECONDS
+from jasperwalk.scheduling.request_scheduler import MAX_HOLD_SECONDS
 from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
 from tests.flows.support import (
     ENDING,
@@ -271,7 +271,7 @@
     host.ask(2, 3, 1.02)
     host.begun()
     host.agent.parts.table.in_flight.record_answer(10.0)
-    host.agent.admit_waiting(1.03 + LONGEST_HOLD_SECONDS)
+    host.agent.admit_waiting(1.03 + MAX_HOLD_SECONDS)
     assert set(host.begun()) == {(1, FEEDS.port), (2, FEEDS.port)}
 
 
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -7,8 +7,8 @@
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.request_order import NoShares, PriorityOrder
 from jasperwalk.scheduling.request_scheduler import (
-    LONGEST_HOLD_SECONDS,
     MAX_AGE_SECONDS,
+    MAX_HOLD_SECONDS,
     MAX_WAIT_SECONDS,
     MAXIMUM_HELD,
     RequestScheduler,
@@ -136,7 +136,7 @@
     waiting = scheduler()
     hold(waiting, "open", ORDINARY, 1.0)
     hold(waiting, "unnamed", DEFAULT_TERMS, 1.0)
-    assert [each.key for each in waiting.take_expired(1.001 + LONGEST_HOLD_SECONDS)] == [b"unnamed"]
+    assert [each.key for each in waiting.take_expired(1.001 + MAX_HOLD_SECONDS)] == [b"unnamed"]
     assert [each.key for each in waiting.take_expired(3.501)] == [b"open"]
 
 
