--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -115,7 +115,7 @@
     def sweep(self, now: float) -> None:
         """Forget agents that left long ago; call every second."""
         self.searches.sweep(now)
-        self.pool.forget_old(now, FLOW_LIFETIME_SECONDS)
+        self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
 
     # Verdicts
 
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -371,4 +371,4 @@
         for key in [key for key, flow in self._flows.items() if flow.seen_at < oldest]:
             self.opener.forget(key)
         self.searches.sweep(now)
-        self.pool.forget_old(now, FLOW_LIFETIME_SECONDS)
+        self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -111,7 +111,7 @@
             self._by_service.setdefault(target.record.service, []).append(target)
             self._by_address[target.address] = target
 
-    def forget_old(self, now: float, lifetime_seconds: float) -> None:
+    def remove_old(self, now: float, lifetime_seconds: float) -> None:
         """Forget agents that left longer ago than any flow may last."""
         old = [
             target
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -157,9 +157,9 @@
 def test_agents_that_left_are_forgotten_after_the_longest_flow():
     made = pool(record(1))
     made.update(FleetUpdate(False, [], [address_of(1)]), 1.0)
-    made.forget_old(50.0, 60.0)
+    made.remove_old(50.0, 60.0)
     assert len(made) == 1
-    made.forget_old(62.0, 60.0)
+    made.remove_old(62.0, 60.0)
     assert len(made) == 0
 
 
