--- a/src/jasperwalk/agent/datagram_port.py
+++ b/src/jasperwalk/agent/datagram_port.py
@@ -31,7 +31,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due: float | None = None
         self.dispatch: Callable[[], None] = lambda: None
-        self.is_alive: Callable[[Endpoint], Awaitable[bool]] = _answers_never_known
+        self.is_alive: Callable[[Endpoint], Awaitable[bool]] = _assume_alive
         """Asks an agent whether it lives; set by the process."""
         self._probes: set[asyncio.Future[None]] = set()
 
@@ -112,7 +112,7 @@
         self._pump()
 
 
-async def _answers_never_known(_: Endpoint) -> bool:
+async def _assume_alive(_: Endpoint) -> bool:
     """Take every agent for alive: without a way to ask nobody is called lost."""
     return True
 
