--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -33,7 +33,7 @@
 milliseconds works off before their callers leave."""
 COLD_WAIT_SECONDS = 0.6
 """The queue of a cold host takes the new flows that it bears in this time, where that is less."""
-MAXIMUM_HELD = 1024
+MAX_HELD_REQUESTS = 1024
 """Requests of open flows that wait at most, a bound of memory; more are passed on."""
 
 
@@ -93,7 +93,7 @@
         self, key: bytes, packet: bytes, number: int, terms: CarriedTerms, now: float
     ) -> WaitingRequest | None:
         """Let the next request of an open flow wait; None where too many do."""
-        if len(self._waiting) - self._openings >= MAXIMUM_HELD:
+        if len(self._waiting) - self._openings >= MAX_HELD_REQUESTS:
             return None
         expires_at = now + (terms.limit_seconds or MAX_HOLD_SECONDS)
         request = WaitingRequest(key, [packet], [number], terms, False, now, now, expires_at)
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -8,9 +8,9 @@
 from jasperwalk.scheduling.request_order import NoShares, PriorityOrder
 from jasperwalk.scheduling.request_scheduler import (
     MAX_AGE_SECONDS,
+    MAX_HELD_REQUESTS,
     MAX_HOLD_SECONDS,
     MAX_WAIT_SECONDS,
-    MAXIMUM_HELD,
     RequestScheduler,
 )
 from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAXIMUM_PACKETS
@@ -142,7 +142,7 @@
 
 def test_what_is_held_is_bounded():
     waiting = scheduler()
-    for number in range(MAXIMUM_HELD):
+    for number in range(MAX_HELD_REQUESTS):
         assert hold(waiting, f"{number}", ORDINARY) is not None
     assert hold(waiting, "one-more", ORDINARY) is None
 
