--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -29,8 +29,8 @@
 from jasperwalk.agent.handover import (
     MAX_HOPS,
     AgentState,
-    HandOn,
     Handover,
+    HandOverTo,
     Refuse,
     Take,
 )
@@ -232,7 +232,7 @@
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
         state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
         match self._handover.place(head.destination, datagram, state, now):
-            case HandOn() as chosen:
+            case HandOverTo() as chosen:
                 self._hand_on(chosen, datagram)
             case Refuse():
                 removed = self._view.removed
@@ -242,7 +242,7 @@
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
 
-    def _hand_on(self, chosen: HandOn, datagram: ForwardedDatagram) -> None:
+    def _hand_on(self, chosen: HandOverTo, datagram: ForwardedDatagram) -> None:
         handed = msgspec.structs.replace(
             datagram,
             revision=chosen.revision,
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandOn:
+class HandOverTo:
     """`target` gets the flow, with the revision and the candidates that it was chosen by."""
 
     target: Endpoint
@@ -65,7 +65,7 @@
     """Nobody whom this agent knows may take the flow."""
 
 
-Placement = Take | HandOn | Refuse
+Placement = Take | HandOverTo | Refuse
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """A flow that was handed on `at` some time (seconds)."""
 
     at: float
-    chosen: HandOn
+    chosen: HandOverTo
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
         """Take a new revision of the service's members."""
         self._index.table_changed(view)
 
-    def remembered(self, connection_id: bytes, now: float) -> HandOn | None:
+    def remembered(self, connection_id: bytes, now: float) -> HandOverTo | None:
         """Return where this Initial was handed; None too when nobody has answered it there."""
         self._forget(now)
         handed = self._remembered.get(connection_id)
@@ -162,18 +162,18 @@
         datagram: ForwardedDatagram,
         view: ServiceView,
         silent: Endpoint | None = None,
-    ) -> HandOn | None:
+    ) -> HandOverTo | None:
         if datagram.revision > view.revision:
             # Only a newer table may name members that this agent doesn't know (any more).
             target = _first_other(_unpack(datagram.candidates), view.address, silent)
             if target is not None:
-                return HandOn(target, datagram.revision, tuple(datagram.candidates))
+                return HandOverTo(target, datagram.revision, tuple(datagram.candidates))
         candidates = self._candidates(connection_id, view)
         target = _first_other(candidates, view.address, silent)
         if target is None:
             return None
         packed = tuple(candidate.pack() for candidate in candidates)
-        return HandOn(target, view.revision, packed)
+        return HandOverTo(target, view.revision, packed)
 
     def _candidates(self, connection_id: bytes, view: ServiceView) -> list[Endpoint]:
         if view.service is None:
