--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -36,7 +36,7 @@
 trip to the caller, 10 ms as measured where zones are 0.5 ms and callers 3 ms away."""
 MAX_WAIT_SECONDS = 0.8
 """A caller waits 1.4 s for an answer to its opening packet."""
-MAXIMUM_WAITING = 256
+MAX_WAITING_UPLOADS = 256
 
 
 class WaitingUpload(msgspec.Struct, frozen=True):
@@ -111,7 +111,7 @@
         while self._waiting:
             oldest = next(iter(self._waiting.values()))
             is_late = now - oldest.arrived_at > MAX_WAIT_SECONDS
-            if not is_late and len(self._waiting) <= MAXIMUM_WAITING:
+            if not is_late and len(self._waiting) <= MAX_WAITING_UPLOADS:
                 break
             late.append(self._waiting.popitem(last=False))
         return late
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -15,7 +15,7 @@
     EXPECTED_SECONDS,
     LOADING_SECONDS,
     MAX_WAIT_SECONDS,
-    MAXIMUM_WAITING,
+    MAX_WAITING_UPLOADS,
     UploadAdmission,
 )
 from tests.balancer.datagrams.support import Bench, record
@@ -173,7 +173,7 @@
 def test_waiting_uploads_are_bounded():
     admission = UploadAdmission(PlainCodec(), pacer_of(MEGABITS, print), WINDOW_BYTES, 0.0)
     assert admission.take(b"first", b"", None, 1.0, 1.0)
-    for number in range(MAXIMUM_WAITING + 3):
+    for number in range(MAX_WAITING_UPLOADS + 3):
         assert not admission.take(bytes((number >> 8, number & 255)), b"", None, 1.0, 1.0)
     assert len(admission.take_late(1.0)) == 3
 
