--- a/src/jasperwalk/fleet/group_weights.py
+++ b/src/jasperwalk/fleet/group_weights.py
@@ -16,7 +16,7 @@
 
 WEIGHTS_TABLE = "caller_group_weights"
 MIN_WEIGHT = 0.001
-MOST_WEIGHT = 1000.0
+MAX_WEIGHT = 1000.0
 """Beyond these a group has all or nothing, and a digit was probably lost."""
 TABLE_HEADER = re.compile(r"\s*\[+\s*([^\]]*?)\s*\]")
 ASSIGNED_KEY = re.compile(r"\s*([^=#\[]+?)\s*=")
@@ -35,7 +35,7 @@
         place = "" if self.line is None else f" (line {self.line})"
         return (
             f"{WEIGHTS_TABLE}.{self.zone}{place}: {self.value!r} is no weight, which is a number "
-            f"from {MIN_WEIGHT:g} to {MOST_WEIGHT:g}"
+            f"from {MIN_WEIGHT:g} to {MAX_WEIGHT:g}"
         )
 
 
@@ -63,7 +63,7 @@
 
 
 def _is_weight(value: Any) -> bool:
-    return is_number(value) and MIN_WEIGHT <= value <= MOST_WEIGHT
+    return is_number(value) and MIN_WEIGHT <= value <= MAX_WEIGHT
 
 
 def _line_of(zone: str, text: str) -> int | None:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.fleet import group_weights
-from jasperwalk.fleet.group_weights import MIN_WEIGHT, MOST_WEIGHT, weights_by_group
+from jasperwalk.fleet.group_weights import MAX_WEIGHT, MIN_WEIGHT, weights_by_group
 from jasperwalk.fleet.settings import (
     AgentNodeSettings,
     BalancerNodeSettings,
@@ -61,7 +61,7 @@
     assert weights_by_group({"north": 2.0, "south": 0.5}) == {5: 2.5}
 
 
-@pytest.mark.parametrize("weight", [MIN_WEIGHT, 1, MOST_WEIGHT])
+@pytest.mark.parametrize("weight", [MIN_WEIGHT, 1, MAX_WEIGHT])
 def test_weights_up_to_the_bounds_are_taken(read, weight):
     settings = read(f"{AGENT}[caller_group_weights]\nnorth = {weight}\n")
     assert settings.caller_group_weights == {"north": weight}
