--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -32,7 +32,7 @@
     Handover,
     HandOverTo,
     Refuse,
-    Take,
+    TakeHere,
 )
 from jasperwalk.agent.http3 import HeaderList, Http3Flow, RequestEvent, StreamReference
 from jasperwalk.agent.key_renewal import OldestKeys, oldest_keys
@@ -237,7 +237,7 @@
             case Refuse():
                 removed = self._view.removed
                 raise DatagramDropped(DropReason.REMOVED if removed else DropReason.NO_TARGET)
-            case Take():
+            case TakeHere():
                 if len(self._flows) >= self._max_flows:
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class TakeHere:
     """The agent that got the flow takes it."""
 
 
@@ -65,7 +65,7 @@
     """Nobody whom this agent knows may take the flow."""
 
 
-Placement = Take | HandOverTo | Refuse
+Placement = TakeHere | HandOverTo | Refuse
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
         silent = None if earlier is None else earlier.chosen.target
         wanted = state.can_accept and self._is_wanted(connection_id, datagram, state)
         if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
-            return Take()
+            return TakeHere()
         chosen = self._other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_on(datagram, view):
             self._remembered[connection_id] = _Handed(now, chosen)
@@ -128,7 +128,7 @@
         # A removed member's service may be gone, or its listener may be another service's.
         if not state.can_accept or (view.removed and not wanted):
             return Refuse()
-        return Take()
+        return TakeHere()
 
     def _is_wanted(
         self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState
