--- a/src/jasperwalk/scheduling/waiting_request.py
+++ b/src/jasperwalk/scheduling/waiting_request.py
@@ -9,7 +9,7 @@
 NO_GROUP = 0
 DEFAULT_TERMS = carried_terms(NO_TERMS, NO_GROUP)
 """Terms of a request whose route names none, or is told none."""
-MAXIMUM_PACKETS = 16
+MAX_PACKETS = 16
 """Packets that a caller may have under way on one flow; more are copies."""
 
 
@@ -39,7 +39,7 @@
 
     def add_packet(self, packet: bytes, number: int) -> bool:
         """Keep a further packet of the request in its place; False for a copy or one too many."""
-        if number in self.numbers or len(self.packets) >= MAXIMUM_PACKETS:
+        if number in self.numbers or len(self.packets) >= MAX_PACKETS:
             return False
         self.packets.append(packet)
         self.numbers.append(number)
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -13,7 +13,7 @@
     MAX_WAIT_SECONDS,
     RequestScheduler,
 )
-from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAXIMUM_PACKETS
+from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAX_PACKETS
 
 URGENT = CarriedTerms(1, 0.4, 3.0, 7)
 ORDINARY = CarriedTerms(2, 0.3, 2.5, 7)
@@ -154,7 +154,7 @@
     assert not request.add_packet(b"copy", 1)
     assert not request.add_packet(b"copy", 2)
     assert request.packets == [b"packet", b"second"]
-    for number in range(3, MAXIMUM_PACKETS + 1):
+    for number in range(3, MAX_PACKETS + 1):
         assert request.add_packet(b"more", number)
     assert not request.add_packet(b"too many", 99)
 
