--- a/bench/datagrams.py
+++ b/bench/datagrams.py
@@ -44,7 +44,7 @@
 HEAD = struct.Struct("!4sHH4sIIIIBBH")
 SYN, ACK = 4, 16
 BARE = "bare forwarder"
-LONGEST_DATAGRAM = 2048
+MAX_DATAGRAM_BYTES = 2048
 
 Sender = Callable[[bytes, SocketAddress], None]
 Work = Callable[[list[bytes]], None]
@@ -131,12 +131,12 @@
 
         def bare() -> None:
             for _ in range(BATCH):
-                data, _sender = receiver.recvfrom(LONGEST_DATAGRAM)
+                data, _sender = receiver.recvfrom(MAX_DATAGRAM_BYTES)
                 receiver.sendto(data, target)
 
         def balance() -> None:
             for _ in range(BATCH):
-                data, _sender = receiver.recvfrom(LONGEST_DATAGRAM)
+                data, _sender = receiver.recvfrom(MAX_DATAGRAM_BYTES)
                 core.receive(data, 1.0)
 
         rounds = [
--- a/src/jasperwalk/flows/sockets.py
+++ b/src/jasperwalk/flows/sockets.py
@@ -11,7 +11,7 @@
 from jasperwalk.flows.codec import SocketAddress
 
 DATAGRAMS_PER_WAKE_UP = 32
-LONGEST_DATAGRAM = 2048
+MAX_DATAGRAM_BYTES = 2048
 DATAGRAMS_TO_CATCH_UP = 512
 """Most datagrams that `catch_up` reads."""
 
@@ -65,7 +65,7 @@
         handler = self._handler
         for _ in range(count):
             try:
-                data, sender = receive(LONGEST_DATAGRAM)
+                data, sender = receive(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return True
             except OSError:
