--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Handed:
+class _RememberedChoice:
     """A flow that was handed on `at` some time (seconds)."""
 
     at: float
@@ -97,7 +97,7 @@
     def __init__(self, slow_start: SlowStart) -> None:
         self._slow_start = slow_start
         self._index = CandidateIndex(ServiceView(address=Endpoint("0.0.0.0", 0)))
-        self._remembered: OrderedDict[bytes, _Handed] = OrderedDict()
+        self._remembered: OrderedDict[bytes, _RememberedChoice] = OrderedDict()
 
     def view_changed(self, view: ServiceView) -> None:
         """Take a new revision of the service's members."""
@@ -123,7 +123,7 @@
             return TakeHere()
         chosen = self._other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_on(datagram, view):
-            self._remembered[connection_id] = _Handed(now, chosen)
+            self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
         # A removed member's service may be gone, or its listener may be another service's.
         if not state.can_accept or (view.removed and not wanted):
