--- a/src/jasperwalk/fleet/search_ticks.py
+++ b/src/jasperwalk/fleet/search_ticks.py
@@ -34,6 +34,6 @@
     def _on_time(self) -> None:
         self._ticking = False
         # An answer that was not read yet is not missing.
-        if self._frames.catch_up():
+        if self._frames.read_pending():
             self._tick(time.monotonic())
         self.ensure_scheduled()
--- a/src/jasperwalk/flows/sockets.py
+++ b/src/jasperwalk/flows/sockets.py
@@ -13,7 +13,7 @@
 DATAGRAMS_PER_WAKE_UP = 32
 MAX_DATAGRAM_BYTES = 2048
 DATAGRAMS_TO_CATCH_UP = 512
-"""Most datagrams that `catch_up` reads."""
+"""Most datagrams that `read_pending` reads."""
 
 DatagramHandler = Callable[[bytes, SocketAddress], None]
 
@@ -48,7 +48,7 @@
         """Receive on the running loop."""
         asyncio.get_running_loop().add_reader(self._socket.fileno(), self._receive)
 
-    def catch_up(self) -> bool:
+    def read_pending(self) -> bool:
         """Hand out what waits already; return True if nothing waits any longer.
 
         What depends on an answer that is missing asks here first: on a busy process the answer
