--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -122,7 +122,7 @@
         if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return TakeHere()
         chosen = self._other(connection_id, datagram, view, silent)
-        if chosen is not None and _may_hand_on(datagram, view):
+        if chosen is not None and _may_hand_over(datagram, view):
             self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
         # A removed member's service may be gone, or its listener may be another service's.
@@ -193,7 +193,7 @@
             del self._remembered[connection_id]
 
 
-def _may_hand_on(datagram: ForwardedDatagram, view: ServiceView) -> bool:
+def _may_hand_over(datagram: ForwardedDatagram, view: ServiceView) -> bool:
     if datagram.hops == 0:
         return True
     return datagram.hops < MAX_HOPS and view.revision > datagram.revision
