--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -189,7 +189,7 @@
 
     def _process_waiting_uploads(self, now: float) -> None:
         """Open uploads that have waited for room, and reset those that came too late."""
-        for key, upload in self.uploads.take_late(now):
+        for key, upload in self.uploads.take_shed(now):
             self.reject(key, upload.packet, "link-full")
         for key, upload in self.uploads.take_due(now):
             loading, waiting = self.uploads.counts()
--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -105,7 +105,7 @@
             due.append((key, upload))
         return due
 
-    def take_late(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
+    def take_shed(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
         """Take the uploads that have waited for too long, or are too many."""
         late = []
         while self._waiting:
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -175,7 +175,7 @@
     assert admission.take(b"first", b"", None, 1.0, 1.0)
     for number in range(MAX_WAITING_UPLOADS + 3):
         assert not admission.take(bytes((number >> 8, number & 255)), b"", None, 1.0, 1.0)
-    assert len(admission.take_late(1.0)) == 3
+    assert len(admission.take_shed(1.0)) == 3
 
 
 def test_other_flows_and_links_of_unknown_rate_are_not_limited():
--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -87,7 +87,7 @@
             action()
 
     def tick(self):
-        for key, _ in self.admission.take_late(self.now):
+        for key, _ in self.admission.take_shed(self.now):
             self.reset(self.open.pop(key))
         for key, _ in self.admission.take_due(self.now):
             self.send_more(self.open[key])
