--- a/src/jasperwalk/flows/sockets.py
+++ b/src/jasperwalk/flows/sockets.py
@@ -12,7 +12,7 @@
 
 DATAGRAMS_PER_WAKE_UP = 32
 MAX_DATAGRAM_BYTES = 2048
-DATAGRAMS_TO_CATCH_UP = 512
+MAX_PENDING_DATAGRAMS = 512
 """Most datagrams that `read_pending` reads."""
 
 DatagramHandler = Callable[[bytes, SocketAddress], None]
@@ -54,7 +54,7 @@
         What depends on an answer that is missing asks here first: on a busy process the answer
         may have come and not been read.
         """
-        return self._receive_some(DATAGRAMS_TO_CATCH_UP)
+        return self._receive_some(MAX_PENDING_DATAGRAMS)
 
     def _receive(self) -> None:
         self._receive_some(DATAGRAMS_PER_WAKE_UP)
