--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -225,7 +225,7 @@
         head, datagram = admitted.head, admitted.datagram
         remembered = self._handover.remembered(head.destination, now)
         if remembered is not None and datagram.hops < MAX_HOPS:
-            self._hand_on(remembered, datagram)
+            self._hand_over(remembered, datagram)
             return
         if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
@@ -233,7 +233,7 @@
         state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
         match self._handover.place(head.destination, datagram, state, now):
             case HandOverTo() as chosen:
-                self._hand_on(chosen, datagram)
+                self._hand_over(chosen, datagram)
             case Refuse():
                 removed = self._view.removed
                 raise DatagramDropped(DropReason.REMOVED if removed else DropReason.NO_TARGET)
@@ -242,7 +242,7 @@
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
 
-    def _hand_on(self, chosen: HandOverTo, datagram: ForwardedDatagram) -> None:
+    def _hand_over(self, chosen: HandOverTo, datagram: ForwardedDatagram) -> None:
         handed = msgspec.structs.replace(
             datagram,
             revision=chosen.revision,
