--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -133,7 +133,7 @@
         terms = self.parts.learned.find(listener, flow.balancer)
         if terms is None:
             return False
-        if not self.parts.queue and self.parts.has_room(now):
+        if not self.parts.queue and self.parts.has_capacity(now):
             self.parts.record_started(terms, now)
             return False
         number = self.parts.codec.data_number(packet)
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -62,7 +62,7 @@
         if not parts.queue:
             return
         self.waiting.clear(now)
-        while parts.queue and parts.has_room(now):
+        while parts.queue and parts.has_capacity(now):
             takes_flows = self._refusal(parts.tag, QUEUED_FLOW_TERMS, now) is None
             seconds = parts.table.in_flight.mean_seconds
             request = parts.queue.take_next(takes_flows, seconds, now)
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -60,7 +60,7 @@
         """Return how many requests keep a place at the host."""
         return self.table.in_flight.count(now) if self.orders_requests() else self.meter.busy
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Tell whether the host has room for one more request."""
         return self.requests_at_host(now) < most_requests(self.host.capacity)
 
