--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -209,7 +209,7 @@
         destination = self._networks.resolve(packed_address)
         if destination is None:
             return self._drop(DropReason.BAD_AGENT_ADDRESS)
-        witness = self._witness(packed_address, route, header)
+        witness = self._substitute_agent(packed_address, route, header)
         if witness is not None:
             # Not kept among the route's agents: each flow's packets have their own witness.
             self.counters.witnessed += 1
@@ -218,7 +218,7 @@
         self.counters.established += 1
         return Forward(destination, _encode(datagram, route, ()))
 
-    def _witness(
+    def _substitute_agent(
         self, packed_address: bytes, route: ServiceRoute, header: PacketHeader
     ) -> SocketAddress | None:
         """Return another agent for a flow whose own agent is offline, None if it is not.
