--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -118,7 +118,7 @@
         view = state.view
         earlier = self._remembered.pop(connection_id, None)
         silent = None if earlier is None else earlier.chosen.target
-        wanted = state.can_accept and self._is_wanted(connection_id, datagram, state)
+        wanted = state.can_accept and self._accepts(connection_id, datagram, state)
         if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return TakeHere()
         chosen = self._other(connection_id, datagram, view, silent)
@@ -130,7 +130,7 @@
             return Refuse()
         return TakeHere()
 
-    def _is_wanted(
+    def _accepts(
         self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState
     ) -> bool:
         view = state.view
