--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -81,7 +81,7 @@
         """Take a new upload; True if it may be opened now, False if it waits here."""
         if self.link is None:
             return True
-        if self._waiting or not self._has_room(self.link, now):
+        if self._waiting or not self._has_capacity(self.link, now):
             self._waiting[key] = WaitingUpload(packet, route, arrived_at)
             return False
         self._loading_until[key] = now + EXPECTED_SECONDS
@@ -99,7 +99,7 @@
     def take_due(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
         """Take the uploads that may be opened now, the oldest first."""
         due = []
-        while self._waiting and self.link is not None and self._has_room(self.link, now):
+        while self._waiting and self.link is not None and self._has_capacity(self.link, now):
             key, upload = self._waiting.popitem(last=False)
             self._loading_until[key] = now + EXPECTED_SECONDS
             due.append((key, upload))
@@ -116,7 +116,7 @@
             late.append(self._waiting.popitem(last=False))
         return late
 
-    def _has_room(self, link: LinkPacer, now: float) -> bool:
+    def _has_capacity(self, link: LinkPacer, now: float) -> bool:
         """Tell whether one more window fits in; one always does where nothing is ahead of it."""
         self._forget_resting(link, now)
         windows_bytes = len(self._loading_until) * self.window_bytes
