--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -209,11 +209,11 @@
         destination = self._networks.resolve(packed_address)
         if destination is None:
             return self._drop(DropReason.BAD_AGENT_ADDRESS)
-        witness = self._substitute_agent(packed_address, route, header)
-        if witness is not None:
+        substitute = self._substitute_agent(packed_address, route, header)
+        if substitute is not None:
             # Not kept among the route's agents: each flow's packets have their own witness.
             self.counters.witnessed += 1
-            return Forward(witness, _encode(datagram, route, ()))
+            return Forward(substitute, _encode(datagram, route, ()))
         route.remember(server_id, destination)
         self.counters.established += 1
         return Forward(destination, _encode(datagram, route, ()))
@@ -230,7 +230,7 @@
             return None
         if member.operating_status is not OperatingStatus.OFFLINE:
             return None
-        pair = self._new_flows.witness(route.service_id, header.connection_id)
+        pair = self._new_flows.substitute(route.service_id, header.connection_id)
         return None if pair is None else self._networks.resolve(pair.first.packed_address)
 
     def _open_flow(
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -69,6 +69,6 @@
                 return pair
         return self.index.candidates(service_id, flow_key)
 
-    def witness(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
+    def substitute(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return members that may stand in for a flow's own agent, which is offline."""
         return self.index.candidates(service_id, flow_key)
