--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -118,15 +118,15 @@
         view = state.view
         earlier = self._remembered.pop(connection_id, None)
         silent = None if earlier is None else earlier.chosen.target
-        wanted = state.can_accept and self._accepts(connection_id, datagram, state)
-        if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
+        acceptable = state.can_accept and self._accepts(connection_id, datagram, state)
+        if acceptable and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return TakeHere()
         chosen = self._other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_over(datagram, view):
             self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
         # A removed member's service may be gone, or its listener may be another service's.
-        if not state.can_accept or (view.removed and not wanted):
+        if not state.can_accept or (view.removed and not acceptable):
             return Refuse()
         return TakeHere()
 
