--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -118,7 +118,7 @@
 
     def _has_capacity(self, link: LinkPacer, now: float) -> bool:
         """Tell whether one more window fits in; one always does where nothing is ahead of it."""
-        self._forget_resting(link, now)
+        self._remove_idle(link, now)
         windows_bytes = len(self._loading_until) * self.window_bytes
         ahead_bytes = max(link.backlog_bytes(), windows_bytes)
         if not ahead_bytes:
@@ -126,7 +126,7 @@
         longest_seconds = AHEAD_SHARE * self.resend_seconds
         return (ahead_bytes + self.window_bytes) / link.rate <= longest_seconds
 
-    def _forget_resting(self, link: LinkPacer, now: float) -> None:
+    def _remove_idle(self, link: LinkPacer, now: float) -> None:
         resting = [
             key for key, until in self._loading_until.items() if now > until and not link.waits(key)
         ]
