--- a/src/jasperwalk/balancer/agent_sockets.py
+++ b/src/jasperwalk/balancer/agent_sockets.py
@@ -14,7 +14,7 @@
 
 from jasperwalk.balancer.outcomes import SocketAddress
 
-HIGHEST_SOCKET_COUNT: Final = 256
+MAX_SOCKETS: Final = 256
 """Connected sockets at a time, well below the usual limit of 1,024 open files."""
 
 RENEWAL_SECONDS: Final = 60.0
@@ -41,7 +41,7 @@
 
     def open(self, destination: SocketAddress, now: float) -> SendDatagram:
         """Return a way to an agent that is not among `senders`; `now` is in seconds."""
-        if len(self.connected) >= HIGHEST_SOCKET_COUNT:
+        if len(self.connected) >= MAX_SOCKETS:
             if self._full_since is None:
                 self._full_since = now
             if now - self._full_since < RENEWAL_SECONDS:
