--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -121,7 +121,7 @@
         acceptable = state.can_accept and self._accepts(connection_id, datagram, state)
         if acceptable and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return TakeHere()
-        chosen = self._other(connection_id, datagram, view, silent)
+        chosen = self._choose_other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_over(datagram, view):
             self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
@@ -153,10 +153,10 @@
         seconds = state.view.service.limits.slow_start_ms / 1000
         if self._slow_start.diverts(connection_id, seconds, now):
             return True
-        other = self._other(connection_id, datagram, state.view)
+        other = self._choose_other(connection_id, datagram, state.view)
         return other is not None and state.prefers(other.target)
 
-    def _other(
+    def _choose_other(
         self,
         connection_id: bytes,
         datagram: ForwardedDatagram,
