--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -25,7 +25,7 @@
 from jasperwalk.flows.routes import RouteEntry
 from jasperwalk.scheduling.link_pacer import LinkPacer
 
-AHEAD_SHARE = 0.85
+MAX_QUEUEING_SHARE = 0.85
 """Part of the callers' time before they send again that a window may wait for the link; the rest
 is the way to the host and back."""
 EXPECTED_SECONDS = 0.25
@@ -123,7 +123,7 @@
         ahead_bytes = max(link.backlog_bytes(), windows_bytes)
         if not ahead_bytes:
             return True
-        longest_seconds = AHEAD_SHARE * self.resend_seconds
+        longest_seconds = MAX_QUEUEING_SHARE * self.resend_seconds
         return (ahead_bytes + self.window_bytes) / link.rate <= longest_seconds
 
     def _remove_idle(self, link: LinkPacer, now: float) -> None:
