--- a/src/jasperwalk/balancer/refusals.py
+++ b/src/jasperwalk/balancer/refusals.py
@@ -16,7 +16,7 @@
 REFUSAL_SECONDS: Final = 3.0
 """Time for which a refusal counts; a flow that tries the agent then shows whether it is back."""
 
-HIGHEST_REFUSAL_COUNT: Final = 4_096
+MAX_REFUSALS: Final = 4_096
 """Refusals kept; beyond it the set starts anew."""
 
 
@@ -28,7 +28,7 @@
 
     def note(self, agent: SocketAddress, now: float) -> None:
         """Note that an agent's machine refused a datagram; `now` is in seconds."""
-        if len(self._until) >= HIGHEST_REFUSAL_COUNT:
+        if len(self._until) >= MAX_REFUSALS:
             self._until.clear()
         self._until[agent] = now + REFUSAL_SECONDS
 
