--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -105,7 +105,7 @@
 
     def remembered(self, connection_id: bytes, now: float) -> HandOverTo | None:
         """Return where this Initial was handed; None too when nobody has answered it there."""
-        self._forget(now)
+        self._discard_expired(now)
         handed = self._remembered.get(connection_id)
         if handed is None or now - handed.at >= ANSWER_SECONDS:
             return None
@@ -184,7 +184,7 @@
         contenders = (pair.first, pair.second)
         return [contender.address for contender in contenders if contender is not None]
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         while self._remembered:
             connection_id, handed = next(iter(self._remembered.items()))
             expired = now - handed.at >= REMEMBERED_SECONDS
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -190,7 +190,7 @@
 
     def use(self, ticket: Ticket, digest: bytes, now: float) -> UseDecision:
         """Decide on one arrival; after `RunNow` the use counts as begun."""
-        self._forget(now)
+        self._discard_expired(now)
         known = self._uses.get(ticket.nonce)
         if known is not None:
             return self._decide_repeat(known, digest)
@@ -231,7 +231,7 @@
             return OutcomeUnknown()
         return Repeat(use.answer)
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         # Uses are in order of arrival and forget times differ by a lifetime at most, so an
         # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
