--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -28,7 +28,7 @@
 MAX_QUEUEING_SHARE = 0.85
 """Part of the callers' time before they send again that a window may wait for the link; the rest
 is the way to the host and back."""
-EXPECTED_SECONDS = 0.25
+FIRST_DATA_SECONDS = 0.25
 """An upload that has sent nothing for this long after it was opened is not expected to any more:
 its caller has left, or its host lets it wait."""
 LOADING_SECONDS = 0.05
@@ -84,7 +84,7 @@
         if self._waiting or not self._has_capacity(self.link, now):
             self._waiting[key] = WaitingUpload(packet, route, arrived_at)
             return False
-        self._loading_until[key] = now + EXPECTED_SECONDS
+        self._loading_until[key] = now + FIRST_DATA_SECONDS
         return True
 
     def record_packet(self, key: bytes, packet: bytes, now: float) -> None:
@@ -101,7 +101,7 @@
         due = []
         while self._waiting and self.link is not None and self._has_capacity(self.link, now):
             key, upload = self._waiting.popitem(last=False)
-            self._loading_until[key] = now + EXPECTED_SECONDS
+            self._loading_until[key] = now + FIRST_DATA_SECONDS
             due.append((key, upload))
         return due
 
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -12,7 +12,7 @@
     link_bytes_per_second,
 )
 from jasperwalk.scheduling.upload_admission import (
-    EXPECTED_SECONDS,
+    FIRST_DATA_SECONDS,
     LOADING_SECONDS,
     MAX_WAIT_SECONDS,
     MAX_WAITING_UPLOADS,
@@ -118,7 +118,7 @@
 def test_an_upload_whose_data_waits_for_the_link_makes_no_room():
     bench = full(waiting=(3,))
     keep_the_link_full(bench, 1.1)
-    resting = 1.11 + EXPECTED_SECONDS
+    resting = 1.11 + FIRST_DATA_SECONDS
     bench.core.tick(resting)
     assert opened(bench) == []
     for step in range(35):
@@ -157,8 +157,8 @@
 
 def test_an_upload_that_sends_nothing_is_not_expected_any_more():
     bench = full(waiting=(3,))
-    receive(bench, 1.0 + EXPECTED_SECONDS, 2, 0, b"data")
-    bench.core.tick(1.01 + EXPECTED_SECONDS)
+    receive(bench, 1.0 + FIRST_DATA_SECONDS, 2, 0, b"data")
+    bench.core.tick(1.01 + FIRST_DATA_SECONDS)
     assert opened(bench) == [3]
 
 
