--- a/src/jasperwalk/balancer/routes.py
+++ b/src/jasperwalk/balancer/routes.py
@@ -17,7 +17,7 @@
     pack_service_id,
 )
 
-HIGHEST_DESTINATION_COUNT: Final = 65_536
+MAX_DESTINATIONS: Final = 65_536
 """Agents that a route keeps; beyond it the route starts anew."""
 
 HOST_LENGTH: Final = 4
@@ -74,7 +74,7 @@
 
     def remember(self, server_id: bytes, destination: SocketAddress) -> None:
         """Keep an agent that was checked, for the short path."""
-        if len(self.destinations) >= HIGHEST_DESTINATION_COUNT:
+        if len(self.destinations) >= MAX_DESTINATIONS:
             self.destinations.clear()
         self.destinations[server_id[:SERVICE_ID_END]] = destination
 
