--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -28,9 +28,9 @@
 from jasperwalk.agent.flow_upkeep import FlowUpkeep
 from jasperwalk.agent.handover import (
     MAX_HOPS,
-    AgentState,
     Handover,
     HandOverTo,
+    PlacementContext,
     Refuse,
     TakeHere,
 )
@@ -230,7 +230,7 @@
         if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
-        state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
+        state = PlacementContext(self._view, can_accept, self.table_fresh, self.prefers)
         match self._handover.place(head.destination, datagram, state, now):
             case HandOverTo() as chosen:
                 self._hand_over(chosen, datagram)
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgentState:
+class PlacementContext:
     """What the choice depends on beside the flow.
 
     `can_accept` tells whether the agent has what it needs to open a flow; `table_fresh`
@@ -112,7 +112,7 @@
         return handed.chosen
 
     def place(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext, now: float
     ) -> Placement:
         """Place the flow that `datagram`, whose first packet is an Initial, opens."""
         view = state.view
@@ -131,7 +131,7 @@
         return TakeHere()
 
     def _accepts(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext
     ) -> bool:
         view = state.view
         if view.stopping:
@@ -145,7 +145,7 @@
         return True
 
     def _prefers_other(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext, now: float
     ) -> bool:
         # A flow that was handed over stays: two cold or busy agents would only swap their flows.
         if datagram.hops > 0 or state.view.service is None:
