--- a/src/jasperwalk/scheduling/link_pacer.py
+++ b/src/jasperwalk/scheduling/link_pacer.py
@@ -28,7 +28,7 @@
 BURST_SECONDS = 0.02
 """Datagrams for this long a time of the link leave at once. A link's own buffer held 40 ms of
 them (10 kB at 2 Mbit/s, measured); half of it stays free for what is not paced."""
-LEAST_BURST_BYTES = 1500
+MIN_BURST_BYTES = 1500
 """However thin the link, one whole datagram leaves at once."""
 LONGEST_URGENT_SECONDS = 0.2
 """Datagrams outside bulk flows wait no longer than this: their callers send again then."""
@@ -79,7 +79,7 @@
 
     def __post_init__(self) -> None:
         """Begin with the whole burst at hand."""
-        self._burst = max(self.rate * BURST_SECONDS, LEAST_BURST_BYTES)
+        self._burst = max(self.rate * BURST_SECONDS, MIN_BURST_BYTES)
         self._credit = self._burst
 
     def backlog_bytes(self) -> int:
--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -5,9 +5,9 @@
 from jasperwalk.scheduling.link_pacer import (
     BURST_SECONDS,
     HEADER_BYTES,
-    LEAST_BURST_BYTES,
     LONGEST_BULK_SECONDS,
     LONGEST_URGENT_SECONDS,
+    MIN_BURST_BYTES,
     PACED_SHARE,
     LinkPacer,
     link_bytes_per_second,
@@ -150,7 +150,7 @@
     pacer, left = sent_at_once(100.0, 3, bulk=True)
     assert len(left) == 2  # the least burst, and the datagram that overdraws it
     assert pacer.pause() == pytest.approx(
-        (2 * (DATAGRAM_BYTES + HEADER_BYTES) - LEAST_BURST_BYTES) / 100.0
+        (2 * (DATAGRAM_BYTES + HEADER_BYTES) - MIN_BURST_BYTES) / 100.0
     )
 
 
