--- a/src/jasperwalk/balancer/segments.py
+++ b/src/jasperwalk/balancer/segments.py
@@ -16,7 +16,7 @@
 UDP_SEGMENT: Final = 103
 """Linux: the length of the datagrams that one send carries (linux/udp.h, since 4.18)."""
 
-HIGHEST_SEGMENT_COUNT: Final = 64
+MAX_SEGMENTS: Final = 64
 """Datagrams that the kernel takes at once (UDP_MAX_SEGMENTS; 128 in newer ones)."""
 
 LARGEST_SEND_BYTES: Final = 65_507
@@ -30,7 +30,7 @@
     for length, group in itertools.groupby(datagrams, len):
         same_length = list(group)
         fitting = LARGEST_SEND_BYTES // length if length else 0
-        count = max(1, min(HIGHEST_SEGMENT_COUNT, fitting))
+        count = max(1, min(MAX_SEGMENTS, fitting))
         for start in range(0, len(same_length), count):
             yield same_length[start : start + count]
 
--- a/tests/balancer/test_segments.py
+++ b/tests/balancer/test_segments.py
@@ -3,8 +3,8 @@
 import pytest
 
 from jasperwalk.balancer.segments import (
-    HIGHEST_SEGMENT_COUNT,
     LARGEST_SEND_BYTES,
+    MAX_SEGMENTS,
     runs_of,
     send_run,
 )
@@ -18,7 +18,7 @@
         ([5], [1]),
         ([5, 5, 5], [3]),
         ([5, 5, 6, 5, 5], [2, 1, 2]),
-        ([9] * (HIGHEST_SEGMENT_COUNT + 2), [HIGHEST_SEGMENT_COUNT, 2]),
+        ([9] * (MAX_SEGMENTS + 2), [MAX_SEGMENTS, 2]),
         ([1_300] * 60, [50, 10]),
         ([LARGEST_SEND_BYTES + 1] * 2, [1, 1]),
     ],
@@ -30,7 +30,7 @@
     assert [datagram for run in split for datagram in run] == datagrams
 
 
-@pytest.mark.parametrize(("length", "count"), [(1, 2), (1_226, 53), (1_000, HIGHEST_SEGMENT_COUNT)])
+@pytest.mark.parametrize(("length", "count"), [(1, 2), (1_226, 53), (1_000, MAX_SEGMENTS)])
 def test_a_run_arrives_as_the_datagrams_that_it_holds(length, count):
     run = [bytes([number]) * length for number in range(count)]
     with (
