--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -68,7 +68,7 @@
         self.slow_start = SlowStart()
         self.table_fresh = False
         """Set by the adapter: the view was the newest of a quorum just now."""
-        self.prefers: Callable[[Endpoint], bool] = lambda _: False
+        self.prefers_peer: Callable[[Endpoint], bool] = lambda _: False
         """Set by the process: a new flow is better off at another member."""
         self._handover = Handover(self.slow_start)
         self._guard = DatagramGuard()
@@ -230,7 +230,7 @@
         if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
-        state = PlacementContext(self._view, can_accept, self.table_fresh, self.prefers)
+        state = PlacementContext(self._view, can_accept, self.table_fresh, self.prefers_peer)
         match self._handover.place(head.destination, datagram, state, now):
             case HandOverTo() as chosen:
                 self._hand_over(chosen, datagram)
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -81,14 +81,14 @@
     """What the choice depends on beside the flow.
 
     `can_accept` tells whether the agent has what it needs to open a flow; `table_fresh`
-    whether its table was the newest of a quorum just now; `prefers` whether a flow is better
+    whether its table was the newest of a quorum just now; `prefers_peer` whether a flow is better
     off at another member because of the load.
     """
 
     view: ServiceView
     can_accept: bool
     table_fresh: bool
-    prefers: Callable[[Endpoint], bool]
+    prefers_peer: Callable[[Endpoint], bool]
 
 
 class Handover:
@@ -154,7 +154,7 @@
         if self._slow_start.diverts(connection_id, seconds, now):
             return True
         other = self._choose_other(connection_id, datagram, state.view)
-        return other is not None and state.prefers(other.target)
+        return other is not None and state.prefers_peer(other.target)
 
     def _choose_other(
         self,
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -97,7 +97,7 @@
         )
         endpoint = AgentEndpoint(configuration, view, self._random)
         if settings.hand_over_when_busy:
-            endpoint.prefers = self._prefers
+            endpoint.prefers_peer = self._prefers
         return endpoint
 
     def _make_runner(self) -> None:
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -257,15 +257,15 @@
     members = _members(kit, 2)
     endpoint = _endpoint(kit, certificate, members)
     other = members[1].address
-    for prefers, hops, expected in ((False, 0, None), (True, 0, other.port), (True, 1, None)):
+    for prefers_peer, hops, expected in ((False, 0, None), (True, 0, other.port), (True, 1, None)):
         asked = []
-        endpoint.prefers = lambda member, asked=asked, answer=prefers: (
+        endpoint.prefers_peer = lambda member, asked=asked, answer=prefers_peer: (
             asked.append(member) or answer
         )
-        connection_id = bytes([prefers, hops]) * 4
+        connection_id = bytes([prefers_peer, hops]) * 4
         fields = {"candidates": (members[0].address, other), "hops": hops}
         assert _open(kit, endpoint, connection_id, **fields)[0] == expected
         assert asked == ([] if hops else [other])
         if expected is not None:  # the rest of the caller's first flight follows
-            endpoint.prefers = lambda _: False
+            endpoint.prefers_peer = lambda _: False
             assert _open(kit, endpoint, connection_id, **fields)[0] == expected
