--- a/src/jasperwalk/scheduling/link_pacer.py
+++ b/src/jasperwalk/scheduling/link_pacer.py
@@ -30,7 +30,7 @@
 them (10 kB at 2 Mbit/s, measured); half of it stays free for what is not paced."""
 MIN_BURST_BYTES = 1500
 """However thin the link, one whole datagram leaves at once."""
-LONGEST_URGENT_SECONDS = 0.2
+MAX_URGENT_SECONDS = 0.2
 """Datagrams outside bulk flows wait no longer than this: their callers send again then."""
 LONGEST_BULK_SECONDS = 1.0
 """Bulk datagrams that the link could not send within this time are not kept: they bound memory."""
@@ -103,7 +103,7 @@
         self.counters.datagrams_delayed += 1
         self._urgent.append((datagram, address))
         self._urgent_bytes += len(datagram) + HEADER_BYTES
-        while self._urgent_bytes > self.rate * LONGEST_URGENT_SECONDS and len(self._urgent) > 1:
+        while self._urgent_bytes > self.rate * MAX_URGENT_SECONDS and len(self._urgent) > 1:
             self._take_urgent()
             self.counters.datagrams_dropped += 1
 
