--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -23,7 +23,7 @@
 from jasperwalk.addresses import PACKED_ENDPOINT_LENGTH, Endpoint
 from jasperwalk.balancer.forwarding import (
     ESTABLISHED_HEADS,
-    LARGEST_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     PAYLOAD_HEADS,
     encode_candidates,
 )
@@ -61,7 +61,7 @@
 )
 from jasperwalk.routing.rendezvous import CandidatePair
 
-LARGEST_DATAGRAM: Final = HEADER_LENGTH + LARGEST_PAYLOAD
+LARGEST_DATAGRAM: Final = HEADER_LENGTH + MAX_PAYLOAD_BYTES
 """Largest datagram from the fabric, in bytes."""
 
 unpack_short: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
--- a/src/jasperwalk/balancer/forwarding.py
+++ b/src/jasperwalk/balancer/forwarding.py
@@ -18,7 +18,7 @@
 from jasperwalk.messages.codec import PROTOCOL_VERSION
 from jasperwalk.messages.datagrams import ADDRESS_BLOCK_LENGTH
 
-LARGEST_PAYLOAD: Final = 2048
+MAX_PAYLOAD_BYTES: Final = 2048
 """Largest caller's datagram, in bytes, that is forwarded; QUIC paths carry some 1500."""
 
 DATAGRAM_TAG: Final = 1
@@ -65,7 +65,7 @@
 
 
 PAYLOAD_HEADS: Final = tuple(
-    cbor_head(BYTE_STRING, length) for length in range(LARGEST_PAYLOAD + 1)
+    cbor_head(BYTE_STRING, length) for length in range(MAX_PAYLOAD_BYTES + 1)
 )
 """Heads of the payload's byte string, by its length."""
 
