--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -97,7 +97,7 @@
         )
         endpoint = AgentEndpoint(configuration, view, self._random)
         if settings.hand_over_when_busy:
-            endpoint.prefers_peer = self._prefers
+            endpoint.prefers_peer = self._prefers_peer
         return endpoint
 
     def _make_runner(self) -> None:
@@ -112,7 +112,7 @@
             local_run, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
-    def _prefers(self, member: Endpoint) -> bool:
+    def _prefers_peer(self, member: Endpoint) -> bool:
         """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
         busy = not self._allocator.admission.free_slots
         return busy and self._peers.take_known_slot(member, self._clock())
