--- a/src/jasperwalk/scheduling/link_pacer.py
+++ b/src/jasperwalk/scheduling/link_pacer.py
@@ -32,7 +32,7 @@
 """However thin the link, one whole datagram leaves at once."""
 MAX_URGENT_SECONDS = 0.2
 """Datagrams outside bulk flows wait no longer than this: their callers send again then."""
-LONGEST_BULK_SECONDS = 1.0
+MAX_BULK_SECONDS = 1.0
 """Bulk datagrams that the link could not send within this time are not kept: they bound memory."""
 HEADER_BYTES = 28
 """IPv4 and UDP heads, which the link carries as well."""
@@ -119,7 +119,7 @@
         if waiting is not None and number in waiting:
             self.counters.datagrams_copies += 1
             return
-        if self._bulk_bytes > self.rate * LONGEST_BULK_SECONDS:
+        if self._bulk_bytes > self.rate * MAX_BULK_SECONDS:
             self.counters.datagrams_dropped += 1
             return
         if waiting is None:
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -6,7 +6,7 @@
 from jasperwalk.flows.frames import FrameKind
 from jasperwalk.flows.routes import FlowRoute, RouteBackend, RouteSet
 from jasperwalk.scheduling.link_pacer import (
-    LONGEST_BULK_SECONDS,
+    MAX_BULK_SECONDS,
     PACED_SHARE,
     LinkPacer,
     link_bytes_per_second,
@@ -152,7 +152,7 @@
         bench.core.tick(now)
     assert [to for _, to in bench.resets] == [("100.64.0.9", 3)]
     assert not bench.core.uploads.has_waiting()
-    assert bench.core.link.backlog_seconds() < LONGEST_BULK_SECONDS + RESEND_SECONDS
+    assert bench.core.link.backlog_seconds() < MAX_BULK_SECONDS + RESEND_SECONDS
 
 
 def test_an_upload_that_sends_nothing_is_not_expected_any_more():
--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -5,7 +5,7 @@
 from jasperwalk.scheduling.link_pacer import (
     BURST_SECONDS,
     HEADER_BYTES,
-    LONGEST_BULK_SECONDS,
+    MAX_BULK_SECONDS,
     MAX_URGENT_SECONDS,
     MIN_BURST_BYTES,
     PACED_SHARE,
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bulk", "longest_seconds"), [(True, LONGEST_BULK_SECONDS), (False, MAX_URGENT_SECONDS)]
+    ("bulk", "longest_seconds"), [(True, MAX_BULK_SECONDS), (False, MAX_URGENT_SECONDS)]
 )
 def test_what_waits_is_bounded_and_what_is_too_much_is_counted(bulk, longest_seconds):
     pacer, left = sent_at_once(RATE, 1000, bulk)
