--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -61,7 +61,7 @@
 )
 from jasperwalk.routing.rendezvous import CandidatePair
 
-LARGEST_DATAGRAM: Final = HEADER_LENGTH + MAX_PAYLOAD_BYTES
+MAX_DATAGRAM_BYTES: Final = HEADER_LENGTH + MAX_PAYLOAD_BYTES
 """Largest datagram from the fabric, in bytes."""
 
 unpack_short: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
@@ -177,7 +177,7 @@
 
     def _decide(self, datagram: bytes, now: float) -> Forward | DropReason:
         """Decide for any datagram."""
-        if len(datagram) > LARGEST_DATAGRAM:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._drop(DropReason.OVERSIZED)
         if not datagram.startswith(HEADER_PREFIX) or len(datagram) <= HEADER_LENGTH:
             return self._drop(DropReason.BAD_PROXY_HEADER)
--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -16,7 +16,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.agent_sockets import AgentSockets
-from jasperwalk.balancer.core import LARGEST_DATAGRAM
+from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES
 from jasperwalk.balancer.outcomes import DropReason, Forward, Outcomes, SocketAddress
 from jasperwalk.balancer.queues import DatagramQueues, QueueDrop
 from jasperwalk.balancer.segments import runs_of, send_run
@@ -27,7 +27,7 @@
 OPENINGS_PER_WAKE_UP: Final = 32
 """The same for datagrams that open flows, each of which costs several established ones."""
 
-RECEIVE_BYTES: Final = LARGEST_DATAGRAM + 1
+RECEIVE_BYTES: Final = MAX_DATAGRAM_BYTES + 1
 """One byte more than the largest datagram, so that a longer one is seen to be longer."""
 
 ERRORS_OF_EARLIER_SEND: Final = frozenset((errno.ECONNREFUSED, errno.EHOSTUNREACH))
--- a/src/jasperwalk_lab/baselines/flow_table.py
+++ b/src/jasperwalk_lab/baselines/flow_table.py
@@ -19,7 +19,7 @@
 from ipaddress import IPv4Network
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.balancer.core import LARGEST_DATAGRAM, BalancerCore
+from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES, BalancerCore
 from jasperwalk.balancer.outcomes import DropReason, Forward, Outcomes
 from jasperwalk.balancer.routes import RoutingTable
 from jasperwalk.config.table_entries import KeyPurpose, OperatingStatus
@@ -66,7 +66,7 @@
 
     def handle(self, datagram: bytes, now: float) -> Forward | DropReason:
         """Decide for one datagram from the fabric; never raises."""
-        if len(datagram) > LARGEST_DATAGRAM:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._refuse(DropReason.OVERSIZED)
         if not datagram.startswith(HEADER_PREFIX) or len(datagram) <= HEADER_LENGTH:
             return self._refuse(DropReason.BAD_PROXY_HEADER)
--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.balancer.core import LARGEST_DATAGRAM, BalancerCore
+from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES, BalancerCore
 from jasperwalk.balancer.outcomes import DropReason, Forward
 from jasperwalk.balancer.refusals import REFUSAL_SECONDS
 from jasperwalk.config.table_entries import (
@@ -222,7 +222,7 @@
     ("TCP", GOOD[:13] + b"\x11" + GOOD[14:], DropReason.BAD_PROXY_HEADER),
     ("LOCAL command", GOOD[:12] + b"\x20" + GOOD[13:], DropReason.BAD_PROXY_HEADER),
     ("with extensions", GOOD[:15] + b"\x0f" + GOOD[16:], DropReason.BAD_PROXY_HEADER),
-    ("too long", GOOD.ljust(LARGEST_DATAGRAM + 1, b"x"), DropReason.OVERSIZED),
+    ("too long", GOOD.ljust(MAX_DATAGRAM_BYTES + 1, b"x"), DropReason.OVERSIZED),
     (
         "unknown VIP",
         wrap(short(connection_id()), Endpoint("127.1.0.9", 443)),
