--- a/src/jasperwalk/agent/relay.py
+++ b/src/jasperwalk/agent/relay.py
@@ -64,7 +64,7 @@
         except JasperwalkError:
             return NotRun(NotRunReason.RELAY_UNREACHABLE)
         try:
-            return await pass_on(connection, RelayRequest(service_id, request), request, sink)
+            return await run_exchange(connection, RelayRequest(service_id, request), request, sink)
         finally:
             connection.abort()
 
@@ -86,7 +86,7 @@
         return await connect(target, hello, timeout_seconds, self._tls)
 
 
-async def pass_on(
+async def run_exchange(
     connection: FramedConnection, first: msgspec.Struct, request: Request, sink: ResponseSink
 ) -> Outcome:
     """Send `first`, the frame that carries `request`, and pass the answer on to `sink`."""
--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -19,7 +19,7 @@
     SlotRefusal,
     SlotRequest,
 )
-from jasperwalk.agent.relay import RelayClient, pass_on
+from jasperwalk.agent.relay import RelayClient, run_exchange
 from jasperwalk.agent.requests import (
     Answered,
     NotRun,
@@ -114,7 +114,7 @@
             return NotRun(NotRunReason.DEADLINE_TOO_SHORT)
         outcome: Outcome | None = None
         try:
-            outcome = await pass_on(self.link.connection, LentRequest(request), request, sink)
+            outcome = await run_exchange(self.link.connection, LentRequest(request), request, sink)
             return outcome
         finally:
             if isinstance(outcome, Answered | NotRun):
