--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -29,9 +29,9 @@
         """Note one caller's time."""
         self._time.note(seconds)
 
-    def longest_expected(self) -> float:
+    def timeout_seconds(self) -> float:
         """Return after how long a caller is taken to have left."""
-        return self._time.longest_expected(SHORTEST_EXPECTED_SECONDS, LONGEST_EXPECTED_SECONDS)
+        return self._time.timeout_seconds(SHORTEST_EXPECTED_SECONDS, LONGEST_EXPECTED_SECONDS)
 
 
 class HalfOpenFlows:
@@ -59,7 +59,7 @@
     def take_abandoned(self, now: float) -> list[HeldFlow]:
         """Take the flows whose callers had given up before they were admitted."""
         abandoned = []
-        longest = self.follow_up_time.longest_expected()
+        longest = self.follow_up_time.timeout_seconds()
         while self._flows:
             key, flow = next(iter(self._flows.items()))
             if now - flow.opened_at <= longest:
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -57,7 +57,7 @@
 
     def overdue_seconds(self) -> float:
         """Return after how long a request keeps no place any more."""
-        return self._answer_time.longest_expected(SHORTEST_OVERDUE_SECONDS, LONGEST_OVERDUE_SECONDS)
+        return self._answer_time.timeout_seconds(SHORTEST_OVERDUE_SECONDS, LONGEST_OVERDUE_SECONDS)
 
     def count(self, now: float) -> int:
         """Return how many requests keep a place."""
--- a/src/jasperwalk/scheduling/smoothed_time.py
+++ b/src/jasperwalk/scheduling/smoothed_time.py
@@ -40,7 +40,7 @@
         """The average, 0.0 before the first sample."""
         return self._mean
 
-    def longest_expected(self, shortest: float, longest: float) -> float:
+    def timeout_seconds(self, shortest: float, longest: float) -> float:
         """Return after how long a sample is no longer expected, between the two bounds.
 
         It is the longer bound while nothing has been measured.
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -301,19 +301,19 @@
 
 def test_the_time_that_callers_take_is_bounded_both_ways():
     times = FollowUpTime()
-    assert times.longest_expected() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
     times.note(0.0001)
-    assert times.longest_expected() == SHORTEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == SHORTEST_EXPECTED_SECONDS
     for _ in range(50):
         times.note(2.0)
-    assert times.longest_expected() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
 
 
 def test_callers_that_take_longer_are_waited_for_longer():
     times = FollowUpTime()
     for _ in range(100):
         times.note(0.05)
-    steady = times.longest_expected()
+    steady = times.timeout_seconds()
     for number in range(100):
         times.note(0.05 + 0.03 * (number % 2))
-    assert SHORTEST_EXPECTED_SECONDS < steady < times.longest_expected()
+    assert SHORTEST_EXPECTED_SECONDS < steady < times.timeout_seconds()
