--- a/src/jasperwalk/balancer/forwarding.py
+++ b/src/jasperwalk/balancer/forwarding.py
@@ -30,14 +30,14 @@
 BYTE_STRING: Final = 2
 ARRAY: Final = 4
 MAJOR_TYPE_SHIFT: Final = 5
-LARGEST_IMMEDIATE: Final = 23
+MAX_IMMEDIATE: Final = 23
 ARGUMENT_SIZES: Final = ((24, 1), (25, 2), (26, 4), (27, 8))
 """Additional information and bytes of the arguments that do not fit the first octet."""
 
 
 def cbor_head(major_type: int, argument: int) -> bytes:
     """Return the shortest CBOR head of a major type (0 to 7) and an argument below 2**64."""
-    if argument <= LARGEST_IMMEDIATE:
+    if argument <= MAX_IMMEDIATE:
         return bytes([major_type << MAJOR_TYPE_SHIFT | argument])
     for additional, size in ARGUMENT_SIZES:
         if argument < 1 << 8 * size:
