--- a/src/jasperwalk/agent/relay.py
+++ b/src/jasperwalk/agent/relay.py
@@ -95,7 +95,7 @@
     try:
         async with asyncio.timeout(seconds) as timeout:
             await connection.send(encode(first))
-            return await _pass_answer_on(connection, request, sink, timeout, progress)
+            return await _forward_answer(connection, request, sink, timeout, progress)
     except TimeoutError:
         return Unknown(UnknownReason.DEADLINE, head_sent=progress.head_sent)
     except CallerGone:
@@ -104,7 +104,7 @@
         return Unknown(UnknownReason.RELAY_FAILED, head_sent=progress.head_sent)
 
 
-async def _pass_answer_on(
+async def _forward_answer(
     connection: FramedConnection,
     request: Request,
     sink: ResponseSink,
