--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -9,7 +9,7 @@
 """A caller that still waits follows its opening packet up within a round trip; after this an
 admitted flow without any further packet no longer counts as a request under way, however slow the
 others are. It holds while nothing has been measured."""
-SHORTEST_EXPECTED_SECONDS = 0.03
+MIN_FOLLOW_UP_SECONDS = 0.03
 """The same, however fast the others are: a round trip within a country, and a busy balancer."""
 
 
@@ -31,7 +31,7 @@
 
     def timeout_seconds(self) -> float:
         """Return after how long a caller is taken to have left."""
-        return self._time.timeout_seconds(SHORTEST_EXPECTED_SECONDS, LONGEST_EXPECTED_SECONDS)
+        return self._time.timeout_seconds(MIN_FOLLOW_UP_SECONDS, LONGEST_EXPECTED_SECONDS)
 
 
 class HalfOpenFlows:
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -5,7 +5,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.half_open import (
     LONGEST_EXPECTED_SECONDS,
-    SHORTEST_EXPECTED_SECONDS,
+    MIN_FOLLOW_UP_SECONDS,
     FollowUpTime,
 )
 from jasperwalk.agent.datagrams.host_admission import most_requests
@@ -295,15 +295,15 @@
         bench.follow_up([caller], at + 0.008)
         bench.agent.receive_host_packet(from_host(0, b"answer", caller=caller), at + 0.02)
     bench.fill_at(4.0)
-    assert bench.open(3.99 + SHORTEST_EXPECTED_SECONDS).flags == RefusalReason.FULL
-    assert bench.open(4.01 + SHORTEST_EXPECTED_SECONDS).kind is FrameKind.ACCEPTED
+    assert bench.open(3.99 + MIN_FOLLOW_UP_SECONDS).flags == RefusalReason.FULL
+    assert bench.open(4.01 + MIN_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
 def test_the_time_that_callers_take_is_bounded_both_ways():
     times = FollowUpTime()
     assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
     times.note(0.0001)
-    assert times.timeout_seconds() == SHORTEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MIN_FOLLOW_UP_SECONDS
     for _ in range(50):
         times.note(2.0)
     assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
@@ -316,4 +316,4 @@
     steady = times.timeout_seconds()
     for number in range(100):
         times.note(0.05 + 0.03 * (number % 2))
-    assert SHORTEST_EXPECTED_SECONDS < steady < times.timeout_seconds()
+    assert MIN_FOLLOW_UP_SECONDS < steady < times.timeout_seconds()
