--- a/src/jasperwalk/balancer/segments.py
+++ b/src/jasperwalk/balancer/segments.py
@@ -19,7 +19,7 @@
 MAX_SEGMENTS: Final = 64
 """Datagrams that the kernel takes at once (UDP_MAX_SEGMENTS; 128 in newer ones)."""
 
-LARGEST_SEND_BYTES: Final = 65_507
+MAX_SEND_BYTES: Final = 65_507
 """Longest payload of one send: a whole IPv4 packet less its headers."""
 
 _pack_length = struct.Struct("=H").pack
@@ -29,7 +29,7 @@
     """Split datagrams, in their order, into runs that one send may carry."""
     for length, group in itertools.groupby(datagrams, len):
         same_length = list(group)
-        fitting = LARGEST_SEND_BYTES // length if length else 0
+        fitting = MAX_SEND_BYTES // length if length else 0
         count = max(1, min(MAX_SEGMENTS, fitting))
         for start in range(0, len(same_length), count):
             yield same_length[start : start + count]
--- a/tests/balancer/test_segments.py
+++ b/tests/balancer/test_segments.py
@@ -3,8 +3,8 @@
 import pytest
 
 from jasperwalk.balancer.segments import (
-    LARGEST_SEND_BYTES,
     MAX_SEGMENTS,
+    MAX_SEND_BYTES,
     runs_of,
     send_run,
 )
@@ -20,7 +20,7 @@
         ([5, 5, 6, 5, 5], [2, 1, 2]),
         ([9] * (MAX_SEGMENTS + 2), [MAX_SEGMENTS, 2]),
         ([1_300] * 60, [50, 10]),
-        ([LARGEST_SEND_BYTES + 1] * 2, [1, 1]),
+        ([MAX_SEND_BYTES + 1] * 2, [1, 1]),
     ],
 )
 def test_runs_keep_the_order_and_the_kernels_limits(lengths, runs):
