--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -119,7 +119,7 @@
             if not request.deadline_by_caller:
                 timeout.reschedule(None)
             on_head()
-            return await self._pass_on(response, sink, progress)
+            return await self._forward_response(response, sink, progress)
         finally:
             response.close()
 
@@ -133,7 +133,7 @@
             allow_redirects=False,
         )
 
-    async def _pass_on(
+    async def _forward_response(
         self, response: aiohttp.ClientResponse, sink: ResponseSink, progress: AnswerProgress
     ) -> Outcome:
         progress.head_sent = True
