--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -5,7 +5,7 @@
 from jasperwalk.agent.datagrams.held_flow import HeldFlow
 from jasperwalk.scheduling.smoothed_time import SmoothedTime
 
-LONGEST_EXPECTED_SECONDS = 0.25
+MAX_FOLLOW_UP_SECONDS = 0.25
 """A caller that still waits follows its opening packet up within a round trip; after this an
 admitted flow without any further packet no longer counts as a request under way, however slow the
 others are. It holds while nothing has been measured."""
@@ -31,7 +31,7 @@
 
     def timeout_seconds(self) -> float:
         """Return after how long a caller is taken to have left."""
-        return self._time.timeout_seconds(MIN_FOLLOW_UP_SECONDS, LONGEST_EXPECTED_SECONDS)
+        return self._time.timeout_seconds(MIN_FOLLOW_UP_SECONDS, MAX_FOLLOW_UP_SECONDS)
 
 
 class HalfOpenFlows:
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.half_open import (
-    LONGEST_EXPECTED_SECONDS,
+    MAX_FOLLOW_UP_SECONDS,
     MIN_FOLLOW_UP_SECONDS,
     FollowUpTime,
 )
@@ -184,8 +184,8 @@
 def test_a_flow_whose_caller_had_given_up_does_not_keep_a_place():
     bench = Bench()
     bench.fill()
-    assert bench.open(1.0 + LONGEST_EXPECTED_SECONDS).flags == RefusalReason.FULL
-    assert bench.open(1.01 + LONGEST_EXPECTED_SECONDS).kind is FrameKind.ACCEPTED
+    assert bench.open(1.0 + MAX_FOLLOW_UP_SECONDS).flags == RefusalReason.FULL
+    assert bench.open(1.01 + MAX_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
 def test_a_flow_whose_caller_followed_up_keeps_its_place():
@@ -198,7 +198,7 @@
     bench = Bench()
     bench.fill()
     bench.wait(1)
-    bench.agent.admit_waiting(1.01 + LONGEST_EXPECTED_SECONDS)
+    bench.agent.admit_waiting(1.01 + MAX_FOLLOW_UP_SECONDS)
     assert len(bench.host_packets) == 1
 
 
@@ -301,12 +301,12 @@
 
 def test_the_time_that_callers_take_is_bounded_both_ways():
     times = FollowUpTime()
-    assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
     times.note(0.0001)
     assert times.timeout_seconds() == MIN_FOLLOW_UP_SECONDS
     for _ in range(50):
         times.note(2.0)
-    assert times.timeout_seconds() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
 def test_callers_that_take_longer_are_waited_for_longer():
