--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -72,7 +72,7 @@
     table = FollowerTable()
     table.replace(REVISION, agent_entries(agent))
     core = BalancerCore(table, [IPv4Network("127.0.0.0/8")], UNLIMITED_FLOWS_PER_SECOND, now=0.0)
-    core.follower_was_fresh()
+    core.accept_new_flows()
     return core
 
 
--- a/bench/forwarders.py
+++ b/bench/forwarders.py
@@ -96,7 +96,7 @@
     table.replace(1_000, table_entries(sink, lost=lost))
     networks = [IPv4Network("127.0.0.0/8")]
     core = BalancerCore(table, networks, new_flows_per_second, now=time.monotonic())
-    core.follower_was_fresh()
+    core.accept_new_flows()
     return core
 
 
--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -106,7 +106,7 @@
 
     @property
     def accepts_new_flows(self) -> bool:
-        """Whether new flows are taken; see `follower_was_fresh`."""
+        """Whether new flows are taken; see `accept_new_flows`."""
         return self._new_flows.accepted
 
     def table_changed(self, table: RoutingTable) -> None:
@@ -124,7 +124,7 @@
             self._decryptors = self._codec.decryptors
             self._keys = keys
 
-    def follower_was_fresh(self) -> None:
+    def accept_new_flows(self) -> None:
         """Begin to accept new flows; it holds until the process ends."""
         self._new_flows.accepted = True
 
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -26,7 +26,7 @@
 
     def __init__(self, table: RoutingTable, flows_per_second: float, now: float) -> None:
         self.accepted = False
-        """Whether new flows are taken at all; see `BalancerCore.follower_was_fresh`."""
+        """Whether new flows are taken at all; see `BalancerCore.accept_new_flows`."""
         burst = max(1.0, flows_per_second * NEW_FLOW_BURST_SECONDS)
         self._limit = TokenBucket(flows_per_second, burst, now)
         self.index = CandidateIndex(table)
--- a/src/jasperwalk/balancer/process.py
+++ b/src/jasperwalk/balancer/process.py
@@ -115,7 +115,7 @@
     async def _await_freshness(self) -> None:
         while not self._runner.fresh():
             await asyncio.sleep(FRESHNESS_POLL_SECONDS)
-        self.core.follower_was_fresh()
+        self.core.accept_new_flows()
         self._logger.info("new-flows-accepted", revision=self._follower.table.revision)
 
     def _table_changed(self, table: FollowerTable) -> None:
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -66,7 +66,7 @@
     table = FollowerTable()
     table.replace(REVISION, [kit.service_entry(), *members, *kit.KEYS])
     balancer = BalancerCore(table, [IPv4Network("127.0.0.0/8")], 1e6, 0.0)
-    balancer.follower_was_fresh()
+    balancer.accept_new_flows()
     header = encode_header(kit.CALLER, kit.VIP)
     endpoints = [_endpoint(kit, certificate, members, own) for own in range(len(members))]
     for connection_id in _connection_ids():
--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -90,7 +90,7 @@
     networks = [IPv4Network("127.0.0.0/8")]
     core = BalancerCore(table or make_table(), networks, new_flows_per_second, NOW)
     if fresh:
-        core.follower_was_fresh()
+        core.accept_new_flows()
     return core
 
 
@@ -303,7 +303,7 @@
     core = make_core(fresh=False)
     assert core.handle(wrap(long()), NOW) is DropReason.NO_FRESH_TABLE
     assert isinstance(core.handle(GOOD, NOW), Forward)
-    core.follower_was_fresh()
+    core.accept_new_flows()
     assert isinstance(core.handle(wrap(long()), NOW), Forward)
 
 
--- a/tests/lab/test_baselines.py
+++ b/tests/lab/test_baselines.py
@@ -74,7 +74,7 @@
 
 def flow_table(table):
     core = FlowTableCore(table, [IPv4Network("127.0.0.0/8")], 1e6, 0.0)
-    core.follower_was_fresh()
+    core.accept_new_flows()
     return core
 
 
