--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -63,7 +63,7 @@
             raise DatagramDropped(DropReason.OTHER_ADDRESS)
         # Resets have the look of short packets, and only such packets call for them.
         if packet.head.version is not None or not _may_be_lost(holder, view, table_fresh):
-            return [_pass_on(holder, packet)]
+            return [_forward(holder, packet)]
         if holder.incarnation > routable.incarnation:
             return self._reset(packet, view, now)
         return self._reset_if_lost(holder, packet, view, now)
@@ -76,9 +76,9 @@
             case ProbeState.LOST:
                 return self._reset(packet, view, now)
             case ProbeState.PROBE_NOW:
-                return [_pass_on(holder, packet), ProbeAgent(holder.address)]
+                return [_forward(holder, packet), ProbeAgent(holder.address)]
             case ProbeState.PROBING | ProbeState.ALIVE:
-                return [_pass_on(holder, packet)]
+                return [_forward(holder, packet)]
 
     def probe_ended(
         self, address: Endpoint, answered: bool, view: ServiceView, table_fresh: bool, now: float
@@ -115,6 +115,6 @@
     return offline and table_fresh and not view.removed
 
 
-def _pass_on(holder: MemberEntry, packet: AdmittedDatagram) -> ToAgent:
+def _forward(holder: MemberEntry, packet: AdmittedDatagram) -> ToAgent:
     datagram = msgspec.structs.replace(packet.datagram, hops=packet.datagram.hops + 1)
     return ToAgent(holder.address, encode(datagram))
