--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.scheduling.smoothed_time import SmoothedTime
 
-SHORTEST_OVERDUE_SECONDS = 0.2
+MIN_OVERDUE_SECONDS = 0.2
 """However fast a host is, one request in some takes several times as long as the others."""
 LONGEST_OVERDUE_SECONDS = 1.0
 """However slow it is, a caller of most services has an answer by then, or has been lost."""
@@ -57,7 +57,7 @@
 
     def overdue_seconds(self) -> float:
         """Return after how long a request keeps no place any more."""
-        return self._answer_time.timeout_seconds(SHORTEST_OVERDUE_SECONDS, LONGEST_OVERDUE_SECONDS)
+        return self._answer_time.timeout_seconds(MIN_OVERDUE_SECONDS, LONGEST_OVERDUE_SECONDS)
 
     def count(self, now: float) -> int:
         """Return how many requests keep a place."""
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -4,8 +4,8 @@
 
 from jasperwalk.scheduling.requests_in_flight import (
     LONGEST_OVERDUE_SECONDS,
+    MIN_OVERDUE_SECONDS,
     ORDINARY_SECONDS,
-    SHORTEST_OVERDUE_SECONDS,
     RequestsInFlight,
 )
 
@@ -33,13 +33,13 @@
     requests = measured(0.03)
     requests.start("lost", 1.0)
     requests.start("new", 1.19)
-    assert requests.count(0.99 + SHORTEST_OVERDUE_SECONDS) == 2
-    assert requests.count(1.01 + SHORTEST_OVERDUE_SECONDS) == 1
+    assert requests.count(0.99 + MIN_OVERDUE_SECONDS) == 2
+    assert requests.count(1.01 + MIN_OVERDUE_SECONDS) == 1
 
 
 @pytest.mark.parametrize(
     ("seconds", "overdue"),
-    [(0.001, SHORTEST_OVERDUE_SECONDS), (30.0, LONGEST_OVERDUE_SECONDS)],
+    [(0.001, MIN_OVERDUE_SECONDS), (30.0, LONGEST_OVERDUE_SECONDS)],
 )
 def test_the_time_is_bounded_both_ways(seconds, overdue):
     assert measured(seconds).overdue_seconds() == overdue
