--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -19,7 +19,7 @@
 from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES
 from jasperwalk.balancer.outcomes import DropReason, Forward, Outcomes, SocketAddress
 from jasperwalk.balancer.queues import DatagramQueues, QueueDrop
-from jasperwalk.balancer.segments import runs_of, send_run
+from jasperwalk.balancer.segments import send_run, split_runs
 
 DATAGRAMS_PER_WAKE_UP: Final = 128
 """After so many datagrams the event loop gets a turn, for heartbeats and metrics."""
@@ -138,7 +138,7 @@
     ) -> None:
         """Send datagrams to one agent with as few calls as may be."""
         sender = self._agents.connected.get(destination)
-        for run in runs_of(datagrams):
+        for run in split_runs(datagrams):
             if sender is not None and len(run) > 1:
                 try:
                     send_run(sender, run)
--- a/src/jasperwalk/balancer/segments.py
+++ b/src/jasperwalk/balancer/segments.py
@@ -25,7 +25,7 @@
 _pack_length = struct.Struct("=H").pack
 
 
-def runs_of(datagrams: Iterable[bytes]) -> Iterator[Sequence[bytes]]:
+def split_runs(datagrams: Iterable[bytes]) -> Iterator[Sequence[bytes]]:
     """Split datagrams, in their order, into runs that one send may carry."""
     for length, group in itertools.groupby(datagrams, len):
         same_length = list(group)
--- a/tests/balancer/test_segments.py
+++ b/tests/balancer/test_segments.py
@@ -5,8 +5,8 @@
 from jasperwalk.balancer.segments import (
     MAX_SEGMENTS,
     MAX_SEND_BYTES,
-    runs_of,
     send_run,
+    split_runs,
 )
 
 
@@ -25,7 +25,7 @@
 )
 def test_runs_keep_the_order_and_the_kernels_limits(lengths, runs):
     datagrams = [bytes([number]) * length for number, length in enumerate(lengths)]
-    split = list(runs_of(datagrams))
+    split = list(split_runs(datagrams))
     assert [len(run) for run in split] == runs
     assert [datagram for run in split for datagram in run] == datagrams
 
