--- a/src/jasperwalk/agent/datagram_guard.py
+++ b/src/jasperwalk/agent/datagram_guard.py
@@ -62,7 +62,7 @@
     trusted: bool
 
 
-class DatagramGuard:
+class DatagramFilter:
     """Lets through what is for the agent's own service and its listener."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -20,7 +20,7 @@
 from jasperwalk.agent.datagram_guard import (
     AdmittedDatagram,
     DatagramDropped,
-    DatagramGuard,
+    DatagramFilter,
     DropReason,
 )
 from jasperwalk.agent.flow import Flow
@@ -71,7 +71,7 @@
         self.prefers_peer: Callable[[Endpoint], bool] = lambda _: False
         """Set by the process: a new flow is better off at another member."""
         self._handover = Handover(self.slow_start)
-        self._guard = DatagramGuard()
+        self._guard = DatagramFilter()
         self._flows = FlowTable()
         self.upkeep = FlowUpkeep(self._flows)
         self._connection_ids = ConnectionIdFactory(view, source)
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -16,7 +16,7 @@
 
 from jasperwalk.agent import dispatcher
 from jasperwalk.agent.answers import LocalAnswer, not_run_answer
-from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramGuard
+from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramFilter
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.packets import read_head
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request, ResponseSink, Unknown
@@ -102,7 +102,7 @@
         self.state.hard_state = self._synced
 
 
-def _unchecked(self: DatagramGuard, data: bytes, view: ServiceView) -> AdmittedDatagram:
+def _unchecked(self: DatagramFilter, data: bytes, view: ServiceView) -> AdmittedDatagram:
     message = self._decode(data)
     sealed = isinstance(message, SealedDatagram)
     datagram: ForwardedDatagram = (
@@ -252,7 +252,7 @@
     Mutant(
         "service-not-checked",
         "an agent takes datagrams of any service; the balancers' own check is left",
-        _one(DatagramGuard, "admit", _unchecked),
+        _one(DatagramFilter, "admit", _unchecked),
         "uneven-updates",
         2,
         "broken-flow",
@@ -262,7 +262,7 @@
         "neither balancers nor agents look at the service of a datagram",
         Defect(
             (
-                Replacement(DatagramGuard, "admit", _unchecked),
+                Replacement(DatagramFilter, "admit", _unchecked),
                 Replacement(ServiceRoute, "names_service", lambda _self, _server_id: True),
             )
         ),
