--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -17,7 +17,7 @@
 
 MIN_OVERDUE_SECONDS = 0.2
 """However fast a host is, one request in some takes several times as long as the others."""
-LONGEST_OVERDUE_SECONDS = 1.0
+MAX_OVERDUE_SECONDS = 1.0
 """However slow it is, a caller of most services has an answer by then, or has been lost."""
 ORDINARY_SECONDS = 0.05
 """What a request takes at a host of which nothing is known yet."""
@@ -57,7 +57,7 @@
 
     def overdue_seconds(self) -> float:
         """Return after how long a request keeps no place any more."""
-        return self._answer_time.timeout_seconds(MIN_OVERDUE_SECONDS, LONGEST_OVERDUE_SECONDS)
+        return self._answer_time.timeout_seconds(MIN_OVERDUE_SECONDS, MAX_OVERDUE_SECONDS)
 
     def count(self, now: float) -> int:
         """Return how many requests keep a place."""
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.scheduling.requests_in_flight import (
-    LONGEST_OVERDUE_SECONDS,
+    MAX_OVERDUE_SECONDS,
     MIN_OVERDUE_SECONDS,
     ORDINARY_SECONDS,
     RequestsInFlight,
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize(
     ("seconds", "overdue"),
-    [(0.001, MIN_OVERDUE_SECONDS), (30.0, LONGEST_OVERDUE_SECONDS)],
+    [(0.001, MIN_OVERDUE_SECONDS), (30.0, MAX_OVERDUE_SECONDS)],
 )
 def test_the_time_is_bounded_both_ways(seconds, overdue):
     assert measured(seconds).overdue_seconds() == overdue
@@ -47,7 +47,7 @@
 
 def test_a_host_of_which_nothing_is_known_is_waited_for():
     requests = RequestsInFlight()
-    assert requests.overdue_seconds() == LONGEST_OVERDUE_SECONDS
+    assert requests.overdue_seconds() == MAX_OVERDUE_SECONDS
     assert requests.mean_seconds == ORDINARY_SECONDS
 
 
