--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -65,7 +65,7 @@
         self._clock = clock
         self._queues = DatagramQueues(listen, separate_openings=separate_openings)
         self._agents = AgentSockets(self._queues.established)
-        self._established_wait = False
+        self._established_waiting = False
         self.endpoint = self._queues.endpoint
 
     def start(self, handler: DatagramHandler) -> None:
@@ -94,7 +94,7 @@
 
     def drain(self, handler: DatagramHandler) -> None:
         """Handle the datagrams of established flows that wait, as many as a wake-up may."""
-        self._established_wait = self._take(
+        self._established_waiting = self._take(
             self._queues.established, DATAGRAMS_PER_WAKE_UP, handler
         )
 
@@ -104,7 +104,7 @@
         Whatever a flood brings, established ones wait for `OPENINGS_PER_WAKE_UP` at most.
         """
         self.drain(handler)
-        if not self._established_wait and self._queues.opening is not None:
+        if not self._established_waiting and self._queues.opening is not None:
             self._take(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
 
     def _take(self, queue: socket.socket, most: int, handler: DatagramHandler) -> bool:
