--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -71,7 +71,7 @@
         self.prefers_peer: Callable[[Endpoint], bool] = lambda _: False
         """Set by the process: a new flow is better off at another member."""
         self._handover = Handover(self.slow_start)
-        self._guard = DatagramFilter()
+        self._filter = DatagramFilter()
         self._flows = FlowTable()
         self.upkeep = FlowUpkeep(self._flows)
         self._connection_ids = ConnectionIdFactory(view, source)
@@ -103,7 +103,7 @@
         self.upkeep.view_changed(self._view, view)
         self._view = view
         self._connection_ids.view_changed(view)
-        self._guard.seal = DatagramSeal(view.keys_for(KeyPurpose.DATAGRAM))
+        self._filter.seal = DatagramSeal(view.keys_for(KeyPurpose.DATAGRAM))
         self._handover.view_changed(view)
         self._strays.view_changed(view)
 
@@ -118,7 +118,7 @@
     def datagram_received(self, data: bytes, now: float) -> None:
         """Take one datagram from a balancer or another agent."""
         try:
-            self._receive(self._guard.admit(data, self._view), now)
+            self._receive(self._filter.admit(data, self._view), now)
         except DatagramDropped as dropped:
             self.drops[dropped.reason] += 1
 
@@ -249,7 +249,7 @@
             hops=datagram.hops + 1,
             candidates=list(chosen.candidates),
         )
-        self._outgoing.append(ToAgent(chosen.target, self._guard.seal.seal(encode(handed))))
+        self._outgoing.append(ToAgent(chosen.target, self._filter.seal.seal(encode(handed))))
         self.handed_over += 1
 
     def _accept(self, head: PacketHead, datagram: ForwardedDatagram, now: float) -> None:
