--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -19,7 +19,7 @@
 """However fast a host is, one request in some takes several times as long as the others."""
 MAX_OVERDUE_SECONDS = 1.0
 """However slow it is, a caller of most services has an answer by then, or has been lost."""
-ORDINARY_SECONDS = 0.05
+DEFAULT_ANSWER_SECONDS = 0.05
 """What a request takes at a host of which nothing is known yet."""
 
 
@@ -53,7 +53,7 @@
     @property
     def mean_seconds(self) -> float:
         """How long a request takes at this host on average."""
-        return self._answer_time.mean or ORDINARY_SECONDS
+        return self._answer_time.mean or DEFAULT_ANSWER_SECONDS
 
     def overdue_seconds(self) -> float:
         """Return after how long a request keeps no place any more."""
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -3,9 +3,9 @@
 import pytest
 
 from jasperwalk.scheduling.requests_in_flight import (
+    DEFAULT_ANSWER_SECONDS,
     MAX_OVERDUE_SECONDS,
     MIN_OVERDUE_SECONDS,
-    ORDINARY_SECONDS,
     RequestsInFlight,
 )
 
@@ -48,11 +48,11 @@
 def test_a_host_of_which_nothing_is_known_is_waited_for():
     requests = RequestsInFlight()
     assert requests.overdue_seconds() == MAX_OVERDUE_SECONDS
-    assert requests.mean_seconds == ORDINARY_SECONDS
+    assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
 
 
 def test_another_host_is_measured_anew():
     requests = measured(0.5)
     assert requests.mean_seconds == pytest.approx(0.5)
     requests.reset_times()
-    assert requests.mean_seconds == ORDINARY_SECONDS
+    assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
