--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -88,8 +88,8 @@
         if service is None:
             self.reject(key, packet, "no-service")
             return
-        began_at = arrived_at - self.codec.opening_age_seconds(packet)
-        opening = Opening(packet, route, service, began_at, arrived_at, now)
+        caller_started_at = arrived_at - self.codec.opening_age_seconds(packet)
+        opening = Opening(packet, route, service, caller_started_at, arrived_at, now)
         self._try_next(key, opening, now)
 
     def forget(self, key: bytes) -> None:
@@ -101,7 +101,7 @@
         """Pass a copy of a flow's first packet on."""
         age_seconds = self.codec.opening_age_seconds(packet)
         if flow.opening is not None:
-            age_seconds = max(age_seconds, now - flow.opening.began_at)
+            age_seconds = max(age_seconds, now - flow.opening.caller_started_at)
         terms = OpeningTerms(False, flow.is_repeatable, age_seconds, flow.terms)
         self.send(flow.target.open_head(terms) + packet, flow.target.address)
 
@@ -198,7 +198,7 @@
         self.flows[key] = flow
         self._waiting_for_answers[key] = flow
         terms = OpeningTerms(
-            opening.waits, route.is_repeatable, now - opening.began_at, opening.route.terms
+            opening.waits, route.is_repeatable, now - opening.caller_started_at, opening.route.terms
         )
         self.send(target.open_head(terms) + opening.packet, target.address)
 
--- a/src/jasperwalk/balancer/datagrams/openings.py
+++ b/src/jasperwalk/balancer/datagrams/openings.py
@@ -30,7 +30,7 @@
     packet: bytes
     route: RouteEntry
     service: str
-    began_at: float
+    caller_started_at: float
     """When the caller began, as far as its packet tells."""
     arrived_at: float
     deadline: float
