--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -25,7 +25,7 @@
 )
 from jasperwalk.agent.flow import Flow
 from jasperwalk.agent.flow_table import FlowTable
-from jasperwalk.agent.flow_upkeep import FlowUpkeep
+from jasperwalk.agent.flow_upkeep import FlowMaintenance
 from jasperwalk.agent.handover import (
     MAX_HOPS,
     Handover,
@@ -73,7 +73,7 @@
         self._handover = Handover(self.slow_start)
         self._filter = DatagramFilter()
         self._flows = FlowTable()
-        self.upkeep = FlowUpkeep(self._flows)
+        self.upkeep = FlowMaintenance(self._flows)
         self._connection_ids = ConnectionIdFactory(view, source)
         self._outgoing: list[Outgoing] = []
         self._strays = StrayPackets(source)
--- a/src/jasperwalk/agent/flow_upkeep.py
+++ b/src/jasperwalk/agent/flow_upkeep.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent.service_view import ServiceView
 
 
-class FlowUpkeep:
+class FlowMaintenance:
     """Takes care of the flows of a table."""
 
     def __init__(self, flows: FlowTable) -> None:
