--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -24,7 +24,7 @@
 NO_ZONES = DrainedZones()
 
 
-def most_requests(capacity: int) -> int:
+def max_requests(capacity: int) -> int:
     """Return how many requests may be under way at a host with this many slots."""
     return math.ceil(FULL_LOAD_PER_SLOT * capacity)
 
@@ -85,7 +85,7 @@
         reason = self.pace.refusal(flow_key, busy, terms, now)
         if reason is not None:
             return reason
-        if busy >= most_requests(host.capacity):
+        if busy >= max_requests(host.capacity):
             return RefusalReason.FULL
         is_reached = self.warm_up.is_reached(host.slow_until, now)
         return RefusalReason.WARMING_UP if is_reached else None
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.datagrams.counters import AgentCounters
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
-from jasperwalk.agent.datagrams.host_admission import HostAdmission, most_requests
+from jasperwalk.agent.datagrams.host_admission import HostAdmission, max_requests
 from jasperwalk.agent.datagrams.host_monitor import HostMonitor
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
@@ -62,7 +62,7 @@
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether the host has room for one more request."""
-        return self.requests_at_host(now) < most_requests(self.host.capacity)
+        return self.requests_at_host(now) < max_requests(self.host.capacity)
 
     def record_started(self, terms: CarriedTerms, now: float) -> None:
         """Note a request that went to the host without waiting."""
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
@@ -79,7 +79,7 @@
         parts = self.parts
         ahead = parts.queue.order.count_ahead(route.priority)
         answer_seconds = parts.table.in_flight.mean_seconds
-        wait_seconds = (ahead + 1) * answer_seconds / most_requests(parts.host.capacity)
+        wait_seconds = (ahead + 1) * answer_seconds / max_requests(parts.host.capacity)
         longest = WAITING_SHARE * route.objective_seconds or MAX_AGE_SECONDS
         return age_seconds + wait_seconds + answer_seconds > longest
 
--- a/tests/agent/datagrams/support.py
+++ b/tests/agent/datagrams/support.py
@@ -3,7 +3,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostAnnouncement, HostState
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
     FLAG_WAIT,
@@ -68,7 +68,7 @@
 
     def fill(self):
         """Bring the host to its limit; return the callers."""
-        ports = range(1, 1 + most_requests(CAPACITY))
+        ports = range(1, 1 + max_requests(CAPACITY))
         callers = [Endpoint("100.64.0.9", port) for port in ports]
         for caller in callers:
             assert self.open(caller=caller).kind is FrameKind.ACCEPTED
@@ -77,7 +77,7 @@
 
     def fill_at(self, now):
         """Bring the host to its limit at this time."""
-        for port in range(1, 1 + most_requests(CAPACITY)):
+        for port in range(1, 1 + max_requests(CAPACITY)):
             caller = Endpoint("100.64.0.9", port)
             assert self.open(now, caller).kind is FrameKind.ACCEPTED
 
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -8,7 +8,7 @@
     MIN_FOLLOW_UP_SECONDS,
     FollowUpTime,
 )
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.agent.datagrams.host_response import (
     HOST_SILENCE_SECONDS,
     MAX_CONSECUTIVE_RETURNS,
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize(("slots", "requests"), [(1, 2), (2, 3), (3, 5), (4, 6), (10, 14)])
 def test_a_host_has_its_next_requests_at_hand_and_no_more(slots, requests):
-    assert most_requests(slots) == requests
+    assert max_requests(slots) == requests
 
 
 def greeting(caller=CALLER):
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -9,7 +9,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.agent.datagrams.waiting_requests import MAX_BURST_SECONDS
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import (
@@ -38,7 +38,7 @@
 HOLDS = Endpoint("198.18.0.1", 80)
 FEED_TERMS = CarriedTerms(2, 0.3, 2.5, 7)
 HOLD_TERMS = CarriedTerms(1, 0.4, 3.0, 7)
-FULL = most_requests(CAPACITY)
+FULL = max_requests(CAPACITY)
 
 
 class Host(Bench):
