--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -130,7 +130,7 @@
         """Ask the next agent; after the last one, ask the least busy to let the flow wait."""
         target = self._next_target(key, opening, now)
         if target is not None:
-            self._ask(key, opening, target, now)
+            self._send_opening(key, opening, target, now)
             return
         self.forget(key)
         if not opening.answers and self._park(key, opening, now):
@@ -189,7 +189,7 @@
                 return target
         return None
 
-    def _ask(self, key: bytes, opening: Opening, target: Target, now: float) -> None:
+    def _send_opening(self, key: bytes, opening: Opening, target: Target, now: float) -> None:
         opening.answers[target] = OpeningAnswer.MISSING
         opening.deadline = now + OPEN_TIMEOUT_SECONDS
         target.record_sent(now)
