--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -75,9 +75,9 @@
     follower: FollowerRunner, endpoint: AgentEndpoint, port: DatagramPort
 ) -> None:
     """Tell open flows of a drain, move them to the active keys, report their oldest keys."""
-    upkeep = endpoint.upkeep
+    maintenance = endpoint.maintenance
     while True:
-        while upkeep.renew_some_flows() | upkeep.send_some_go_aways():
+        while maintenance.renew_some_flows() | maintenance.send_some_go_aways():
             port.schedule()
             await asyncio.sleep(RENEWAL_PAUSE_SECONDS)
         oldest = endpoint.oldest_keys()
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -73,7 +73,7 @@
         self._handover = Handover(self.slow_start)
         self._filter = DatagramFilter()
         self._flows = FlowTable()
-        self.upkeep = FlowMaintenance(self._flows)
+        self.maintenance = FlowMaintenance(self._flows)
         self._connection_ids = ConnectionIdFactory(view, source)
         self._outgoing: list[Outgoing] = []
         self._strays = StrayPackets(source)
@@ -100,7 +100,7 @@
 
     def set_view(self, view: ServiceView) -> None:
         """Take a new revision of the service, its members and the keys."""
-        self.upkeep.view_changed(self._view, view)
+        self.maintenance.view_changed(self._view, view)
         self._view = view
         self._connection_ids.view_changed(view)
         self._filter.seal = DatagramSeal(view.keys_for(KeyPurpose.DATAGRAM))
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -66,10 +66,10 @@
     stream_id = caller.request("GET", "/stream")
     events = []
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
-    assert not endpoint.upkeep.send_some_go_aways()
+    assert not endpoint.maintenance.send_some_go_aways()
     for _ in range(2):  # the same drain, seen again, is told once
         endpoint.set_view(STARTS_OF_A_DRAIN[case](view))
-        endpoint.upkeep.send_some_go_aways()
+        endpoint.maintenance.send_some_go_aways()
     later = caller.request("GET", "/lookup")
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or len(events) > 1))
     assert [type(event) for event in events] == [RequestHeaders] * 2
--- a/tests/agent/test_key_renewal.py
+++ b/tests/agent/test_key_renewal.py
@@ -40,7 +40,7 @@
 
 def set_keys(endpoint, view, keys):
     endpoint.set_view(dataclasses.replace(view, keys=keys))
-    while endpoint.upkeep.renew_some_flows():
+    while endpoint.maintenance.renew_some_flows():
         pass
 
 
