--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -90,6 +90,6 @@
         is_reached = self.warm_up.is_reached(host.slow_until, now)
         return RefusalReason.WARMING_UP if is_reached else None
 
-    def takes_none(self) -> bool:
+    def accepts_none(self) -> bool:
         """Tell whether flows that wait have no hope: the host or its zone takes no more."""
         return self.host.phase is not HostPhase.READY or self.is_zone_drained()
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -90,7 +90,7 @@
 
     def clear(self, now: float) -> None:
         """Let go what waited too long, and all new flows where the host takes none any more."""
-        if self.parts.admission.takes_none():
+        if self.parts.admission.accepts_none():
             self._refuse(self.parts.queue.take_openings(), now)
         expired = self.parts.queue.take_expired(now)
         self._refuse([each for each in expired if each.opens_flow], now)
