--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -39,7 +39,7 @@
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
         """Take the hint that nothing listened at an agent's address a moment ago."""
-        self._refusals.note(agent, now)
+        self._refusals.record(agent, now)
 
     def refuse(self, payload_length: int, header: PacketHeader, now: float) -> DropReason | None:
         """Return why a packet of this length, in bytes, may not open a flow; None if it may."""
--- a/src/jasperwalk/balancer/refusals.py
+++ b/src/jasperwalk/balancer/refusals.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self._until: dict[SocketAddress, float] = {}
 
-    def note(self, agent: SocketAddress, now: float) -> None:
+    def record(self, agent: SocketAddress, now: float) -> None:
         """Note that an agent's machine refused a datagram; `now` is in seconds."""
         if len(self._until) >= MAX_REFUSALS:
             self._until.clear()
