--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.planned_end import PlannedEnd
+from jasperwalk.agent.planned_end import GracefulClose
 from jasperwalk.distribution.runner import FollowerRunner
 
 REPORT_SECONDS = 0.1
@@ -56,7 +56,7 @@
         await asyncio.sleep(REPORT_SECONDS)
 
 
-async def take_up_moves(current: CurrentView, planned_end: PlannedEnd) -> None:
+async def take_up_moves(current: CurrentView, planned_end: GracefulClose) -> None:
     """Serve the service that this member was moved to, once its open requests have ended.
 
     The flows that are left rest; their callers are told at once that they ended.
--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -18,7 +18,7 @@
 """Interval at which the end of the last request is looked for."""
 
 
-class PlannedEnd:
+class GracefulClose:
     """Waits for the work in progress, and closes the flows. `clock` is in seconds."""
 
     def __init__(
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -34,7 +34,7 @@
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
 from jasperwalk.agent.peers import PeerSlots
-from jasperwalk.agent.planned_end import PlannedEnd
+from jasperwalk.agent.planned_end import GracefulClose
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
@@ -208,11 +208,11 @@
         )
         return AdminServer(self._settings.admin_listen, registry, health.report)
 
-    def _planned_end(self, dispatcher: Dispatcher, port: DatagramPort) -> PlannedEnd:
-        return PlannedEnd(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
+    def _planned_end(self, dispatcher: Dispatcher, port: DatagramPort) -> GracefulClose:
+        return GracefulClose(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
 
     def _loops(
-        self, follower: FollowerRunner, planned_end: PlannedEnd, port: DatagramPort
+        self, follower: FollowerRunner, planned_end: GracefulClose, port: DatagramPort
     ) -> tuple[Coroutine[None, None, None], ...]:
         """Return what runs beside the requests, in the order of its start."""
         return (
@@ -225,7 +225,7 @@
         )
 
     async def _until_stopped(
-        self, dispatcher: Dispatcher, follower: FollowerRunner, planned_end: PlannedEnd
+        self, dispatcher: Dispatcher, follower: FollowerRunner, planned_end: GracefulClose
     ) -> None:
         signalled = stop_event()
         await first_of(signalled.wait(), self._stopped.wait())
