--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -215,7 +215,7 @@
         The hosts of a zone that is restored may have gone cold meanwhile, and not have said so.
         """
         was_drained = self.admission.is_zone_drained()
-        if not self.admission.take_zones(zones):
+        if not self.admission.update_zones(zones):
             return
         is_drained = self.admission.is_zone_drained()
         if is_drained != was_drained:
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -44,7 +44,7 @@
     pace: ServiceTimeMonitor
     _drained: DrainedZones = field(default=NO_ZONES)
 
-    def take_zones(self, zones: DrainedZones) -> bool:
+    def update_zones(self, zones: DrainedZones) -> bool:
         """Take the drained zones; return False for what newer knowledge has overtaken."""
         if zones.revision <= self._drained.revision:
             return False
