--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -214,7 +214,7 @@
             # Not kept among the route's agents: each flow's packets have their own witness.
             self.counters.witnessed += 1
             return Forward(substitute, _encode(datagram, route, ()))
-        route.remember(server_id, destination)
+        route.add_destination(server_id, destination)
         self.counters.established += 1
         return Forward(destination, _encode(datagram, route, ()))
 
--- a/src/jasperwalk/balancer/routes.py
+++ b/src/jasperwalk/balancer/routes.py
@@ -72,7 +72,7 @@
         """Tell whether a decoded server ID names this route's service."""
         return server_id[SERVICE_ID_START:SERVICE_ID_END] == self.packed_service_id
 
-    def remember(self, server_id: bytes, destination: SocketAddress) -> None:
+    def add_destination(self, server_id: bytes, destination: SocketAddress) -> None:
         """Keep an agent that was checked, for the short path."""
         if len(self.destinations) >= MAX_DESTINATIONS:
             self.destinations.clear()
