--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -9,8 +9,8 @@
 from jasperwalk.agent.current_view import CurrentView
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.endpoint import AgentEndpoint
+from jasperwalk.agent.graceful_close import GracefulClose
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.planned_end import GracefulClose
 from jasperwalk.distribution.runner import FollowerRunner
 
 REPORT_SECONDS = 0.1
@@ -56,17 +56,17 @@
         await asyncio.sleep(REPORT_SECONDS)
 
 
-async def take_up_moves(current: CurrentView, planned_end: GracefulClose) -> None:
+async def take_up_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
     """Serve the service that this member was moved to, once its open requests have ended.
 
     The flows that are left rest; their callers are told at once that they ended.
     """
     while True:
         if current.move_waits:
-            await planned_end.wait_until_idle()
+            await graceful_close.wait_until_idle()
         # The member may have been moved back, or the agent stopped, in the meantime.
         if current.move_waits:
-            planned_end.close_flows()
+            graceful_close.close_flows()
             current.take_up_move()
         await asyncio.sleep(MOVE_POLL_SECONDS)
 
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -28,13 +28,13 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.dispatcher import Dispatcher
 from jasperwalk.agent.endpoint import AgentEndpoint
+from jasperwalk.agent.graceful_close import GracefulClose
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
 from jasperwalk.agent.peers import PeerSlots
-from jasperwalk.agent.planned_end import GracefulClose
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
@@ -129,8 +129,8 @@
             follower = self._follower(ports.address)
             admin = self._admin(follower, dispatcher)
             await stack.enter_async_context(admin)
-            planned_end = self._planned_end(dispatcher, ports.datagrams)
-            for loop in self._loops(follower, planned_end, ports.datagrams):
+            graceful_close = self._planned_end(dispatcher, ports.datagrams)
+            for loop in self._loops(follower, graceful_close, ports.datagrams):
                 stack.push_async_callback(cancel, asyncio.ensure_future(loop))
             logger.info(
                 "agent-started",
@@ -138,7 +138,7 @@
                 admin=str(admin.endpoint),
                 links=describe_links(self._tls),
             )
-            await self._until_stopped(dispatcher, follower, planned_end)
+            await self._until_stopped(dispatcher, follower, graceful_close)
 
     def stop(self) -> None:
         """Stop as on a signal: end the requests in progress first."""
@@ -212,20 +212,20 @@
         return GracefulClose(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
 
     def _loops(
-        self, follower: FollowerRunner, planned_end: GracefulClose, port: DatagramPort
+        self, follower: FollowerRunner, graceful_close: GracefulClose, port: DatagramPort
     ) -> tuple[Coroutine[None, None, None], ...]:
         """Return what runs beside the requests, in the order of its start."""
         return (
             follower.run(),
             monitor_backend(self._backend, self.health, self._current),
             exchange_state(follower, self.endpoint, self.health, self._current, self._clock),
-            take_up_moves(self._current, planned_end),
+            take_up_moves(self._current, graceful_close),
             renew_flows(follower, self.endpoint, port),
             self._certificate.run(self.endpoint),
         )
 
     async def _until_stopped(
-        self, dispatcher: Dispatcher, follower: FollowerRunner, planned_end: GracefulClose
+        self, dispatcher: Dispatcher, follower: FollowerRunner, graceful_close: GracefulClose
     ) -> None:
         signalled = stop_event()
         await first_of(signalled.wait(), self._stopped.wait())
@@ -234,10 +234,10 @@
         logger.info("agent-stopping", open_requests=dispatcher.open_requests)
         # Within its grace a planned stop cuts no request; a second signal ends the wait.
         signalled.clear()
-        await first_of(signalled.wait(), planned_end.wait_until_idle(self._stop_grace_seconds()))
+        await first_of(signalled.wait(), graceful_close.wait_until_idle(self._stop_grace_seconds()))
         cut = dispatcher.open_requests
-        planned_end.cut_requests()
-        planned_end.close_flows()
+        graceful_close.cut_requests()
+        graceful_close.close_flows()
         logger.info("agent-stopped", requests_cut=cut)
 
     def _stop_grace_seconds(self) -> float:
