--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -44,7 +44,7 @@
             return False
         route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
-        shed = queue.shed_openings(self._most(now), now)
+        shed = queue.shed_openings(self._max_openings(now), now)
         self._refuse([each for each in shed if each is not request], now)
         if request in shed:
             return False
@@ -83,7 +83,7 @@
         longest = WAITING_SHARE * route.objective_seconds or MAX_AGE_SECONDS
         return age_seconds + wait_seconds + answer_seconds > longest
 
-    def _most(self, now: float) -> int:
+    def _max_openings(self, now: float) -> int:
         admission = self.parts.admission
         max_per_second = admission.warm_up.bound(admission.host.slow_until, now)
         return self.parts.queue.max_openings(admission.host.capacity, max_per_second)
