--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -94,7 +94,7 @@
 
     def drain(self, handler: DatagramHandler) -> None:
         """Handle the datagrams of established flows that wait, as many as a wake-up may."""
-        self._established_waiting = self._take(
+        self._established_waiting = self._handle_batch(
             self._queues.established, DATAGRAMS_PER_WAKE_UP, handler
         )
 
@@ -105,9 +105,9 @@
         """
         self.drain(handler)
         if not self._established_waiting and self._queues.opening is not None:
-            self._take(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
+            self._handle_batch(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
 
-    def _take(self, queue: socket.socket, most: int, handler: DatagramHandler) -> bool:
+    def _handle_batch(self, queue: socket.socket, most: int, handler: DatagramHandler) -> bool:
         """Handle at most so many datagrams of a queue; return whether more may wait.
 
         Packets of established flows are sent at the end, those to one agent together.
