--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -129,7 +129,7 @@
             follower = self._follower(ports.address)
             admin = self._admin(follower, dispatcher)
             await stack.enter_async_context(admin)
-            graceful_close = self._planned_end(dispatcher, ports.datagrams)
+            graceful_close = self._graceful_close(dispatcher, ports.datagrams)
             for loop in self._loops(follower, graceful_close, ports.datagrams):
                 stack.push_async_callback(cancel, asyncio.ensure_future(loop))
             logger.info(
@@ -208,7 +208,7 @@
         )
         return AdminServer(self._settings.admin_listen, registry, health.report)
 
-    def _planned_end(self, dispatcher: Dispatcher, port: DatagramPort) -> GracefulClose:
+    def _graceful_close(self, dispatcher: Dispatcher, port: DatagramPort) -> GracefulClose:
         return GracefulClose(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
 
     def _loops(
