--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -61,7 +61,7 @@
         self._expire_half_open(now)
         if not parts.queue:
             return
-        self.waiting.clear(now)
+        self.waiting.shed_expired(now)
         while parts.queue and parts.has_capacity(now):
             takes_flows = self._refusal(parts.tag, QUEUED_FLOW_TERMS, now) is None
             seconds = parts.table.in_flight.mean_seconds
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -88,7 +88,7 @@
         max_per_second = admission.warm_up.bound(admission.host.slow_until, now)
         return self.parts.queue.max_openings(admission.host.capacity, max_per_second)
 
-    def clear(self, now: float) -> None:
+    def shed_expired(self, now: float) -> None:
         """Let go what waited too long, and all new flows where the host takes none any more."""
         if self.parts.admission.accepts_none():
             self._refuse(self.parts.queue.take_openings(), now)
