--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -107,7 +107,7 @@
         if not self._established_waiting and self._queues.opening is not None:
             self._handle_batch(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
 
-    def _handle_batch(self, queue: socket.socket, most: int, handler: DatagramHandler) -> bool:
+    def _handle_batch(self, queue: socket.socket, limit: int, handler: DatagramHandler) -> bool:
         """Handle at most so many datagrams of a queue; return whether more may wait.
 
         Packets of established flows are sent at the end, those to one agent together.
@@ -115,7 +115,7 @@
         receive = queue.recv
         datagrams: list[bytes] = []
         try:
-            while len(datagrams) < most:
+            while len(datagrams) < limit:
                 datagrams.append(receive(RECEIVE_BYTES))
         except OSError:
             # Nothing waits any more, or a pending ICMP error, which recv has now cleared.
@@ -127,7 +127,7 @@
         for outcome in outcomes.others:
             if isinstance(outcome, Forward):
                 self._send(outcome, handler, now)
-        return len(datagrams) == most
+        return len(datagrams) == limit
 
     def _send_together(
         self,
