--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -54,7 +54,7 @@
                 return True
             await asyncio.sleep(IDLE_POLL_SECONDS)
 
-    def cut_requests(self) -> None:
+    def cancel_requests(self) -> None:
         """End the requests in progress, at the very end of a stop."""
         self._dispatcher.cancel_all()
 
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -236,7 +236,7 @@
         signalled.clear()
         await first_of(signalled.wait(), graceful_close.wait_until_idle(self._stop_grace_seconds()))
         cut = dispatcher.open_requests
-        graceful_close.cut_requests()
+        graceful_close.cancel_requests()
         graceful_close.close_flows()
         logger.info("agent-stopped", requests_cut=cut)
 
