--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -101,7 +101,7 @@
         flow.balancer = sender
         return FrameKind.HELD if flow.confirmed else FrameKind.UNSURE
 
-    def pass_on(self, request: WaitingRequest, now: float) -> None:
+    def forward_waiting(self, request: WaitingRequest, now: float) -> None:
         """Give a request that waited to the host, its packets in order."""
         parts = self.parts
         flow = parts.table.get(request.key)
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -73,11 +73,11 @@
     def release_held(self, now: float) -> None:
         """Give every request of an open flow to the host: it, or its successor, is to decide."""
         for request in self.parts.queue.take_held():
-            self.waiting.pass_on(request, now)
+            self.waiting.forward_waiting(request, now)
 
     def _begin(self, request: WaitingRequest, now: float) -> None:
         if not request.opens_flow:
-            self.waiting.pass_on(request, now)
+            self.waiting.forward_waiting(request, now)
             return
         waited_seconds = now - request.arrived_at
         self.parts.wait_latency.observe(waited_seconds)
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -120,7 +120,7 @@
             wait_latency=self.wait_latency,
         )
         self._callers = CallerPackets(self.parts, self.knowledge, lambda: self.flow_idle_seconds)
-        self._waiting = WaitingRequests(self.parts, self._callers.pass_on)
+        self._waiting = WaitingRequests(self.parts, self._callers.forward_waiting)
         self._flow_admission = FlowAdmission(self.parts, self._waiting)
         self._host_packets = HostPackets(self.parts, self._flow_admission)
 
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -24,11 +24,11 @@
 class WaitingRequests:
     """Fills and clears the agent's queue; sans-IO, times are seconds.
 
-    `pass_on` gives a request of an open flow to the host.
+    `forward_waiting` gives a request of an open flow to the host.
     """
 
     parts: AgentParts
-    pass_on: Callable[[WaitingRequest, float], None]
+    forward_waiting: Callable[[WaitingRequest, float], None]
     _overloaded_since: float | None = None
     """When the first flow came that would be late, None where the last one would not be."""
 
@@ -101,7 +101,7 @@
     def _expire(self, request: WaitingRequest, now: float) -> None:
         """Let a request of an open flow go: its caller has left, if its limit is known."""
         if not request.terms.limit_seconds:
-            self.pass_on(request, now)
+            self.forward_waiting(request, now)
             return
         self.parts.counters.requests_expired += 1
         self._log("request-expired", request, now)
