--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -43,14 +43,14 @@
         Returns False where that was not so within `grace_seconds`.
         """
         began_at = self._clock()
-        patient_until = began_at + MAX_DELIVERY_SECONDS
+        deliver_until = began_at + MAX_DELIVERY_SECONDS
         while True:
             now = self._clock()
             if now - began_at >= grace_seconds:
                 return False
             if self._dispatcher.open_requests + self._open_for_others():
-                patient_until = now + MAX_DELIVERY_SECONDS
-            elif not self._endpoint.has_undelivered_answers or now >= patient_until:
+                deliver_until = now + MAX_DELIVERY_SECONDS
+            elif not self._endpoint.has_undelivered_answers or now >= deliver_until:
                 return True
             await asyncio.sleep(IDLE_POLL_SECONDS)
 
