--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -25,7 +25,7 @@
     knowledge: FlowKnowledge
     idle_seconds: Callable[[], float]
 
-    def carry(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
+    def forward(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
         """Take a packet of a flow that a balancer believes to be at this host."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
@@ -78,7 +78,7 @@
         )
         parts.answers.reply(answer, 0, key, sender, now)
         if answer is FrameKind.HELD:
-            self.carry(packet, tag, sender, now)
+            self.forward(packet, tag, sender, now)
 
     def _forgets_waiting_opening(self, key: bytes) -> bool:
         """Let a flow go that waits to be opened: its caller has an answer, of another host."""
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -147,7 +147,7 @@
         elif not self.codec.is_complete(body):
             self.counters.frames_malformed += 1
         elif kind == FrameKind.CARRY:
-            self._callers.carry(body, tag, sender, now)
+            self._callers.forward(body, tag, sender, now)
         elif kind == FrameKind.CONFIRM:
             self._callers.confirm(body, tag, sender, now)
         else:
