--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -48,7 +48,7 @@
             now = self._clock()
             if now - began_at >= grace_seconds:
                 return False
-            if self._dispatcher.open_requests + self._open_for_others():
+            if self._dispatcher.open_requests + self._open_peer_requests():
                 deliver_until = now + MAX_DELIVERY_SECONDS
             elif not self._endpoint.has_undelivered_answers or now >= deliver_until:
                 return True
@@ -63,6 +63,6 @@
         self._endpoint.close_all()
         self._port.flush()
 
-    def _open_for_others(self) -> int:
+    def _open_peer_requests(self) -> int:
         """Count the requests in progress that came from other agents."""
         return self._runner.open_relayed + self._lender.open_slots
