--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -117,7 +117,7 @@
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
-        desk = AnnouncementHandler(
+        handler = AnnouncementHandler(
             self.host,
             settings.service,
             self._host_endpoint,
@@ -126,7 +126,7 @@
             self._host_changed,
         )
         self._host_calls = HttpServer(
-            Endpoint.parse(settings.host_calls_listen), host_interface(desk)
+            Endpoint.parse(settings.host_calls_listen), host_interface(handler)
         )
         self._readiness = HttpServer(
             Endpoint.parse(settings.readiness_listen), readiness_interface(lambda: not self._gone)
@@ -137,7 +137,7 @@
             counters=lambda: {
                 **self.core.counters.figures(),
                 **vars(self.helper.counters),
-                "host_announcements_refused": desk.refused,
+                "host_announcements_refused": handler.refused,
             },
             gauges={
                 "flows": lambda: len(self.core),
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -39,9 +39,9 @@
 
 
 def test_the_host_beside_the_agent_is_taken():
-    desk, state, told = desk_and_state()
-    assert desk.announce(news()) is AnnouncementOutcome.TAKEN
-    assert desk.announce(news()) is AnnouncementOutcome.LATE
+    handler, state, told = desk_and_state()
+    assert handler.announce(news()) is AnnouncementOutcome.TAKEN
+    assert handler.announce(news()) is AnnouncementOutcome.LATE
     assert state.phase is HostPhase.READY
     assert told.changes == 1
 
@@ -52,36 +52,36 @@
     ids=["another service", "another address"],
 )
 def test_what_another_host_says_of_itself_changes_nothing(foreign):
-    desk, state, told = desk_and_state()
-    desk.announce(news())
-    assert desk.announce(foreign) is AnnouncementOutcome.REFUSED
+    handler, state, told = desk_and_state()
+    handler.announce(news())
+    assert handler.announce(foreign) is AnnouncementOutcome.REFUSED
     assert (state.host_id, state.phase) == ("h1", HostPhase.READY)
     assert told.lines[-1][0] == "host-announcement-refused"
-    assert desk.refused == 1
+    assert handler.refused == 1
 
 
 def test_a_start_under_the_same_id_is_another_host():
     """The flows that the agent knows were the earlier start's: each is asked for anew."""
-    desk, _, told = desk_and_state()
-    desk.announce(news(7, born=1000))
-    desk.announce(news(1, born=2000))
+    handler, _, told = desk_and_state()
+    handler.announce(news(7, born=1000))
+    handler.announce(news(1, born=2000))
     assert told.new_hosts == 1
     assert told.changes == 2
 
 
 def test_the_next_call_of_the_same_start_is_no_other_host():
-    desk, _, told = desk_and_state()
-    desk.announce(news(7, born=1000))
-    desk.announce(news(8, born=1000))
+    handler, _, told = desk_and_state()
+    handler.announce(news(7, born=1000))
+    handler.announce(news(8, born=1000))
     assert told.new_hosts == 0
     assert told.changes == 1
 
 
 def test_an_unreadable_announcement_is_counted_and_told():
-    desk, state, told = desk_and_state()
-    desk.refuse("h1", "state: not a known state")
+    handler, state, told = desk_and_state()
+    handler.refuse("h1", "state: not a known state")
     assert state.phase is HostPhase.UNKNOWN
-    assert desk.refused == 1
+    assert handler.refused == 1
     assert told.lines == [
         ("host-announcement-refused", {"host": "h1", "reason": "state: not a known state"})
     ]
