--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -42,11 +42,11 @@
 
         Returns False where that was not so within `grace_seconds`.
         """
-        began_at = self._clock()
-        deliver_until = began_at + MAX_DELIVERY_SECONDS
+        started_at = self._clock()
+        deliver_until = started_at + MAX_DELIVERY_SECONDS
         while True:
             now = self._clock()
-            if now - began_at >= grace_seconds:
+            if now - started_at >= grace_seconds:
                 return False
             if self._dispatcher.open_requests + self._open_peer_requests():
                 deliver_until = now + MAX_DELIVERY_SECONDS
