--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -20,7 +20,7 @@
         self.lines.append((event, fields))
 
 
-def desk_and_state():
+def handler_and_state():
     told, state = Told(), HostState()
 
     def changed():
@@ -39,7 +39,7 @@
 
 
 def test_the_host_beside_the_agent_is_taken():
-    handler, state, told = desk_and_state()
+    handler, state, told = handler_and_state()
     assert handler.announce(news()) is AnnouncementOutcome.TAKEN
     assert handler.announce(news()) is AnnouncementOutcome.LATE
     assert state.phase is HostPhase.READY
@@ -52,7 +52,7 @@
     ids=["another service", "another address"],
 )
 def test_what_another_host_says_of_itself_changes_nothing(foreign):
-    handler, state, told = desk_and_state()
+    handler, state, told = handler_and_state()
     handler.announce(news())
     assert handler.announce(foreign) is AnnouncementOutcome.REFUSED
     assert (state.host_id, state.phase) == ("h1", HostPhase.READY)
@@ -62,7 +62,7 @@
 
 def test_a_start_under_the_same_id_is_another_host():
     """The flows that the agent knows were the earlier start's: each is asked for anew."""
-    handler, _, told = desk_and_state()
+    handler, _, told = handler_and_state()
     handler.announce(news(7, born=1000))
     handler.announce(news(1, born=2000))
     assert told.new_hosts == 1
@@ -70,7 +70,7 @@
 
 
 def test_the_next_call_of_the_same_start_is_no_other_host():
-    handler, _, told = desk_and_state()
+    handler, _, told = handler_and_state()
     handler.announce(news(7, born=1000))
     handler.announce(news(8, born=1000))
     assert told.new_hosts == 0
@@ -78,7 +78,7 @@
 
 
 def test_an_unreadable_announcement_is_counted_and_told():
-    handler, state, told = desk_and_state()
+    handler, state, told = handler_and_state()
     handler.refuse("h1", "state: not a known state")
     assert state.phase is HostPhase.UNKNOWN
     assert handler.refused == 1
