--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -62,10 +62,10 @@
     The flows that are left rest; their callers are told at once that they ended.
     """
     while True:
-        if current.move_waits:
+        if current.move_pending:
             await graceful_close.wait_until_idle()
         # The member may have been moved back, or the agent stopped, in the meantime.
-        if current.move_waits:
+        if current.move_pending:
             graceful_close.close_flows()
             current.take_up_move()
         await asyncio.sleep(MOVE_POLL_SECONDS)
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -47,7 +47,7 @@
         return self._view
 
     @property
-    def move_waits(self) -> bool:
+    def move_pending(self) -> bool:
         """Tell whether this member was moved to a service that it does not serve yet."""
         moved = self._view.removed and self._newest.service is not None
         return moved and not self._view.stopping
