--- a/src/jasperwalk/agent/datagrams/announcement_handler.py
+++ b/src/jasperwalk/agent/datagrams/announcement_handler.py
@@ -61,22 +61,22 @@
         self.refused = 0
         """Announcements that were unreadable or of a host that is not beside this agent."""
 
-    def announce(self, news: HostAnnouncement) -> AnnouncementOutcome:
+    def announce(self, announcement: HostAnnouncement) -> AnnouncementOutcome:
         """Take an announcement."""
-        reason = self._reason_to_refuse(news)
+        reason = self._reason_to_refuse(announcement)
         if reason:
-            self.refuse(news.host_id, reason)
+            self.refuse(announcement.host_id, reason)
             return AnnouncementOutcome.REFUSED
         now = time.monotonic()
         before, known = self._host.summary(now), self._host.start
-        taken = self._host.announce(news, now)
+        taken = self._host.announce(announcement, now)
         if known.host_id and known != self._host.start:
             self._on_new_host()
         if before != self._host.summary(now):
-            self._log("host-announced", news.call_number)
+            self._log("host-announced", announcement.call_number)
             self._on_change()
         elif not taken:
-            self._log("host-announcement-late", news.call_number)
+            self._log("host-announcement-late", announcement.call_number)
         return AnnouncementOutcome.TAKEN if taken else AnnouncementOutcome.LATE
 
     def leave(self, host_id: str) -> bool:
@@ -91,10 +91,10 @@
         self.refused += 1
         self._bounded_log.note("host-announcement-refused", host=host_id, reason=reason)
 
-    def _reason_to_refuse(self, news: HostAnnouncement) -> str:
-        if news.service not in ("", self._service):
+    def _reason_to_refuse(self, announcement: HostAnnouncement) -> str:
+        if announcement.service not in ("", self._service):
             return OTHER_SERVICE
-        if news.address not in (None, self._address):
+        if announcement.address not in (None, self._address):
             return OTHER_ADDRESS
         return ""
 
--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -104,36 +104,36 @@
         """The present host's start."""
         return HostStart(self.host_id, self.started_unix_ms)
 
-    def announce(self, news: HostAnnouncement, now: float) -> bool:
+    def announce(self, announcement: HostAnnouncement, now: float) -> bool:
         """Take an announcement; return False for one that newer knowledge has overtaken."""
-        start = self._start_of(news)
+        start = self._start_of(announcement)
         if self._is_of_left(start):
             return False
         if self._is_present(start):
-            if not self._is_newer_call(news):
+            if not self._is_newer_call(announcement):
                 return False
             self._is_confirmed = True
         elif self.host_id:
-            if not self._may_replace(start, news.call_number, now):
+            if not self._may_replace(start, announcement.call_number, now):
                 return False
             self._record_replaced()
             self._slow_until_at_most = 0.0
             self._is_confirmed = False
         self._doubted.clear()
         self.host_id, self.started_unix_ms = start.host_id, start.unix_ms
-        self.phase = news.phase
-        self.capacity = max(news.capacity, 1)
-        self.zone = news.zone
-        self._note_slow_start(news, now)
-        self.call_number = news.call_number
+        self.phase = announcement.phase
+        self.capacity = max(announcement.capacity, 1)
+        self.zone = announcement.zone
+        self._note_slow_start(announcement, now)
+        self.call_number = announcement.call_number
         self.announced_at = now
         return True
 
-    def _start_of(self, news: HostAnnouncement) -> HostStart:
+    def _start_of(self, announcement: HostAnnouncement) -> HostStart:
         """Return the start that speaks; one that names no time is taken for the known one."""
-        if news.host_id == self.host_id and not news.started_unix_ms:
+        if announcement.host_id == self.host_id and not announcement.started_unix_ms:
             return self.start
-        return HostStart(news.host_id, news.started_unix_ms)
+        return HostStart(announcement.host_id, announcement.started_unix_ms)
 
     def _is_present(self, start: HostStart) -> bool:
         is_same_host = start.host_id == self.host_id
@@ -144,14 +144,14 @@
         left = self._left.get(start.host_id)
         return left is not None and (left == 0 or start.unix_ms <= left)
 
-    def _is_newer_call(self, news: HostAnnouncement) -> bool:
+    def _is_newer_call(self, announcement: HostAnnouncement) -> bool:
         """Tell whether the present host's call is newer than its last one."""
-        is_back = self.phase is HostPhase.DRAINING and news.phase is HostPhase.READY
-        return news.call_number > self.call_number and not is_back
+        is_back = self.phase is HostPhase.DRAINING and announcement.phase is HostPhase.READY
+        return announcement.call_number > self.call_number and not is_back
 
-    def _note_slow_start(self, news: HostAnnouncement, now: float) -> None:
-        self.slow_until = now + news.slow_start_seconds
-        if news.slow_start_seconds:
+    def _note_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
+        self.slow_until = now + announcement.slow_start_seconds
+        if announcement.slow_start_seconds:
             known = self._slow_until_at_most or self.slow_until
             self._slow_until_at_most = min(known, self.slow_until)
 
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -32,7 +32,7 @@
     return AnnouncementHandler(state, "web", HOST, told, changed, replaced), state, told
 
 
-def news(number=1, host="h1", service="web", address=HOST, born=0, phase=HostPhase.READY):
+def announcement(number=1, host="h1", service="web", address=HOST, born=0, phase=HostPhase.READY):
     return HostAnnouncement(
         host, phase, 4, 0.0, number, service=service, address=address, started_unix_ms=born
     )
@@ -40,20 +40,23 @@
 
 def test_the_host_beside_the_agent_is_taken():
     handler, state, told = handler_and_state()
-    assert handler.announce(news()) is AnnouncementOutcome.TAKEN
-    assert handler.announce(news()) is AnnouncementOutcome.LATE
+    assert handler.announce(announcement()) is AnnouncementOutcome.TAKEN
+    assert handler.announce(announcement()) is AnnouncementOutcome.LATE
     assert state.phase is HostPhase.READY
     assert told.changes == 1
 
 
 @pytest.mark.parametrize(
     "foreign",
-    [news(2, "h2", service="export"), news(2, "h2", address=Endpoint("10.0.0.8", 8080))],
+    [
+        announcement(2, "h2", service="export"),
+        announcement(2, "h2", address=Endpoint("10.0.0.8", 8080)),
+    ],
     ids=["another service", "another address"],
 )
 def test_what_another_host_says_of_itself_changes_nothing(foreign):
     handler, state, told = handler_and_state()
-    handler.announce(news())
+    handler.announce(announcement())
     assert handler.announce(foreign) is AnnouncementOutcome.REFUSED
     assert (state.host_id, state.phase) == ("h1", HostPhase.READY)
     assert told.lines[-1][0] == "host-announcement-refused"
@@ -63,16 +66,16 @@
 def test_a_start_under_the_same_id_is_another_host():
     """The flows that the agent knows were the earlier start's: each is asked for anew."""
     handler, _, told = handler_and_state()
-    handler.announce(news(7, born=1000))
-    handler.announce(news(1, born=2000))
+    handler.announce(announcement(7, born=1000))
+    handler.announce(announcement(1, born=2000))
     assert told.new_hosts == 1
     assert told.changes == 2
 
 
 def test_the_next_call_of_the_same_start_is_no_other_host():
     handler, _, told = handler_and_state()
-    handler.announce(news(7, born=1000))
-    handler.announce(news(8, born=1000))
+    handler.announce(announcement(7, born=1000))
+    handler.announce(announcement(8, born=1000))
     assert told.new_hosts == 0
     assert told.changes == 1
 
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -136,8 +136,8 @@
 
 def cold_host(bench, left_seconds, now, number=4, host="h1"):
     """Announce a host that is slow for so much longer."""
-    news = HostAnnouncement(host, HostPhase.READY, CAPACITY, left_seconds, number)
-    bench.host.announce(news, now)
+    announcement = HostAnnouncement(host, HostPhase.READY, CAPACITY, left_seconds, number)
+    bench.host.announce(announcement, now)
     bench.agent.warm_up.configure(1, WarmUp(COLD_SECONDS, 0.0))
 
 
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -17,9 +17,9 @@
     return HostAnnouncement(host, phase, 4, 0.0, number)
 
 
-def state_after(*news):
+def state_after(*announcement):
     host = HostState()
-    for each in news:
+    for each in announcement:
         host.leave(each) if isinstance(each, str) else host.announce(each, 10.0)
     return host
 
@@ -51,8 +51,8 @@
         "a late call of the host before",
     ],
 )
-def test_the_newest_word_of_the_present_host_counts(news, phase):
-    assert state_after(*news).phase is phase
+def test_the_newest_word_of_the_present_host_counts(announcement, phase):
+    assert state_after(*announcement).phase is phase
 
 
 def test_a_late_call_is_told_apart():
