--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -67,7 +67,7 @@
         # The member may have been moved back, or the agent stopped, in the meantime.
         if current.move_pending:
             graceful_close.close_flows()
-            current.take_up_move()
+            current.apply_move()
         await asyncio.sleep(MOVE_POLL_SECONDS)
 
 
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -72,7 +72,7 @@
         """Take no new work from here on."""
         self._replace(dataclasses.replace(self._view, stopping=True))
 
-    def take_up_move(self) -> None:
+    def apply_move(self) -> None:
         """Serve the service that this member was moved to."""
         incarnation = self._view.incarnation
         self._replace(dataclasses.replace(self._newest, incarnation=incarnation))
