--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -98,7 +98,7 @@
     ) -> None:
         parts = self.parts
         parts.table.admit(key, sender, now)
-        parts.watch.record_admission(now)
+        parts.monitor.record_admission(now)
         parts.counters.flows_accepted += 1
         parts.log.note(
             "flow-admitted",
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -87,12 +87,12 @@
         self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
         self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.record_end)
         self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
-        self.watch = HostMonitor(self.host, self.log, self.pace)
+        self.monitor = HostMonitor(self.host, self.log, self.pace)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
             self.host,
-            self.watch.response,
-            self.watch.requests,
+            self.monitor.response,
+            self.monitor.requests,
             self.warm_up,
             self.zone,
             self.pace,
@@ -111,7 +111,7 @@
             meter=self.meter,
             table=self.table,
             queue=self.queue,
-            watch=self.watch,
+            monitor=self.monitor,
             pace=self.pace,
             warm_up=self.warm_up,
             admission=self.admission,
@@ -194,7 +194,7 @@
         what it does not hold, so that their callers learn that the host is gone.
         """
         self.knowledge.host_started_here = True
-        self.watch.on_host_replaced()
+        self.monitor.on_host_replaced()
         self.table.in_flight.reset_times()
         self.table.doubt_all(now)
         self.release_held(now)
@@ -229,11 +229,11 @@
 
     def sweep(self, now: float) -> None:
         """Forget flows that ended or cannot be alive any longer; call every second."""
-        self.watch.check(now)
+        self.monitor.check(now)
         self.admit_waiting(now)
         for key, flow in self.table.take_unanswered(now):
             self.counters.requests_unanswered += 1
-            self.watch.record_failure(now)
+            self.monitor.record_failure(now)
             self.log.note(
                 "request-unanswered",
                 flow=self.codec.describe(key),
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -23,7 +23,7 @@
         if not parts.codec.is_complete(packet):
             parts.counters.host_packets_malformed += 1
             return
-        parts.watch.record_packet(now)
+        parts.monitor.record_packet(now)
         if parts.codec.is_returned(packet):
             self._take_returned(parts.codec.restore_returned(packet), now)
             return
@@ -42,7 +42,7 @@
             number = codec.opening_answer_number(packet)
             flow.record_answer_number(number)
             if number is not None:
-                self.parts.watch.record_opening_taken(now)
+                self.parts.monitor.record_opening_taken(now)
         if not flow.confirmed and flow.followed_up:
             flow.confirmed = True
             self.parts.answers.reply(FrameKind.HELD, 0, key, flow.balancer, now)
@@ -64,7 +64,7 @@
         if flow.has_request_in_flight():
             parts.counters.requests_answered += 1
             parts.host_latency.observe(now - flow.requested_at)
-            parts.watch.record_answer(now)
+            parts.monitor.record_answer(now)
             parts.table.record_answer(flow, now)
             parts.pace.record_answer(flow, now)
         parts.table.set_busy(flow, False, now)
@@ -73,7 +73,7 @@
         parts = self.parts
         if flow.has_request_in_flight():
             parts.counters.requests_broken_off += 1
-            parts.watch.record_failure(now)
+            parts.monitor.record_failure(now)
         parts.queue.discard(key)
         flow.host_ended = flow.caller_ended = True
         parts.table.set_busy(flow, False, now)
@@ -89,7 +89,7 @@
             return
         parts.table.drop(key, flow, now)
         if is_opening:
-            parts.watch.record_opening_returned(now)
+            parts.monitor.record_opening_returned(now)
         parts.counters.packets_returned += 1
         parts.log.note(
             "packet-returned",
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -40,7 +40,7 @@
     meter: LoadMeter
     table: HeldFlows
     queue: RequestScheduler
-    watch: HostMonitor
+    monitor: HostMonitor
     pace: ServiceTimeMonitor
     warm_up: WarmUpLimit
     admission: HostAdmission
@@ -70,6 +70,6 @@
 
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
-        if self.watch.response.is_unavailable(now):
-            return self.watch.response.unavailable_load(self.host.capacity)
+        if self.monitor.response.is_unavailable(now):
+            return self.monitor.response.unavailable_load(self.host.capacity)
         return self.meter.load(now) + len(self.queue)
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -145,7 +145,7 @@
                 "flows_waiting": lambda: self.core.queue.openings,
                 "requests_waiting": lambda: len(self.core.queue),
                 "zone_drained": self.core.admission.is_zone_drained,
-                "host_failing": self.core.watch.requests.is_failing,
+                "host_failing": self.core.monitor.requests.is_failing,
                 "host_slow": self.core.pace.slow_host.is_slow,
                 "host_pace_ms": self.core.pace.pace_ms,
                 "host_ready": lambda: self.host.phase is HostPhase.READY,
