--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(REPORT_SECONDS)
 
 
-async def take_up_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
+async def apply_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
     """Serve the service that this member was moved to, once its open requests have ended.
 
     The flows that are left rest; their callers are told at once that they ended.
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -17,10 +17,10 @@
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
+    apply_moves,
     exchange_state,
     monitor_backend,
     renew_flows,
-    take_up_moves,
 )
 from jasperwalk.agent.borrower import SlotBorrower
 from jasperwalk.agent.certificate_renewal import CertificateRenewal
@@ -219,7 +219,7 @@
             follower.run(),
             monitor_backend(self._backend, self.health, self._current),
             exchange_state(follower, self.endpoint, self.health, self._current, self._clock),
-            take_up_moves(self._current, graceful_close),
+            apply_moves(self._current, graceful_close),
             renew_flows(follower, self.endpoint, port),
             self._certificate.run(self.endpoint),
         )
