--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -196,7 +196,7 @@
         self.knowledge.host_started_here = True
         self.monitor.on_host_replaced()
         self.table.in_flight.reset_times()
-        self.table.doubt_all(now)
+        self.table.unconfirm_all(now)
         self.release_held(now)
 
     # The turn of what waits
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -85,7 +85,7 @@
         self.half_open.discard(key)
         del self._flows[key]
 
-    def doubt_all(self, now: float) -> None:
+    def unconfirm_all(self, now: float) -> None:
         """Count no flow as confirmed: another host may be there, and a packet will tell."""
         for flow in self._flows.values():
             self.set_busy(flow, False, now)
