--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -68,7 +68,7 @@
         if incarnation != self._view.incarnation:
             self._replace(dataclasses.replace(self._view, incarnation=incarnation))
 
-    def begin_stop(self) -> None:
+    def set_stopping(self) -> None:
         """Take no new work from here on."""
         self._replace(dataclasses.replace(self._view, stopping=True))
 
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -229,7 +229,7 @@
     ) -> None:
         signalled = stop_event()
         await first_of(signalled.wait(), self._stopped.wait())
-        self._current.begin_stop()
+        self._current.set_stopping()
         follower.healthy = False
         logger.info("agent-stopping", open_requests=dispatcher.open_requests)
         # Within its grace a planned stop cuts no request; a second signal ends the wait.
