--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -39,7 +39,7 @@
     is_long_request: bool = False
     """True once the request under way has come in more than one packet: its caller may have left
     in the middle of it, so that a missing answer says nothing of the host."""
-    unanswered_noted: bool = False
+    unanswered_counted: bool = False
     """True once the request under way was counted against the host."""
     confirmed: bool = True
     followed_up: bool = True
@@ -68,7 +68,7 @@
         if ahead <= 0:
             return False
         self.data_number = number
-        self.unanswered_noted = False
+        self.unanswered_counted = False
         return True
 
     def _ahead(self, number: int) -> int:
@@ -96,7 +96,7 @@
 
     def is_unanswered(self, now: float) -> bool:
         """Tell whether the host leaves a request unanswered that was not noted yet."""
-        if self.unanswered_noted or self.is_long_request or not self.has_request_in_flight():
+        if self.unanswered_counted or self.is_long_request or not self.has_request_in_flight():
             return False
         return now - self.requested_at > UNANSWERED_SECONDS
 
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -102,7 +102,7 @@
         """Return the flows whose host has left a request unanswered for long, each once."""
         unanswered = [each for each in self._flows.items() if each[1].is_unanswered(now)]
         for _, flow in unanswered:
-            flow.unanswered_noted = True
+            flow.unanswered_counted = True
         return unanswered
 
     def sweep(self, now: float) -> None:
