--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -101,7 +101,7 @@
         view = self._view
         if view.online and view.incarnation != self._online_incarnation:
             self._online_incarnation = view.incarnation
-            self._endpoint.slow_start.begin(self._clock())
+            self._endpoint.slow_start.start(self._clock())
 
 
 def _log_changes(before: ServiceView, after: ServiceView) -> None:
--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self._began_at = -math.inf
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Note that this agent came online just now; `now` is in seconds."""
         self._began_at = now
 
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -190,7 +190,7 @@
 def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(kit, certificate):
     members = _members(kit, 3)
     endpoint = _endpoint(kit, certificate, members, slow_start_ms=10_000)
-    endpoint.slow_start.begin(100.0)
+    endpoint.slow_start.start(100.0)
     named = (members[0].address, members[1].address)
     fields = {"candidates": named, "revision": REVISION}
     passed_on = []
@@ -208,7 +208,7 @@
     # A flow that was handed over stays, and so does every flow of an agent that is alone.
     assert _open(kit, endpoint, b"12345678", 100.0, hops=1, **fields) == (None, True)
     alone = _endpoint(kit, certificate, members[:1], slow_start_ms=10_000)
-    alone.slow_start.begin(100.0)
+    alone.slow_start.start(100.0)
     for connection_id in _connection_ids():
         assert _open(kit, alone, connection_id, 100.0, **fields) == (None, True)
 
@@ -217,7 +217,7 @@
     kit, certificate
 ):
     endpoint = _endpoint(kit, certificate, _members(kit, 3), slow_start_ms=10_000)
-    endpoint.slow_start.begin(0.0)
+    endpoint.slow_start.start(0.0)
     handed_on = 0
     for connection_id in _connection_ids():
         datagram = kit.forwarded(kit.initial_packet(connection_id), (kit.AGENT, kit.OTHER_AGENT))
