--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -269,9 +269,9 @@
     problems: ProblemCollector,
 ) -> None:
     wanted = SERVICE_FIELDS[path].shape.type
-    sole = sole_reference(raw)
-    if sole is not None:
-        given = parameters[sole].shape.type
+    whole = sole_reference(raw)
+    if whole is not None:
+        given = parameters[whole].shape.type
         if given is not wanted:
             detail = f"${{{whole}}} is of type {given.value}, the field of type {wanted.value}"
             mend = f"refer to a parameter of type {wanted.value}"
