--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -45,7 +45,7 @@
             and flow.answer_numbers
             and not flow.is_followed(packet, parts.codec)
         ):
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             parts.answers.reply(FrameKind.RETURNED, 0, key, sender, now, packet)
             return
         flow.balancer = sender
@@ -66,7 +66,7 @@
         elif flow.is_followed(packet, parts.codec):
             answer = FrameKind.HELD
         else:
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             answer = FrameKind.NOT_HELD
         if tag == parts.tag and self._forgets_waiting_opening(key):
             answer = FrameKind.NOT_HELD
@@ -184,7 +184,7 @@
             self.parts.table.set_busy(flow, False, now)
         self.parts.to_host(packet)
 
-    def _let_go(self, key: bytes, flow: HeldFlow, now: float) -> None:
+    def _drop_half_open(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a half-open flow whose caller chose another host."""
         self.parts.counters.flows_opened_elsewhere += 1
         self.parts.table.drop(key, flow, now)
