--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -21,15 +21,15 @@
     """Decides by a hash of the connection ID, so that retransmissions agree."""
 
     def __init__(self) -> None:
-        self._began_at = -math.inf
+        self._started_at = -math.inf
 
     def start(self, now: float) -> None:
         """Note that this agent came online just now; `now` is in seconds."""
-        self._began_at = now
+        self._started_at = now
 
     def diverts(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
         """Tell whether the flow that this Initial opens goes to the other candidate."""
-        elapsed = now - self._began_at
+        elapsed = now - self._started_at
         if elapsed >= duration_seconds:
             return False
         share = MAX_DIVERTED_SHARE * (1 - elapsed / duration_seconds)
