--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -79,7 +79,7 @@
     sent_at: float = 0.0
     suspect_until: float = float("-inf")
     refuses_until: float = float("-inf")
-    pace_factor: float = 1.0
+    slowdown: float = 1.0
     """How many times as long as usual its host takes for a request, and `slowdown_at` when told."""
     slowdown_at: float = float("-inf")
     zone_drained: bool = False
@@ -115,7 +115,7 @@
 
     def record_slow_refusal(self) -> None:
         """Note that the agent refused a new flow because its host is slow."""
-        self.pace_factor = MAX_SLOWDOWN
+        self.slowdown = MAX_SLOWDOWN
 
     def is_avoided(self, now: float) -> bool:
         """Tell whether the agent is chosen only if no other is left: it was silent, or refused."""
@@ -123,7 +123,7 @@
 
     def was_slow(self) -> bool:
         """Tell whether the host was slow by the last that its agent told, however long ago."""
-        return self.pace_factor > 1.0
+        return self.slowdown > 1.0
 
     def record_query(self, now: float) -> None:
         """Note that the agent was asked whether it holds a flow."""
@@ -166,7 +166,7 @@
 
     def current_slowdown(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
-        return slowdown_at_age(self.pace_factor, now - self.slowdown_at)
+        return slowdown_at_age(self.slowdown, now - self.slowdown_at)
 
     def expected_wait(self, now: float) -> float:
         """Return the expected wait, counted in requests of usual length for each slot.
@@ -175,7 +175,7 @@
         pace is as usual this is the relative load.
         """
         load = self.relative_load(now)
-        if self.pace_factor == 1.0:
+        if self.slowdown == 1.0:
             return load
         weight = self.current_slowdown(now)
         return load if weight == 1.0 else (load + 1.0) * weight - 1.0
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -175,7 +175,7 @@
             return
         slowdown = self._service_times.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
-            target.pace_factor = slowdown
+            target.slowdown = slowdown
             target.slowdown_at = now
 
     def _cost(
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -51,7 +51,7 @@
     bench.learn_usual()
     slow, _ = bench.open(1.0)
     bench.accept(slow, SLOW, 1.0)
-    assert bench.target(slow).pace_factor == MAX_SLOWDOWN
+    assert bench.target(slow).slowdown == MAX_SLOWDOWN
     asked = []
     for _ in range(6):
         number, _ = bench.open(1.1)
@@ -66,7 +66,7 @@
     bench.learn_usual()
     number, _ = bench.open(1.0)
     bench.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(bench.caller))
-    assert bench.target(number).pace_factor == 1.0
+    assert bench.target(number).slowdown == 1.0
 
 
 def test_an_agent_whose_host_is_slow_is_passed_over_for_a_while():
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_paces.py
@@ -144,7 +144,7 @@
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
         bench.tell(number, 8 * USUAL)
-    assert all(bench.target(number).pace_factor == MAX_SLOWDOWN for number in slow)
+    assert all(bench.target(number).slowdown == MAX_SLOWDOWN for number in slow)
     assert bench.chosen() == plain.chosen()
 
 
@@ -154,7 +154,7 @@
         bench.tell(number, USUAL)
     for number in range(1, HOSTS + 1):
         bench.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
-    assert {bench.target(number).pace_factor for number in range(1, HOSTS + 1)} == {1.0}
+    assert {bench.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
