--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -83,7 +83,7 @@
         self._endpoint.set_view(view)
         self._peers.keep_only(view.members)
         self._apply_limits()
-        self._begin_slow_start()
+        self._start_slow_start()
         _log_changes(before, view)
 
     def _apply_limits(self) -> None:
@@ -96,7 +96,7 @@
         self._allocator.apply(self._allocator.admission.set_limits(limits, self._clock()))
         self._health.failures_to_offline = service.health_monitor.failures_to_offline
 
-    def _begin_slow_start(self) -> None:
+    def _start_slow_start(self) -> None:
         """Begin a slow start when control first calls this incarnation online."""
         view = self._view
         if view.online and view.incarnation != self._online_incarnation:
