--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -68,7 +68,7 @@
         else:
             self._drop_half_open(key, flow, now)
             answer = FrameKind.NOT_HELD
-        if tag == parts.tag and self._forgets_waiting_opening(key):
+        if tag == parts.tag and self._cancel_waiting_opening(key):
             answer = FrameKind.NOT_HELD
         parts.log.note(
             "flow-confirmed" if answer is FrameKind.HELD else "flow-not-confirmed",
@@ -80,7 +80,7 @@
         if answer is FrameKind.HELD:
             self.forward(packet, tag, sender, now)
 
-    def _forgets_waiting_opening(self, key: bytes) -> bool:
+    def _cancel_waiting_opening(self, key: bytes) -> bool:
         """Let a flow go that waits to be opened: its caller has an answer, of another host."""
         waiting = self.parts.queue.get(key)
         if waiting is None or not waiting.opens_flow:
