--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -32,7 +32,7 @@
     WarmUpUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTimer
+from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import AgentNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -28,7 +28,7 @@
 )
 from jasperwalk.fleet.metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTimer
+from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import BalancerNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
