--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import HeldSlot, SlotRequest
-from jasperwalk.agent.local_run import LocalRun
+from jasperwalk.agent.local_run import LocalRunner
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
@@ -22,7 +22,7 @@
         self,
         allocator: SlotAllocator,
         health: BackendHealth,
-        local_run: LocalRun,
+        local_run: LocalRunner,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.requests import NotRun, NotRunReason, Outcome, Request, ResponseSink
 
 
-class LocalRun:
+class LocalRunner:
     """Runs requests at the back end, frees their slots and learns from their outcomes."""
 
     def __init__(
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -22,7 +22,7 @@
     serve_lending,
 )
 from jasperwalk.agent.lending_client import BorrowedSlot, IdleLinks, LendingClient, LendingLink
-from jasperwalk.agent.local_run import LocalRun
+from jasperwalk.agent.local_run import LocalRunner
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
@@ -97,7 +97,7 @@
         self.allocator = SlotAllocator(Admission(AdmissionLimits(slots, 4, 5_000)))
         peers = PeerSlots(source)
         client = RelayClient("test", "test")
-        local = LocalRun(self.backend, self.allocator, self.health, loop.time)
+        local = LocalRunner(self.backend, self.allocator, self.health, loop.time)
         parts = (peers, lambda: self.view, loop.time, lend)
         self.lender = SlotLender(self.allocator, self.health, local, *parts)
         self.borrower = SlotBorrower(self.allocator, LendingClient(client, loop.time), *parts)
