--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -53,7 +53,7 @@
         flow.followed_up = True
         parts.table.half_open.record_follow_up(key, now)
         parts.counters.packets_in += 1
-        if not self._holds(key, flow, packet, now):
+        if not self._try_hold(key, flow, packet, now):
             self._send(flow, packet, now)
 
     def confirm(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
@@ -122,7 +122,7 @@
 
     # Holding
 
-    def _holds(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> bool:
+    def _try_hold(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> bool:
         """Keep a packet that belongs to a request that waits, or begins one that has to."""
         waiting = self.parts.queue.get(key)
         if waiting is not None:
