--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from jasperwalk.errors import MalformedMessage
-from jasperwalk.fleet.question_batch import KEYS_PER_FRAME, QueryBatch
+from jasperwalk.fleet.query_batch import KEYS_PER_FRAME, QueryBatch
 from jasperwalk.fleet.search import Confirm, Query, Search, SearchStep, SearchVerdict
 from jasperwalk.fleet.target import Target
 from jasperwalk.fleet.targets import TargetPool
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -1,7 +1,7 @@
 import pytest
 
 from jasperwalk.fleet.messages import HostPhase
-from jasperwalk.fleet.question_batch import KEYS_PER_FRAME
+from jasperwalk.fleet.query_batch import KEYS_PER_FRAME
 from jasperwalk.fleet.search import (
     ANSWER_TIMEOUT_SECONDS,
     MAX_HELD_PACKETS,
