--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import HeldSlot, SlotRequest
-from jasperwalk.agent.local_run import LocalRunner
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
@@ -22,7 +22,7 @@
         self,
         allocator: SlotAllocator,
         health: BackendHealth,
-        local_run: LocalRunner,
+        local_runner: LocalRunner,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
@@ -30,7 +30,7 @@
     ) -> None:
         self._allocator = allocator
         self._health = health
-        self._local_run = local_run
+        self._local_run = local_runner
         self._peers = peers
         self._view = view
         self._clock = clock
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -32,7 +32,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
-from jasperwalk.agent.local_run import LocalRunner
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.metrics import AgentCollector
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.ports import AgentPorts, open_ports
@@ -103,13 +103,13 @@
     def _make_runner(self) -> None:
         settings, allocator, clock = self._settings, self._allocator, self._clock
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
-        local_run = LocalRunner(self._backend, allocator, self.health, clock)
+        local_runner = LocalRunner(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
         self._lending_client = LendingClient(self._relay, clock)
-        self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
+        self.lender = SlotLender(allocator, self.health, local_runner, peers, view, clock, lend)
         self.borrower = SlotBorrower(allocator, self._lending_client, peers, view, clock, lend)
         self.runner = RequestRunner(
-            local_run, allocator, self.borrower, self._relay, view, clock, self._random
+            local_runner, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
     def _prefers_peer(self, member: Endpoint) -> bool:
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.local_run import LocalRunner
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
 from jasperwalk.agent.requests import (
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        local_run: LocalRunner,
+        local_runner: LocalRunner,
         allocator: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
@@ -48,7 +48,7 @@
         clock: Callable[[], float],
         source: random.Random,
     ) -> None:
-        self._local_run = local_run
+        self._local_run = local_runner
         self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
