--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -126,7 +126,7 @@
         """Keep a packet that belongs to a request that waits, or begins one that has to."""
         waiting = self.parts.queue.get(key)
         if waiting is not None:
-            return self._joins(waiting, packet)
+            return self._add_to_waiting(waiting, packet)
         if not self.parts.orders_requests() or not self._begins_request(flow, packet):
             return False
         listener = self.parts.codec.listener_of(key)
@@ -143,7 +143,7 @@
         self.parts.counters.by_priority.note("held", terms.priority)
         return True
 
-    def _joins(self, waiting: WaitingRequest, packet: bytes) -> bool:
+    def _add_to_waiting(self, waiting: WaitingRequest, packet: bytes) -> bool:
         """Keep a further packet of a request that waits; absorb copies; let acknowledgements pass.
 
         A caller that resets its flow needs no answer any more, so nothing of its request may run.
