--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -19,7 +19,6 @@
 from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
 from jasperwalk.fleet.bound_sockets import AgentSockets, bind_agent
-from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -32,6 +31,7 @@
     WarmUpUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import AgentNodeSettings
 from jasperwalk.fleet.targets import TargetPool
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -25,8 +25,8 @@
 from jasperwalk.control.fleet.zone_orders import ZoneOrders
 from jasperwalk.control.storage_faults import StorageFaults
 from jasperwalk.errors import JasperwalkError
-from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.messages import CLUSTER_ID
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
 from jasperwalk.flows.routes import RouteSet
 from jasperwalk.transport.framed import FramedConnection
 from jasperwalk.transport.hello import ConnectionKind, make_hello
