--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._allocator = allocator
         self._health = health
-        self._local_run = local_runner
+        self._local_runner = local_runner
         self._peers = peers
         self._view = view
         self._clock = clock
@@ -58,7 +58,7 @@
         self.lent += 1
         deadline_at = self._clock() + request.deadline_ms / 1000
         try:
-            return await self._local_run.run(slot.slot_id, request, deadline_at, sink)
+            return await self._local_runner.run(slot.slot_id, request, deadline_at, sink)
         finally:
             self.open_slots -= 1
 
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -48,7 +48,7 @@
         clock: Callable[[], float],
         source: random.Random,
     ) -> None:
-        self._local_run = local_runner
+        self._local_runner = local_runner
         self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
@@ -108,7 +108,7 @@
             case NotRun() as not_run:
                 return not_run
             case OwnSlot(slot_id=slot_id):
-                return await self._local_run.run(slot_id, request, deadline_at, sink)
+                return await self._local_runner.run(slot_id, request, deadline_at, sink)
             case BorrowedSlot() as slot:
                 return await self._run_borrowed(slot, request, deadline_at, sink)
 
@@ -122,7 +122,7 @@
         slot_id = request.request_id
         if await self._allocator.acquire(slot_id, deadline_at) is not None:
             return outcome
-        return await self._local_run.run(slot_id, request, deadline_at, sink)
+        return await self._local_runner.run(slot_id, request, deadline_at, sink)
 
     async def _retry(
         self, request: Request, deadline_at: float, sink: ResponseSink, first: NotRun
