--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -127,7 +127,7 @@
         waiting = self.parts.queue.get(key)
         if waiting is not None:
             return self._add_to_waiting(waiting, packet)
-        if not self.parts.orders_requests() or not self._begins_request(flow, packet):
+        if not self.parts.orders_requests() or not self._starts_request(flow, packet):
             return False
         listener = self.parts.codec.listener_of(key)
         terms = self.parts.learned.find(listener, flow.balancer)
@@ -159,7 +159,7 @@
             self.parts.counters.request_copies_absorbed += 1
         return True
 
-    def _begins_request(self, flow: HeldFlow, packet: bytes) -> bool:
+    def _starts_request(self, flow: HeldFlow, packet: bytes) -> bool:
         """Tell whether a packet begins a request that may wait.
 
         Whether the host holds an unconfirmed flow at all, only a packet tells; its caller, who may
