--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -40,10 +40,10 @@
             outcome = await self._backend.run(request, deadline_at, sink, head_arrived)
         finally:
             self._allocator.release(slot_id)
-        self._learn(outcome)
+        self._record_outcome(outcome)
         return outcome
 
-    def _learn(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         if not isinstance(outcome, NotRun):
             return
         if outcome.reason is NotRunReason.SHEDDING:
