--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -170,7 +170,7 @@
         codec = self.parts.codec
         if not codec.payload_bytes(packet) or codec.is_opening(packet):
             return False
-        return flow.begins_request(codec.data_number(packet))
+        return flow.starts_request(codec.data_number(packet))
 
     def _send(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         codec = self.parts.codec
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -50,7 +50,7 @@
     caller_ended: bool = False
     host_ended: bool = False
 
-    def begins_request(self, number: int) -> bool:
+    def starts_request(self, number: int) -> bool:
         """Tell whether data with this number would begin a request: nothing is under way."""
         return not self.busy and self._ahead(number) > 0
 
