--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -28,7 +28,7 @@
     {NotRunReason.QUEUE_FULL, NotRunReason.DEADLINE_TOO_SHORT, NotRunReason.SHEDDING}
 )
 """Refusals of the own admission that a free slot elsewhere makes up for."""
-PATIENCE_SECONDS = 0.25
+OWN_SLOT_WAIT_SECONDS = 0.25
 """Time for which a request waits for its own slot alone where broken flows weigh most."""
 REFUSED_SEARCH_SECONDS = 0.1
 """Longest search for a request that is refused otherwise: its answer may not come late."""
@@ -121,7 +121,7 @@
         service = self._view().service
         if service is None or service.objective is Objective.LEAST_IMBALANCE:
             return 0.0
-        return PATIENCE_SECONDS
+        return OWN_SLOT_WAIT_SECONDS
 
     def _new_search(self) -> SlotSearch:
         return SlotSearch(self._peers, self._budget)
