--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -54,7 +54,7 @@
         """Tell whether data with this number would begin a request: nothing is under way."""
         return not self.busy and self._ahead(number) > 0
 
-    def is_new_data(self, number: int) -> bool:
+    def record_data_number(self, number: int) -> bool:
         """Take the number of data from the caller; tell whether it was not seen before.
 
         A copy of a request may come after the answer, where balancers are late: the host does
--- a/tests/agent/datagrams/test_flow_agent.py
+++ b/tests/agent/datagrams/test_flow_agent.py
@@ -55,7 +55,7 @@
 )
 def test_numbers_of_data_wrap_around(before, after, is_new):
     flow = HeldFlow(BALANCER, 0.0, 0.0, data_number=before)
-    assert flow.is_new_data(after) is is_new
+    assert flow.record_data_number(after) is is_new
 
 
 def test_packets_of_a_held_flow_pass_both_ways_unchanged():
