--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -109,7 +109,7 @@
         return not_run if isinstance(found, Pause) else found
 
     async def _search(self) -> BorrowedSlot:
-        await asyncio.sleep(self._patience_seconds())
+        await asyncio.sleep(self._own_slot_wait_seconds())
         search = self._new_search()
         while True:
             found = await self._ask_in_a_row(search)
@@ -117,7 +117,7 @@
                 return found
             await asyncio.sleep(found.seconds)
 
-    def _patience_seconds(self) -> float:
+    def _own_slot_wait_seconds(self) -> float:
         service = self._view().service
         if service is None or service.objective is Objective.LEAST_IMBALANCE:
             return 0.0
