--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -25,7 +25,7 @@
             return
         parts.monitor.record_packet(now)
         if parts.codec.is_returned(packet):
-            self._take_returned(parts.codec.restore_returned(packet), now)
+            self._handle_returned(parts.codec.restore_returned(packet), now)
             return
         key = parts.codec.reverse_flow_key(packet)
         flow = parts.table.get(key)
@@ -78,7 +78,7 @@
         flow.host_ended = flow.caller_ended = True
         parts.table.set_busy(flow, False, now)
 
-    def _take_returned(self, packet: bytes, now: float) -> None:
+    def _handle_returned(self, packet: bytes, now: float) -> None:
         """Give a packet that the host does not hold back to the balancer."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
