--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import encode_service_time
+from jasperwalk.flows.service_time import encode_service_time
 from jasperwalk.scheduling.host_service_times import SLOWDOWN_CACHE_SECONDS, HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.flows.codec import PacketCodec
 from jasperwalk.flows.frames import OpeningTerms, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, encode_service_time
 from jasperwalk.observability.decisions import DecisionLog
 from jasperwalk.scheduling.host_service_times import HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
--- a/src/jasperwalk/fleet/host_service_times.py
+++ b/src/jasperwalk/fleet/host_service_times.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from jasperwalk.flows.pace import decode_service_time
+from jasperwalk.flows.service_time import decode_service_time
 
 TYPICAL_RATIO = 1.5
 """Hosts within this factor of the median count as equal: requests of one kind differ by as much."""
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -11,7 +11,7 @@
     encode_open_head,
     service_tag,
 )
-from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, decode_service_time
+from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, decode_service_time
 from jasperwalk.flows.terms import CarriedTerms
 from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
 from tests.flows.support import ENDING, OPENING, from_caller, from_host
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_pace.py
@@ -6,7 +6,7 @@
 from jasperwalk.fleet.host_service_times import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, encode_service_time
 from tests.balancer.datagrams.support import Bench, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
--- a/tests/fleet/test_host_service_times.py
+++ b/tests/fleet/test_host_service_times.py
@@ -20,7 +20,11 @@
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import MAX_SERVICE_TIME_CODE, UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.service_time import (
+    MAX_SERVICE_TIME_CODE,
+    UNKNOWN_SERVICE_TIME,
+    encode_service_time,
+)
 from tests.balancer.datagrams.support import SEED, address_of, record
 from tests.flows.support import LISTENER
 
--- a/tests/flows/test_pace.py
+++ b/tests/flows/test_pace.py
@@ -11,7 +11,7 @@
     encode_reply,
     service_tag,
 )
-from jasperwalk.flows.pace import (
+from jasperwalk.flows.service_time import (
     CODES_PER_DOUBLING,
     MAX_SERVICE_TIME_CODE,
     UNKNOWN_SERVICE_TIME,
