--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -30,7 +30,7 @@
 """Refusals of the own admission that a free slot elsewhere makes up for."""
 OWN_SLOT_WAIT_SECONDS = 0.25
 """Time for which a request waits for its own slot alone where broken flows weigh most."""
-REFUSED_SEARCH_SECONDS = 0.1
+MAX_SEARCH_AFTER_REFUSAL_SECONDS = 0.1
 """Longest search for a request that is refused otherwise: its answer may not come late."""
 
 
@@ -102,7 +102,7 @@
         if not self._enabled or remaining <= 0 or not_run.reason not in BORROWING_REASONS:
             return not_run
         try:
-            async with asyncio.timeout(min(remaining, REFUSED_SEARCH_SECONDS)):
+            async with asyncio.timeout(min(remaining, MAX_SEARCH_AFTER_REFUSAL_SECONDS)):
                 found = await self._ask_in_a_row(self._new_search())
         except TimeoutError:
             return not_run
