--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -18,7 +18,7 @@
 UNANSWERED_SECONDS = 1.0
 """A request that the host has not begun to answer for this long counts against the host. A busy
 one has as many requests as it has slots and half as many at hand: it answers each sooner."""
-MAXIMUM_ANSWERS = 3
+MAX_ANSWERS = 3
 """A caller sends its opening packet this often."""
 
 
@@ -84,7 +84,7 @@
     def record_answer_number(self, number: int | None) -> None:
         """Take the number of the host's answer to an opening packet, None for other packets."""
         if number is not None and number not in self.answer_numbers:
-            self.answer_numbers = (*self.answer_numbers, number)[-MAXIMUM_ANSWERS:]
+            self.answer_numbers = (*self.answer_numbers, number)[-MAX_ANSWERS:]
 
     def is_followed(self, packet: bytes, codec: PacketCodec) -> bool:
         """Tell whether a packet shows that the caller of this half-open flow chose this host."""
