--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -75,7 +75,7 @@
             case Queued():
                 return await self._wait(request_id)
             case Refused(not_run=not_run):
-                return await self._instead(not_run, deadline_at)
+                return await self._search_after_refusal(not_run, deadline_at)
 
     async def _wait(self, request_id: str) -> Slot | NotRun:
         """Wait for the own slot and look for another one."""
@@ -96,7 +96,7 @@
         self._allocator.withdraw(request_id)
         return searching.result()
 
-    async def _instead(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
+    async def _search_after_refusal(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
         """Look once, and shortly, for a slot for a request that the own queue refused."""
         remaining = deadline_at - self._clock()
         if not self._enabled or remaining <= 0 or not_run.reason not in BORROWING_REASONS:
