--- a/src/jasperwalk/agent/datagrams/learned_terms.py
+++ b/src/jasperwalk/agent/datagrams/learned_terms.py
@@ -10,7 +10,7 @@
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.waiting_request import NO_GROUP
 
-MAXIMUM_LISTENERS = 1024
+MAX_LISTENERS = 1024
 MAXIMUM_BALANCERS = 4096
 
 
@@ -31,7 +31,7 @@
         self._terms.move_to_end(listener)
         self._groups[balancer] = terms.group
         self._groups.move_to_end(balancer)
-        if len(self._terms) > MAXIMUM_LISTENERS:
+        if len(self._terms) > MAX_LISTENERS:
             self._terms.popitem(last=False)
         if len(self._groups) > MAXIMUM_BALANCERS:
             self._groups.popitem(last=False)
