--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -103,7 +103,7 @@
             return not_run
         try:
             async with asyncio.timeout(min(remaining, MAX_SEARCH_AFTER_REFUSAL_SECONDS)):
-                found = await self._ask_in_a_row(self._new_search())
+                found = await self._request_from_peers(self._new_search())
         except TimeoutError:
             return not_run
         return not_run if isinstance(found, Pause) else found
@@ -112,7 +112,7 @@
         await asyncio.sleep(self._own_slot_wait_seconds())
         search = self._new_search()
         while True:
-            found = await self._ask_in_a_row(search)
+            found = await self._request_from_peers(search)
             if isinstance(found, BorrowedSlot):
                 return found
             await asyncio.sleep(found.seconds)
@@ -126,7 +126,7 @@
     def _new_search(self) -> SlotSearch:
         return SlotSearch(self._peers, self._budget)
 
-    async def _ask_in_a_row(self, search: SlotSearch) -> BorrowedSlot | Pause:
+    async def _request_from_peers(self, search: SlotSearch) -> BorrowedSlot | Pause:
         while True:
             step = search.next(self._view().other_members(), self._clock())
             if isinstance(step, Pause):
