--- a/src/jasperwalk/agent/datagrams/learned_terms.py
+++ b/src/jasperwalk/agent/datagrams/learned_terms.py
@@ -11,7 +11,7 @@
 from jasperwalk.scheduling.waiting_request import NO_GROUP
 
 MAX_LISTENERS = 1024
-MAXIMUM_BALANCERS = 4096
+MAX_BALANCERS = 4096
 
 
 class LearnedTerms:
@@ -33,7 +33,7 @@
         self._groups.move_to_end(balancer)
         if len(self._terms) > MAX_LISTENERS:
             self._terms.popitem(last=False)
-        if len(self._groups) > MAXIMUM_BALANCERS:
+        if len(self._groups) > MAX_BALANCERS:
             self._groups.popitem(last=False)
 
     def find(self, listener: bytes, balancer: SocketAddress) -> CarriedTerms | None:
