--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -131,11 +131,11 @@
             step = search.next(self._view().other_members(), self._clock())
             if isinstance(step, Pause):
                 return step
-            slot = await self._ask(step.member)
+            slot = await self._request_slot(step.member)
             if slot is not None:
                 return slot
 
-    async def _ask(self, member: Endpoint) -> BorrowedSlot | None:
+    async def _request_slot(self, member: Endpoint) -> BorrowedSlot | None:
         view = self._view()
         if view.service is None:
             return None
