--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -127,7 +127,7 @@
         waiting = self.parts.queue.get(key)
         if waiting is not None:
             return self._add_to_waiting(waiting, packet)
-        if not self.parts.orders_requests() or not self._starts_request(flow, packet):
+        if not self.parts.schedules_requests() or not self._starts_request(flow, packet):
             return False
         listener = self.parts.codec.listener_of(key)
         terms = self.parts.learned.find(listener, flow.balancer)
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -49,7 +49,7 @@
     wait_latency: LatencyHistogram
     learned: LearnedTerms = field(default_factory=LearnedTerms)
 
-    def orders_requests(self) -> bool:
+    def schedules_requests(self) -> bool:
         """Tell whether requests wait for their turn by the terms of their routes.
 
         They do where terms are told, and the host has said how much it can do at once.
@@ -58,7 +58,7 @@
 
     def requests_at_host(self, now: float) -> int:
         """Return how many requests keep a place at the host."""
-        return self.table.in_flight.count(now) if self.orders_requests() else self.meter.busy
+        return self.table.in_flight.count(now) if self.schedules_requests() else self.meter.busy
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether the host has room for one more request."""
