--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -87,11 +87,11 @@
             await asyncio.wait((waiter, searching), return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             self._allocator.withdraw(request_id)
-            _give_up(searching)
+            _cancel_search(searching)
             raise
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
-            _give_up(searching)
+            _cancel_search(searching)
             return _own(request_id, waiter.result())
         self._allocator.withdraw(request_id)
         return searching.result()
@@ -159,7 +159,7 @@
     return OwnSlot(request_id) if not_run is None else not_run
 
 
-def _give_up(searching: asyncio.Future[BorrowedSlot]) -> None:
+def _cancel_search(searching: asyncio.Future[BorrowedSlot]) -> None:
     """End a search; a slot that it has found goes back to its lender."""
     searching.cancel()
     searching.add_done_callback(_give_back)
