--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -22,7 +22,7 @@
 from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
-KNOWN_PHASES = frozenset((HostPhase.READY, HostPhase.DRAINING))
+PHASES_WITH_CAPACITY = frozenset((HostPhase.READY, HostPhase.DRAINING))
 """Phases of a host that has said how many slots it has."""
 
 
@@ -54,7 +54,7 @@
 
         They do where terms are told, and the host has said how much it can do at once.
         """
-        return bool(self.learned) and self.host.phase in KNOWN_PHASES
+        return bool(self.learned) and self.host.phase in PHASES_WITH_CAPACITY
 
     def requests_at_host(self, now: float) -> int:
         """Return how many requests keep a place at the host."""
