--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -80,7 +80,7 @@
     async def _wait(self, request_id: str) -> Slot | NotRun:
         """Wait for the own slot and look for another one."""
         if not self._enabled:
-            return _own(request_id, await self._allocator.wait(request_id))
+            return _own_slot(request_id, await self._allocator.wait(request_id))
         waiter = self._allocator.waiter(request_id)
         searching = asyncio.ensure_future(self._search())
         try:
@@ -92,7 +92,7 @@
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
             _cancel_search(searching)
-            return _own(request_id, waiter.result())
+            return _own_slot(request_id, waiter.result())
         self._allocator.withdraw(request_id)
         return searching.result()
 
@@ -155,7 +155,7 @@
         return None
 
 
-def _own(request_id: str, not_run: NotRun | None) -> Slot | NotRun:
+def _own_slot(request_id: str, not_run: NotRun | None) -> Slot | NotRun:
     return OwnSlot(request_id) if not_run is None else not_run
 
 
