--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -19,7 +19,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.fleet.messages import HostPhase
 
-MOST_FORMER_HOSTS = 64
+MAX_FORMER_HOSTS = 64
 """Starts of hosts that are remembered as gone or replaced: announcements are late by seconds, and a
 machine has few starts of its host in that time."""
 RETURN_SECONDS = 2.0
@@ -240,5 +240,5 @@
 
 def _drop_oldest(former: dict[Any, Any]) -> None:
     """Keep a record of former hosts within its bound."""
-    while len(former) > MOST_FORMER_HOSTS:
+    while len(former) > MAX_FORMER_HOSTS:
         del former[next(iter(former))]
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -1,7 +1,7 @@
 import pytest
 
 from jasperwalk.agent.datagrams.host import (
-    MOST_FORMER_HOSTS,
+    MAX_FORMER_HOSTS,
     NEW_HOST_CALLS,
     RETURN_SECONDS,
     RETURN_SPAN_SECONDS,
@@ -168,11 +168,11 @@
 
 def test_former_hosts_are_remembered_within_a_bound():
     state = HostState()
-    for number in range(3 * MOST_FORMER_HOSTS):
+    for number in range(3 * MAX_FORMER_HOSTS):
         state.announce(call(1, host=f"h{number}"), float(number))
         state.leave(f"other-{number}")
-    assert len(state._left) <= MOST_FORMER_HOSTS
-    assert len(state._replaced) <= MOST_FORMER_HOSTS
+    assert len(state._left) <= MAX_FORMER_HOSTS
+    assert len(state._replaced) <= MAX_FORMER_HOSTS
 
 
 LONG_SILENCE = 3 * RETURN_SECONDS
