--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -40,11 +40,11 @@
         """Lent slots and requests in them that have not ended."""
         self.lent = 0
 
-    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
-        self._peers.record_free_slots(Endpoint.unpack(ask.requester), 0, now)
-        if not self._enabled or not self._may_lend(ask.service_id, now):
+        self._peers.record_free_slots(Endpoint.unpack(slot_request.requester), 0, now)
+        if not self._enabled or not self._may_lend(slot_request.service_id, now):
             return None
         self._count += 1
         slot_id = f"lent-{self._count}"
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -77,7 +77,7 @@
 class Lender(Protocol):
     """The agent's side that lends. A held slot is used or given back, just once."""
 
-    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
 
     def run_lent(
@@ -98,10 +98,10 @@
 
 
 async def _serve_ask(
-    connection: FramedConnection, lender: Lender, ask: SlotRequest
+    connection: FramedConnection, lender: Lender, slot_request: SlotRequest
 ) -> bytes | None:
     """Serve one ask; return the frame of the next one, None after the last."""
-    slot = lender.reserve(ask)
+    slot = lender.reserve(slot_request)
     if slot is None:
         await connection.send(encode(SlotRefusal()))
         return await _receive(connection, IDLE_SECONDS)
