--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -28,7 +28,7 @@
 RETURN_SPAN_SECONDS = 1.0
 """Time between two calls after which a host is taken to go on announcing itself. Calls that a cut
 has held up come in together, however long their sender is gone."""
-NEW_HOST_CALLS = 10
+MAX_NEW_HOST_CALL_NUMBER = 10
 """Highest number of a call by which another host is taken for one that has just started: an agent
 that runs hears a new host from its first calls on."""
 
@@ -174,7 +174,7 @@
         last_call_number = self._replaced.get(start)
         is_earlier = 0 < start.unix_ms < self.started_unix_ms
         is_known = last_call_number is not None or is_earlier
-        is_new = call_number <= NEW_HOST_CALLS or not self._is_confirmed
+        is_new = call_number <= MAX_NEW_HOST_CALL_NUMBER or not self._is_confirmed
         if not is_known and is_new:
             return True
         if is_earlier and self.phase is HostPhase.DRAINING:
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -2,7 +2,7 @@
 
 from jasperwalk.agent.datagrams.host import (
     MAX_FORMER_HOSTS,
-    NEW_HOST_CALLS,
+    MAX_NEW_HOST_CALL_NUMBER,
     RETURN_SECONDS,
     RETURN_SPAN_SECONDS,
     HostAnnouncement,
@@ -247,7 +247,7 @@
 
 def test_another_host_that_has_just_started_counts_from_its_first_call():
     state = known_alone()
-    assert state.announce(call(NEW_HOST_CALLS, host="next"), 0.1)
+    assert state.announce(call(MAX_NEW_HOST_CALL_NUMBER, host="next"), 0.1)
     assert state.host_id == "next"
 
 
