--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -7,7 +7,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.lending import HeldSlot, SlotRequest
+from jasperwalk.agent.lending import ReservedSlot, SlotRequest
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
@@ -40,7 +40,7 @@
         """Lent slots and requests in them that have not ended."""
         self.lent = 0
 
-    def reserve(self, slot_request: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
         self._peers.record_free_slots(Endpoint.unpack(slot_request.requester), 0, now)
@@ -51,9 +51,9 @@
         if not self._allocator.reserve(slot_id):
             return None
         self.open_slots += 1
-        return HeldSlot(slot_id, self._allocator.admission.free_slots)
+        return ReservedSlot(slot_id, self._allocator.admission.free_slots)
 
-    async def run_lent(self, slot: HeldSlot, request: Request, sink: ResponseSink) -> Outcome:
+    async def run_lent(self, slot: ReservedSlot, request: Request, sink: ResponseSink) -> Outcome:
         """Run a request in a held slot, and free the slot."""
         self.lent += 1
         deadline_at = self._clock() + request.deadline_ms / 1000
@@ -62,7 +62,7 @@
         finally:
             self.open_slots -= 1
 
-    def give_back(self, slot: HeldSlot) -> None:
+    def give_back(self, slot: ReservedSlot) -> None:
         """Free a held slot that was not used."""
         self.open_slots -= 1
         self._allocator.withdraw(slot.slot_id)
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldSlot:
+class ReservedSlot:
     """An own slot that is held under `slot_id`; `free_slots` are left beside it."""
 
     slot_id: str
@@ -77,15 +77,15 @@
 class Lender(Protocol):
     """The agent's side that lends. A held slot is used or given back, just once."""
 
-    def reserve(self, slot_request: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
         """Hold a slot for the asker; None to refuse."""
 
     def run_lent(
-        self, slot: HeldSlot, request: Request, sink: ResponseSink
+        self, slot: ReservedSlot, request: Request, sink: ResponseSink
     ) -> Coroutine[None, None, Outcome]:
         """Run a request in a held slot, and free the slot."""
 
-    def give_back(self, slot: HeldSlot) -> None:
+    def give_back(self, slot: ReservedSlot) -> None:
         """Free a held slot that was not used."""
 
 
