--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -94,7 +94,7 @@
     """Hosts that have said that they leave, and when the last of their starts that did so began."""
     _replaced: dict[HostStart, int] = field(default_factory=dict)
     """Starts whose place another one has taken, and the number of their last call."""
-    _doubted: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
+    _unconfirmed: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
     """Starts that may be gone and whose calls came since the present one's last."""
     _is_confirmed: bool = False
     """Whether the present host has spoken more than once, and so was not itself a late call."""
@@ -119,7 +119,7 @@
             self._record_replaced()
             self._slow_until_at_most = 0.0
             self._is_confirmed = False
-        self._doubted.clear()
+        self._unconfirmed.clear()
         self.host_id, self.started_unix_ms = start.host_id, start.unix_ms
         self.phase = announcement.phase
         self.capacity = max(announcement.capacity, 1)
@@ -186,8 +186,8 @@
 
     def _goes_on(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
-        first = self._doubted.setdefault(start, UnconfirmedCall(call_number, now))
-        _drop_oldest(self._doubted)
+        first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
+        _drop_oldest(self._unconfirmed)
         return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
 
     def _record_replaced(self) -> None:
