--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -94,10 +94,12 @@
     with contextlib.suppress(TimeoutError):
         frame: bytes | None = await _receive(connection, IDLE_SECONDS)
         while frame is not None:
-            frame = await _serve_ask(connection, lender, SLOT_REQUEST_DECODER.decode(frame))
+            frame = await _serve_slot_request(
+                connection, lender, SLOT_REQUEST_DECODER.decode(frame)
+            )
 
 
-async def _serve_ask(
+async def _serve_slot_request(
     connection: FramedConnection, lender: Lender, slot_request: SlotRequest
 ) -> bytes | None:
     """Serve one ask; return the frame of the next one, None after the last."""
