--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -182,9 +182,9 @@
         if last_call_number is not None and call_number <= last_call_number:
             return False
         is_silent = now - self.announced_at > RETURN_SECONDS
-        return self._goes_on(start, call_number, now) and is_silent
+        return self._is_repeated(start, call_number, now) and is_silent
 
-    def _goes_on(self, start: HostStart, call_number: int, now: float) -> bool:
+    def _is_repeated(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
         first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
         _drop_oldest(self._unconfirmed)
