--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -135,10 +135,10 @@
         for task in (running, following):
             task.cancel()
         await asyncio.wait((running, following))
-        _retrieve(running, following)
+        _consume_errors(running, following)
 
 
-def _retrieve(*ended: asyncio.Future[Any]) -> None:
+def _consume_errors(*ended: asyncio.Future[Any]) -> None:
     """Take the errors of tasks, whose reason is known, so that none is reported as lost."""
     for task in ended:
         if not task.cancelled():
