--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -124,7 +124,7 @@
         self.phase = announcement.phase
         self.capacity = max(announcement.capacity, 1)
         self.zone = announcement.zone
-        self._note_slow_start(announcement, now)
+        self._record_slow_start(announcement, now)
         self.call_number = announcement.call_number
         self.announced_at = now
         return True
@@ -149,7 +149,7 @@
         is_back = self.phase is HostPhase.DRAINING and announcement.phase is HostPhase.READY
         return announcement.call_number > self.call_number and not is_back
 
-    def _note_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
+    def _record_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
         self.slow_until = now + announcement.slow_start_seconds
         if announcement.slow_start_seconds:
             known = self._slow_until_at_most or self.slow_until
