--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -63,7 +63,7 @@
 
     def take(self, member: Endpoint) -> LendingLink | None:
         """Return, and forget, the connection to `member` that was used last."""
-        self._drop_old()
+        self._close_expired()
         links = self._links.get(member)
         return links.pop() if links else None
 
@@ -74,7 +74,7 @@
         links.append(kept)
         if len(links) > MAX_IDLE_LINKS:
             links.pop(0).connection.abort()
-        self._drop_old()
+        self._close_expired()
 
     def close(self) -> None:
         """Drop every connection."""
@@ -83,7 +83,7 @@
                 link.connection.abort()
         self._links.clear()
 
-    def _drop_old(self) -> None:
+    def _close_expired(self) -> None:
         now = self._clock()
         for member, links in list(self._links.items()):
             fresh = [link for link in links if _is_fresh(link, now)]
