--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -192,22 +192,22 @@
 
     def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
-            self._note_left(self.start)
+            self._record_left(self.start)
         self._replaced[self.start] = self.call_number
         _drop_oldest(self._replaced)
 
-    def _note_left(self, start: HostStart) -> None:
+    def _record_left(self, start: HostStart) -> None:
         self._left[start.host_id] = start.unix_ms
         _drop_oldest(self._left)
 
     def leave(self, host_id: str) -> bool:
         """Note that a host is ending; return False where it is not the present one."""
         if self.host_id not in ("", host_id):
-            self._note_left(self._last_replaced(host_id))
+            self._record_left(self._last_replaced(host_id))
             return False
         if not self.host_id:
             self.host_id = host_id
-        self._note_left(self.start)
+        self._record_left(self.start)
         self.phase = HostPhase.DRAINING
         return True
 
