--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from jasperwalk.agent.relay_messages import RelayNotRun
-from jasperwalk.agent.relay_server import RelaySink, send_outcome, until_closed
+from jasperwalk.agent.relay_server import RelaySink, send_outcome, wait_closed
 from jasperwalk.agent.requests import NotRunReason, Outcome, Request, ResponseSink
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.transport.framed import FramedConnection
@@ -155,4 +155,4 @@
     await connection.send(encode(RelayNotRun(NotRunReason.SLOT_EXPIRED, LATE_RETRY_AFTER_MS)))
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LATE_REQUEST_SECONDS):
-            await until_closed(connection)
+            await wait_closed(connection)
--- a/src/jasperwalk/agent/relay_server.py
+++ b/src/jasperwalk/agent/relay_server.py
@@ -72,7 +72,7 @@
 async def run_until_closed(connection: FramedConnection, run: Awaitable[Outcome]) -> None:
     """Run a request and send its outcome; cancel it when the connection ends first."""
     running = asyncio.ensure_future(run)
-    ended = asyncio.ensure_future(until_closed(connection))
+    ended = asyncio.ensure_future(wait_closed(connection))
     try:
         await asyncio.wait((running, ended), return_when=asyncio.FIRST_COMPLETED)
         if running.done():
@@ -83,7 +83,7 @@
             await cancel(running)
 
 
-async def until_closed(connection: FramedConnection) -> None:
+async def wait_closed(connection: FramedConnection) -> None:
     """Wait until the other side closes the connection, or says something out of turn."""
     with contextlib.suppress(TransportError):
         await connection.receive()
