--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -107,7 +107,7 @@
     def announce(self, announcement: HostAnnouncement, now: float) -> bool:
         """Take an announcement; return False for one that newer knowledge has overtaken."""
         start = self._start_of(announcement)
-        if self._is_of_left(start):
+        if self._has_deregistered(start):
             return False
         if self._is_present(start):
             if not self._is_newer_call(announcement):
@@ -139,7 +139,7 @@
         is_same_host = start.host_id == self.host_id
         return is_same_host and self.started_unix_ms in (0, start.unix_ms)
 
-    def _is_of_left(self, start: HostStart) -> bool:
+    def _has_deregistered(self, start: HostStart) -> bool:
         """Tell whether this start of the host, or a later one, has said that it leaves."""
         left = self._left.get(start.host_id)
         return left is not None and (left == 0 or start.unix_ms <= left)
@@ -218,7 +218,7 @@
 
     def has_left(self) -> bool:
         """Tell whether the present host has said that it is gone."""
-        return self._is_of_left(self.start)
+        return self._has_deregistered(self.start)
 
     def is_leaving(self) -> bool:
         """Tell whether the host drains and has not deregistered yet."""
