--- a/src/jasperwalk/agent/relay_server.py
+++ b/src/jasperwalk/agent/relay_server.py
@@ -31,7 +31,7 @@
 
 RelayHandler = Callable[[RelayRequest, ResponseSink], Awaitable[Outcome]]
 """Runs a relayed request here."""
-REQUEST_SECONDS = 5.0
+RECEIVE_TIMEOUT_SECONDS = 5.0
 """Time within which the other agent has sent its request, whole."""
 
 
@@ -65,7 +65,7 @@
 
     Raises `RequestTimeout` where no request comes.
     """
-    relayed = REQUEST_DECODER.decode(await connection.receive_request(REQUEST_SECONDS))
+    relayed = REQUEST_DECODER.decode(await connection.receive_request(RECEIVE_TIMEOUT_SECONDS))
     await run_until_closed(connection, handler(relayed, RelaySink(connection)))
 
 
