--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -86,7 +86,7 @@
     capacity: int = 1
     zone: str = ""
     slow_until: float = 0.0
-    _slow_until_at_most: float = 0.0
+    _earliest_slow_until: float = 0.0
     """The same, of all announcements the one that was least late."""
     call_number: int = -1
     announced_at: float = 0.0
@@ -117,7 +117,7 @@
             if not self._may_replace(start, announcement.call_number, now):
                 return False
             self._record_replaced()
-            self._slow_until_at_most = 0.0
+            self._earliest_slow_until = 0.0
             self._is_confirmed = False
         self._unconfirmed.clear()
         self.host_id, self.started_unix_ms = start.host_id, start.unix_ms
@@ -152,17 +152,17 @@
     def _record_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
         self.slow_until = now + announcement.slow_start_seconds
         if announcement.slow_start_seconds:
-            known = self._slow_until_at_most or self.slow_until
-            self._slow_until_at_most = min(known, self.slow_until)
+            known = self._earliest_slow_until or self.slow_until
+            self._earliest_slow_until = min(known, self.slow_until)
 
     def started_at(self, slow_start_seconds: float) -> float | None:
         """Return when the present host started, None where it has not been in slow start here.
 
         `slow_start_seconds` is how long hosts of its service are slow after a start.
         """
-        if not self._slow_until_at_most or not slow_start_seconds:
+        if not self._earliest_slow_until or not slow_start_seconds:
             return None
-        return self._slow_until_at_most - slow_start_seconds
+        return self._earliest_slow_until - slow_start_seconds
 
     def _may_replace(self, start: HostStart, call_number: int, now: float) -> bool:
         """Tell whether an announcement of another start is newer than the present one's.
