--- a/src/jasperwalk/agent/flow_upkeep.py
+++ b/src/jasperwalk/agent/flow_upkeep.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from jasperwalk.agent.flow_table import FlowTable
-from jasperwalk.agent.go_away import GoAways
+from jasperwalk.agent.go_away import PendingGoAways
 from jasperwalk.agent.key_renewal import FlowRenewal
 from jasperwalk.agent.service_view import ServiceView
 
@@ -17,7 +17,7 @@
     def __init__(self, flows: FlowTable) -> None:
         self._flows = flows
         self._renewal = FlowRenewal()
-        self._go_aways = GoAways()
+        self._go_aways = PendingGoAways()
 
     def view_changed(self, before: ServiceView, after: ServiceView) -> None:
         """Note what the open flows need after a change."""
--- a/src/jasperwalk/agent/go_away.py
+++ b/src/jasperwalk/agent/go_away.py
@@ -17,7 +17,7 @@
 """Flows that are told in one turn."""
 
 
-class GoAways:
+class PendingGoAways:
     """The numbers of the flows that have not been told yet."""
 
     def __init__(self) -> None:
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -9,7 +9,7 @@
 from aioquic.quic.events import StreamDataReceived
 
 from jasperwalk.agent import go_away
-from jasperwalk.agent.go_away import GoAways
+from jasperwalk.agent.go_away import PendingGoAways
 from jasperwalk.agent.http3 import GO_AWAY_STREAM_ID, RequestHeaders
 from jasperwalk.config.table_entries import AdminState
 
@@ -86,7 +86,7 @@
 def test_flows_are_told_in_bounded_turns_and_not_after_the_drain_ended(kit, monkeypatch):
     monkeypatch.setattr(go_away, "FLOWS_PER_TURN", 2)
     view = kit.make_view(kit.member_entry(kit.AGENT))
-    go_aways = GoAways()
+    go_aways = PendingGoAways()
     go_aways.view_changed(view, view, [1, 2, 3])
     assert go_aways.take() == []
     go_aways.view_changed(view, draining(view), [1, 2, 3])
