--- a/src/jasperwalk/agent/datagrams/host_presence.py
+++ b/src/jasperwalk/agent/datagrams/host_presence.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 
-LOOK_SECONDS = 0.2
+CONNECT_TIMEOUT_SECONDS = 0.2
 """Longest wait for the connection; on one machine it stands or is refused within a millisecond."""
 
 logger = structlog.get_logger(__name__)
@@ -25,7 +25,7 @@
     Nothing is sent on the connection. The kernel connects for a host that stands still.
     """
     try:
-        async with asyncio.timeout(LOOK_SECONDS):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(host.host, host.port)
     except ConnectionRefusedError:
         return True
