--- a/src/jasperwalk/agent/connection.py
+++ b/src/jasperwalk/agent/connection.py
@@ -54,7 +54,7 @@
         self._next_connection_id = next_connection_id
         self._reset_token_of = reset_token_of
         self._retire_prior_to = 0
-        self._renewal_waits = False
+        self._renewal_pending = False
         first = self._routable_connection_id(sequence_number=0, was_sent=True)
         self._host_cids = [first]
         self.host_cid = first.cid
@@ -97,8 +97,8 @@
         The caller may use the former ones until it has retired them.
         """
         # The caller's limit is not known before, and nothing can be issued.
-        self._renewal_waits = not self._handshake_complete
-        if self._renewal_waits:
+        self._renewal_pending = not self._handshake_complete
+        if self._renewal_pending:
             return
         self._retire_prior_to = self._host_cid_seq
         for _ in range(self._connection_id_limit()):
@@ -106,7 +106,7 @@
 
     def _replenish_connection_ids(self) -> None:
         """Issue connection IDs up to the caller's limit (called by aioquic)."""
-        if self._renewal_waits:
+        if self._renewal_pending:
             self.renew_connection_ids()
             return
         # Those that the caller was told to retire do not count towards its limit.
