--- a/src/jasperwalk/agent/datagrams/planned_stop.py
+++ b/src/jasperwalk/agent/datagrams/planned_stop.py
@@ -19,7 +19,7 @@
 logger = structlog.get_logger(__name__)
 
 
-async def outlast_leaving_host(host: HostState, grace_seconds: float) -> None:
+async def wait_for_deregistration(host: HostState, grace_seconds: float) -> None:
     """Return once the host has left, at once where it does not leave, or when grace runs out."""
     if not host.is_leaving():
         return
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -16,7 +16,7 @@
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_presence import is_host_absent
-from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
+from jasperwalk.agent.datagrams.planned_stop import wait_for_deregistration
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
 from jasperwalk.fleet.bound_sockets import AgentSockets, bind_agent
 from jasperwalk.fleet.home_link import HomeLink
@@ -198,7 +198,7 @@
             asyncio.create_task(self._look_for_host()),
         ]
         await stop.wait()
-        await outlast_leaving_host(self.host, self._settings.stop_grace_ms / 1000)
+        await wait_for_deregistration(self.host, self._settings.stop_grace_ms / 1000)
         self.core.release_held(time.monotonic())
         await self._deregister()
         for job in jobs:
--- a/tests/agent/datagrams/test_planned_stop.py
+++ b/tests/agent/datagrams/test_planned_stop.py
@@ -25,7 +25,7 @@
             state.leave("h1")
 
     monkeypatch.setattr(planned_stop.asyncio, "sleep", sleep)
-    asyncio.run(planned_stop.outlast_leaving_host(state, GRACE_SECONDS))
+    asyncio.run(planned_stop.wait_for_deregistration(state, GRACE_SECONDS))
     return pauses
 
 
