--- a/src/jasperwalk/agent/http3.py
+++ b/src/jasperwalk/agent/http3.py
@@ -152,7 +152,7 @@
             case HeadersReceived(stream_id=stream_id):
                 return self._headers(stream_id, event)
             case DataReceived(stream_id=stream_id) if stream_id in self._open:
-                self._note_end(stream_id, event.stream_ended)
+                self._record_end(stream_id, event.stream_ended)
                 reference = StreamReference(self._number, stream_id)
                 return [RequestData(reference, event.data, event.stream_ended)]
         return []
@@ -160,16 +160,16 @@
     def _headers(self, stream_id: int, event: HeadersReceived) -> list[RequestEvent]:
         reference = StreamReference(self._number, stream_id)
         if stream_id in self._open:  # trailers: their fields are not passed on
-            self._note_end(stream_id, event.stream_ended)
+            self._record_end(stream_id, event.stream_ended)
             return [RequestData(reference, b"", event.stream_ended)]
         if stream_id & REQUEST_STREAM_MASK:
             return []
         self._open.add(stream_id)
         self._receiving.add(stream_id)
-        self._note_end(stream_id, event.stream_ended)
+        self._record_end(stream_id, event.stream_ended)
         return [RequestHeaders(reference, event.headers, event.stream_ended)]
 
-    def _note_end(self, stream_id: int, ended: bool) -> None:
+    def _record_end(self, stream_id: int, ended: bool) -> None:
         if ended:
             self._receiving.discard(stream_id)
 
