--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -45,7 +45,7 @@
 from jasperwalk.transport.http_server import HttpServer, serving
 
 SWEEP_SECONDS = 1.0
-QUEUE_SECONDS = 0.025
+QUEUE_CHECK_INTERVAL_SECONDS = 0.025
 """Pace of looking at waiting flows while no packet of the host gives the occasion."""
 DEREGISTRATION_SECONDS = 0.05
 """Time for the last announcement to leave before the process ends."""
@@ -251,7 +251,7 @@
     async def _sweep(self) -> None:
         swept_at = time.monotonic()
         while True:
-            await asyncio.sleep(QUEUE_SECONDS if self.core.queue else SWEEP_SECONDS)
+            await asyncio.sleep(QUEUE_CHECK_INTERVAL_SECONDS if self.core.queue else SWEEP_SECONDS)
             now = time.monotonic()
             self.core.admit_waiting(now)
             if now - swept_at >= SWEEP_SECONDS:
