--- a/src/jasperwalk/agent/http3.py
+++ b/src/jasperwalk/agent/http3.py
@@ -90,8 +90,8 @@
             case ConnectionTerminated():
                 return self._cancel_all()
             case StreamReset(stream_id=stream_id) | StopSendingReceived(stream_id=stream_id):
-                return self._hand_to_http(event) + self._cancel(stream_id)
-        return self._hand_to_http(event)
+                return self._feed_http(event) + self._cancel(stream_id)
+        return self._feed_http(event)
 
     def send_headers(self, stream_id: int, headers: HeaderList, ended: bool) -> bool:
         """Send the head of a response; return False when the stream takes nothing any more."""
@@ -139,7 +139,7 @@
             self._receiving.discard(stream_id)
             self._connection.stop_stream(stream_id, ErrorCode.H3_NO_ERROR)
 
-    def _hand_to_http(self, event: QuicEvent) -> list[RequestEvent]:
+    def _feed_http(self, event: QuicEvent) -> list[RequestEvent]:
         if self._http is None:
             return []
         translated: list[RequestEvent] = []
