--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -88,7 +88,7 @@
         self._callers_port = settings.callers_port or frames_port
         self.host = HostState()
         bound = sockets or bind_agent(settings)
-        self._frames = DatagramSocket(bound.frames, self._frame)
+        self._frames = DatagramSocket(bound.frames, self._on_frame)
         self._host_packets = DatagramSocket(bound.host_packets, self._host_packet)
         decisions = DecisionLog(time.monotonic, affordable_lines_per_second(settings.processors))
         self.core = FlowAgent(
@@ -228,7 +228,7 @@
     def _host_changed(self) -> None:
         self.core.host_changed(time.monotonic())
 
-    def _frame(self, data: bytes, sender: SocketAddress) -> None:
+    def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         now = time.monotonic()
         kind = data[0] if data else 0
         if kind == FrameKind.LOCATE:
