--- a/src/jasperwalk/agent/http3.py
+++ b/src/jasperwalk/agent/http3.py
@@ -98,7 +98,7 @@
         if not self._writable(stream_id) or self._http is None:
             return False
         self._http.send_headers(stream_id, headers, end_stream=ended)
-        self._close_when(ended, stream_id)
+        self._close_if_ended(ended, stream_id)
         return True
 
     def send_data(self, stream_id: int, data: bytes, ended: bool) -> bool:
@@ -106,7 +106,7 @@
         if not self._writable(stream_id) or self._http is None:
             return False
         self._http.send_data(stream_id, data, end_stream=ended)
-        self._close_when(ended, stream_id)
+        self._close_if_ended(ended, stream_id)
         return True
 
     def abort(self, stream_id: int) -> None:
@@ -130,7 +130,7 @@
     def _writable(self, stream_id: int) -> bool:
         return stream_id in self._open and self._connection.can_send_on(stream_id)
 
-    def _close_when(self, ended: bool, stream_id: int) -> None:
+    def _close_if_ended(self, ended: bool, stream_id: int) -> None:
         if not ended:
             return
         self._open.discard(stream_id)
