--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -89,7 +89,7 @@
         self.host = HostState()
         bound = sockets or bind_agent(settings)
         self._frames = DatagramSocket(bound.frames, self._on_frame)
-        self._host_packets = DatagramSocket(bound.host_packets, self._host_packet)
+        self._host_packets = DatagramSocket(bound.host_packets, self._on_host_packet)
         decisions = DecisionLog(time.monotonic, affordable_lines_per_second(settings.processors))
         self.core = FlowAgent(
             codec=codec,
@@ -239,7 +239,7 @@
             self.core.receive_frame(data, sender, now)
         self._ticks.ensure_scheduled()
 
-    def _host_packet(self, data: bytes, _sender: SocketAddress) -> None:
+    def _on_host_packet(self, data: bytes, _sender: SocketAddress) -> None:
         self.core.receive_host_packet(data, time.monotonic())
 
     def _send_to_host(self, packet: bytes) -> None:
