--- a/src/jasperwalk/agent/certificate_renewal.py
+++ b/src/jasperwalk/agent/certificate_renewal.py
@@ -39,9 +39,9 @@
         """Give the endpoint each renewed certificate, until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
-            self.look(endpoint)
+            self.check_files(endpoint)
 
-    def look(self, endpoint: AgentEndpoint) -> None:
+    def check_files(self, endpoint: AgentEndpoint) -> None:
         """Look at the files; a pair that can't be used leaves the one in use as it is."""
         if not self._watch.changed():
             return
--- a/tests/agent/test_certificate_renewal.py
+++ b/tests/agent/test_certificate_renewal.py
@@ -22,9 +22,9 @@
         self.endpoint = kit.make_endpoint(named, view, 1)
         self.renewal = CertificateRenewal(*pair, server_configuration, lambda: self.now)
 
-    def look(self):
+    def check_files(self):
         self.now += POLL_SECONDS
-        self.renewal.look(self.endpoint)
+        self.renewal.check_files(self.endpoint)
 
     def connect(self):
         caller = self.kit.Caller(0.0)
@@ -46,7 +46,7 @@
     caller, network = renewal.connect()
     certificates.issue("agent", "host")
     assert renewal.serial_number() == former
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() != former
     stream = caller.request("GET", "/proof")
     events = []
@@ -59,11 +59,11 @@
     former = renewal.serial_number()
     key = renewal.files.private_key_file
     key.write_bytes((certificates.folder / "ca.key").read_bytes() if content is None else content)
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() == former
     key.unlink()
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() == former
     certificates.issue("agent", "host")
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() != former
