--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -123,7 +123,7 @@
             self._host_endpoint,
             decisions,
             self._link.announce,
-            self._host_changed,
+            self._on_host_changed,
         )
         self._host_calls = HttpServer(
             Endpoint.parse(settings.host_calls_listen), host_interface(handler)
@@ -225,7 +225,7 @@
         is_unknown = self.host.phase is HostPhase.UNKNOWN
         return is_unknown and await is_host_absent(self._host_endpoint)
 
-    def _host_changed(self) -> None:
+    def _on_host_changed(self) -> None:
         self.core.host_changed(time.monotonic())
 
     def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
