--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -84,14 +84,14 @@
         """Take one event; return what it completes."""
         match event:
             case RequestHeaders(stream=stream, headers=headers, ended=ended):
-                return self._begin(stream, headers, ended, default_deadline_ms)
+                return self._start_request(stream, headers, ended, default_deadline_ms)
             case RequestData(stream=stream, data=data, ended=ended):
                 return self._continue(stream, data, ended, default_deadline_ms)
             case RequestCancelled(stream=stream):
                 self._drop(stream)
                 return [event]
 
-    def _begin(
+    def _start_request(
         self, stream: StreamReference, headers: HeaderList, ended: bool, deadline_ms: int
     ) -> list[Assembled]:
         partial = _parse(headers)
