--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -115,7 +115,11 @@
         )
         self._ticks = SearchTimer(self._frames, self.helper.has_pending, self.helper.tick)
         self._link = HomeLink(
-            self._record, lambda: reload().replicas(), self._news, self._linked, self._random
+            self._record,
+            lambda: reload().replicas(),
+            self._news,
+            self._on_link_change,
+            self._random,
         )
         handler = AnnouncementHandler(
             self.host,
@@ -259,7 +263,7 @@
                 self.core.sweep(now)
                 self.helper.sweep(now)
 
-    def _linked(self, _linked: bool) -> None:
+    def _on_link_change(self, _on_link_change: bool) -> None:
         """Do nothing: the answers to the host hold without the link."""
 
     def _news(self, message: HomeMessage) -> None:
