--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -86,7 +86,7 @@
             case RequestHeaders(stream=stream, headers=headers, ended=ended):
                 return self._start_request(stream, headers, ended, default_deadline_ms)
             case RequestData(stream=stream, data=data, ended=ended):
-                return self._continue(stream, data, ended, default_deadline_ms)
+                return self._append_body(stream, data, ended, default_deadline_ms)
             case RequestCancelled(stream=stream):
                 self._drop(stream)
                 return [event]
@@ -105,7 +105,7 @@
         self._partial[stream] = partial
         return self._finish(stream, deadline_ms) if ended else []
 
-    def _continue(
+    def _append_body(
         self, stream: StreamReference, data: bytes, ended: bool, deadline_ms: int
     ) -> list[Assembled]:
         partial = self._partial.get(stream)
