--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -117,7 +117,7 @@
         self._link = HomeLink(
             self._record,
             lambda: reload().replicas(),
-            self._news,
+            self._on_home_message,
             self._on_link_change,
             self._random,
         )
@@ -266,7 +266,7 @@
     def _on_link_change(self, _on_link_change: bool) -> None:
         """Do nothing: the answers to the host hold without the link."""
 
-    def _news(self, message: HomeMessage) -> None:
+    def _on_home_message(self, message: HomeMessage) -> None:
         """Learn of other agents, of drained zones, of what the service's hosts bear."""
         now = time.monotonic()
         if isinstance(message, FleetUpdate):
