--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -88,7 +88,7 @@
             case RequestData(stream=stream, data=data, ended=ended):
                 return self._append_body(stream, data, ended, default_deadline_ms)
             case RequestCancelled(stream=stream):
-                self._drop(stream)
+                self._discard(stream)
                 return [event]
 
     def _start_request(
@@ -112,10 +112,10 @@
         if partial is None:  # rejected before: the rest of the body is of no interest
             return []
         if len(partial.body) + len(data) > MAX_BODY_BYTES:
-            self._drop(stream)
+            self._discard(stream)
             return [RequestRejected(stream, _too_large_answer())]
         if self._buffered + len(data) > MAX_BUFFERED_BYTES:
-            self._drop(stream)
+            self._discard(stream)
             return [RequestRejected(stream, not_run_answer(NotRun(NotRunReason.BODY_BUDGET)))]
         partial.body += data
         self._buffered += len(data)
@@ -123,7 +123,7 @@
 
     def _finish(self, stream: StreamReference, default_deadline_ms: int) -> list[Assembled]:
         partial = self._partial[stream]
-        self._drop(stream)
+        self._discard(stream)
         self._count += 1
         deadline_ms = caller_deadline_ms(partial.headers)
         request = Request(
@@ -138,7 +138,7 @@
         )
         return [RequestReady(stream, request)]
 
-    def _drop(self, stream: StreamReference) -> None:
+    def _discard(self, stream: StreamReference) -> None:
         partial = self._partial.pop(stream, None)
         if partial is not None:
             self._buffered -= len(partial.body)
