--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -199,7 +199,7 @@
         jobs = [
             asyncio.create_task(self._link.run()),
             asyncio.create_task(self._sweep()),
-            asyncio.create_task(self._look_for_host()),
+            asyncio.create_task(self._check_host_presence()),
         ]
         await stop.wait()
         await wait_for_deregistration(self.host, self._settings.stop_grace_ms / 1000)
@@ -219,7 +219,7 @@
         self._link.announce()
         await asyncio.sleep(DEREGISTRATION_SECONDS)
 
-    async def _look_for_host(self) -> None:
+    async def _check_host_presence(self) -> None:
         """Learn at once that there is no host; where there is one, wait for its announcement."""
         if await self._is_without_host():
             self.core.record_host_absent(time.monotonic())
