--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -89,7 +89,7 @@
         deadline_ms = DEFAULT_DEADLINE_MS if service is None else service.limits.request_deadline_ms
         for event in self._endpoint.take_events():
             for assembled in self._assembler.handle(event, deadline_ms):
-                self._act(assembled)
+                self._handle(assembled)
         for sink in list(self._blocked):
             sink.progressed()
 
@@ -99,7 +99,7 @@
             opened.sink.cancel()
             opened.task.cancel()
 
-    def _act(self, assembled: Assembled) -> None:
+    def _handle(self, assembled: Assembled) -> None:
         match assembled:
             case RequestReady(stream=stream, request=request):
                 self._start(stream, request)
