--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -140,7 +140,7 @@
         with contextlib.suppress(CallerGone):
             outcome = await self._run(request, sink)
             self._count(outcome)
-            await self._conclude(outcome, sink)
+            await self._send_outcome(outcome, sink)
 
     async def _run(self, request: Request, sink: StreamSink) -> Outcome:
         try:
@@ -152,7 +152,7 @@
             logger.exception("request-failed", request_id=request.request_id)
             return Unknown(UnknownReason.BACKEND_FAILED)
 
-    async def _conclude(self, outcome: Outcome, sink: StreamSink) -> None:
+    async def _send_outcome(self, outcome: Outcome, sink: StreamSink) -> None:
         if isinstance(outcome, Answered):
             return
         if sink.head_sent:
