--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -18,13 +18,13 @@
 class ServiceTimeMonitor:
     """Measures the host's requests by their listener; sans-IO, times are seconds.
 
-    With `is_wanted` False it measures nothing, tells nothing and refuses nothing.
+    With `is_enabled` False it measures nothing, tells nothing and refuses nothing.
     """
 
     codec: PacketCodec
     host: HostState
     log: DecisionLog
-    is_wanted: bool = True
+    is_enabled: bool = True
     pace: HostServiceTimes = field(default_factory=HostServiceTimes)
 
     def __post_init__(self) -> None:
@@ -33,7 +33,7 @@
 
     def record_request(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         """Note that a packet with a request, or with a further part of it, goes to the host."""
-        if self.is_wanted:
+        if self.is_enabled:
             listener = self.codec.listener_of(self.codec.flow_key(packet))
             self.pace.record_request(flow, listener, self.host.capacity, now)
 
@@ -42,7 +42,7 @@
 
         A host that is slow from its start says so itself; what it takes then is not usual.
         """
-        if not self.is_wanted:
+        if not self.is_enabled:
             return
         if now < self.host.slow_until:
             self.pace.record_end(flow, self.host.capacity, now)
@@ -52,7 +52,7 @@
 
     def record_end(self, flow: HeldFlow, now: float) -> None:
         """Note that a flow has no request under way any more."""
-        if self.is_wanted:
+        if self.is_enabled:
             self.pace.record_end(flow, self.host.capacity, now)
 
     def record_admission(self, now: float) -> None:
@@ -66,7 +66,7 @@
 
     def check(self, now: float) -> None:
         """Log that the host turned slow, or is as usual again."""
-        if not self.is_wanted or not self.slow_host.evaluate(now):
+        if not self.is_enabled or not self.slow_host.evaluate(now):
             return
         self.log.note(
             "host-slow" if self.slow_host.is_slow() else "host-usual-again",
@@ -88,7 +88,7 @@
 
     def told(self, flow_key: bytes, now: float) -> int:
         """Return the pace as a balancer learns it with the acceptance of this flow."""
-        if not self.is_wanted:
+        if not self.is_enabled:
             return UNKNOWN_SERVICE_TIME
         self.check(now)
         return encode_service_time(self.slow_host.service_seconds(self.codec.listener_of(flow_key)))
