--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     sink: StreamSink
     task: asyncio.Task[None]
 
@@ -73,7 +73,7 @@
         self._view = view
         self._host = host
         self._flush = flush
-        self._open: dict[StreamReference, _Open] = {}
+        self._open: dict[StreamReference, _OpenRequest] = {}
         self._blocked: set[StreamSink] = set()
         self.outcomes: Counter[OutcomeLabel] = Counter()
         self.cancelled = 0
@@ -121,7 +121,7 @@
         return StreamSink(self._endpoint, stream, self._flush, self._blocked)
 
     def _track(self, stream: StreamReference, sink: StreamSink, task: asyncio.Task[None]) -> None:
-        self._open[stream] = _Open(sink, task)
+        self._open[stream] = _OpenRequest(sink, task)
         task.add_done_callback(lambda _: self._open.pop(stream, None))
 
     def _cancel(self, stream: StreamReference) -> None:
