--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -42,7 +42,9 @@
             and not is_copy
             and self.waiting.try_enqueue(key, packet, terms, now)
         ):
-            parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
+            parts.answers.reply(
+                FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+            )
             return
         if reason is not None:
             parts.counters.count_refusal(reason)
@@ -51,7 +53,9 @@
         if not is_copy:
             self._admit(key, sender, now)
             parts.record_started(terms.route or DEFAULT_TERMS, now)
-        parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
+        parts.answers.reply(
+            FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+        )
         parts.warm_up.record_opening(now)
         parts.to_host(packet)
 
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -86,7 +86,7 @@
         """Return what a typical request takes now, in milliseconds; 0.0 where it is not known."""
         return round(1000 * (self.slow_host.service_seconds(None) or 0.0), 1)
 
-    def told(self, flow_key: bytes, now: float) -> int:
+    def encoded_service_time(self, flow_key: bytes, now: float) -> int:
         """Return the pace as a balancer learns it with the acceptance of this flow."""
         if not self.is_enabled:
             return UNKNOWN_SERVICE_TIME
