--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -91,7 +91,7 @@
             for assembled in self._assembler.handle(event, deadline_ms):
                 self._handle(assembled)
         for sink in list(self._blocked):
-            sink.progressed()
+            sink.resume_if_possible()
 
     def cancel_all(self) -> None:
         """End every request, at the very end of a stop."""
--- a/src/jasperwalk/agent/sinks.py
+++ b/src/jasperwalk/agent/sinks.py
@@ -18,7 +18,7 @@
     """Writes a response to an HTTP/3 stream and waits while the caller is slow.
 
     `flush` sends what the end point has to send. While the sink waits for room it stands in
-    `blocked`, whose owner calls `progressed` after the caller acknowledged data.
+    `blocked`, whose owner calls `resume_if_possible` after the caller acknowledged data.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         """Send the end of the response."""
         self._check(self._endpoint.send_data(self._stream, b"", ended=True))
 
-    def progressed(self) -> None:
+    def resume_if_possible(self) -> None:
         """Look again whether there is room."""
         if not self._has_no_room():
             self._progress.set()
