--- a/src/jasperwalk/agent/datagrams/announcement_handler.py
+++ b/src/jasperwalk/agent/datagrams/announcement_handler.py
@@ -21,7 +21,7 @@
 class AnnouncementOutcome(enum.Enum):
     """What became of an announcement."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     LATE = "late"
     """Newer knowledge of the host has overtaken it: acknowledged, without effect."""
     REFUSED = "refused"
@@ -77,7 +77,7 @@
             self._on_change()
         elif not taken:
             self._log("host-announcement-late", announcement.call_number)
-        return AnnouncementOutcome.TAKEN if taken else AnnouncementOutcome.LATE
+        return AnnouncementOutcome.ACCEPTED if taken else AnnouncementOutcome.LATE
 
     def leave(self, host_id: str) -> bool:
         """Take a host's deregistration."""
--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -35,7 +35,7 @@
     def __init__(self):
         self.heard = []
         self.refused = []
-        self.outcome = AnnouncementOutcome.TAKEN
+        self.outcome = AnnouncementOutcome.ACCEPTED
 
     def refuse(self, host_id, reason):
         self.refused.append((host_id, reason))
