--- a/src/jasperwalk/agent/sinks.py
+++ b/src/jasperwalk/agent/sinks.py
@@ -46,7 +46,7 @@
     async def data(self, data: bytes) -> None:
         """Send a piece of the body once there is room for it."""
         self._check(self._endpoint.send_data(self._stream, data, ended=False))
-        while not self.gone and self._has_no_room():
+        while not self.gone and self._is_buffer_full():
             await self._wait_for_progress()
         self._check(accepted=True)
 
@@ -56,7 +56,7 @@
 
     def resume_if_possible(self) -> None:
         """Look again whether there is room."""
-        if not self._has_no_room():
+        if not self._is_buffer_full():
             self._progress.set()
 
     def cancel(self) -> None:
@@ -69,7 +69,7 @@
         self._endpoint.abort(self._stream)
         self._flush()
 
-    def _has_no_room(self) -> bool:
+    def _is_buffer_full(self) -> bool:
         return self._endpoint.unsent_bytes(self._stream) > MAX_UNSENT_BYTES
 
     async def _wait_for_progress(self) -> None:
