--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -13,7 +13,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.distribution.runner import FollowerRunner
 
-REPORT_SECONDS = 0.1
+STATE_REPORT_INTERVAL_SECONDS = 0.1
 """Interval at which the agent's state is told to the follower, and its incarnation read."""
 MOVE_POLL_SECONDS = 0.1
 RENEWAL_PAUSE_SECONDS = 0.02
@@ -53,7 +53,7 @@
         endpoint.table_fresh = follower.fresh()
         # The incarnation comes with a heartbeat, not with a change of the table.
         current.set_incarnation(follower.incarnation)
-        await asyncio.sleep(REPORT_SECONDS)
+        await asyncio.sleep(STATE_REPORT_INTERVAL_SECONDS)
 
 
 async def apply_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
