--- a/src/jasperwalk/agent/datagrams/announcement_handler.py
+++ b/src/jasperwalk/agent/datagrams/announcement_handler.py
@@ -22,7 +22,7 @@
     """What became of an announcement."""
 
     ACCEPTED = "taken"
-    LATE = "late"
+    STALE = "late"
     """Newer knowledge of the host has overtaken it: acknowledged, without effect."""
     REFUSED = "refused"
     """It is not of the host beside this agent."""
@@ -77,7 +77,7 @@
             self._on_change()
         elif not taken:
             self._log("host-announcement-late", announcement.call_number)
-        return AnnouncementOutcome.ACCEPTED if taken else AnnouncementOutcome.LATE
+        return AnnouncementOutcome.ACCEPTED if taken else AnnouncementOutcome.STALE
 
     def leave(self, host_id: str) -> bool:
         """Take a host's deregistration."""
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -41,7 +41,7 @@
 def test_the_host_beside_the_agent_is_taken():
     handler, state, told = handler_and_state()
     assert handler.announce(announcement()) is AnnouncementOutcome.ACCEPTED
-    assert handler.announce(announcement()) is AnnouncementOutcome.LATE
+    assert handler.announce(announcement()) is AnnouncementOutcome.STALE
     assert state.phase is HostPhase.READY
     assert told.changes == 1
 
--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize(
     ("outcome", "status"),
-    [(AnnouncementOutcome.LATE, 200), (AnnouncementOutcome.REFUSED, 400)],
+    [(AnnouncementOutcome.STALE, 200), (AnnouncementOutcome.REFUSED, 400)],
 )
 def test_only_a_heartbeat_of_the_host_beside_the_agent_is_acknowledged(outcome, status):
     desk = Desk()
