--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -17,7 +17,7 @@
 """Interval at which the agent's state is told to the follower, and its incarnation read."""
 MOVE_POLL_SECONDS = 0.1
 RENEWAL_PAUSE_SECONDS = 0.02
-OLDEST_KEYS_SECONDS = 0.5
+KEY_REPORT_INTERVAL_SECONDS = 0.5
 """Interval at which the oldest keys in use are looked for."""
 MONITOR_WITHOUT_SERVICE_SECONDS = 1.0
 
@@ -83,4 +83,4 @@
         oldest = endpoint.oldest_keys()
         follower.core.connection_id_generation = oldest.connection_id
         follower.core.stateless_reset_generation = oldest.stateless_reset
-        await asyncio.sleep(OLDEST_KEYS_SECONDS)
+        await asyncio.sleep(KEY_REPORT_INTERVAL_SECONDS)
