--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -56,7 +56,7 @@
         if request is None:
             del self._queued[name]
         elif self._queued:
-            self._start_next(request.started_at)
+            self._start_queued(request.started_at)
 
     def end(self, name: Hashable, slots: int, now: float) -> TrackedRequest | None:
         """Note that a request ended; return it, None where it was not followed.
@@ -69,7 +69,7 @@
             if request is None:
                 return None
         while self._queued and len(self._running) < slots:
-            self._start_next(now)
+            self._start_queued(now)
         return request
 
     def _end_queued(self, name: Hashable) -> TrackedRequest | None:
@@ -83,7 +83,7 @@
         self._queued = {overtaken: waits, **self._queued}
         return request
 
-    def _start_next(self, free_since: float) -> None:
+    def _start_queued(self, free_since: float) -> None:
         name = next(iter(self._queued))
         request = self._queued.pop(name)
         request.started_at = max(request.asked_at, free_since)
