--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class TicketUse:
     """The first use of a ticket; `finished` without an answer means unknown."""
 
     digest: bytes
@@ -181,7 +181,7 @@
 
     def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
         self._max_tickets = max_tickets
-        self._uses: OrderedDict[bytes, Use] = OrderedDict()
+        self._uses: OrderedDict[bytes, TicketUse] = OrderedDict()
         self._stored_bytes = 0
 
     def __len__(self) -> int:
@@ -199,7 +199,7 @@
             return Expired()
         if len(self._uses) >= self._max_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
-        self._uses[ticket.nonce] = Use(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
+        self._uses[ticket.nonce] = TicketUse(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
         return RunNow()
 
     def did_not_run(self, ticket: Ticket) -> None:
@@ -222,7 +222,7 @@
         return None if use is None else use.answer
 
     @staticmethod
-    def _decide_repeat(use: Use, digest: bytes) -> UseDecision:
+    def _decide_repeat(use: TicketUse, digest: bytes) -> UseDecision:
         if use.digest != digest:
             return Conflict()
         if not use.finished:
