--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -72,14 +72,14 @@
             request = parts.queue.take_next(takes_flows, seconds, now)
             if request is None:
                 return
-            self._begin(request, now)
+            self._start(request, now)
 
     def release_held(self, now: float) -> None:
         """Give every request of an open flow to the host: it, or its successor, is to decide."""
         for request in self.parts.queue.take_held():
             self.waiting.forward_waiting(request, now)
 
-    def _begin(self, request: WaitingRequest, now: float) -> None:
+    def _start(self, request: WaitingRequest, now: float) -> None:
         if not request.opens_flow:
             self.waiting.forward_waiting(request, now)
             return
