--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -171,7 +171,7 @@
     """The first use of a ticket; `finished` without an answer means unknown."""
 
     digest: bytes
-    forget_at: float
+    discard_at: float
     finished: bool = False
     answer: StoredAnswer | None = None
 
@@ -236,7 +236,7 @@
         # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
             nonce, use = next(iter(self._uses.items()))
-            if use.forget_at > now or not use.finished:
+            if use.discard_at > now or not use.finished:
                 return
             if use.answer is not None:
                 self._stored_bytes -= len(use.answer.body)
