--- a/tests/agent/datagrams/support.py
+++ b/tests/agent/datagrams/support.py
@@ -30,7 +30,7 @@
 """Slots of the host."""
 
 
-class Bench:
+class Harness:
     """An agent, its host's state, and what left it."""
 
     def __init__(self, phase=HostPhase.READY, started_at=0.0, warm_up_floor=None, shares=None):
--- a/tests/agent/datagrams/test_confirmed_flows.py
+++ b/tests/agent/datagrams/test_confirmed_flows.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.flows.frames import FrameKind
-from tests.agent.datagrams.support import BALANCER, OTHER_BALANCER, Bench
+from tests.agent.datagrams.support import BALANCER, OTHER_BALANCER, Harness
 from tests.flows.support import GREETING, from_caller, from_host
 
 MINE = from_caller(0, b"hello@h1")
@@ -12,7 +12,7 @@
 
 def half_open(answered=True):
     """Return an agent that admitted a flow, whose host has answered the caller or not yet."""
-    bench = Bench()
+    bench = Harness()
     bench.open()
     if answered:
         bench.agent.receive_host_packet(from_host(0, GREETING + b"h1"), 1.01)
@@ -48,7 +48,7 @@
 
 
 def test_a_flow_that_waits_for_room_cannot_be_open_here():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     caller = bench.wait(7)
     bench.replies.clear()
@@ -59,7 +59,7 @@
 
 
 def test_an_agent_that_restarted_is_not_sure():
-    bench = Bench()
+    bench = Harness()
     assert confirm(bench, MINE) == [(FrameKind.UNSURE, OTHER_BALANCER)]
     assert bench.host_packets == []
 
--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -10,7 +10,7 @@
     MIN_PAUSE_SECONDS,
     TRIAL_INTERVAL_SECONDS,
 )
-from tests.agent.datagrams.support import Bench
+from tests.agent.datagrams.support import Harness
 from tests.flows.support import ENDING, RESET, from_caller, from_host
 
 
@@ -30,7 +30,7 @@
 
 
 def failing_bench(now=1.0):
-    bench = Bench()
+    bench = Harness()
     for port in range(MIN_FAILURES):
         reset_by_host(bench, port + 1, now)
     return bench
@@ -57,7 +57,7 @@
 
 
 def test_a_copy_of_an_opening_that_was_taken_passes():
-    bench = Bench()
+    bench = Harness()
     assert bench.open(1.0, caller(9)).kind is FrameKind.ACCEPTED
     for port in range(1, MIN_FAILURES + 1):
         reset_by_host(bench, port, 1.0)
@@ -65,7 +65,7 @@
 
 
 def test_requests_without_any_answer_count_once():
-    bench = Bench()
+    bench = Harness()
     requested(bench, 1, 1.0)
     for step in range(4):
         bench.agent.sweep(1.01 + UNANSWERED_SECONDS + step * 0.1)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("order", [b"abc", b"cab", b"cba"])
 def test_an_upload_that_stands_still_says_nothing_of_the_host(order):
-    bench = Bench()
+    bench = Harness()
     assert bench.open(1.0, caller(1)).kind is FrameKind.ACCEPTED
     for number in order:
         part = from_caller(0, bytes((number,)), caller=caller(1))
@@ -84,7 +84,7 @@
 
 
 def test_a_copy_of_a_request_does_not_make_it_long():
-    bench = Bench()
+    bench = Harness()
     requested(bench, 1, 1.0)
     bench.frame(FrameKind.CARRY, from_caller(0, b"request", caller=caller(1)), 1.2)
     bench.agent.sweep(1.5 + UNANSWERED_SECONDS)
@@ -92,7 +92,7 @@
 
 
 def test_resets_of_flows_without_a_request_do_not_count():
-    bench = Bench()
+    bench = Harness()
     for port in range(1, 10):
         requested(bench, port, 1.0)
         bench.agent.receive_host_packet(from_host(0, b"answer", caller=caller(port)), 1.01)
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("first_is_the_end", [False, True])
 def test_an_answer_counts_once_though_its_end_overtakes_its_data(first_is_the_end):
-    bench = Bench()
+    bench = Harness()
     for port in range(1, 11):
         requested(bench, port, 1.0)
         packets = [from_host(0, b"answer", caller=caller(port))]
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -23,7 +23,7 @@
     opening_flags,
 )
 from jasperwalk.scheduling.request_scheduler import MAX_WAIT_SECONDS
-from tests.agent.datagrams.support import BALANCER, Bench
+from tests.agent.datagrams.support import BALANCER, Harness
 from tests.flows.support import (
     CALLER,
     ENDING,
@@ -45,14 +45,14 @@
     ],
 )
 def test_a_new_flow_that_is_not_for_this_host_is_refused(phase, service, reason):
-    bench = Bench(phase)
+    bench = Harness(phase)
     reply = bench.open(service=service)
     assert (reply.kind, reply.flags) == (FrameKind.REFUSED, reason)
     assert bench.host_packets == []
 
 
 def test_a_draining_host_gets_no_copy_of_an_opening_packet_either():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.say(HostPhase.DRAINING, 2)
     assert bench.open(1.2).kind is FrameKind.REFUSED
@@ -60,7 +60,7 @@
 
 
 def test_a_full_host_refuses_at_once_and_takes_flows_again():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     assert bench.open().flags == RefusalReason.FULL
     bench.agent.receive_host_packet(from_host(ENDING, b"answer", caller=callers[0]), 1.1)
@@ -69,7 +69,7 @@
 
 def test_a_host_that_does_not_answer_gets_no_more_flows():
     """It has crashed: its last announcement still says that it is ready."""
-    bench = Bench()
+    bench = Harness()
     assert bench.open(1.0).kind is FrameKind.ACCEPTED
     later = 1.01 + HOST_SILENCE_SECONDS
     answer = bench.open(later, Endpoint("100.64.0.9", 1))
@@ -80,7 +80,7 @@
 
 
 def test_a_host_that_answers_again_gets_flows_at_once():
-    bench = Bench()
+    bench = Harness()
     bench.open(1.0)
     bench.agent.sweep(2.0)
     bench.agent.receive_host_packet(from_host(0, b"hello"), 2.1)
@@ -89,7 +89,7 @@
 
 
 def test_a_copy_of_the_opening_packet_is_accepted_again_but_counts_once():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     assert bench.open(1.2).kind is FrameKind.ACCEPTED
     assert len(bench.host_packets) == 2
@@ -98,7 +98,7 @@
 
 
 def test_an_opening_packet_that_the_host_hands_back_is_a_refusal():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.agent.receive_host_packet(from_caller(OPENING | RETURNED), 1.1)
     reply, to = bench.replies[-1]
@@ -111,7 +111,7 @@
 
 
 def test_a_flow_that_may_wait_is_admitted_when_a_request_ends():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     waiting = bench.wait(1)
     assert bench.host_packets == []
@@ -120,7 +120,7 @@
 
 
 def test_the_newest_waiting_flow_is_admitted_first():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     old, new = bench.wait(1, 1.0), bench.wait(2, 1.1)
     for caller in callers[:2]:
@@ -132,7 +132,7 @@
 
 
 def test_a_copy_of_a_waiting_flows_packet_waits_with_it():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     waiting = bench.wait(1)
     assert bench.open(1.2, waiting).kind is FrameKind.ACCEPTED
@@ -140,7 +140,7 @@
 
 
 def test_a_full_queue_resets_its_oldest_flow_at_once():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     limit = 0
     while not bench.caller_packets:
@@ -152,7 +152,7 @@
 
 
 def test_a_flow_that_has_waited_too_long_is_reset():
-    bench = Bench()
+    bench = Harness()
     bench.follow_up(bench.fill())
     bench.wait(1)
     bench.agent.admit_waiting(1.0 + MAX_WAIT_SECONDS)
@@ -163,7 +163,7 @@
 
 
 def test_flows_that_wait_at_a_host_that_drains_are_reset_and_never_reach_it():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     bench.wait(1)
     bench.say(HostPhase.DRAINING, 2)
@@ -173,7 +173,7 @@
 
 
 def test_a_flow_that_waited_and_is_handed_back_by_the_host_is_reset():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     waiting = bench.wait(1)
     bench.agent.receive_host_packet(from_host(0, b"answer", caller=callers[0]), 1.1)
@@ -182,20 +182,20 @@
 
 
 def test_a_flow_whose_caller_had_given_up_does_not_keep_a_place():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     assert bench.open(1.0 + MAX_FOLLOW_UP_SECONDS).flags == RefusalReason.FULL
     assert bench.open(1.01 + MAX_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
 def test_a_flow_whose_caller_followed_up_keeps_its_place():
-    bench = Bench()
+    bench = Harness()
     bench.follow_up(bench.fill(), 1.1)
     assert bench.open(3.0).flags == RefusalReason.FULL
 
 
 def test_waiting_flows_are_admitted_in_the_place_of_callers_that_gave_up():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     bench.wait(1)
     bench.agent.admit_waiting(1.01 + MAX_FOLLOW_UP_SECONDS)
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize(("age", "waits_for"), [(0.0, MAX_WAIT_SECONDS), (0.6, 0.6)])
 def test_a_flow_waits_only_as_long_as_its_caller(age, waits_for):
-    bench = Bench()
+    bench = Harness()
     bench.follow_up(bench.fill())
     caller = Endpoint("100.64.0.10", 1)
     flags = opening_flags(OpeningTerms(True, False, age))
@@ -216,7 +216,7 @@
 
 
 def test_a_place_goes_to_no_flow_that_has_waited_too_long():
-    bench = Bench()
+    bench = Harness()
     callers = bench.fill()
     bench.follow_up(callers)
     bench.wait(1)
@@ -245,7 +245,7 @@
 
 def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
     """It answers at once and looks idle: without this it would draw all new flows."""
-    bench = Bench()
+    bench = Harness()
     hand_back(bench, MAX_CONSECUTIVE_RETURNS)
     assert bench.agent.log.names()[-2] == "host-returns-openings"
     answer = bench.open(1.1, Endpoint("100.64.0.9", 1))
@@ -259,7 +259,7 @@
 
 
 def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
-    bench = Bench()
+    bench = Harness()
     hand_back(bench, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
     bench.open(1.1, taken)
@@ -269,7 +269,7 @@
 
 
 def test_a_copy_that_comes_back_after_the_hosts_answer_changes_nothing():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.agent.receive_host_packet(greeting(), 1.1)
     before = len(bench.replies)
@@ -279,7 +279,7 @@
 
 
 def test_another_host_beside_the_agent_begins_with_a_clean_record():
-    bench = Bench()
+    bench = Harness()
     hand_back(bench, MAX_CONSECUTIVE_RETURNS)
     bench.agent.host_changed(1.1)
     assert bench.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
@@ -287,7 +287,7 @@
 
 def test_callers_that_left_are_known_by_the_time_that_the_others_take():
     """After an outage most waiting callers have left; their places are not kept for 0.25 s each."""
-    bench = Bench()
+    bench = Harness()
     for number in range(20):
         caller = Endpoint("100.64.0.8", 1 + number)
         at = 1.0 + number / 10
--- a/tests/agent/datagrams/test_flow_agent.py
+++ b/tests/agent/datagrams/test_flow_agent.py
@@ -8,7 +8,7 @@
     FrameKind,
     encode_request,
 )
-from tests.agent.datagrams.support import BALANCER, LIFETIME, OTHER_BALANCER, Bench
+from tests.agent.datagrams.support import BALANCER, LIFETIME, OTHER_BALANCER, Harness
 from tests.flows.support import (
     CALLER,
     ENDING,
@@ -21,7 +21,7 @@
 
 
 def test_a_new_flow_goes_to_the_host_and_is_confirmed():
-    bench = Bench()
+    bench = Harness()
     assert bench.open().kind is FrameKind.ACCEPTED
     assert bench.host_packets == [from_caller(OPENING)]
     bench.follow_up([CALLER])
@@ -39,7 +39,7 @@
     ],
 )
 def test_a_copy_of_a_request_that_was_answered_is_no_request(numbers, busy):
-    bench = Bench()
+    bench = Harness()
     bench.open()
     first, *later = numbers
     bench.frame(FrameKind.CARRY, from_caller(0, bytes((first,))))
@@ -59,7 +59,7 @@
 
 
 def test_packets_of_a_held_flow_pass_both_ways_unchanged():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.frame(FrameKind.CARRY, from_caller(0, b"request"))
     bench.agent.receive_host_packet(from_host(0, b"answer"), 1.1)
@@ -68,7 +68,7 @@
 
 
 def test_the_load_counts_requests_under_way():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     assert bench.agent.meter.busy == 1
     bench.agent.receive_host_packet(from_host(0, b"answer"), 1.1)
@@ -80,7 +80,7 @@
 
 
 def test_a_packet_that_the_host_hands_back_returns_as_the_caller_wrote_it():
-    bench = Bench()
+    bench = Harness()
     bench.frame(FrameKind.CARRY, from_caller(0, b"data"))
     bench.agent.receive_host_packet(from_caller(RETURNED, b"data"), 1.1)
     reply, _ = bench.replies[-1]
@@ -88,7 +88,7 @@
 
 
 def test_a_packet_for_another_service_never_reaches_the_host():
-    bench = Bench()
+    bench = Harness()
     bench.frame(FrameKind.CARRY, from_caller(0, b"data"), service="export")
     assert bench.host_packets == []
     assert bench.replies[-1][0].kind is FrameKind.RETURNED
@@ -96,7 +96,7 @@
 
 
 def test_the_answer_goes_to_the_balancer_that_sent_last():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.frame(FrameKind.CARRY, from_caller(0, b"data"), sender=OTHER_BALANCER)
     bench.agent.receive_host_packet(from_caller(RETURNED, b"data"), 1.1)
@@ -117,21 +117,21 @@
     ids=["empty", "one byte", "no packet", "cut", "short key", "agent's kind", "noise"],
 )
 def test_malformed_frames_are_counted_and_go_nowhere(data):
-    bench = Bench()
+    bench = Harness()
     bench.agent.receive_frame(data, BALANCER, 1.0)
     assert bench.agent.counters.frames_malformed == 1
     assert bench.host_packets == bench.replies == []
 
 
 def test_malformed_packets_of_the_host_are_counted():
-    bench = Bench()
+    bench = Harness()
     bench.agent.receive_host_packet(b"noise", 1.0)
     assert bench.agent.counters.host_packets_malformed == 1
     assert bench.caller_packets == []
 
 
 def test_ended_flows_are_forgotten_after_a_while_and_open_ones_are_kept():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.open(caller=Endpoint("100.64.0.8", 1))
     bench.agent.receive_host_packet(from_host(ENDING, b"answer"), 1.1)
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.datagrams.host import HostAnnouncement
 from jasperwalk.fleet.messages import HostPhase, WarmUp
 from jasperwalk.flows.frames import FrameKind
-from tests.agent.datagrams.support import CAPACITY, LIFETIME, Bench
+from tests.agent.datagrams.support import CAPACITY, LIFETIME, Harness
 from tests.flows.support import (
     CALLER,
     RETURNED,
@@ -22,7 +22,7 @@
 
 def test_a_flow_is_in_doubt_until_its_caller_follows_up():
     """Another host may have answered the caller first; the host tells by handing back."""
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.agent.receive_host_packet(from_host(0, b"hello"), 1.01)
     assert bench.find() is FrameKind.UNSURE
@@ -33,7 +33,7 @@
 
 
 def test_a_flow_that_opened_at_another_host_is_handed_back():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     assert bench.find() is FrameKind.UNSURE
     bench.follow_up([CALLER])
@@ -43,7 +43,7 @@
 
 
 def test_several_flows_are_asked_for_in_one_frame():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.follow_up([CALLER])
     unknown = key_of(Endpoint("100.64.0.9", 9))
@@ -57,14 +57,14 @@
 
 @pytest.mark.parametrize("body", [b"", b"x" * 11, b"x" * 13])
 def test_questions_of_a_wrong_length_are_counted(body):
-    bench = Bench()
+    bench = Harness()
     bench.frame(FrameKind.FIND, body)
     assert bench.replies == []
     assert bench.agent.counters.frames_malformed == 1
 
 
 def test_nobody_is_told_of_a_flow_that_nobody_asked_for():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.follow_up([CALLER])
     replies = len(bench.replies)
@@ -73,7 +73,7 @@
 
 
 def test_an_agent_that_restarted_lets_the_host_tell():
-    bench = Bench()
+    bench = Harness()
     assert bench.find() is FrameKind.UNSURE
     bench.frame(FrameKind.CARRY, from_caller(0, b"data"))
     assert bench.host_packets == [from_caller(0, b"data")]
@@ -84,7 +84,7 @@
 
 
 def test_an_agent_older_than_any_flow_knows_what_is_not_held():
-    bench = Bench()
+    bench = Harness()
     late = LIFETIME + 1.0
     assert bench.find(late) is FrameKind.NOT_HELD
     bench.frame(FrameKind.CARRY, from_caller(0, b"data"), late)
@@ -93,7 +93,7 @@
 
 
 def test_an_agent_that_watched_for_the_longest_rest_of_a_flow_knows_them_all():
-    bench = Bench()
+    bench = Harness()
     bench.agent.flow_idle_seconds = 15.0
     assert bench.find(16.0) is FrameKind.UNSURE
     assert bench.find(15.0 + IDLE_SLACK + 0.1) is FrameKind.NOT_HELD
@@ -105,7 +105,7 @@
 
 
 def test_flows_of_a_host_that_another_one_replaced_are_in_doubt():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     replaced(bench, 2.0)
     assert bench.agent.meter.busy == 0
@@ -117,7 +117,7 @@
 
 
 def test_a_flow_that_the_new_host_took_before_it_spoke_is_kept():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.follow_up([CALLER])
     replaced(bench, 2.0)
@@ -126,7 +126,7 @@
 
 
 def test_an_agent_whose_host_never_spoke_holds_nothing():
-    bench = Bench(HostPhase.UNKNOWN)
+    bench = Harness(HostPhase.UNKNOWN)
     assert bench.find(SILENT_HOST_SECONDS - 0.1) is FrameKind.UNSURE
     assert bench.find(SILENT_HOST_SECONDS + 0.1) is FrameKind.NOT_HELD
 
@@ -143,7 +143,7 @@
 
 def test_an_agent_that_came_back_together_with_its_host_knows_all_flows():
     """After a loss of power the host may be up a moment before its agent."""
-    bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
+    bench = Harness(HostPhase.UNKNOWN, started_at=10.0)
     assert bench.find(10.05) is FrameKind.UNSURE
     cold_host(bench, COLD_SECONDS - 0.3, 10.1)
     assert bench.find(10.2) is FrameKind.NOT_HELD
@@ -151,32 +151,32 @@
 
 @pytest.mark.parametrize("left_seconds", [0.0, 0.5])
 def test_an_agent_that_came_back_alone_does_not_know_what_its_host_holds(left_seconds):
-    bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
+    bench = Harness(HostPhase.UNKNOWN, started_at=10.0)
     cold_host(bench, left_seconds, 10.1)
     assert bench.find(10.2) is FrameKind.UNSURE
 
 
 def test_an_announcement_that_was_late_makes_no_host_younger():
-    bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
+    bench = Harness(HostPhase.UNKNOWN, started_at=10.0)
     cold_host(bench, 0.5, 10.1, number=4)
     cold_host(bench, COLD_SECONDS, 10.2, number=5)
     assert bench.find(10.3) is FrameKind.UNSURE
 
 
 def test_an_agent_without_a_host_holds_no_flow():
-    bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
+    bench = Harness(HostPhase.UNKNOWN, started_at=10.0)
     bench.agent.record_host_absent(10.01)
     assert bench.find(10.2) is FrameKind.NOT_HELD
 
 
 def test_a_host_that_has_announced_itself_is_not_absent():
-    bench = Bench(HostPhase.READY, started_at=10.0)
+    bench = Harness(HostPhase.READY, started_at=10.0)
     bench.agent.record_host_absent(10.01)
     assert bench.find(10.2) is FrameKind.UNSURE
 
 
 def test_an_absent_host_is_announced_as_absent_until_it_speaks():
-    bench = Bench(HostPhase.UNKNOWN, started_at=10.0)
+    bench = Harness(HostPhase.UNKNOWN, started_at=10.0)
     assert bench.agent.knowledge.host_phase() is HostPhase.UNKNOWN
     bench.agent.record_host_absent(10.01)
     assert bench.agent.knowledge.host_phase() is HostPhase.ABSENT
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -23,7 +23,7 @@
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.fair_shares import FairShares
 from jasperwalk.scheduling.request_scheduler import MAX_HOLD_SECONDS
-from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
+from tests.agent.datagrams.support import BALANCER, CAPACITY, Harness
 from tests.flows.support import (
     ENDING,
     GREETING,
@@ -41,7 +41,7 @@
 FULL = max_requests(CAPACITY)
 
 
-class Host(Bench):
+class Host(Harness):
     """The agent's bench with flows of two routes whose terms differ."""
 
     def open_with(self, port, listener, terms, now, waits=False):
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -13,7 +13,7 @@
 )
 from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, decode_service_time
 from jasperwalk.flows.terms import CarriedTerms
-from tests.agent.datagrams.support import BALANCER, CAPACITY, Bench
+from tests.agent.datagrams.support import BALANCER, CAPACITY, Harness
 from tests.flows.support import ENDING, OPENING, from_caller, from_host
 
 WORK = 0.05
@@ -26,7 +26,7 @@
     return Endpoint("100.64.0.30", number)
 
 
-class SlowBench(Bench):
+class SlowBench(Harness):
     """Serves one request after the other."""
 
     def __init__(self, measures_pace=True):
--- a/tests/agent/datagrams/test_warm_up.py
+++ b/tests/agent/datagrams/test_warm_up.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.datagrams.warm_up import WINDOW_SECONDS, WarmUpLimit
 from jasperwalk.fleet.messages import DrainedZones, HostPhase, WarmUp
 from jasperwalk.flows.frames import FLAG_WAIT, FrameKind, RefusalReason
-from tests.agent.datagrams.support import CAPACITY, ZONE, Bench
+from tests.agent.datagrams.support import CAPACITY, ZONE, Harness
 from tests.flows.support import OPENING, from_caller, from_host
 
 FLOOR = 5
@@ -19,7 +19,7 @@
 
 
 def cold_bench(seconds=COLD_SECONDS, floor=FLOOR, started_at=STARTED):
-    bench = Bench(started_at=started_at, warm_up_floor=floor)
+    bench = Harness(started_at=started_at, warm_up_floor=floor)
     bench.host.announce(HostAnnouncement("h1", HostPhase.READY, 1000, seconds, 2), 0.0)
     return bench
 
@@ -129,7 +129,7 @@
 
 
 def test_flows_from_the_queue_count_as_well():
-    bench = Bench(started_at=STARTED, warm_up_floor=FLOOR)
+    bench = Harness(started_at=STARTED, warm_up_floor=FLOOR)
     bench.host.announce(HostAnnouncement("h1", HostPhase.READY, CAPACITY, COLD_SECONDS, 2), 0.0)
     configure(bench, per_second=1)
     callers = bench.fill()
--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -6,7 +6,7 @@
 from jasperwalk.agent.datagrams.host import HostAnnouncement
 from jasperwalk.fleet.messages import DrainedZones, HostPhase
 from jasperwalk.flows.frames import FrameKind, RefusalReason
-from tests.agent.datagrams.support import ZONE, Bench
+from tests.agent.datagrams.support import ZONE, Harness
 from tests.flows.support import CALLER, RESET, from_caller, from_host
 
 OTHER = Endpoint("100.64.0.9", 9)
@@ -17,7 +17,7 @@
 
 
 def test_a_drained_zone_refuses_new_flows_and_keeps_open_ones():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     drain(bench, 1, ZONE)
     bench.follow_up([CALLER])
@@ -28,7 +28,7 @@
 
 
 def test_no_copy_of_an_opening_packet_reaches_a_host_in_a_drained_zone():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     drain(bench, 1, ZONE)
     assert bench.open(1.2).flags == RefusalReason.ZONE_DRAINED
@@ -36,7 +36,7 @@
 
 
 def test_flows_that_wait_are_reset_at_once_when_the_zone_is_drained():
-    bench = Bench()
+    bench = Harness()
     bench.fill()
     waiting = bench.wait(1)
     drain(bench, 1, ZONE)
@@ -46,7 +46,7 @@
 
 
 def test_a_restored_zone_takes_flows_again():
-    bench = Bench()
+    bench = Harness()
     drain(bench, 1, ZONE)
     drain(bench, 2, now=1.5)
     assert bench.open(2.0).kind is FrameKind.ACCEPTED
@@ -54,20 +54,20 @@
 
 @pytest.mark.parametrize("revision", [1, 2])
 def test_what_an_older_home_says_changes_nothing(revision):
-    bench = Bench()
+    bench = Harness()
     drain(bench, 2, ZONE)
     drain(bench, revision)
     assert bench.open().flags == RefusalReason.ZONE_DRAINED
 
 
 def test_another_zone_is_no_concern():
-    bench = Bench()
+    bench = Harness()
     drain(bench, 1, "elsewhere")
     assert bench.open().kind is FrameKind.ACCEPTED
 
 
 def test_the_host_itself_says_in_which_zone_it_is():
-    bench = Bench()
+    bench = Harness()
     bench.host.announce(HostAnnouncement("h1", HostPhase.READY, 2, 0.0, 2, "elsewhere"), 0.0)
     drain(bench, 1, ZONE)
     assert bench.open().kind is FrameKind.ACCEPTED
@@ -76,7 +76,7 @@
 
 
 def test_the_answer_to_an_open_flow_still_leaves_a_drained_zone():
-    bench = Bench()
+    bench = Harness()
     bench.open()
     bench.follow_up([CALLER])
     drain(bench, 1, ZONE)
