--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -22,7 +22,7 @@
     encode_command,
 )
 from jasperwalk.flows.routes import FlowRoute, RouteBackend
-from tests.consensus.conftest import TICK_SECONDS, World
+from tests.consensus.conftest import TICK_SECONDS, SimulatedCluster
 
 REPEAT_SECONDS = 6.0
 ANSWER_TIMEOUT_SECONDS = 1.0
@@ -58,7 +58,7 @@
     """One played race; `violations` has what was lost or undone."""
 
     def __init__(self, seed):
-        self.world = World(seed, 3)
+        self.world = SimulatedCluster(seed, 3)
         self.random = Random(f"operators {seed}")
         self.queue, self.number = [], 0
         self.nodes = {each: Node(StaleOrderGuard(REPEAT_SECONDS)) for each in self.world.replicas}
