--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -35,7 +35,7 @@
 MAX_STORED_BYTES = 64 * 1024 * 1024
 MAX_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
-KEPT_AFTER_EXPIRY_SECONDS = 60.0
+RETENTION_AFTER_EXPIRY_SECONDS = 60.0
 
 
 @dataclass(eq=False)
@@ -199,7 +199,7 @@
             return Expired()
         if len(self._uses) >= self._max_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
-        self._uses[ticket.nonce] = TicketUse(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
+        self._uses[ticket.nonce] = TicketUse(digest, expires_at + RETENTION_AFTER_EXPIRY_SECONDS)
         return RunNow()
 
     def did_not_run(self, ticket: Ticket) -> None:
