--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -115,12 +115,12 @@
     status: int
     headers: HeaderFields
     body: bytearray = field(default_factory=bytearray)
-    cut: bool = False
+    truncated: bool = False
 
     def append(self, data: bytes) -> None:
         """Keep a piece of the body unless the answer grows too long."""
-        if self.cut or len(self.body) + len(data) > MAX_ANSWER_BYTES:
-            self.cut = True
+        if self.truncated or len(self.body) + len(data) > MAX_ANSWER_BYTES:
+            self.truncated = True
             self.body.clear()
             return
         self.body += data
@@ -212,7 +212,7 @@
         if use is None:
             return
         use.finished = True
-        if answer is not None and not answer.cut:
+        if answer is not None and not answer.truncated:
             use.answer = answer
             self._stored_bytes += len(answer.body)
 
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -66,7 +66,7 @@
         ["RunNow", "OutcomeUnknown"],
     ),
     "an answer too long to keep is unknown, not run again": (
-        [("use", ONE, 0), ("finish", StoredAnswer(200, [], cut=True)), ("use", ONE, 1)],
+        [("use", ONE, 0), ("finish", StoredAnswer(200, [], truncated=True)), ("use", ONE, 1)],
         ["RunNow", "OutcomeUnknown"],
     ),
     "what did not run may run": (
@@ -123,9 +123,9 @@
 def test_an_answer_is_kept_whole_or_not_at_all():
     answer = StoredAnswer(200, [])
     answer.append(b"x" * MAX_ANSWER_BYTES)
-    assert not answer.cut
+    assert not answer.truncated
     answer.append(b"x")
-    assert answer.cut
+    assert answer.truncated
     assert not answer.body
 
 
