--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -26,7 +26,7 @@
     return Endpoint("100.64.0.30", number)
 
 
-class SlowBench(Harness):
+class SlowHostHarness(Harness):
     """Serves one request after the other."""
 
     def __init__(self, measures_pace=True):
@@ -60,7 +60,7 @@
 
 
 def slow_bench(measures_pace=True):
-    harness = SlowBench(measures_pace)
+    harness = SlowHostHarness(measures_pace)
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
     harness.ask(waits=True)
@@ -69,7 +69,7 @@
 
 
 def test_an_acceptance_tells_the_pace_once_it_is_known():
-    harness = SlowBench()
+    harness = SlowHostHarness()
     assert harness.ask(URGENT).flags == UNKNOWN_SERVICE_TIME
     harness.serve(20, WORK)
     assert decode_service_time(harness.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
@@ -101,7 +101,7 @@
 
 
 def test_a_copy_of_an_opening_that_was_taken_passes():
-    harness = SlowBench()
+    harness = SlowHostHarness()
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
     harness.ask(waits=True)
@@ -133,7 +133,7 @@
 
 
 def test_a_cold_host_is_not_measured():
-    harness = SlowBench()
+    harness = SlowHostHarness()
     harness.host.slow_until = 1000.0
     harness.serve(20, WORK)
     assert harness.ask().flags == UNKNOWN_SERVICE_TIME
