--- a/src/jasperwalk/routing/candidates.py
+++ b/src/jasperwalk/routing/candidates.py
@@ -9,7 +9,7 @@
 from jasperwalk.config.table_entries import MemberEntry, accepts_new_work
 from jasperwalk.routing.rendezvous import (
     CandidatePair,
-    Contender,
+    PreparedMember,
     WeightedMember,
     choose_pair,
     prepare,
@@ -29,7 +29,7 @@
     """A service's contenders, with the member entries that they were made from."""
 
     members: tuple[MemberEntry, ...]
-    contenders: tuple[Contender, ...]
+    contenders: tuple[PreparedMember, ...]
 
 
 class CandidateIndex:
@@ -56,7 +56,7 @@
         """Return the ordered candidates for a flow, None if no member accepts new work."""
         return choose_pair(self.contenders(service_id), flow_key)
 
-    def contenders(self, service_id: int) -> tuple[Contender, ...]:
+    def contenders(self, service_id: int) -> tuple[PreparedMember, ...]:
         """Return the prepared members of a service that accept new work."""
         pool = self._current.get(service_id)
         if pool is None:
--- a/src/jasperwalk/routing/rendezvous.py
+++ b/src/jasperwalk/routing/rendezvous.py
@@ -35,7 +35,7 @@
     weight: float
 
 
-class Contender(msgspec.Struct, frozen=True):
+class PreparedMember(msgspec.Struct, frozen=True):
     """A member prepared for scoring: the seed of its hash and the inverse of its weight."""
 
     address: Endpoint
@@ -47,20 +47,20 @@
 class CandidatePair(msgspec.Struct, frozen=True):
     """The members chosen for a flow; `second` is None where the pool has one member."""
 
-    first: Contender
-    second: Contender | None
+    first: PreparedMember
+    second: PreparedMember | None
 
 
-def prepare(members: Iterable[WeightedMember]) -> tuple[Contender, ...]:
+def prepare(members: Iterable[WeightedMember]) -> tuple[PreparedMember, ...]:
     """Prepare members for `choose_pair`, in an order that does not depend on the input's."""
     contenders = [_contender(member) for member in members]
     return tuple(sorted(contenders, key=lambda contender: contender.packed_address))
 
 
-def choose_pair(contenders: Sequence[Contender], flow_key: bytes) -> CandidatePair | None:
+def choose_pair(contenders: Sequence[PreparedMember], flow_key: bytes) -> CandidatePair | None:
     """Return the two members with the best scores for a flow key, None if there is none."""
-    first: Contender | None = None
-    second: Contender | None = None
+    first: PreparedMember | None = None
+    second: PreparedMember | None = None
     first_score = second_score = -math.inf
     for contender in contenders:
         # The half keeps the logarithm's argument above 0 and a score always finite.
@@ -90,9 +90,9 @@
     return nlargest(count, members, key=lambda each: xxh3_64_intdigest(flow_key, seed_of(each)))
 
 
-def _contender(member: WeightedMember) -> Contender:
+def _contender(member: WeightedMember) -> PreparedMember:
     packed = member.address.pack()
-    return Contender(
+    return PreparedMember(
         address=member.address,
         packed_address=packed,
         seed=hash_seed(packed),
--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -13,7 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.routing.candidates import CandidateIndex, MemberSource
-from jasperwalk.routing.rendezvous import CandidatePair, Contender
+from jasperwalk.routing.rendezvous import CandidatePair, PreparedMember
 
 MOST_REMEMBERED = 20_000
 """Initials whose choice a balancer remembers."""
@@ -24,7 +24,7 @@
 
     def __init__(self, source: MemberSource) -> None:
         super().__init__(source)
-        self._chosen: OrderedDict[tuple[int, bytes], Contender] = OrderedDict()
+        self._chosen: OrderedDict[tuple[int, bytes], PreparedMember] = OrderedDict()
 
     def candidates(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return the member for a flow, without a second choice."""
@@ -40,7 +40,7 @@
         return CandidatePair(first=chosen, second=None)
 
     @abstractmethod
-    def choose(self, service_id: int, contenders: Sequence[Contender]) -> Contender:
+    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
         """Choose a member for a flow that was not seen before."""
 
 
@@ -52,7 +52,7 @@
         self._random = generator
         self._credits: dict[tuple[int, Endpoint], float] = {}
 
-    def choose(self, service_id: int, contenders: Sequence[Contender]) -> Contender:
+    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
         """Choose the member with the most credit; the members' first credits are random.
 
         The random start keeps balancers that started together from taking turns in step.
@@ -83,7 +83,7 @@
         self._random = generator
         self._loads = loads
 
-    def choose(self, service_id: int, contenders: Sequence[Contender]) -> Contender:
+    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
         """Choose one of the least loaded members."""
         told = [self._loads.get(each.address, 0.0) * each.inverse_weight for each in contenders]
         least = min(told)
