--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -59,7 +59,7 @@
         self.agent.receive_host_packet(packet, self.now)
 
 
-def slow_bench(measures_pace=True):
+def slow_host_harness(measures_pace=True):
     harness = SlowHostHarness(measures_pace)
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
@@ -76,13 +76,13 @@
 
 
 def test_an_acceptance_tells_that_the_host_is_slow():
-    harness = slow_bench()
+    harness = slow_host_harness()
     told = decode_service_time(harness.ask(PATIENT).flags)
     assert told == pytest.approx(SLOW_FACTOR * WORK, rel=0.1)
 
 
 def test_a_slow_host_refuses_what_it_would_serve_too_late():
-    harness = slow_bench()
+    harness = slow_host_harness()
     refused = harness.ask(URGENT)
     assert (refused.kind, refused.flags) == (FrameKind.REFUSED, RefusalReason.SLOW)
     assert harness.agent.counters.flows_refused_slow == 1
@@ -90,11 +90,11 @@
 
 
 def test_a_flow_that_found_no_other_host_is_taken():
-    assert slow_bench().ask(URGENT, waits=True).kind is FrameKind.ACCEPTED
+    assert slow_host_harness().ask(URGENT, waits=True).kind is FrameKind.ACCEPTED
 
 
 def test_a_balancer_that_tells_no_terms_never_meets_the_new_reason():
-    harness = slow_bench()
+    harness = slow_host_harness()
     answers = [harness.ask() for _ in range(2 * CAPACITY)]
     refused = {answer.flags for answer in answers if answer.kind is FrameKind.REFUSED}
     assert refused == {RefusalReason.FULL}
@@ -112,7 +112,7 @@
 
 
 def test_each_change_is_logged_once():
-    harness = slow_bench()
+    harness = slow_host_harness()
     harness.now += WORK
     harness.answer()
     harness.serve(10, WORK)
@@ -126,7 +126,7 @@
 
 
 def test_switched_off_nothing_is_told_or_refused():
-    harness = slow_bench(measures_pace=False)
+    harness = slow_host_harness(measures_pace=False)
     answer = harness.ask(URGENT)
     assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_SERVICE_TIME)
     assert "host-slow" not in harness.agent.log.names()
@@ -140,13 +140,13 @@
 
 
 def test_another_host_is_judged_anew():
-    harness = slow_bench()
+    harness = slow_host_harness()
     harness.agent.host_changed(harness.now)
     assert harness.ask(URGENT).kind is FrameKind.ACCEPTED
 
 
 def test_a_cut_frame_with_terms_changes_nothing():
-    harness = slow_bench()
+    harness = slow_host_harness()
     sent = len(harness.replies)
     head = encode_open_head(service_tag("web"), OpeningTerms(False, False, 0.0, URGENT))
     for length in range(REQUEST_HEAD.size, len(head)):
