--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -181,8 +181,8 @@
         pair = self._index.candidates(view.service.service_id, connection_id)
         if pair is None:
             return []
-        contenders = (pair.first, pair.second)
-        return [contender.address for contender in contenders if contender is not None]
+        prepared_members = (pair.first, pair.second)
+        return [contender.address for contender in prepared_members if contender is not None]
 
     def _discard_expired(self, now: float) -> None:
         while self._remembered:
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -58,10 +58,10 @@
         """Return a new flow's candidates; all refusing members are better than none."""
         refusing = self._refusals.current(now)
         if refusing:
-            contenders = self.index.contenders(service_id)
+            prepared_members = self.index.prepared_members(service_id)
             others = [
                 each
-                for each in contenders
+                for each in prepared_members
                 if (each.address.host, each.address.port) not in refusing
             ]
             pair = choose_pair(others, flow_key)
--- a/src/jasperwalk/routing/candidates.py
+++ b/src/jasperwalk/routing/candidates.py
@@ -29,7 +29,7 @@
     """A service's contenders, with the member entries that they were made from."""
 
     members: tuple[MemberEntry, ...]
-    contenders: tuple[PreparedMember, ...]
+    prepared_members: tuple[PreparedMember, ...]
 
 
 class CandidateIndex:
@@ -54,14 +54,14 @@
 
     def candidates(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return the ordered candidates for a flow, None if no member accepts new work."""
-        return choose_pair(self.contenders(service_id), flow_key)
+        return choose_pair(self.prepared_members(service_id), flow_key)
 
-    def contenders(self, service_id: int) -> tuple[PreparedMember, ...]:
+    def prepared_members(self, service_id: int) -> tuple[PreparedMember, ...]:
         """Return the prepared members of a service that accept new work."""
         pool = self._current.get(service_id)
         if pool is None:
             pool = self._refresh(service_id)
-        return pool.contenders
+        return pool.prepared_members
 
     def _refresh(self, service_id: int) -> PreparedPool:
         members = tuple(self._source.members_of(service_id))
@@ -78,4 +78,4 @@
         for member in members
         if accepts_new_work(member)
     ]
-    return PreparedPool(members=members, contenders=prepare(eligible))
+    return PreparedPool(members=members, prepared_members=prepare(eligible))
--- a/src/jasperwalk/routing/rendezvous.py
+++ b/src/jasperwalk/routing/rendezvous.py
@@ -53,16 +53,18 @@
 
 def prepare(members: Iterable[WeightedMember]) -> tuple[PreparedMember, ...]:
     """Prepare members for `choose_pair`, in an order that does not depend on the input's."""
-    contenders = [_contender(member) for member in members]
-    return tuple(sorted(contenders, key=lambda contender: contender.packed_address))
+    prepared_members = [_contender(member) for member in members]
+    return tuple(sorted(prepared_members, key=lambda contender: contender.packed_address))
 
 
-def choose_pair(contenders: Sequence[PreparedMember], flow_key: bytes) -> CandidatePair | None:
+def choose_pair(
+    prepared_members: Sequence[PreparedMember], flow_key: bytes
+) -> CandidatePair | None:
     """Return the two members with the best scores for a flow key, None if there is none."""
     first: PreparedMember | None = None
     second: PreparedMember | None = None
     first_score = second_score = -math.inf
-    for contender in contenders:
+    for contender in prepared_members:
         # The half keeps the logarithm's argument above 0 and a score always finite.
         uniform = (xxh3_64_intdigest(flow_key, contender.seed) + 0.5) / HASH_SPAN
         score = math.log(uniform) * contender.inverse_weight
--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -28,19 +28,19 @@
 
     def candidates(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return the member for a flow, without a second choice."""
-        contenders = self.contenders(service_id)
-        if not contenders:
+        prepared_members = self.prepared_members(service_id)
+        if not prepared_members:
             return None
         chosen = self._chosen.get((service_id, flow_key))
-        if chosen is None or chosen not in contenders:
-            chosen = self.choose(service_id, contenders)
+        if chosen is None or chosen not in prepared_members:
+            chosen = self.choose(service_id, prepared_members)
             self._chosen[service_id, flow_key] = chosen
             if len(self._chosen) > MOST_REMEMBERED:
                 self._chosen.popitem(last=False)
         return CandidatePair(first=chosen, second=None)
 
     @abstractmethod
-    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
+    def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
         """Choose a member for a flow that was not seen before."""
 
 
@@ -52,19 +52,19 @@
         self._random = generator
         self._credits: dict[tuple[int, Endpoint], float] = {}
 
-    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
+    def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
         """Choose the member with the most credit; the members' first credits are random.
 
         The random start keeps balancers that started together from taking turns in step.
         """
         total = 0.0
-        for each in contenders:
+        for each in prepared_members:
             weight = 1.0 / each.inverse_weight
             total += weight
             key = (service_id, each.address)
             credit = self._credits.get(key, self._random.uniform(0.0, weight))
             self._credits[key] = credit + weight
-        chosen = max(contenders, key=lambda each: self._credits[service_id, each.address])
+        chosen = max(prepared_members, key=lambda each: self._credits[service_id, each.address])
         self._credits[service_id, chosen.address] -= total
         return chosen
 
@@ -83,9 +83,11 @@
         self._random = generator
         self._loads = loads
 
-    def choose(self, service_id: int, contenders: Sequence[PreparedMember]) -> PreparedMember:
+    def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
         """Choose one of the least loaded members."""
-        told = [self._loads.get(each.address, 0.0) * each.inverse_weight for each in contenders]
+        told = [
+            self._loads.get(each.address, 0.0) * each.inverse_weight for each in prepared_members
+        ]
         least = min(told)
-        equal = [each for each, load in zip(contenders, told, strict=True) if load <= least]
+        equal = [each for each, load in zip(prepared_members, told, strict=True) if load <= least]
         return self._random.choice(equal)
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -49,12 +49,12 @@
 def test_a_changed_pool_is_seen_after_table_changed_and_an_unchanged_one_is_kept():
     pool = Pool([make_member(1)])
     index = CandidateIndex(pool)
-    first = index.contenders(7)
+    first = index.prepared_members(7)
     index.table_changed(pool)
-    assert index.contenders(7) is first
+    assert index.prepared_members(7) is first
     pool.members = [make_member(2)]
     index.table_changed(pool)
-    assert [contender.address.host for contender in index.contenders(7)] == ["127.0.0.2"]
+    assert [contender.address.host for contender in index.prepared_members(7)] == ["127.0.0.2"]
 
 
 def test_a_service_without_members_has_no_candidates():
--- a/tests/routing/test_rendezvous.py
+++ b/tests/routing/test_rendezvous.py
@@ -25,10 +25,10 @@
 @pytest.mark.parametrize("weights", [[1.0] * 7, [100, 50, 25, 25], [1, 999]])
 def test_shares_are_proportional_to_weights(weights):
     members = make_members(weights)
-    contenders = prepare(members)
+    prepared_members = prepare(members)
     counts = dict.fromkeys((member.address for member in members), 0)
     for key in make_flow_keys():
-        counts[choose_pair(contenders, key).first.address] += 1
+        counts[choose_pair(prepared_members, key).first.address] += 1
     for member in members:
         share = member.weight / sum(weights)
         # Five standard deviations of a binomial count.
