--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -29,7 +29,7 @@
     harness.agent.receive_host_packet(from_host(RESET, caller=caller(port)), now + 0.01)
 
 
-def failing_bench(now=1.0):
+def failing_host_harness(now=1.0):
     harness = Harness()
     for port in range(MIN_FAILURES):
         reset_by_host(harness, port + 1, now)
@@ -37,19 +37,19 @@
 
 
 def test_a_host_that_resets_its_requests_gets_no_more_new_flows():
-    harness = failing_bench()
+    harness = failing_host_harness()
     refused = harness.open(1.1, caller(50))
     assert (refused.kind, refused.flags) == (FrameKind.REFUSED, RefusalReason.FAILING)
     assert harness.agent.counters.requests_broken_off == MIN_FAILURES
 
 
 def test_a_flow_that_found_no_other_host_is_taken_all_the_same():
-    harness = failing_bench()
+    harness = failing_host_harness()
     assert harness.open(1.1, caller(50), flags=FLAG_WAIT).kind is FrameKind.ACCEPTED
 
 
 def test_trials_are_made_with_requests_that_may_be_repeated():
-    harness = failing_bench()
+    harness = failing_host_harness()
     now = 1.02 + MIN_PAUSE_SECONDS + TRIAL_INTERVAL_SECONDS
     assert harness.open(now, caller(50)).kind is FrameKind.REFUSED
     assert harness.open(now, caller(51), flags=FLAG_REPEATABLE).kind is FrameKind.ACCEPTED
@@ -102,7 +102,7 @@
 
 
 def test_another_host_in_its_place_is_not_judged_by_it():
-    harness = failing_bench()
+    harness = failing_host_harness()
     harness.agent.host_changed(1.05)
     assert harness.open(1.1, caller(50)).kind is FrameKind.ACCEPTED
 
