--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -182,7 +182,11 @@
         if pair is None:
             return []
         prepared_members = (pair.first, pair.second)
-        return [contender.address for contender in prepared_members if contender is not None]
+        return [
+            prepared_member.address
+            for prepared_member in prepared_members
+            if prepared_member is not None
+        ]
 
     def _discard_expired(self, now: float) -> None:
         while self._remembered:
--- a/src/jasperwalk/routing/rendezvous.py
+++ b/src/jasperwalk/routing/rendezvous.py
@@ -54,7 +54,9 @@
 def prepare(members: Iterable[WeightedMember]) -> tuple[PreparedMember, ...]:
     """Prepare members for `choose_pair`, in an order that does not depend on the input's."""
     prepared_members = [_contender(member) for member in members]
-    return tuple(sorted(prepared_members, key=lambda contender: contender.packed_address))
+    return tuple(
+        sorted(prepared_members, key=lambda prepared_member: prepared_member.packed_address)
+    )
 
 
 def choose_pair(
@@ -64,15 +66,15 @@
     first: PreparedMember | None = None
     second: PreparedMember | None = None
     first_score = second_score = -math.inf
-    for contender in prepared_members:
+    for prepared_member in prepared_members:
         # The half keeps the logarithm's argument above 0 and a score always finite.
-        uniform = (xxh3_64_intdigest(flow_key, contender.seed) + 0.5) / HASH_SPAN
-        score = math.log(uniform) * contender.inverse_weight
+        uniform = (xxh3_64_intdigest(flow_key, prepared_member.seed) + 0.5) / HASH_SPAN
+        score = math.log(uniform) * prepared_member.inverse_weight
         if first is None or score > first_score:
             second, second_score = first, first_score
-            first, first_score = contender, score
+            first, first_score = prepared_member, score
         elif second is None or score > second_score:
-            second, second_score = contender, score
+            second, second_score = prepared_member, score
     if first is None:
         return None
     return CandidatePair(first=first, second=second)
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -54,7 +54,9 @@
     assert index.prepared_members(7) is first
     pool.members = [make_member(2)]
     index.table_changed(pool)
-    assert [contender.address.host for contender in index.prepared_members(7)] == ["127.0.0.2"]
+    assert [prepared_member.address.host for prepared_member in index.prepared_members(7)] == [
+        "127.0.0.2"
+    ]
 
 
 def test_a_service_without_members_has_no_candidates():
