--- a/tests/agent/datagrams/test_warm_up.py
+++ b/tests/agent/datagrams/test_warm_up.py
@@ -18,7 +18,7 @@
 STARTED = -100.0
 
 
-def cold_bench(seconds=COLD_SECONDS, floor=FLOOR, started_at=STARTED):
+def cold_host_harness(seconds=COLD_SECONDS, floor=FLOOR, started_at=STARTED):
     harness = Harness(started_at=started_at, warm_up_floor=floor)
     harness.host.announce(HostAnnouncement("h1", HostPhase.READY, 1000, seconds, 2), 0.0)
     return harness
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("pause", [0.001, 0.03, 0.11, 0.124])
 def test_no_second_has_more_flows_than_the_host_bears(pause):
-    harness = cold_bench()
+    harness = cold_host_harness()
     configure(harness)
     reached = offer(harness, [1.0 + pause * number for number in range(int(6 / pause))])
     assert most_in_a_second(reached) == PER_SECOND
@@ -58,14 +58,14 @@
 
 
 def test_a_refusal_names_its_reason():
-    harness = cold_bench()
+    harness = cold_host_harness()
     configure(harness, per_second=1, version=1)
     offer(harness, [1.0] * FLOOR)
     assert harness.open(1.1).flags == RefusalReason.WARMING_UP
 
 
 def test_copies_of_an_opening_packet_count_and_stop_at_the_bound():
-    harness = cold_bench()
+    harness = cold_host_harness()
     configure(harness, per_second=1)
     for number in range(FLOOR):
         assert harness.open(1.0 + number / 100).kind is FrameKind.ACCEPTED
@@ -74,34 +74,34 @@
 
 
 def test_a_warm_host_gets_as_many_as_come():
-    harness = cold_bench(seconds=0.0)
+    harness = cold_host_harness(seconds=0.0)
     configure(harness)
     assert len(offer(harness, [1.0] * 50)) == 50
 
 
 def test_a_service_without_a_figure_has_no_bound():
-    harness = cold_bench()
+    harness = cold_host_harness()
     harness.agent.warm_up.configure(1, WarmUp())
     assert len(offer(harness, [1.0] * 50)) == 50
 
 
 def test_before_the_configuration_has_come_the_floor_holds():
-    assert len(offer(cold_bench(), [1.0] * 50)) == FLOOR
+    assert len(offer(cold_host_harness(), [1.0] * 50)) == FLOOR
 
 
 def test_without_a_floor_nothing_holds_before_the_configuration_has_come():
-    assert len(offer(cold_bench(floor=None), [1.0] * 50)) == 50
+    assert len(offer(cold_host_harness(floor=None), [1.0] * 50)) == 50
 
 
 def test_an_agent_that_has_just_started_counts_its_first_second_as_spent():
-    harness = cold_bench(started_at=1.0)
+    harness = cold_host_harness(started_at=1.0)
     configure(harness)
     assert offer(harness, [1.1, 1.5, 1.9]) == []
     assert offer(harness, [1.1 + WINDOW_SECONDS]) != []
 
 
 def test_a_restored_zone_counts_as_cold_before_its_hosts_say_so():
-    harness = cold_bench(seconds=0.0)
+    harness = cold_host_harness(seconds=0.0)
     configure(harness)
     harness.agent.zones_changed(DrainedZones(1, [ZONE]), 1.0)
     harness.agent.zones_changed(DrainedZones(2, []), 5.0)
@@ -110,14 +110,14 @@
 
 
 def test_an_older_configuration_changes_nothing():
-    harness = cold_bench()
+    harness = cold_host_harness()
     configure(harness, per_second=20, version=5)
     configure(harness, per_second=6, version=4)
     assert len(offer(harness, [1.0] * 50)) == 20
 
 
 def test_a_flow_that_may_wait_is_admitted_when_the_second_is_over():
-    harness = cold_bench()
+    harness = cold_host_harness()
     configure(harness, per_second=1)
     offer(harness, [1.0] * FLOOR)
     waiting = Endpoint("100.64.0.10", 1)
