--- a/src/jasperwalk/routing/rendezvous.py
+++ b/src/jasperwalk/routing/rendezvous.py
@@ -53,7 +53,7 @@
 
 def prepare(members: Iterable[WeightedMember]) -> tuple[PreparedMember, ...]:
     """Prepare members for `choose_pair`, in an order that does not depend on the input's."""
-    prepared_members = [_contender(member) for member in members]
+    prepared_members = [_prepare_member(member) for member in members]
     return tuple(
         sorted(prepared_members, key=lambda prepared_member: prepared_member.packed_address)
     )
@@ -94,7 +94,7 @@
     return nlargest(count, members, key=lambda each: xxh3_64_intdigest(flow_key, seed_of(each)))
 
 
-def _contender(member: WeightedMember) -> PreparedMember:
+def _prepare_member(member: WeightedMember) -> PreparedMember:
     packed = member.address.pack()
     return PreparedMember(
         address=member.address,
