--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -79,10 +79,10 @@
 def run_surroundings(control: Connection) -> None:
     """Run control and a back end; send their end points, then that of the agent."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_surround(control))
+        runner.run(_run_control_and_backend(control))
 
 
-async def _surround(control: Connection) -> None:
+async def _run_control_and_backend(control: Connection) -> None:
     async def publish(connection: FramedConnection) -> None:
         subscribe = FROM_SUBSCRIBER_DECODER.decode(await connection.receive())
         assert isinstance(subscribe, Subscribe)
