--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -68,14 +68,14 @@
 class Replay:
     """Plays arrivals of groups at hosts; `rates` are arrivals a second outside the rush.
 
-    `rush` names how many times the rates of some groups come in the rush. `came` and `in_time`
+    `burst` names how many times the rates of some groups come in the rush. `came` and `in_time`
     count requests by group, of those that came during the rush.
     """
 
-    def __init__(self, make_shares, rates, rush, hosts=1, slots=4, seed=1):
+    def __init__(self, make_shares, rates, burst, hosts=1, slots=4, seed=1):
         self.source = random.Random(seed)
         self.hosts = [Host(make_shares(), slots, self.source) for _ in range(hosts)]
-        self.rates, self.rush = rates, rush
+        self.rates, self.burst = rates, burst
         self.came, self.in_time = Counter(), Counter()
         self.begun = Counter()
 
@@ -105,7 +105,7 @@
 
     def rate(self, group, now):
         is_rush = RUSH_FROM <= now < RUSH_UNTIL
-        return self.rates[group] * (self.rush.get(group, 1.0) if is_rush else 1.0)
+        return self.rates[group] * (self.burst.get(group, 1.0) if is_rush else 1.0)
 
     def counts(self, now):
         return RUSH_FROM <= now < RUSH_UNTIL
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -35,9 +35,9 @@
     return sum(each.in_time[group] for each in plays for group in groups) / came
 
 
-def play(make_shares, size, rush, seed):
+def play(make_shares, size, burst, seed):
     hosts, slots = size
-    return Replay(make_shares, rates(hosts, slots), rush, hosts, slots, seed).run()
+    return Replay(make_shares, rates(hosts, slots), burst, hosts, slots, seed).run()
 
 
 # A rush
@@ -46,18 +46,18 @@
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 @pytest.mark.parametrize("times", [4.0, 6.0])
 def test_a_rush_of_one_group_leaves_the_others_as_they_were(size, times):
-    rush = {RUSHING: times}
-    without = [play(FirstOfAll, size, rush, seed) for seed in SEEDS]
-    fair = [play(FairShares, size, rush, seed) for seed in SEEDS]
+    burst = {RUSHING: times}
+    without = [play(FirstOfAll, size, burst, seed) for seed in SEEDS]
+    fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
     assert served(fair, CALM) > 0.94
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_the_hosts_do_as_much_as_without_shares(size):
-    rush = {RUSHING: 5.0}
-    fair = play(FairShares, size, rush, 1)
-    without = play(FirstOfAll, size, rush, 1)
+    burst = {RUSHING: 5.0}
+    fair = play(FairShares, size, burst, 1)
+    without = play(FirstOfAll, size, burst, 1)
     assert fair.begun.total() >= 0.98 * without.begun.total()
 
 
@@ -88,8 +88,8 @@
 
 
 def test_weights_divide_a_host_that_all_want_whole():
-    rush = dict.fromkeys(GROUPS, 15.0)
-    played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, rush, 1)
+    burst = dict.fromkeys(GROUPS, 15.0)
+    played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
     assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
         assert played.begun[group] / played.begun.total() == pytest.approx(1 / 6, abs=0.04)
