--- a/bench/agent.py
+++ b/bench/agent.py
@@ -20,9 +20,9 @@
 
 from bench.agent_servers import (
     run_bare_server,
+    run_control_and_backend,
     run_fabric,
     run_measured_agent,
-    run_surroundings,
 )
 from bench.callers import CallerPlan, CallerResult, Workload, run_caller
 from bench.harness import MICROSECONDS, Figure, spawning
@@ -160,7 +160,7 @@
 
 
 def _start_agent(stack: contextlib.ExitStack, files: CertificateFiles) -> tuple[Server, Server]:
-    surroundings, process = stack.enter_context(_process(run_surroundings))
+    surroundings, process = stack.enter_context(_process(run_control_and_backend))
     replica, backend = _receive_endpoint(surroundings), _receive_endpoint(surroundings)
     fabric, _ = stack.enter_context(_process(run_fabric))
     arguments = (replica, backend, _receive_endpoint(fabric), files)
--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -76,7 +76,7 @@
     return core
 
 
-def run_surroundings(control: Connection) -> None:
+def run_control_and_backend(control: Connection) -> None:
     """Run control and a back end; send their end points, then that of the agent."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_run_control_and_backend(control))
