--- a/bench/agent.py
+++ b/bench/agent.py
@@ -160,13 +160,16 @@
 
 
 def _start_agent(stack: contextlib.ExitStack, files: CertificateFiles) -> tuple[Server, Server]:
-    surroundings, process = stack.enter_context(_process(run_control_and_backend))
-    replica, backend = _receive_endpoint(surroundings), _receive_endpoint(surroundings)
+    control_and_backend, process = stack.enter_context(_process(run_control_and_backend))
+    replica, backend = (
+        _receive_endpoint(control_and_backend),
+        _receive_endpoint(control_and_backend),
+    )
     fabric, _ = stack.enter_context(_process(run_fabric))
     arguments = (replica, backend, _receive_endpoint(fabric), files)
     measured = stack.enter_context(_started(run_measured_agent, *arguments))
     agent = Server(
-        psutil.Process(measured.pid), _receive_endpoint(surroundings), through_balancer=True
+        psutil.Process(measured.pid), _receive_endpoint(control_and_backend), through_balancer=True
     )
     return agent, Server(psutil.Process(process.pid), backend, through_balancer=False)
 
