--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -10,7 +10,7 @@
 MAX_WAIT_SECONDS = 0.9
 WAITING_PER_SLOT = 7
 ASKED_HOSTS = 4
-BURST_FROM, RUSH_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
+BURST_FROM, BURST_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
 
 
 class FirstOfAll:
@@ -104,11 +104,11 @@
         return self
 
     def rate(self, group, now):
-        is_rush = BURST_FROM <= now < RUSH_UNTIL
+        is_rush = BURST_FROM <= now < BURST_UNTIL
         return self.rates[group] * (self.burst.get(group, 1.0) if is_rush else 1.0)
 
     def counts(self, now):
-        return BURST_FROM <= now < RUSH_UNTIL
+        return BURST_FROM <= now < BURST_UNTIL
 
     def arrival(self, group, now):
         self.came[group] += self.counts(now)
