--- a/bench/callers.py
+++ b/bench/callers.py
@@ -136,7 +136,7 @@
 
 
 async def _work(control: Connection, plan: CallerPlan) -> None:
-    opener = _Opener(plan)
+    opener = _ConnectionOpener(plan)
     if plan.workload is Workload.HOLD:
         await _hold(control, plan, opener)
         return
@@ -169,7 +169,7 @@
     control.send(CallerResult(completed=counts[True], failed=counts[False], seconds=seconds))
 
 
-async def _hold(control: Connection, plan: CallerPlan, opener: _Opener) -> None:
+async def _hold(control: Connection, plan: CallerPlan, opener: _ConnectionOpener) -> None:
     """Open the batches, each at a word, and tell when one stands."""
     held: list[_Caller] = []
     control.send(None)
@@ -183,7 +183,7 @@
         connection.end()
 
 
-class _Opener:
+class _ConnectionOpener:
     """Opens connections to the plan's target."""
 
     def __init__(self, plan: CallerPlan) -> None:
