--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -104,8 +104,8 @@
         return self
 
     def rate(self, group, now):
-        is_rush = BURST_FROM <= now < BURST_UNTIL
-        return self.rates[group] * (self.burst.get(group, 1.0) if is_rush else 1.0)
+        is_burst = BURST_FROM <= now < BURST_UNTIL
+        return self.rates[group] * (self.burst.get(group, 1.0) if is_burst else 1.0)
 
     def counts(self, now):
         return BURST_FROM <= now < BURST_UNTIL
