--- a/bench/callers.py
+++ b/bench/callers.py
@@ -145,7 +145,7 @@
             await _repeat(control, plan, [lambda: _ask_http1(session, plan.target)])
         return
     if plan.workload is Workload.HANDSHAKES:
-        await _repeat(control, plan, [opener.shake_hands])
+        await _repeat(control, plan, [opener.complete_handshake])
         return
     connections = [await opener.open() for _ in range(CONNECTIONS)]
     await _repeat(control, plan, [_asker(connection) for connection in connections])
@@ -209,7 +209,7 @@
         quic = QuicConnection(configuration=self._configuration)
         return _Caller(quic, self._core, self._destination)
 
-    async def shake_hands(self) -> bool:
+    async def complete_handshake(self) -> bool:
         """Open one connection and end it; tell whether it came about."""
         try:
             caller = await self.open()
