--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -33,7 +33,7 @@
         self.shares, self.slots, self.source = shares, slots, source
         self.busy = 0
         self.waiting = []
-        self.groups_begun = []
+        self.groups_started = []
 
     def load(self):
         return (self.busy + len(self.waiting)) / self.slots
