--- a/bench/callers.py
+++ b/bench/callers.py
@@ -142,7 +142,7 @@
         return
     if plan.workload is Workload.HTTP1_REQUESTS:
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
-            await _repeat(control, plan, [lambda: _ask_http1(session, plan.target)])
+            await _repeat(control, plan, [lambda: _request_http1(session, plan.target)])
         return
     if plan.workload is Workload.HANDSHAKES:
         await _repeat(control, plan, [opener.complete_handshake])
@@ -227,7 +227,7 @@
     return ask
 
 
-async def _ask_http1(session: aiohttp.ClientSession, backend: Endpoint) -> bool:
+async def _request_http1(session: aiohttp.ClientSession, backend: Endpoint) -> bool:
     async with session.get(f"http://{backend}/lookup") as response:
         await response.read()
         return response.status == HTTPStatus.OK
