--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -53,7 +53,7 @@
         """Return the requests begun with their ends, and those that waited too long."""
         expired = [each for each in self.waiting if now - each[1] > MAX_WAIT_SECONDS]
         self.waiting = [each for each in self.waiting if each not in expired]
-        begun = []
+        started = []
         while self.busy < self.slots and self.waiting:
             newest_first = list(dict.fromkeys(group for group, _ in reversed(self.waiting)))
             group = self.shares.group_to_serve(newest_first, now)
@@ -61,8 +61,8 @@
             self.waiting.remove(request)
             self.busy += 1
             self.shares.record_served(group, SERVICE_SECONDS, now)
-            begun.append((request, now + self.source.expovariate(1 / SERVICE_SECONDS)))
-        return begun, expired
+            started.append((request, now + self.source.expovariate(1 / SERVICE_SECONDS)))
+        return started, expired
 
 
 class Replay:
@@ -77,7 +77,7 @@
         self.hosts = [Host(make_shares(), slots, self.source) for _ in range(hosts)]
         self.rates, self.burst = rates, burst
         self.came, self.in_time = Counter(), Counter()
-        self.begun = Counter()
+        self.started = Counter()
 
     def run(self):
         order = count()
@@ -96,9 +96,9 @@
                 host.busy -= 1
                 if self.counts(arrived_at) and now - arrived_at <= OBJECTIVE_SECONDS:
                     self.in_time[group] += 1
-            begun, _ = host.begin(now)
-            for (of_group, arrived_at), ends_at in begun:
-                self.begun[of_group] += self.counts(now)
+            started, _ = host.begin(now)
+            for (of_group, arrived_at), ends_at in started:
+                self.started[of_group] += self.counts(now)
                 event = (ends_at, next(order), of_group, (host, arrived_at))
                 heapq.heappush(events, event)
         return self
