--- a/bench/callers.py
+++ b/bench/callers.py
@@ -148,7 +148,7 @@
         await _repeat(control, plan, [opener.complete_handshake])
         return
     connections = [await opener.open() for _ in range(CONNECTIONS)]
-    await _repeat(control, plan, [_asker(connection) for connection in connections])
+    await _repeat(control, plan, [_request_step(connection) for connection in connections])
 
 
 async def _repeat(
@@ -219,7 +219,7 @@
         return True
 
 
-def _asker(connection: _Caller) -> Callable[[], Awaitable[bool]]:
+def _request_step(connection: _Caller) -> Callable[[], Awaitable[bool]]:
     async def ask() -> bool:
         exchange, broken = await connection.exchange(HEADERS, b"", TIMEOUT_SECONDS)
         return broken is None and exchange.status == HTTPStatus.OK
