--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -49,7 +49,7 @@
         self.waiting.remove(gone)
         return [gone]
 
-    def begin(self, now):
+    def start_waiting(self, now):
         """Return the requests begun with their ends, and those that waited too long."""
         expired = [each for each in self.waiting if now - each[1] > MAX_WAIT_SECONDS]
         self.waiting = [each for each in self.waiting if each not in expired]
@@ -96,7 +96,7 @@
                 host.busy -= 1
                 if self.counts(arrived_at) and now - arrived_at <= OBJECTIVE_SECONDS:
                     self.in_time[group] += 1
-            started, _ = host.begin(now)
+            started, _ = host.start_waiting(now)
             for (of_group, arrived_at), ends_at in started:
                 self.started[of_group] += self.counts(now)
                 event = (ends_at, next(order), of_group, (host, arrived_at))
