--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -53,7 +53,7 @@
 BODY = b"b" * 200
 HEARTBEAT_SECONDS = 0.1
 REVISION = 1
-LARGEST_ANSWER_BYTES = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
 
 def agent_entries(agent: Endpoint) -> list[TableEntry]:
@@ -117,7 +117,7 @@
     listener.bind((ANY_PORT.host, ANY_PORT.port))
     control.send(Endpoint(*listener.getsockname()))
     while True:
-        data = listener.recv(LARGEST_ANSWER_BYTES)
+        data = listener.recv(MAX_DATAGRAM_BYTES)
         caller = Endpoint.unpack(destination_of(data[ADDRESS_BLOCK_START:HEADER_LENGTH]))
         listener.sendto(data[HEADER_LENGTH:], (caller.host, caller.port))
 
