--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -132,7 +132,7 @@
         self.began_at = world.now
         self.request_number = 0
 
-    def begin(self):
+    def start(self):
         self.world.record_request()
         self.send(OPENING, b"")
 
@@ -311,7 +311,7 @@
         endpoint = Endpoint(f"100.64.{number // 60000}.9", 1024 + number % 60000)
         caller = Caller(self, kind, endpoint, self.random.randrange(len(self.balancers)))
         self.callers[endpoint.host, endpoint.port] = caller
-        caller.begin()
+        caller.start()
         self.later(self.random.expovariate(kind.flows_per_second), self._arrive, kind)
 
     def _tick(self):
