--- a/bench/agent.py
+++ b/bench/agent.py
@@ -38,7 +38,7 @@
 """Requests on each connection; `HTTP1_REQUESTS_AT_A_TIME` makes up for the connections."""
 HTTP1_REQUESTS_AT_A_TIME = 32
 HELD_BATCHES = (50, 400)
-LONGEST_WAIT_SECONDS = 60.0
+MAX_REPLY_WAIT_SECONDS = 60.0
 KIBIBYTE = 1024
 
 
@@ -202,7 +202,7 @@
 
 
 def _receive(control: Connection) -> object:
-    if not control.poll(LONGEST_WAIT_SECONDS):
+    if not control.poll(MAX_REPLY_WAIT_SECONDS):
         raise TimeoutError("a process of the benchmark did not answer")
     return control.recv()
 
