--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -77,7 +77,7 @@
         return [(caller.port, listener.port) for caller, listener in ends]
 
 
-def rush_host(feeds=FULL + 2):
+def overloaded_host(feeds=FULL + 2):
     """Return a host whose places are all taken by requests of open flows, more of which wait."""
     host = Host()
     for port in range(1, feeds + 1):
@@ -89,7 +89,7 @@
 
 
 def test_a_request_of_an_open_flow_waits_where_the_host_is_busy():
-    host = rush_host()
+    host = overloaded_host()
     assert len(host.begun()) == FULL
     assert len(host.agent.queue) == 2
     host.answer(1, FEEDS, 1.05)
@@ -97,7 +97,7 @@
 
 
 def test_an_urgent_flow_goes_before_the_requests_of_open_ones_that_wait():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     assert host.open_with(90, HOLDS, HOLD_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
     host.answer(1, FEEDS, 1.05)
@@ -129,7 +129,7 @@
 
 
 def test_copies_of_a_request_that_waits_are_absorbed():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     for now in (1.2, 1.6):
         host.ask(FULL + 1, 2, now)
@@ -141,7 +141,7 @@
 
 
 def test_further_packets_of_a_request_wait_behind_its_first_and_acknowledgements_pass():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.ask(FULL + 1, 3, 1.01)
     acknowledgement = from_caller(0, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
@@ -155,14 +155,14 @@
 
 def test_what_runs_at_the_host_is_not_held_back_half_way():
     """The next packets of a request whose first was passed on follow it."""
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.ask(1, 3, 1.01)
     assert host.begun() == [(1, FEEDS.port)]
 
 
 def test_a_caller_that_leaves_takes_its_waiting_request_along():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     reset = from_caller(RESET, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
     host.frame(FrameKind.CARRY, reset, 1.02)
@@ -174,7 +174,7 @@
 
 
 def test_a_request_whose_limit_has_passed_is_not_begun():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     after_limit = 1.01 + FEED_TERMS.limit_seconds
     host.answer(1, FEEDS, after_limit)
@@ -185,7 +185,7 @@
 
 def test_no_reset_is_ever_sent_on_an_open_flow():
     """A reset of an open flow would promise nothing, and its host is alive."""
-    host = rush_host()
+    host = overloaded_host()
     for port in range(100, 200):
         host.open_with(port, HOLDS, HOLD_TERMS, 1.01, waits=True)
     host.agent.sweep(2.0)
@@ -198,7 +198,7 @@
 
 def test_requests_wait_for_no_host_that_was_replaced():
     """Its successor hands them back, so that their callers learn it."""
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.agent.host_changed(1.1)
     assert sorted(host.begun()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
@@ -210,7 +210,7 @@
 
 
 def test_an_agent_that_ends_gives_what_waits_to_the_host():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.agent.release_held(1.1)
     assert len(host.begun()) == 2
@@ -227,7 +227,7 @@
 
 def test_a_packet_of_a_flow_that_the_host_may_not_hold_is_not_held_back():
     """After a loss of power callers go on asking on flows that are lost; the host says so."""
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     for port in range(60, 70):
         host.ask(port, 2, 1.1)
@@ -244,7 +244,7 @@
 
 
 def test_a_draining_host_ends_what_its_open_flows_ask():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.say(HostPhase.DRAINING, 2)
     for port in range(1, FULL + 1):
@@ -253,7 +253,7 @@
 
 
 def test_a_host_that_leaves_requests_unanswered_keeps_room_for_others():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.agent.admit_waiting(1.9)
     assert host.begun() == []
@@ -262,7 +262,7 @@
 
 
 def test_requests_whose_route_names_no_limit_are_passed_on_after_a_while():
-    host = rush_host()
+    host = overloaded_host()
     host.begun()
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
     for port in range(1, 3):
@@ -276,7 +276,7 @@
 
 
 def test_a_flow_that_cannot_be_answered_in_time_is_refused_at_once():
-    host = rush_host(FULL + 20)
+    host = overloaded_host(FULL + 20)
     host.open_with(89, FEEDS, FEED_TERMS, 1.01, waits=True)
     lasting = 1.02 + MAX_BURST_SECONDS
     refused = host.open_with(90, FEEDS, FEED_TERMS, lasting, waits=True)
@@ -285,7 +285,7 @@
 
 
 def test_a_packet_that_a_flow_waits_to_be_opened_with_is_not_taken_for_a_request():
-    host = rush_host()
+    host = overloaded_host()
     host.open_with(90, HOLDS, HOLD_TERMS, 1.01, waits=True)
     head = encode_open_head(service_tag("web"), OpeningTerms(True, False, 0.2, HOLD_TERMS))
     caller = Endpoint("100.64.0.9", 90)
@@ -397,7 +397,7 @@
 
 def test_a_young_crowd_waits_and_a_lasting_one_is_refused_at_once():
     """After an outage all callers come back together, and are worked off within their time."""
-    host = rush_host(FULL + 20)
+    host = overloaded_host(FULL + 20)
     assert host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
     at_end = 1.01 + MAX_BURST_SECONDS
     assert host.open_with(91, FEEDS, FEED_TERMS, at_end - 0.01, waits=True) is FrameKind.ACCEPTED
@@ -405,7 +405,7 @@
 
 
 def test_a_crowd_is_over_once_a_flow_may_expect_its_answer_in_time():
-    host = rush_host(FULL + 20)
+    host = overloaded_host(FULL + 20)
     host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True)
     host.agent.release_held(1.5)
     later = 1.1 + MAX_BURST_SECONDS
@@ -417,7 +417,7 @@
 
 def test_no_urgent_flow_is_refused_while_a_less_urgent_one_waits():
     """The less urgent one would be begun later at the host that had no time for the urgent one."""
-    host = rush_host(FULL + 1)
+    host = overloaded_host(FULL + 1)
     host.open_with(89, FEEDS, FEED_TERMS, 1.01, waits=True)
     for port in range(90, 100):
         host.open_with(port, HOLDS, HOLD_TERMS, 1.02, waits=True)
