--- a/bench/overload.py
+++ b/bench/overload.py
@@ -50,14 +50,16 @@
     with running_sink() as sink:
         with running_forwarder(run_balancer_loop, sink, ReaderKind.LIMITED) as loop:
             capacity = balancer_round(loop, sink, TrafficClass.NEW).per_second
-            calm = [_run_round(loop, sink, senders=0) for _ in range(ROUNDS)]
+            without_flood = [_run_round(loop, sink, senders=0) for _ in range(ROUNDS)]
         one_queue: list[FloodRound] = []
         separate: list[FloodRound] = []
         for _ in range(ROUNDS):
             one_queue.append(_flooded(sink, ReaderKind.LIMITED_ONE_QUEUE))
             separate.append(_flooded(sink, ReaderKind.LIMITED))
     return [
-        _figure("overload.established.calm", [each.share for each in calm], "forwarded", None),
+        _figure(
+            "overload.established.calm", [each.share for each in without_flood], "forwarded", None
+        ),
         _figure(
             "overload.established.flooded",
             [each.share for each in separate],
