--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -302,7 +302,7 @@
 FEED_PORTS = range(1, 31)
 
 
-class Rush:
+class Burst:
     """40 urgent flows and 60 requests of open flows in a second, at a host that bears 50."""
 
     def __init__(self, seed, has_terms):
@@ -366,8 +366,8 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_in_a_rush_the_urgent_do_not_pay_for_the_open_flows(seed):
     """Without terms requests of open flows reach the host at once, and new flows alone wait."""
-    assert Rush(seed, has_terms=False).play() <= 10
-    assert Rush(seed, has_terms=True).play() >= 30
+    assert Burst(seed, has_terms=False).play() <= 10
+    assert Burst(seed, has_terms=True).play() >= 30
 
 
 def test_a_rush_of_one_group_of_callers_stays_with_that_group():
