--- a/tests/agent/conftest.py
+++ b/tests/agent/conftest.py
@@ -307,6 +307,6 @@
 
 
 @pytest.fixture
-def kit() -> ModuleType:
+def helpers() -> ModuleType:
     """Give tests the helpers of this module (tests are not an importable package)."""
     return sys.modules[__name__]
--- a/tests/agent/test_certificate_renewal.py
+++ b/tests/agent/test_certificate_renewal.py
@@ -12,14 +12,14 @@
 class Renewal:
     """An end point whose certificate files are those of the agent `host`."""
 
-    def __init__(self, kit, certificates):
-        self.kit = kit
+    def __init__(self, helpers, certificates):
+        self.helpers = helpers
         self.now = 0.0
         self.files = certificates.tls("agent", "host")._files
         pair = (self.files.certificate_file, self.files.private_key_file)
         named = SimpleNamespace(certificate=str(pair[0]), private_key=str(pair[1]))
-        view = kit.make_view(kit.member_entry(kit.AGENT))
-        self.endpoint = kit.make_endpoint(named, view, 1)
+        view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+        self.endpoint = helpers.make_endpoint(named, view, 1)
         self.renewal = CertificateRenewal(*pair, server_configuration, lambda: self.now)
 
     def check_files(self):
@@ -27,8 +27,8 @@
         self.renewal.check_files(self.endpoint)
 
     def connect(self):
-        caller = self.kit.Caller(0.0)
-        network = self.kit.Network(self.endpoint, caller, 1, 0.0)
+        caller = self.helpers.Caller(0.0)
+        network = self.helpers.Network(self.endpoint, caller, 1, 0.0)
         assert network.run(lambda: caller.quic._handshake_confirmed)
         return caller, network
 
@@ -37,8 +37,8 @@
 
 
 @pytest.fixture
-def renewal(kit, certificates):
-    return Renewal(kit, certificates)
+def renewal(helpers, certificates):
+    return Renewal(helpers, certificates)
 
 
 def test_new_flows_get_the_renewed_certificate_and_open_ones_go_on(renewal, certificates):
--- a/tests/agent/test_connection.py
+++ b/tests/agent/test_connection.py
@@ -7,18 +7,20 @@
 from jasperwalk.routing.connection_ids import ConnectionIdCodec, RoutableId
 
 
-def _connected(kit, certificate, seed=3, loss=0.0):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)), seed)
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, seed, loss)
+def _connected(helpers, certificate, seed=3, loss=0.0):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT)), seed
+    )
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, seed, loss)
     assert network.run(lambda: caller.quic._handshake_confirmed)
     return endpoint, caller, network
 
 
-def test_every_connection_id_that_a_caller_gets_is_routable(kit, certificate):
-    endpoint, caller, network = _connected(kit, certificate)
-    codec = ConnectionIdCodec(kit.KEYS)
-    expected = RoutableId(kit.AGENT, kit.SERVICE_ID, 1)
+def test_every_connection_id_that_a_caller_gets_is_routable(helpers, certificate):
+    endpoint, caller, network = _connected(helpers, certificate)
+    codec = ConnectionIdCodec(helpers.KEYS)
+    expected = RoutableId(helpers.AGENT, helpers.SERVICE_ID, 1)
     seen = set()
     for _ in range(12):  # more changes than there are connection IDs at once
         network.run(lambda: bool(caller.quic._peer_cid_available), 1.0)
@@ -32,22 +34,22 @@
     assert caller.terminated is None
 
 
-def test_tokens_that_a_caller_gets_derive_from_the_fleet_key(kit, certificate):
-    _, caller, _ = _connected(kit, certificate)
+def test_tokens_that_a_caller_gets_derive_from_the_fleet_key(helpers, certificate):
+    _, caller, _ = _connected(helpers, certificate)
     issued = [caller.quic._peer_cid, *caller.quic._peer_cid_available]
     assert len(issued) > 1
     for connection_id in issued:
         assert connection_id.stateless_reset_token == reset_token(b"r" * 32, connection_id.cid)
 
 
-def test_early_data_and_resumption_stay_off(kit, certificate):
-    _, caller, network = _connected(kit, certificate)
+def test_early_data_and_resumption_stay_off(helpers, certificate):
+    _, caller, network = _connected(helpers, certificate)
     network.run(lambda: False, 1.0)
     assert caller.session_tickets == []
 
 
-def test_unsent_bytes_counts_what_is_not_acknowledged(kit, certificate):
-    endpoint, caller, network = _connected(kit, certificate)
+def test_unsent_bytes_counts_what_is_not_acknowledged(helpers, certificate):
+    endpoint, caller, network = _connected(helpers, certificate)
     caller.request("GET", "/proof")
     events = []
     network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
@@ -62,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("received", "expected"), [(21, None), (22, 21), (40, 39), (1200, 43)])
-def test_a_reset_is_shorter_than_what_caused_it(kit, received, expected):
+def test_a_reset_is_shorter_than_what_caused_it(helpers, received, expected):
     import random
 
     packet = reset_packet(b"t" * 16, received, random.Random(1))
--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -31,11 +31,11 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whole_answers_over_a_lossy_reordering_network(kit, certificate, seed):
-    view = kit.make_view(kit.member_entry(kit.AGENT))
-    endpoint = kit.make_endpoint(certificate, view, seed)
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, seed, loss=0.05)
+def test_whole_answers_over_a_lossy_reordering_network(helpers, certificate, seed):
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+    endpoint = helpers.make_endpoint(certificate, view, seed)
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, seed, loss=0.05)
     network.serve = _echo(endpoint)
     bodies = [bytes([number]) * (number * 9_000) for number in range(1, 6)]
     streams = [caller.request("POST", f"/submit/{n}", body) for n, body in enumerate(bodies)]
@@ -60,17 +60,19 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
 @pytest.mark.parametrize("case", REBINDINGS)
-def test_a_flow_goes_on_when_the_address_of_its_caller_changes(kit, certificate, case, loss):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, 3, loss)
+def test_a_flow_goes_on_when_the_address_of_its_caller_changes(helpers, certificate, case, loss):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, 3, loss)
     network.serve = _echo(endpoint)
     assert network.run(lambda: caller.quic._handshake_confirmed)
     for text in REBINDINGS[case]:
         response = caller.responses[caller.request("POST", "/submit", b"names" * 2_000)]
         network.run(lambda response=response: response.body, 5.0)  # in the midst of the answer
         host, port = text.split(":")
-        network.caller_address = kit.Endpoint(host, int(port))
+        network.caller_address = helpers.Endpoint(host, int(port))
         caller.quic.send_ping(1)
         assert network.run(lambda response=response: response.ended)
         assert response.body == b"names" * 2_000 + DOWNLOAD
@@ -83,10 +85,12 @@
     assert caller.terminated is None
 
 
-def test_a_body_beyond_the_limit_is_refused_at_once_and_its_rest_not_wanted(kit, certificate):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, 4, 0.0)
+def test_a_body_beyond_the_limit_is_refused_at_once_and_its_rest_not_wanted(helpers, certificate):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, 4, 0.0)
     assembler, ready = RequestAssembler("test"), []
 
     def serve():
@@ -110,57 +114,66 @@
     assert endpoint.open_flows == 1
 
 
-def _initial(kit):
-    return kit.Caller(0.0).datagrams(0.0)[0]
+def _initial(helpers):
+    return helpers.Caller(0.0).datagrams(0.0)[0]
 
 
-def _short_packet(kit, first):
+def _short_packet(helpers, first):
     return bytes([0x40]) + first + b"\x00" * 40
 
 
-def _foreign_connection_id(kit, **changes):
+def _foreign_connection_id(helpers, **changes):
     from jasperwalk.routing.connection_ids import ConnectionIdCodec, RoutableId
 
-    fields = {"address": kit.AGENT, "service_id": kit.SERVICE_ID, "incarnation": 1, **changes}
-    return ConnectionIdCodec(kit.KEYS).encode(RoutableId(**fields), b"12345")
+    fields = {
+        "address": helpers.AGENT,
+        "service_id": helpers.SERVICE_ID,
+        "incarnation": 1,
+        **changes,
+    }
+    return ConnectionIdCodec(helpers.KEYS).encode(RoutableId(**fields), b"12345")
 
 
 REFUSED = {
-    "garbage": (lambda kit: b"\xff\x00garbage", DropReason.MALFORMED, 0),
+    "garbage": (lambda helpers: b"\xff\x00garbage", DropReason.MALFORMED, 0),
     "another service": (
-        lambda kit: kit.forwarded(_initial(kit), service_id=8),
+        lambda helpers: helpers.forwarded(_initial(helpers), service_id=8),
         DropReason.OTHER_SERVICE,
         0,
     ),
     "another listener": (
-        lambda kit: kit.forwarded(_initial(kit), vip=kit.OTHER_AGENT),
+        lambda helpers: helpers.forwarded(_initial(helpers), vip=helpers.OTHER_AGENT),
         DropReason.OTHER_LISTENER,
         0,
     ),
     "connection ID of another agent": (
-        lambda kit: kit.forwarded(
-            _short_packet(kit, _foreign_connection_id(kit, address=kit.OTHER_AGENT))
+        lambda helpers: helpers.forwarded(
+            _short_packet(helpers, _foreign_connection_id(helpers, address=helpers.OTHER_AGENT))
         ),
         DropReason.OTHER_ADDRESS,
         0,
     ),
     "connection ID of another service at this address": (
-        lambda kit: kit.forwarded(_short_packet(kit, _foreign_connection_id(kit, service_id=9))),
+        lambda helpers: helpers.forwarded(
+            _short_packet(helpers, _foreign_connection_id(helpers, service_id=9))
+        ),
         DropReason.OTHER_SERVICE,
         0,
     ),
     "flow of an earlier incarnation is reset": (
-        lambda kit: kit.forwarded(_short_packet(kit, _foreign_connection_id(kit, incarnation=9))),
+        lambda helpers: helpers.forwarded(
+            _short_packet(helpers, _foreign_connection_id(helpers, incarnation=9))
+        ),
         DropReason.UNKNOWN_FLOW,
         1,
     ),
     "unroutable short packet": (
-        lambda kit: kit.forwarded(_short_packet(kit, b"\x00" * 17)),
+        lambda helpers: helpers.forwarded(_short_packet(helpers, b"\x00" * 17)),
         DropReason.NOT_ROUTABLE,
         0,
     ),
     "Initial too short to be a caller's": (
-        lambda kit: kit.forwarded(_initial(kit)[:600]),
+        lambda helpers: helpers.forwarded(_initial(helpers)[:600]),
         DropReason.NOT_ROUTABLE,
         0,
     ),
@@ -168,33 +181,37 @@
 
 
 @pytest.mark.parametrize("case", REFUSED)
-def test_refused_datagrams(kit, certificate, case):
+def test_refused_datagrams(helpers, certificate, case):
     build, reason, resets = REFUSED[case]
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    endpoint.datagram_received(build(kit), 0.0)
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    endpoint.datagram_received(build(helpers), 0.0)
     endpoint.flush(0.0)
     assert dict(endpoint.drops) == {reason: 1}
     assert len(endpoint.take_outgoing()) == resets
     assert endpoint.open_flows == 0
 
 
-def test_a_restarted_agent_ends_the_flows_of_its_last_start(kit, certificate):
-    view = kit.make_view(kit.member_entry(kit.AGENT))
-    caller = kit.Caller(0.0)
-    network = kit.Network(kit.make_endpoint(certificate, view), caller, 5, 0.0)
+def test_a_restarted_agent_ends_the_flows_of_its_last_start(helpers, certificate):
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(helpers.make_endpoint(certificate, view), caller, 5, 0.0)
     assert network.run(lambda: caller.quic._handshake_confirmed)
     network.run(lambda: False, 0.5)
-    second_start = kit.make_view(kit.member_entry(kit.AGENT, incarnation=2))
-    network.endpoint = kit.make_endpoint(certificate, second_start, seed=9)
+    second_start = helpers.make_view(helpers.member_entry(helpers.AGENT, incarnation=2))
+    network.endpoint = helpers.make_endpoint(certificate, second_start, seed=9)
     caller.request("GET", "/lookup")
     assert network.run(lambda: caller.reset_by_token, 1.0)
     assert network.endpoint.resets_sent >= 1
 
 
-def test_a_quiet_open_stream_outlives_the_idle_time_outs(kit, certificate):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, 1, 0.05)
+def test_a_quiet_open_stream_outlives_the_idle_time_outs(helpers, certificate):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, 1, 0.05)
     caller.request("GET", "/stream")
     network.run(lambda: endpoint.has_events)
     stream = endpoint.take_events()[0].stream
@@ -204,9 +221,11 @@
     assert network.run(lambda: caller.responses[0].ended)
 
 
-def test_an_initial_that_nobody_follows_up_on_is_forgotten(kit, certificate):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    endpoint.datagram_received(kit.forwarded(_initial(kit)), 0.0)
+def test_an_initial_that_nobody_follows_up_on_is_forgotten(helpers, certificate):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    endpoint.datagram_received(helpers.forwarded(_initial(helpers)), 0.0)
     endpoint.flush(0.0)
     while endpoint.open_flows:
         due = endpoint.next_timer()
@@ -217,16 +236,18 @@
     assert due == 10.0
 
 
-def test_a_flow_is_not_reached_through_another_service(kit, certificate):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    initial = _initial(kit)
-    endpoint.datagram_received(kit.forwarded(initial), 0.0)
+def test_a_flow_is_not_reached_through_another_service(helpers, certificate):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    initial = _initial(helpers)
+    endpoint.datagram_received(helpers.forwarded(initial), 0.0)
     assert endpoint.open_flows == 1
-    service = msgspec.structs.replace(kit.service_entry(), service_id=8)
-    member = msgspec.structs.replace(kit.member_entry(kit.AGENT), service_id=8)
-    view = ServiceView.build(kit.AGENT, 6, 2, [service, member, *kit.KEYS])
+    service = msgspec.structs.replace(helpers.service_entry(), service_id=8)
+    member = msgspec.structs.replace(helpers.member_entry(helpers.AGENT), service_id=8)
+    view = ServiceView.build(helpers.AGENT, 6, 2, [service, member, *helpers.KEYS])
     endpoint.set_view(view)
-    endpoint.datagram_received(kit.forwarded(initial, service_id=8), 0.0)
+    endpoint.datagram_received(helpers.forwarded(initial, service_id=8), 0.0)
     assert dict(endpoint.drops) == {DropReason.OTHER_SERVICE: 1}
 
 
@@ -241,32 +262,32 @@
 
 
 @pytest.mark.parametrize("case", HANDOVERS)
-def test_new_flows_of_an_agent_that_takes_none(kit, certificate, case):
+def test_new_flows_of_an_agent_that_takes_none(helpers, certificate, case):
     changes, ports, incarnation, target = HANDOVERS[case]
-    others = [kit.member_entry(kit.Endpoint("127.0.0.1", port)) for port in ports]
-    own = kit.member_entry(kit.AGENT, **changes)
-    view = kit.make_view(own, *others, incarnation=incarnation)
-    endpoint = kit.make_endpoint(certificate, view)
-    initial = _initial(kit)
-    datagram = kit.forwarded(initial, (kit.AGENT, kit.OTHER_AGENT))
+    others = [helpers.member_entry(helpers.Endpoint("127.0.0.1", port)) for port in ports]
+    own = helpers.member_entry(helpers.AGENT, **changes)
+    view = helpers.make_view(own, *others, incarnation=incarnation)
+    endpoint = helpers.make_endpoint(certificate, view)
+    initial = _initial(helpers)
+    datagram = helpers.forwarded(initial, (helpers.AGENT, helpers.OTHER_AGENT))
     endpoint.datagram_received(datagram, 0.0)
-    endpoint.set_view(kit.make_view(kit.member_entry(kit.AGENT), *others))
+    endpoint.set_view(helpers.make_view(helpers.member_entry(helpers.AGENT), *others))
     soon = ANSWER_SECONDS - 0.1
     endpoint.datagram_received(datagram, soon)  # a retransmission follows the first choice
     endpoint.flush(soon)
-    handed = [out for out in endpoint.take_outgoing() if isinstance(out, kit.ToAgent)]
+    handed = [out for out in endpoint.take_outgoing() if isinstance(out, helpers.ToAgent)]
     assert [out.address.port for out in handed] == ([] if target is None else [target] * 2)
     assert endpoint.open_flows == (1 if target is None else 0)
     endpoint.datagram_received(datagram, 9.0)  # no answer came: the agent now takes new work
     endpoint.flush(9.0)
-    assert not any(isinstance(out, kit.ToAgent) for out in endpoint.take_outgoing())
+    assert not any(isinstance(out, helpers.ToAgent) for out in endpoint.take_outgoing())
     assert endpoint.open_flows == 1
     for out in handed:
         passed_on = Decoder(ForwardedDatagram).decode(out.data)
         assert (passed_on.hops, passed_on.payload) == (1, initial)
-        second = kit.make_endpoint(
-            certificate, kit.make_view(own, *others), seed=4
+        second = helpers.make_endpoint(
+            certificate, helpers.make_view(own, *others), seed=4
         )  # draining too, but one hop is the most
         second.datagram_received(out.data, 9.0)
         second.flush(9.0)
-        assert not any(isinstance(out, kit.ToAgent) for out in second.take_outgoing())
+        assert not any(isinstance(out, helpers.ToAgent) for out in second.take_outgoing())
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -56,13 +56,13 @@
 @pytest.mark.parametrize("loss", [0.0, 0.2])
 @pytest.mark.parametrize("case", STARTS_OF_A_DRAIN)
 def test_a_drain_asks_callers_for_another_flow_and_goes_on_serving_this_one(
-    kit, certificate, case, loss
+    helpers, certificate, case, loss
 ):
-    view = kit.make_view(kit.member_entry(kit.AGENT))
-    endpoint = kit.make_endpoint(certificate, view)
-    caller = kit.Caller(0.0)
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+    endpoint = helpers.make_endpoint(certificate, view)
+    caller = helpers.Caller(0.0)
     received = watch_control_stream(caller)
-    network = kit.Network(endpoint, caller, 5, loss)
+    network = helpers.Network(endpoint, caller, 5, loss)
     stream_id = caller.request("GET", "/stream")
     events = []
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
@@ -83,9 +83,9 @@
     assert caller.terminated is None
 
 
-def test_flows_are_told_in_bounded_turns_and_not_after_the_drain_ended(kit, monkeypatch):
+def test_flows_are_told_in_bounded_turns_and_not_after_the_drain_ended(helpers, monkeypatch):
     monkeypatch.setattr(go_away, "FLOWS_PER_TURN", 2)
-    view = kit.make_view(kit.member_entry(kit.AGENT))
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
     go_aways = PendingGoAways()
     go_aways.view_changed(view, view, [1, 2, 3])
     assert go_aways.take() == []
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -18,15 +18,15 @@
 from jasperwalk.messages.proxy_protocol import encode_header
 
 REVISION = 5
-"""Revision of the views that `kit.make_view` builds."""
+"""Revision of the views that `helpers.make_view` builds."""
 FLOWS = 200
 SEED = 7_331
 
 
-def _members(kit, count, **changes):
-    addresses = [kit.Endpoint("127.0.0.1", 7_001 + number) for number in range(count)]
-    own = msgspec.structs.replace(kit.member_entry(addresses[0]), **changes)
-    return [own, *(kit.member_entry(address) for address in addresses[1:])]
+def _members(helpers, count, **changes):
+    addresses = [helpers.Endpoint("127.0.0.1", 7_001 + number) for number in range(count)]
+    own = msgspec.structs.replace(helpers.member_entry(addresses[0]), **changes)
+    return [own, *(helpers.member_entry(address) for address in addresses[1:])]
 
 
 def _connection_ids():
@@ -35,23 +35,23 @@
     return [source.randbytes(8) for _ in range(FLOWS)]
 
 
-def _endpoint(kit, certificate, members, own=0, fresh=True, slow_start_ms=0):
-    service = kit.service_entry()
+def _endpoint(helpers, certificate, members, own=0, fresh=True, slow_start_ms=0):
+    service = helpers.service_entry()
     limits = msgspec.structs.replace(service.limits, slow_start_ms=slow_start_ms)
     service = msgspec.structs.replace(service, limits=limits)
     address = members[own].address
-    view = ServiceView.build(address, REVISION, 1, [service, *members, *kit.KEYS])
-    endpoint = kit.make_endpoint(certificate, view)
+    view = ServiceView.build(address, REVISION, 1, [service, *members, *helpers.KEYS])
+    endpoint = helpers.make_endpoint(certificate, view)
     endpoint.table_fresh = fresh
     return endpoint
 
 
-def _open(kit, endpoint, connection_id, now=0.0, **fields):
+def _open(helpers, endpoint, connection_id, now=0.0, **fields):
     """Return the port to which a new flow was handed on, with the datagram; None if taken."""
     before = endpoint.open_flows
-    datagram = kit.forwarded(kit.initial_packet(connection_id), **fields)
+    datagram = helpers.forwarded(helpers.initial_packet(connection_id), **fields)
     endpoint.datagram_received(datagram, now)
-    handed = [out for out in endpoint.take_outgoing() if isinstance(out, kit.ToAgent)]
+    handed = [out for out in endpoint.take_outgoing() if isinstance(out, helpers.ToAgent)]
     assert len(handed) + endpoint.open_flows - before + endpoint.drops.total() == 1
     endpoint.drops.clear()
     if not handed:
@@ -60,21 +60,21 @@
 
 
 def test_an_agent_that_a_stale_balancer_chose_decides_as_a_balancer_of_its_own_revision(
-    kit, certificate
+    helpers, certificate
 ):
-    members = _members(kit, 5)
+    members = _members(helpers, 5)
     table = FollowerTable()
-    table.replace(REVISION, [kit.service_entry(), *members, *kit.KEYS])
+    table.replace(REVISION, [helpers.service_entry(), *members, *helpers.KEYS])
     balancer = BalancerCore(table, [IPv4Network("127.0.0.0/8")], 1e6, 0.0)
     balancer.accept_new_flows()
-    header = encode_header(kit.CALLER, kit.VIP)
-    endpoints = [_endpoint(kit, certificate, members, own) for own in range(len(members))]
+    header = encode_header(helpers.CALLER, helpers.VIP)
+    endpoints = [_endpoint(helpers, certificate, members, own) for own in range(len(members))]
     for connection_id in _connection_ids():
-        forward = balancer.handle(header + kit.initial_packet(connection_id), 0.0)
+        forward = balancer.handle(header + helpers.initial_packet(connection_id), 0.0)
         candidates = Decoder(ForwardedDatagram).decode(forward.data).candidates
         for member, endpoint in zip(members, endpoints, strict=True):
             wrong = (member.address, member.address)
-            target, result = _open(kit, endpoint, connection_id, candidates=wrong, revision=4)
+            target, result = _open(helpers, endpoint, connection_id, candidates=wrong, revision=4)
             if member.address.pack() in candidates:
                 assert (target, result) == (None, True)
             else:
@@ -93,30 +93,30 @@
 @pytest.mark.parametrize("fresh", [True, False])
 @pytest.mark.parametrize("case", TAKES_NONE)
 def test_a_member_that_takes_no_new_work_takes_no_flow_of_a_stale_balancer(
-    kit, certificate, case, fresh
+    helpers, certificate, case, fresh
 ):
-    members = _members(kit, 3, **TAKES_NONE[case])
-    endpoint = _endpoint(kit, certificate, members, fresh=fresh)
+    members = _members(helpers, 3, **TAKES_NONE[case])
+    endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
     named = (members[0].address, members[1].address)
     targets = {
-        _open(kit, endpoint, connection_id, candidates=named, revision=4)[0]
+        _open(helpers, endpoint, connection_id, candidates=named, revision=4)[0]
         for connection_id in _connection_ids()
     }
     assert targets == {7_002, 7_003}
-    alone = _endpoint(kit, certificate, members[:1], fresh=fresh)
-    assert _open(kit, alone, b"12345678", candidates=named, revision=4) == (None, True)
+    alone = _endpoint(helpers, certificate, members[:1], fresh=fresh)
+    assert _open(helpers, alone, b"12345678", candidates=named, revision=4) == (None, True)
 
 
-def test_a_removed_member_hands_on_and_with_its_service_removed_it_refuses(kit, certificate):
-    members = _members(kit, 2)
+def test_a_removed_member_hands_on_and_with_its_service_removed_it_refuses(helpers, certificate):
+    members = _members(helpers, 2)
     named = (members[0].address,)
-    keys_alone = ServiceView.build(members[0].address, REVISION + 1, 1, kit.KEYS)
+    keys_alone = ServiceView.build(members[0].address, REVISION + 1, 1, helpers.KEYS)
     for pool, expected in ((members, 7_002), (members[:1], None)):
-        endpoint = _endpoint(kit, certificate, pool)
+        endpoint = _endpoint(helpers, certificate, pool)
         endpoint.set_view(endpoint._view.followed_by(keys_alone))
         fields = {"candidates": named, "revision": REVISION}
-        assert _open(kit, endpoint, b"12345678", **fields)[0] == expected
-        handed_over = kit.forwarded(kit.initial_packet(b"abcdefgh"), hops=1, revision=6)
+        assert _open(helpers, endpoint, b"12345678", **fields)[0] == expected
+        handed_over = helpers.forwarded(helpers.initial_packet(b"abcdefgh"), hops=1, revision=6)
         endpoint.datagram_received(handed_over, 0.0)
         assert endpoint.drops == {DropReason.REMOVED: 1}
         assert endpoint.open_flows == 0
@@ -136,44 +136,46 @@
 
 
 @pytest.mark.parametrize("case", TRUSTED)
-def test_whose_table_counts(kit, certificate, case):
+def test_whose_table_counts(helpers, certificate, case):
     changes, ports, revision, fresh, hops, expected = TRUSTED[case]
-    members = _members(kit, 2, **TAKES_NONE.get(changes, {}))
-    endpoint = _endpoint(kit, certificate, members, fresh=fresh)
-    named = tuple(kit.Endpoint("127.0.0.1", port) for port in ports)
+    members = _members(helpers, 2, **TAKES_NONE.get(changes, {}))
+    endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
+    named = tuple(helpers.Endpoint("127.0.0.1", port) for port in ports)
     target, result = _open(
-        kit, endpoint, b"12345678", candidates=named, revision=revision, hops=hops
+        helpers, endpoint, b"12345678", candidates=named, revision=revision, hops=hops
     )
     assert target == expected
     assert expected is not None or result is True
 
 
-def test_a_stopping_agent_follows_a_newer_balancer_to_a_member_it_does_not_know(kit, certificate):
-    endpoint = _endpoint(kit, certificate, _members(kit, 2))
+def test_a_stopping_agent_follows_a_newer_balancer_to_a_member_it_does_not_know(
+    helpers, certificate
+):
+    endpoint = _endpoint(helpers, certificate, _members(helpers, 2))
     view = ServiceView(**{**vars(endpoint._view), "stopping": True})
     endpoint.set_view(view)
-    named = (kit.AGENT, kit.Endpoint("127.0.0.1", 7_009))
-    target, handed = _open(kit, endpoint, b"12345678", candidates=named, revision=6)
+    named = (helpers.AGENT, helpers.Endpoint("127.0.0.1", 7_009))
+    target, handed = _open(helpers, endpoint, b"12345678", candidates=named, revision=6)
     assert (target, handed.revision, handed.hops) == (7_009, 6, 1)
     assert handed.candidates == [address.pack() for address in named]
 
 
 @pytest.mark.parametrize("revisions", [(4, 5, 6), (6, 5, 4), (5, 5, 5), (4, 6, 5)])
 @pytest.mark.parametrize("case", [None, *TAKES_NONE])
-def test_no_datagram_goes_round_in_circles(kit, certificate, case, revisions):
+def test_no_datagram_goes_round_in_circles(helpers, certificate, case, revisions):
     sender, *own = revisions
-    members = _members(kit, 2, **TAKES_NONE.get(case, {}))
+    members = _members(helpers, 2, **TAKES_NONE.get(case, {}))
     others = [members[0], msgspec.structs.replace(members[1], weight=0)]
     endpoints = {}
     for number, pool in enumerate((members, others)):
-        endpoint = _endpoint(kit, certificate, pool, own=number)
+        endpoint = _endpoint(helpers, certificate, pool, own=number)
         endpoint.set_view(ServiceView(**{**vars(endpoint._view), "revision": own[number]}))
         endpoints[members[number].address.port] = endpoint
     for connection_id in _connection_ids()[:20]:
         for now in (0.0, 1.0):  # a retransmission too
-            payload = kit.initial_packet(connection_id)
+            payload = helpers.initial_packet(connection_id)
             named = (members[0].address, members[1].address)
-            datagram = kit.forwarded(payload, candidates=named, revision=sender)
+            datagram = helpers.forwarded(payload, candidates=named, revision=sender)
             hops, port = 0, 7_001
             while port is not None:
                 endpoint = endpoints[port]
@@ -187,16 +189,18 @@
     assert sum(endpoint.open_flows for endpoint in endpoints.values()) == 20
 
 
-def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(kit, certificate):
-    members = _members(kit, 3)
-    endpoint = _endpoint(kit, certificate, members, slow_start_ms=10_000)
+def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(helpers, certificate):
+    members = _members(helpers, 3)
+    endpoint = _endpoint(helpers, certificate, members, slow_start_ms=10_000)
     endpoint.slow_start.start(100.0)
     named = (members[0].address, members[1].address)
     fields = {"candidates": named, "revision": REVISION}
     passed_on = []
     for now in (100.0, 105.0, 109.9, 110.0):
         source = random.Random(f"{SEED}-{now}")
-        results = [_open(kit, endpoint, source.randbytes(8), now, **fields) for _ in range(FLOWS)]
+        results = [
+            _open(helpers, endpoint, source.randbytes(8), now, **fields) for _ in range(FLOWS)
+        ]
         passed_on.append(sum(target is not None for target, _ in results))
         assert all(result is not False for _, result in results)
     first, half, last, warm = (count / FLOWS for count in passed_on)
@@ -206,26 +210,28 @@
     assert last < 0.05
     assert warm == 0
     # A flow that was handed over stays, and so does every flow of an agent that is alone.
-    assert _open(kit, endpoint, b"12345678", 100.0, hops=1, **fields) == (None, True)
-    alone = _endpoint(kit, certificate, members[:1], slow_start_ms=10_000)
+    assert _open(helpers, endpoint, b"12345678", 100.0, hops=1, **fields) == (None, True)
+    alone = _endpoint(helpers, certificate, members[:1], slow_start_ms=10_000)
     alone.slow_start.start(100.0)
     for connection_id in _connection_ids():
-        assert _open(kit, alone, connection_id, 100.0, **fields) == (None, True)
+        assert _open(helpers, alone, connection_id, 100.0, **fields) == (None, True)
 
 
 def test_retransmissions_stay_with_the_agent_that_slow_start_chose_until_it_should_have_answered(
-    kit, certificate
+    helpers, certificate
 ):
-    endpoint = _endpoint(kit, certificate, _members(kit, 3), slow_start_ms=10_000)
+    endpoint = _endpoint(helpers, certificate, _members(helpers, 3), slow_start_ms=10_000)
     endpoint.slow_start.start(0.0)
     handed_on = 0
     for connection_id in _connection_ids():
-        datagram = kit.forwarded(kit.initial_packet(connection_id), (kit.AGENT, kit.OTHER_AGENT))
+        datagram = helpers.forwarded(
+            helpers.initial_packet(connection_id), (helpers.AGENT, helpers.OTHER_AGENT)
+        )
         targets = []
         before = endpoint.open_flows
         for now in (0.0, ANSWER_SECONDS / 2, ANSWER_SECONDS - 0.01):
             endpoint.datagram_received(datagram, now)
-            handed = [out for out in endpoint.take_outgoing() if isinstance(out, kit.ToAgent)]
+            handed = [out for out in endpoint.take_outgoing() if isinstance(out, helpers.ToAgent)]
             targets.append([out.address for out in handed])
         assert targets == [targets[0]] * 3
         assert endpoint.open_flows == before + (not targets[0])
@@ -241,21 +247,23 @@
 
 @pytest.mark.parametrize(("count", "others"), [(2, 1), (5, 2)])
 def test_an_agent_that_takes_none_tries_the_other_candidate_when_the_first_is_silent(
-    kit, certificate, count, others
+    helpers, certificate, count, others
 ):
-    members = _members(kit, count, admin_state=AdminState.DRAINING)
-    endpoint = _endpoint(kit, certificate, members)
+    members = _members(helpers, count, admin_state=AdminState.DRAINING)
+    endpoint = _endpoint(helpers, certificate, members)
     for connection_id in _connection_ids()[:20]:
         times = [at + wait for at in (0.0, 1.5, 3.0, 4.5) for wait in (0.0, ANSWER_SECONDS / 2)]
-        targets = [_open(kit, endpoint, connection_id, now)[0] for now in times]
+        targets = [_open(helpers, endpoint, connection_id, now)[0] for now in times]
         assert targets[0::2] == targets[1::2]
         assert len(set(targets)) == others
         assert targets[0:4] == targets[4:8]
 
 
-def test_a_busy_agent_hands_a_flow_on_once_and_only_to_a_member_with_a_free_slot(kit, certificate):
-    members = _members(kit, 2)
-    endpoint = _endpoint(kit, certificate, members)
+def test_a_busy_agent_hands_a_flow_on_once_and_only_to_a_member_with_a_free_slot(
+    helpers, certificate
+):
+    members = _members(helpers, 2)
+    endpoint = _endpoint(helpers, certificate, members)
     other = members[1].address
     for prefers_peer, hops, expected in ((False, 0, None), (True, 0, other.port), (True, 1, None)):
         asked = []
@@ -264,8 +272,8 @@
         )
         connection_id = bytes([prefers_peer, hops]) * 4
         fields = {"candidates": (members[0].address, other), "hops": hops}
-        assert _open(kit, endpoint, connection_id, **fields)[0] == expected
+        assert _open(helpers, endpoint, connection_id, **fields)[0] == expected
         assert asked == ([] if hops else [other])
         if expected is not None:  # the rest of the caller's first flight follows
             endpoint.prefers_peer = lambda _: False
-            assert _open(kit, endpoint, connection_id, **fields)[0] == expected
+            assert _open(helpers, endpoint, connection_id, **fields)[0] == expected
--- a/tests/agent/test_key_renewal.py
+++ b/tests/agent/test_key_renewal.py
@@ -14,10 +14,10 @@
 NEW_SECRETS = {KeyPurpose.CONNECTION_ID: b"C" * 16, KeyPurpose.STATELESS_RESET: b"R" * 32}
 
 
-def keys_of(kit, rotated=(), activated=False, retired=False):
+def keys_of(helpers, rotated=(), activated=False, retired=False):
     """The kit's keys as generation 1; those of the rotated purposes have a generation 2."""
     keys = []
-    for key in kit.KEYS:
+    for key in helpers.KEYS:
         is_old = key.purpose in rotated and activated
         if not (key.purpose in rotated and retired):
             keys.append(KeyEntry(key.purpose, 0, key.secret, not is_old, 1))
@@ -27,12 +27,12 @@
     return tuple(keys)
 
 
-def connected(kit, certificate, seed, loss, complete=True):
-    view = kit.make_view(kit.member_entry(kit.AGENT))
-    view = dataclasses.replace(view, keys=keys_of(kit))
-    endpoint = kit.make_endpoint(certificate, view, seed)
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, seed, loss)
+def connected(helpers, certificate, seed, loss, complete=True):
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+    view = dataclasses.replace(view, keys=keys_of(helpers))
+    endpoint = helpers.make_endpoint(certificate, view, seed)
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, seed, loss)
     if complete:
         assert network.run(lambda: caller.quic._handshake_confirmed)
     return endpoint, caller, network, view
@@ -60,13 +60,13 @@
 
 @pytest.mark.parametrize("rotated", PURPOSES.values(), ids=PURPOSES)
 @pytest.mark.parametrize(("seed", "loss"), [(1, 0.0), (2, 0.0), (3, 0.1), (4, 0.2)])
-def test_a_flow_lives_on_and_lets_go_of_the_old_keys(kit, certificate, rotated, seed, loss):
-    endpoint, caller, network, view = connected(kit, certificate, seed, loss)
-    set_keys(endpoint, view, keys_of(kit, rotated))
+def test_a_flow_lives_on_and_lets_go_of_the_old_keys(helpers, certificate, rotated, seed, loss):
+    endpoint, caller, network, view = connected(helpers, certificate, seed, loss)
+    set_keys(endpoint, view, keys_of(helpers, rotated))
     assert endpoint.oldest_keys() == OldestKeys(1, 1)
     exchange(endpoint, caller, network)
     former = {caller.quic._peer_cid.cid, *(each.cid for each in caller.quic._peer_cid_available)}
-    set_keys(endpoint, view, keys_of(kit, rotated, activated=True))
+    set_keys(endpoint, view, keys_of(helpers, rotated, activated=True))
     renewed = OldestKeys(*(2 if purpose in rotated else 1 for purpose in NEW_SECRETS))
     assert endpoint.oldest_keys() == OldestKeys(1, 1)  # the caller has not let go of them yet
     if loss == 0.0:  # aioquic's caller keeps an ID that comes late, against RFC 9000, 19.15
@@ -75,8 +75,8 @@
         network.run(lambda: False, 5.0)
     exchange(endpoint, caller, network)
     current = [caller.quic._peer_cid, *caller.quic._peer_cid_available]
-    expected = RoutableId(kit.AGENT, kit.SERVICE_ID, 1)
-    new_keys = keys_of(kit, rotated, retired=True)
+    expected = RoutableId(helpers.AGENT, helpers.SERVICE_ID, 1)
+    new_keys = keys_of(helpers, rotated, retired=True)
     codec = ConnectionIdCodec(new_keys)
     reset_secret = next(k.secret for k in new_keys if k.purpose is KeyPurpose.STATELESS_RESET)
     for issued in current:
@@ -90,36 +90,36 @@
 
 
 @pytest.mark.parametrize("steps", [1, 2, 3, 5, 8, 12])
-def test_a_rotation_during_the_handshake_breaks_nothing(kit, certificate, steps):
-    endpoint, caller, network, view = connected(kit, certificate, 5, 0.0, complete=False)
+def test_a_rotation_during_the_handshake_breaks_nothing(helpers, certificate, steps):
+    endpoint, caller, network, view = connected(helpers, certificate, 5, 0.0, complete=False)
     for _ in range(steps):
         network.step()
-    set_keys(endpoint, view, keys_of(kit, (KeyPurpose.CONNECTION_ID,), activated=True))
+    set_keys(endpoint, view, keys_of(helpers, (KeyPurpose.CONNECTION_ID,), activated=True))
     assert network.run(lambda: caller.quic._handshake_confirmed)
     assert network.run(lambda: endpoint.oldest_keys() == OldestKeys(2, 1))
     exchange(endpoint, caller, network)
     assert caller.terminated is None
 
 
-def test_a_frame_that_is_sent_again_after_a_renewal_keeps_to_the_protocol(kit, certificate):
-    endpoint, caller, network, view = connected(kit, certificate, 6, 0.0)
+def test_a_frame_that_is_sent_again_after_a_renewal_keeps_to_the_protocol(helpers, certificate):
+    endpoint, caller, network, view = connected(helpers, certificate, 6, 0.0)
     network.run(lambda: False, 1.0)
     connection = next(iter(endpoint._flows)).connection
     late = connection._host_cids[1]
-    set_keys(endpoint, view, keys_of(kit, (KeyPurpose.CONNECTION_ID,), activated=True))
+    set_keys(endpoint, view, keys_of(helpers, (KeyPurpose.CONNECTION_ID,), activated=True))
     connection._on_new_connection_id_delivery(QuicDeliveryState.LOST, late)
     network.run(lambda: False, 1.0)
     exchange(endpoint, caller, network)
     assert caller.terminated is None
 
 
-def test_renewals_come_in_bounded_turns(kit, certificate, monkeypatch):
+def test_renewals_come_in_bounded_turns(helpers, certificate, monkeypatch):
     monkeypatch.setattr(key_renewal, "FLOWS_PER_TURN", 2)
     renewal = key_renewal.FlowRenewal()
-    view = kit.make_view(kit.member_entry(kit.AGENT))
+    view = helpers.make_view(helpers.member_entry(helpers.AGENT))
     rotated = (KeyPurpose.CONNECTION_ID,)
-    before = dataclasses.replace(view, keys=keys_of(kit, rotated))
-    after = dataclasses.replace(view, keys=keys_of(kit, rotated, activated=True))
+    before = dataclasses.replace(view, keys=keys_of(helpers, rotated))
+    after = dataclasses.replace(view, keys=keys_of(helpers, rotated, activated=True))
     renewal.view_changed(before, before, [1, 2, 3])
     assert renewal.take() == []
     renewal.view_changed(before, after, [1, 2, 3])
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.001)
 
 
-def run_with_hosts(kit, scenario, *hosts, objective=Objective.LEAST_IMBALANCE):
+def run_with_hosts(helpers, scenario, *hosts, objective=Objective.LEAST_IMBALANCE):
     """Run `scenario` on hosts built from these keywords; the first one's slot is taken."""
 
     async def main():
@@ -137,10 +137,10 @@
             for host in built:
                 await host.server.start()
                 stack.push_async_callback(host.server.close)
-            members = [kit.member_entry(host.server.endpoint) for host in built]
+            members = [helpers.member_entry(host.server.endpoint) for host in built]
             for number, host in enumerate(built):
                 others = members[:number] + members[number + 1 :]
-                host.view = kit.make_view(members[number], *others)
+                host.view = helpers.make_view(members[number], *others)
                 service = msgspec.structs.replace(host.view.service, objective=objective)
                 _replace_view(host, service=service)
             first = built[0].start("first")
@@ -154,7 +154,7 @@
     asyncio.run(main())
 
 
-def test_a_request_that_waits_runs_in_a_slot_of_another_member(kit):
+def test_a_request_that_waits_runs_in_a_slot_of_another_member(helpers):
     async def scenario(requester, lender):
         second, third = requester.start("second"), requester.start("third")
         await until(lambda: lender.backend.ran)
@@ -168,11 +168,11 @@
         assert sorted(requester.backend.ran + lender.backend.ran) == ["first", "second", "third"]
         assert (requester.borrower.borrowed, lender.lender.lent) == (2, 2)
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("own_slot_comes", [True, False])
-def test_where_broken_flows_weigh_most_the_own_slot_comes_first(kit, own_slot_comes):
+def test_where_broken_flows_weigh_most_the_own_slot_comes_first(helpers, own_slot_comes):
     async def scenario(requester, lender):
         second = requester.start("second")
         await asyncio.sleep(0)
@@ -183,7 +183,7 @@
         assert lender.lender.lent == (0 if own_slot_comes else 1)
         assert bool(requester.borrower.asked) != own_slot_comes
 
-    run_with_hosts(kit, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
+    run_with_hosts(helpers, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
 
 
 def _draining(host):
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("case", LENDERS_THAT_REFUSE)
-def test_a_lender_that_may_not_lend_refuses_and_the_own_slot_serves(kit, case):
+def test_a_lender_that_may_not_lend_refuses_and_the_own_slot_serves(helpers, case):
     async def scenario(requester, lender):
         LENDERS_THAT_REFUSE[case](lender)
         await asyncio.sleep(0)
@@ -229,11 +229,11 @@
         assert "second" not in lender.backend.ran
         assert lender.lender.open_slots == 0
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("options", [({"lend": False}, {}), ({}, {"lend": False})])
-def test_the_setting_turns_off_asking_and_lending(kit, options):
+def test_the_setting_turns_off_asking_and_lending(helpers, options):
     async def scenario(requester, lender):
         second = requester.start("second")
         await asyncio.sleep(0.05)
@@ -242,7 +242,7 @@
         assert await second == Answered(200)
         assert lender.backend.ran == []
 
-    run_with_hosts(kit, scenario, *options)
+    run_with_hosts(helpers, scenario, *options)
 
 
 async def _grant_and_close(connection):
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("case", FAILING_LENDERS)
-def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(kit, case):
+def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(helpers, case):
     serve, method, outcome, runs = FAILING_LENDERS[case]
 
     async def scenario(requester, _):
@@ -291,10 +291,10 @@
         assert await second == outcome
         assert requester.backend.ran.count("second") == runs
 
-    run_with_hosts(kit, scenario, {}, {"serve": serve})
+    run_with_hosts(helpers, scenario, {}, {"serve": serve})
 
 
-def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(kit):
+def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(helpers):
     async def scenario(requester, _):
         sink = FakeSink()
         issue = Request("issue", "POST", TICKET_PATH, "", [], b"", 5_000, False)
@@ -308,10 +308,10 @@
         assert again == Unknown(UnknownReason.OUTCOME_NOT_KEPT)
         assert requester.backend.ran == ["first"]
 
-    run_with_hosts(kit, scenario, {}, {"serve": _take_request_and_close})
+    run_with_hosts(helpers, scenario, {}, {"serve": _take_request_and_close})
 
 
-def test_cancelling_a_lent_request_ends_it_at_the_lender(kit):
+def test_cancelling_a_lent_request_ends_it_at_the_lender(helpers):
     async def scenario(requester, lender):
         second = requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
@@ -320,7 +320,7 @@
         await until(lambda: lender.free_slots == 1 and not lender.lender.open_slots)
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
 ENDS_DURING_AN_ASK = {
@@ -331,7 +331,7 @@
 
 @pytest.mark.parametrize("late_turns", range(4))
 @pytest.mark.parametrize("case", ENDS_DURING_AN_ASK)
-def test_a_slot_that_comes_too_late_is_given_back_and_nothing_runs_twice(kit, case, late_turns):
+def test_a_slot_that_comes_too_late_is_given_back_and_nothing_runs_twice(helpers, case, late_turns):
     asked, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
     requests = []
 
@@ -356,18 +356,20 @@
         assert requester.backend.ran.count("second") + len(requests) <= 1
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(kit, scenario, {}, {"serve": serve})
+    run_with_hosts(helpers, scenario, {}, {"serve": serve})
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_granted_slot_that_is_not_used_is_free_again(kit, monkeypatch, leaves):
+def test_a_granted_slot_that_is_not_used_is_free_again(helpers, monkeypatch, leaves):
     monkeypatch.setattr(lending, "RESERVATION_SECONDS", 5.0 if leaves else 0.02)
 
     async def scenario(requester, lender):
         member = lender.server.endpoint
         client = RelayClient("test", "test")
         connection = await client.open(member, ConnectionKind.LENDING, 1.0)
-        await connection.send(encode(SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())))
+        await connection.send(
+            encode(SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack()))
+        )
         await connection.receive()
         assert lender.free_slots == 0
         if leaves:
@@ -381,15 +383,15 @@
             connection.abort()
         assert (lender.backend.ran, lender.lender.open_slots) == ([], 0)
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
-def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(kit):
+def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(helpers):
     async def scenario(requester, lender):
         requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
         own = lender.start("own")
-        refused = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
+        refused = SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack())
         await asyncio.sleep(0)
         assert lender.allocator.admission.waiting == 1
         assert lender.lender.reserve(refused) is None
@@ -397,10 +399,10 @@
         assert await own == Answered(200)
         assert "own" in requester.backend.ran
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
-def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(kit):
+def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(helpers):
     async def scenario(requester, lender):
         for host in (requester, lender):
             host.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
@@ -411,7 +413,7 @@
         assert isinstance(refused, NotRun)
         assert "third" not in requester.backend.ran + lender.backend.ran
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
 class FakeLendingClient:
@@ -431,14 +433,16 @@
 
 @pytest.mark.parametrize("grant_first", [True, False])
 @pytest.mark.parametrize("turns_between", range(4))
-def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
+def test_of_two_slots_that_come_together_one_is_used(helpers, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
         allocator, requester = (
             SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))),
             FakeLendingClient(),
         )
-        view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
+        view = helpers.make_view(
+            helpers.member_entry(helpers.AGENT), helpers.member_entry(helpers.OTHER_AGENT)
+        )
         peers = PeerSlots(random.Random(SEED))
         borrower = SlotBorrower(allocator, requester, peers, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
@@ -458,12 +462,12 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(kit):
+def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(helpers):
     opened = []
 
     async def scenario(requester, lender):
         async def ask():
-            request = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
+            request = SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack())
             return await lending_client.ask(lender.server.endpoint, request)
 
         async def open_one(*arguments):
@@ -497,7 +501,7 @@
         opened[-1].abort()
         lending_client.close()
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_hosts(helpers, scenario, {}, {})
 
 
 class FakeConnection:
@@ -507,18 +511,18 @@
         self.aborted = True
 
 
-def test_kept_connections_are_few_and_not_old(kit):
+def test_kept_connections_are_few_and_not_old(helpers):
     now = 0.0
     idle = IdleLinks(lambda: now)
-    links = [LendingLink(kit.AGENT, FakeConnection(), 0.0) for _ in range(5)]
+    links = [LendingLink(helpers.AGENT, FakeConnection(), 0.0) for _ in range(5)]
     for link in links:
         idle.keep(link)
     assert [link.connection.aborted for link in links] == [True] + [False] * 4
-    assert idle.take(kit.OTHER_AGENT) is None
-    assert idle.take(kit.AGENT).connection is links[-1].connection
+    assert idle.take(helpers.OTHER_AGENT) is None
+    assert idle.take(helpers.AGENT).connection is links[-1].connection
     now = 11.0
-    assert idle.take(kit.AGENT) is None
+    assert idle.take(helpers.AGENT) is None
     assert [link.connection.aborted for link in links] == [True] * 4 + [False]
     now = 61.0
     idle.keep(links[-1])
-    assert idle.take(kit.AGENT) is None
+    assert idle.take(helpers.AGENT) is None
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -25,8 +25,8 @@
 SEED = 20
 
 
-def _members(kit, count):
-    return [kit.member_entry(Endpoint("127.0.0.1", 7_100 + number)) for number in range(count)]
+def _members(helpers, count):
+    return [helpers.member_entry(Endpoint("127.0.0.1", 7_100 + number)) for number in range(count)]
 
 
 LEARNED = {
@@ -42,17 +42,17 @@
 
 
 @pytest.mark.parametrize("case", LEARNED)
-def test_a_member_that_had_nothing_is_left_alone_for_a_while(kit, case):
+def test_a_member_that_had_nothing_is_left_alone_for_a_while(helpers, case):
     learn, seconds = LEARNED[case]
-    (member,) = _members(kit, 1)
+    (member,) = _members(helpers, 1)
     peers = PeerSlots(random.Random(SEED))
     learn(peers, member.address)
     assert peers.choose([member], [], seconds * 0.9) is None
     assert peers.choose([member], [], seconds * 1.1) == member.address
 
 
-def test_a_known_free_slot_counts_once_and_for_a_short_time(kit):
-    (member,) = _members(kit, 1)
+def test_a_known_free_slot_counts_once_and_for_a_short_time(helpers):
+    (member,) = _members(helpers, 1)
     peers = PeerSlots(random.Random(SEED))
     peers.record_free_slots(member.address, 1, 0.0)
     assert not peers.take_known_slot(member.address, KNOWLEDGE_TTL_SECONDS)
@@ -63,8 +63,8 @@
     assert not peers.take_known_slot(member.address, 0.0)
 
 
-def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(kit):
-    members = _members(kit, 5)
+def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(helpers):
+    members = _members(helpers, 5)
     search = SlotSearch(PeerSlots(random.Random(SEED)), SlotRequestBudget())
     pauses = []
     for _ in range(5):
@@ -77,8 +77,8 @@
     assert pauses == sorted(pauses)
 
 
-def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(kit):
-    members, budget = _members(kit, 3), SlotRequestBudget()
+def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(helpers):
+    members, budget = _members(helpers, 3), SlotRequestBudget()
     peers = PeerSlots(random.Random(SEED))
 
     def asks():
--- a/tests/agent/test_planned_end.py
+++ b/tests/agent/test_planned_end.py
@@ -7,10 +7,12 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_an_answer_is_undelivered_until_the_caller_acknowledged_it(kit, certificate, loss):
-    endpoint = kit.make_endpoint(certificate, kit.make_view(kit.member_entry(kit.AGENT)))
-    caller = kit.Caller(0.0)
-    network = kit.Network(endpoint, caller, 1, loss)
+def test_an_answer_is_undelivered_until_the_caller_acknowledged_it(helpers, certificate, loss):
+    endpoint = helpers.make_endpoint(
+        certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
+    )
+    caller = helpers.Caller(0.0)
+    network = helpers.Network(endpoint, caller, 1, loss)
     caller.request("GET", "/download")
     network.run(lambda: endpoint.has_events)
     stream = endpoint.take_events()[0].stream
@@ -23,11 +25,11 @@
     assert caller.responses[0].ended
 
 
-def test_a_member_that_moves_keeps_its_former_service_for_open_flows(kit):
-    before = kit.make_view(kit.member_entry(kit.AGENT))
-    service = msgspec.structs.replace(kit.service_entry(), service_id=8)
-    member = msgspec.structs.replace(kit.member_entry(kit.AGENT), service_id=8)
-    newer = ServiceView.build(kit.AGENT, 6, 2, [service, member, *kit.KEYS])
+def test_a_member_that_moves_keeps_its_former_service_for_open_flows(helpers):
+    before = helpers.make_view(helpers.member_entry(helpers.AGENT))
+    service = msgspec.structs.replace(helpers.service_entry(), service_id=8)
+    member = msgspec.structs.replace(helpers.member_entry(helpers.AGENT), service_id=8)
+    newer = ServiceView.build(helpers.AGENT, 6, 2, [service, member, *helpers.KEYS])
     after = before.followed_by(newer)
     assert (after.service, after.revision) == (before.service, 6)
     assert after.removed
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -31,11 +31,11 @@
 class FakeControl:
     """Publishes the table as whole snapshots."""
 
-    def __init__(self, kit):
-        self.kit = kit
+    def __init__(self, helpers):
+        self.helpers = helpers
         self.revision = 0
         self.members = {}
-        self.service = kit.service_entry()
+        self.service = helpers.service_entry()
         hello = make_hello(ConnectionKind.SUBSCRIBER, "control", "test")
         self.server = FramedServer(ANY_PORT, hello, {ConnectionKind.SUBSCRIBER: self._serve})
 
@@ -49,7 +49,7 @@
         while True:
             if sent != self.revision:
                 sent = self.revision
-                entries = list(self.kit.KEYS)
+                entries = list(self.helpers.KEYS)
                 if subscribe.address in self.members:
                     entries += [self.service, *self.members.values()]
                 await connection.send(encode(Snapshot(sent, 0, 1, entries)))
@@ -122,21 +122,21 @@
     Its table is that of the fleet's start, so after a change it is a stale balancer.
     """
 
-    def __init__(self, kit):
-        self.kit = kit
-        self.codec = ConnectionIdCodec(kit.KEYS)
+    def __init__(self, helpers):
+        self.helpers = helpers
+        self.codec = ConnectionIdCodec(helpers.KEYS)
         self.callers = []
 
     def connection_made(self, transport):
         self.transport = transport
 
     def datagram_received(self, data, addr):
-        source_cid = data[self.kit.PROXY_HEADER_LENGTH :]
+        source_cid = data[self.helpers.PROXY_HEADER_LENGTH :]
         for caller in self.callers:
             caller.receive(source_cid, asyncio.get_running_loop().time())
 
     def caller(self, *candidates):
-        caller = self.kit.Caller(asyncio.get_running_loop().time())
+        caller = self.helpers.Caller(asyncio.get_running_loop().time())
         caller.candidates = candidates
         self.callers.append(caller)
         return caller
@@ -159,7 +159,7 @@
             connection_id = data[6 : 6 + data[5]] if data[0] & 0x80 else data[1:18]
             routable = self.codec.decode(connection_id)
             target = caller.candidates[0] if routable is None else routable.address
-            datagram = self.kit.forwarded(data, caller.candidates, revision=1)
+            datagram = self.helpers.forwarded(data, caller.candidates, revision=1)
             self.transport.sendto(datagram, (target.host, target.port))
 
     async def ask(self, caller, method, path, body=b"", **headers):
@@ -171,11 +171,11 @@
 class Fleet:
     """Two agents, each with its back end."""
 
-    def __init__(self, kit, certificate, settings):
-        self.kit = kit
+    def __init__(self, helpers, certificate, settings):
+        self.helpers = helpers
         self.certificate = certificate
         self.settings = settings
-        self.control = FakeControl(kit)
+        self.control = FakeControl(helpers)
         self.agents = []
         self.backends = []
         self.tasks = []
@@ -185,14 +185,14 @@
         stack.push_async_callback(self.control.server.close)
         loop = asyncio.get_running_loop()
         transport, self.fabric = await loop.create_datagram_endpoint(
-            lambda: FakeFabric(self.kit), local_addr=("127.0.0.1", 0)
+            lambda: FakeFabric(self.helpers), local_addr=("127.0.0.1", 0)
         )
         stack.callback(transport.close)
         fabric_address = Endpoint(*transport.get_extra_info("sockname"))
         for name in ("one", "two"):
             await self._start_agent(stack, name, fabric_address)
         self.control.put(
-            *(self.kit.member_entry(agent.view.address, slots=slots) for agent in self.agents)
+            *(self.helpers.member_entry(agent.view.address, slots=slots) for agent in self.agents)
         )
         await self.fabric.until(
             lambda: (
@@ -246,17 +246,17 @@
         return self.fabric.caller(addresses[first], addresses[1 - first])
 
 
-def run_with_fleet(kit, certificate, scenario, slots=2, **settings):
+def run_with_fleet(helpers, certificate, scenario, slots=2, **settings):
     async def main():
         async with contextlib.AsyncExitStack() as stack:
-            fleet = Fleet(kit, certificate, settings)
+            fleet = Fleet(helpers, certificate, settings)
             await fleet.start(stack, slots)
             await scenario(fleet, fleet.fabric.ask)
 
     asyncio.run(main())
 
 
-def test_one_request_to_the_back_end_and_back(kit, certificate):
+def test_one_request_to_the_back_end_and_back(helpers, certificate):
     async def scenario(fleet, ask):
         forged = {"jasperwalk_host": "forged", "jasperwalk_request_id": "forged"}
         response = await ask(fleet.caller(), "POST", "/lookup?q=a%20b", b"name", **forged)
@@ -268,16 +268,16 @@
         assert "jasperwalk-forged" not in response.headers
         assert "transfer-encoding" not in response.headers
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_large_answers_of_many_streams_are_whole(kit, certificate):
+def test_large_answers_of_many_streams_are_whole(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         responses = await asyncio.gather(*(ask(caller, "GET", "/download") for _ in range(4)))
         assert [response.body == DOWNLOAD for response in responses] == [True] * 4
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
 OUTCOMES = {
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize("case", OUTCOMES)
-def test_outcomes(kit, certificate, case):
+def test_outcomes(helpers, certificate, case):
     method, path, deadline, status, outcome, runs, cancelled = OUTCOMES[case]
 
     async def scenario(fleet, ask):
@@ -304,10 +304,10 @@
         assert ran == runs
         await fleet.fabric.until(lambda: fleet.backends[0].cancelled.get(path, 0) == cancelled)
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_late_answer_reaches_nobody(kit, certificate):
+def test_a_late_answer_reaches_nobody(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         late = await ask(caller, "GET", "/wait", jasperwalk_deadline_ms="150")
@@ -317,10 +317,10 @@
             response = await ask(caller, "GET", f"/lookup?n={number}")
             assert response.body.decode().startswith(f"one GET /lookup?n={number} ")
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_caller_that_gives_up_cancels_the_work(kit, certificate):
+def test_a_caller_that_gives_up_cancels_the_work(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream_id = caller.request("GET", "/wait")
@@ -329,10 +329,10 @@
         await fleet.fabric.until(lambda: fleet.backends[0].cancelled.get("/wait") == 1)
         assert (await ask(caller, "GET", "/lookup")).status == 200
 
-    run_with_fleet(kit, certificate, scenario, slots=1)
+    run_with_fleet(helpers, certificate, scenario, slots=1)
 
 
-def test_an_answer_cut_by_the_back_end_is_reset_not_ended(kit, certificate):
+def test_an_answer_cut_by_the_back_end_is_reset_not_ended(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         response = caller.responses[caller.request("GET", "/half")]
@@ -341,10 +341,10 @@
         await fleet.fabric.until(lambda: response.reset)
         assert not response.ended
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_what_a_full_host_refuses_did_not_run(kit, certificate):
+def test_what_a_full_host_refuses_did_not_run(helpers, certificate):
     async def scenario(fleet, ask):
         await fleet.drain(1)  # so that nothing is retried there
         caller = fleet.caller()
@@ -359,10 +359,10 @@
         assert fleet.backends[0].ran["/wait"] == 1
         assert "/wait" not in fleet.backends[1].ran
 
-    run_with_fleet(kit, certificate, scenario, slots=1)
+    run_with_fleet(helpers, certificate, scenario, slots=1)
 
 
-def test_what_provably_did_not_run_is_run_elsewhere(kit, certificate):
+def test_what_provably_did_not_run_is_run_elsewhere(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).headers["jasperwalk-host"] == "one"
@@ -371,10 +371,10 @@
         assert (response.status, response.headers["jasperwalk-host"]) == (200, "two")
         assert fleet.backends[1].ran == {"/submit": 1}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_host_ends_its_streams_and_gets_no_new_work(kit, certificate):
+def test_a_draining_host_ends_its_streams_and_gets_no_new_work(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -391,10 +391,10 @@
         assert newcomer.headers["jasperwalk-host"] == "two"
         assert [agent.endpoint.open_flows for agent in fleet.agents] == [1, 1]
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_member_taken_out_of_its_pool_ends_its_streams(kit, certificate):
+def test_a_member_taken_out_of_its_pool_ends_its_streams(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -409,10 +409,10 @@
         assert stream.body == b"first,last"
         assert fleet.backends[0].ran == {"/stream": 1}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_with_every_host_draining_requests_are_refused_and_do_not_circle(kit, certificate):
+def test_with_every_host_draining_requests_are_refused_and_do_not_circle(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
@@ -421,24 +421,24 @@
         assert (response.status, response.headers["jasperwalk-outcome"]) == (503, "not-run")
         assert all("/submit" not in backend.ran for backend in fleet.backends)
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_target_refuses_what_is_relayed_to_it(kit, certificate):
+def test_a_draining_target_refuses_what_is_relayed_to_it(helpers, certificate):
     async def scenario(fleet, ask):
         await fleet.drain(0)
         request = Request("r", "POST", "/submit", "", [], b"x", 1000, False)
         client = RelayClient("test", "test")
         target = fleet.agents[0].view.address
-        for service_id, reason in ((kit.SERVICE_ID, "draining"), (9, "no-service")):
+        for service_id, reason in ((helpers.SERVICE_ID, "draining"), (9, "no-service")):
             outcome = await client.run(target, service_id, request, None)
             assert outcome == NotRun(NotRunReason(reason))
         assert fleet.backends[0].ran == {}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_the_default_deadline_bounds_the_head_and_not_a_stream(kit, certificate):
+def test_the_default_deadline_bounds_the_head_and_not_a_stream(helpers, certificate):
     async def scenario(fleet, ask):
         limits = msgspec.structs.replace(fleet.control.service.limits, request_deadline_ms=200)
         fleet.control.service = msgspec.structs.replace(fleet.control.service, limits=limits)
@@ -451,10 +451,10 @@
         await fleet.fabric.until(lambda: stream.ended or stream.reset)
         assert stream.body == b"first,last"
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_slow_caller_holds_the_back_end_back(kit, certificate):
+def test_a_slow_caller_holds_the_back_end_back(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
@@ -465,10 +465,10 @@
         unsent = max(len(s.sender._buffer) for s in flow.connection._streams.values())
         assert 0 < unsent <= MAX_UNSENT_BYTES + READ_BUFFER_BYTES * 4
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_planned_stop_cuts_no_request(kit, certificate):
+def test_a_planned_stop_cuts_no_request(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -482,10 +482,10 @@
         await fleet.fabric.until(lambda: stream.ended and fleet.tasks[0].done())
         assert stream.body == b"first,last"
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_stop_with_a_grace_ends_within_it_and_tells_its_callers(kit, certificate):
+def test_a_stop_with_a_grace_ends_within_it_and_tells_its_callers(helpers, certificate):
     """A supervisor that kills after its patience would cut the request without a word."""
 
     async def scenario(fleet, ask):
@@ -497,11 +497,11 @@
         assert fleet.backends[0].cancelled == {"/stream": 1}
         assert not stream.ended
 
-    run_with_fleet(kit, certificate, scenario, stop_grace_ms=300)
+    run_with_fleet(helpers, certificate, scenario, stop_grace_ms=300)
 
 
 @pytest.mark.parametrize("how", ["lent", "relayed"])
-def test_a_planned_stop_cuts_no_request_of_another_agent(kit, certificate, how):
+def test_a_planned_stop_cuts_no_request_of_another_agent(helpers, certificate, how):
     async def scenario(fleet, ask):
         caller = fleet.caller(0)
         if how == "relayed":
@@ -520,7 +520,7 @@
         await fleet.fabric.until(lambda: stream.ended and fleet.tasks[1].done())
         assert stream.body == b"first,last"
 
-    run_with_fleet(kit, certificate, scenario, slots=1)
+    run_with_fleet(helpers, certificate, scenario, slots=1)
 
 
 async def _new_ticket(ask, caller):
@@ -529,7 +529,7 @@
     return msgspec.json.decode(response.body)["ticket"]
 
 
-def test_a_ticket_runs_once_and_repeats_its_outcome_from_anywhere(kit, certificate):
+def test_a_ticket_runs_once_and_repeats_its_outcome_from_anywhere(helpers, certificate):
     async def scenario(fleet, ask):
         caller, elsewhere = fleet.caller(0), fleet.caller(1)
         ticket = await _new_ticket(ask, caller)
@@ -542,10 +542,10 @@
         assert fleet.backends[0].ran == {"/submit": 1}
         assert fleet.backends[1].ran == {}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_resend_after_a_broken_flow_gets_the_first_outcome(kit, certificate):
+def test_a_resend_after_a_broken_flow_gets_the_first_outcome(helpers, certificate):
     async def scenario(fleet, ask):
         caller, elsewhere = fleet.caller(0), fleet.caller(1)
         ticket = await _new_ticket(ask, caller)
@@ -561,10 +561,10 @@
         assert response.body.startswith(b"one POST /wait names")
         assert (fleet.backends[0].ran, fleet.backends[0].cancelled) == ({"/wait": 1}, {})
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_without_its_home_a_ticket_is_unknown_and_never_run(kit, certificate):
+def test_without_its_home_a_ticket_is_unknown_and_never_run(helpers, certificate):
     async def scenario(fleet, ask):
         caller, elsewhere = fleet.caller(0), fleet.caller(1)
         ticket = await _new_ticket(ask, caller)
@@ -574,10 +574,10 @@
         assert (response.status, response.headers["jasperwalk-outcome"]) == (504, "unknown")
         assert all(backend.ran == {} for backend in fleet.backends)
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_ticket_of_an_earlier_incarnation_is_unknown_and_never_run(kit, certificate):
+def test_a_ticket_of_an_earlier_incarnation_is_unknown_and_never_run(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller(0)
         ticket = await _new_ticket(ask, caller)
@@ -588,10 +588,10 @@
         assert (response.status, response.headers["jasperwalk-outcome"]) == (504, "unknown")
         assert all(backend.ran == {} for backend in fleet.backends)
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_home_repeats_outcomes_but_runs_no_new_ticket(kit, certificate):
+def test_a_draining_home_repeats_outcomes_but_runs_no_new_ticket(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller(0)
         used, unused = await _new_ticket(ask, caller), await _new_ticket(ask, caller)
@@ -606,13 +606,13 @@
         assert answered.headers["jasperwalk-host"] == "two"
         assert fleet.backends[0].ran == {"/submit": 1}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
 
 
-def test_an_idempotency_key_that_is_no_ticket_is_refused(kit, certificate):
+def test_an_idempotency_key_that_is_no_ticket_is_refused(helpers, certificate):
     async def scenario(fleet, ask):
         response = await ask(fleet.caller(), "POST", "/submit", b"x", idempotency_key="mine")
         assert (response.status, response.headers["jasperwalk-outcome"]) == (400, "not-run")
         assert fleet.backends[0].ran == {}
 
-    run_with_fleet(kit, certificate, scenario)
+    run_with_fleet(helpers, certificate, scenario)
--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -60,9 +60,11 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_retries_keep_to_the_budget(kit, case):
+def test_retries_keep_to_the_budget(helpers, case):
     outcome, elsewhere, least, most = CASES[case]
-    view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
+    view = helpers.make_view(
+        helpers.member_entry(helpers.AGENT), helpers.member_entry(helpers.OTHER_AGENT)
+    )
 
     async def main():
         parts, clock = FakeParts(outcome, elsewhere), asyncio.get_running_loop().time
--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -15,15 +15,15 @@
 OTHER_KEY = KeyEntry(KeyPurpose.DATAGRAM, 0, b"x" * 16, True)
 
 
-def agent(kit, certificate, *keys, **member):
-    own = kit.member_entry(kit.AGENT, **member)
-    view = kit.make_view(own, kit.member_entry(kit.OTHER_AGENT))
-    return kit.make_endpoint(certificate, dataclasses.replace(view, keys=(*view.keys, *keys)))
+def agent(helpers, certificate, *keys, **member):
+    own = helpers.member_entry(helpers.AGENT, **member)
+    view = helpers.make_view(own, helpers.member_entry(helpers.OTHER_AGENT))
+    return helpers.make_endpoint(certificate, dataclasses.replace(view, keys=(*view.keys, *keys)))
 
 
-def initial(kit):
-    (data,) = kit.Caller(0.0).datagrams(0.0)[:1]
-    return kit.forwarded(data, (kit.AGENT, kit.OTHER_AGENT))
+def initial(helpers):
+    (data,) = helpers.Caller(0.0).datagrams(0.0)[:1]
+    return helpers.forwarded(data, (helpers.AGENT, helpers.OTHER_AGENT))
 
 
 SENDERS = {
@@ -46,19 +46,19 @@
 
 @pytest.mark.parametrize("state", list(AdminState))
 @pytest.mark.parametrize(("send", "reason"), SENDERS.values(), ids=SENDERS)
-def test_an_intruders_new_flow_is_dropped(kit, certificate, send, reason, state):
-    endpoint = agent(kit, certificate, KEY, admin_state=state)
-    endpoint.datagram_received(send(initial(kit)), 0.0)
+def test_an_intruders_new_flow_is_dropped(helpers, certificate, send, reason, state):
+    endpoint = agent(helpers, certificate, KEY, admin_state=state)
+    endpoint.datagram_received(send(initial(helpers)), 0.0)
     endpoint.flush(0.0)
     assert dict(endpoint.drops) == {reason: 1}
     assert endpoint.open_flows == 0
     assert endpoint.take_outgoing() == []
 
 
-def test_an_unsealed_version_negotiation_is_not_answered(kit, certificate):
-    endpoint = agent(kit, certificate, KEY)
+def test_an_unsealed_version_negotiation_is_not_answered(helpers, certificate):
+    endpoint = agent(helpers, certificate, KEY)
     payload = b"\xc0\x1a\x2a\x3a\x4a" + b"\x08" + b"d" * 8 + b"\x08" + b"s" * 8
-    data = kit.forwarded(payload.ljust(1200, b"\0"))
+    data = helpers.forwarded(payload.ljust(1200, b"\0"))
     endpoint.datagram_received(data, 0.0)
     assert endpoint.take_outgoing() == []
     endpoint.datagram_received(DatagramSeal([KEY]).seal(data), 0.0)
@@ -66,16 +66,16 @@
 
 
 @pytest.mark.parametrize("sender", [KEY, NEXT_KEY])
-def test_keys_that_are_known_open_flows(kit, certificate, sender):
-    endpoint = agent(kit, certificate, KEY, NEXT_KEY)
+def test_keys_that_are_known_open_flows(helpers, certificate, sender):
+    endpoint = agent(helpers, certificate, KEY, NEXT_KEY)
     active = KeyEntry(sender.purpose, sender.rotation, sender.secret, True)
-    endpoint.datagram_received(DatagramSeal([active]).seal(initial(kit)), 0.0)
+    endpoint.datagram_received(DatagramSeal([active]).seal(initial(helpers)), 0.0)
     assert endpoint.open_flows == 1
 
 
-def test_a_flow_that_is_handed_over_is_sealed_anew(kit, certificate):
-    draining = agent(kit, certificate, KEY, admin_state=AdminState.DRAINING)
-    draining.datagram_received(DatagramSeal([KEY]).seal(initial(kit)), 0.0)
+def test_a_flow_that_is_handed_over_is_sealed_anew(helpers, certificate):
+    draining = agent(helpers, certificate, KEY, admin_state=AdminState.DRAINING)
+    draining.datagram_received(DatagramSeal([KEY]).seal(initial(helpers)), 0.0)
     (handed,) = draining.take_outgoing()
     message = Decoder(DatagramMessage).decode(handed.data)
     assert isinstance(message, SealedDatagram)
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -19,15 +19,15 @@
     return KeyEntry(KeyPurpose.TICKET, rotation, secret * 32, active)
 
 
-def _ticket(kit, nonce=b"n" * 12, expires_at_ms=10_000):
-    return Ticket(kit.AGENT, 1, kit.SERVICE_ID, expires_at_ms, nonce)
+def _ticket(helpers, nonce=b"n" * 12, expires_at_ms=10_000):
+    return Ticket(helpers.AGENT, 1, helpers.SERVICE_ID, expires_at_ms, nonce)
 
 
-def test_a_sealed_ticket_opens_with_the_same_and_with_a_former_key(kit):
-    text = TicketCodec([_key(b"a")]).seal(_ticket(kit))
-    assert TicketCodec([_key(b"a")]).open(text) == _ticket(kit)
+def test_a_sealed_ticket_opens_with_the_same_and_with_a_former_key(helpers):
+    text = TicketCodec([_key(b"a")]).seal(_ticket(helpers))
+    assert TicketCodec([_key(b"a")]).open(text) == _ticket(helpers)
     rotated = TicketCodec([_key(b"b", 1), _key(b"a", 0, active=False)])
-    assert rotated.open(text) == _ticket(kit)
+    assert rotated.open(text) == _ticket(helpers)
 
 
 @pytest.mark.parametrize(
@@ -43,8 +43,8 @@
         lambda text: TicketCodec([_key(b"x")]).seal(TicketCodec([_key(b"a")]).open(text)),
     ],
 )
-def test_what_is_no_ticket_of_the_fleet_is_refused(kit, damage):
-    text = TicketCodec([_key(b"a")]).seal(_ticket(kit))
+def test_what_is_no_ticket_of_the_fleet_is_refused(helpers, damage):
+    text = TicketCodec([_key(b"a")]).seal(_ticket(helpers))
     with pytest.raises(InvalidTicket):
         TicketCodec([_key(b"a")]).open(damage(text))
 
@@ -94,10 +94,10 @@
 
 
 @pytest.mark.parametrize("case", USES)
-def test_uses_of_one_ticket(kit, case):
+def test_uses_of_one_ticket(helpers, case):
     steps, expected = USES[case]
     store = TicketStore()
-    ticket = _ticket(kit)
+    ticket = _ticket(helpers)
     verdicts = []
     for action, *arguments in steps:
         if action == "use":
@@ -107,15 +107,15 @@
     assert verdicts == expected
 
 
-def test_a_full_store_refuses_and_forgets_nothing(kit):
+def test_a_full_store_refuses_and_forgets_nothing(helpers):
     store = TicketStore(max_tickets=2)
     names = [
-        type(store.use(_ticket(kit, bytes([number]) * 12), ONE, 0.0)).__name__
+        type(store.use(_ticket(helpers, bytes([number]) * 12), ONE, 0.0)).__name__
         for number in (1, 2, 3, 1)
     ]
     assert names == ["RunNow", "RunNow", "StoreFull", "WaitForFirst"]
-    store.finish(_ticket(kit, b"\x01" * 12), ANSWER)
-    later = _ticket(kit, b"\x04" * 12, expires_at_ms=200_000)
+    store.finish(_ticket(helpers, b"\x01" * 12), ANSWER)
+    later = _ticket(helpers, b"\x04" * 12, expires_at_ms=200_000)
     assert type(store.use(later, ONE, 100.0)).__name__ == "RunNow"
     assert len(store) == 2
 
