--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -85,7 +85,7 @@
         pass
 
 
-class Host:
+class LendingAgent:
     """One agent's parts between its flows and its back end."""
 
     def __init__(self, serve=None, slots=1, lend=True):
@@ -133,7 +133,7 @@
 
     async def main():
         async with contextlib.AsyncExitStack() as stack:
-            built = [Host(**options) for options in hosts]
+            built = [LendingAgent(**options) for options in hosts]
             for host in built:
                 await host.server.start()
                 stack.push_async_callback(host.server.close)
