--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -134,22 +134,22 @@
     async def main():
         async with contextlib.AsyncExitStack() as stack:
             built = [LendingAgent(**options) for options in hosts]
-            for host in built:
-                await host.server.start()
-                stack.push_async_callback(host.server.close)
-            members = [helpers.member_entry(host.server.endpoint) for host in built]
-            for number, host in enumerate(built):
+            for agent in built:
+                await agent.server.start()
+                stack.push_async_callback(agent.server.close)
+            members = [helpers.member_entry(agent.server.endpoint) for agent in built]
+            for number, agent in enumerate(built):
                 others = members[:number] + members[number + 1 :]
-                host.view = helpers.make_view(members[number], *others)
-                service = msgspec.structs.replace(host.view.service, objective=objective)
-                _replace_view(host, service=service)
+                agent.view = helpers.make_view(members[number], *others)
+                service = msgspec.structs.replace(agent.view.service, objective=objective)
+                _replace_view(agent, service=service)
             first = built[0].start("first")
             await until(lambda: built[0].backend.ran == ["first"])
             await scenario(*built)
-            for host in built:
-                host.backend.release.set()
+            for agent in built:
+                agent.backend.release.set()
             assert await first == Answered(200)
-            await until(lambda: all(host.allocator.admission.running == 0 for host in built))
+            await until(lambda: all(agent.allocator.admission.running == 0 for agent in built))
 
     asyncio.run(main())
 
@@ -186,33 +186,33 @@
     run_with_hosts(helpers, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
 
 
-def _draining(host):
-    member = msgspec.structs.replace(host.view.member, admin_state=AdminState.DRAINING)
-    _replace_view(host, member=member)
+def _draining(agent):
+    member = msgspec.structs.replace(agent.view.member, admin_state=AdminState.DRAINING)
+    _replace_view(agent, member=member)
 
 
-def _offline(host):
-    member = msgspec.structs.replace(host.view.member, operating_status=OperatingStatus.OFFLINE)
-    _replace_view(host, member=member)
+def _offline(agent):
+    member = msgspec.structs.replace(agent.view.member, operating_status=OperatingStatus.OFFLINE)
+    _replace_view(agent, member=member)
 
 
-def _other_service(host):
-    _replace_view(host, service=msgspec.structs.replace(host.view.service, service_id=9))
+def _other_service(agent):
+    _replace_view(agent, service=msgspec.structs.replace(agent.view.service, service_id=9))
 
 
-def _replace_view(host, **changes):
-    host.view = type(host.view)(**{**vars(host.view), **changes})
+def _replace_view(agent, **changes):
+    agent.view = type(agent.view)(**{**vars(agent.view), **changes})
 
 
 LENDERS_THAT_REFUSE = {
     "draining": _draining,
-    "stopping": lambda host: _replace_view(host, stopping=True),
+    "stopping": lambda agent: _replace_view(agent, stopping=True),
     "offline in its own table": _offline,
     "of another service": _other_service,
-    "not registered": lambda host: _replace_view(host, incarnation=0),
-    "back end down": lambda host: host.health.request_refused(),
-    "shedding": lambda host: host.allocator.admission.shed(asyncio.get_running_loop().time()),
-    "full": lambda host: host.start("own"),
+    "not registered": lambda agent: _replace_view(agent, incarnation=0),
+    "back end down": lambda agent: agent.health.request_refused(),
+    "shedding": lambda agent: agent.allocator.admission.shed(asyncio.get_running_loop().time()),
+    "full": lambda agent: agent.start("own"),
 }
 
 
@@ -404,8 +404,8 @@
 
 def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(helpers):
     async def scenario(requester, lender):
-        for host in (requester, lender):
-            host.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
+        for agent in (requester, lender):
+            agent.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
         assert await requester.start("second", method="POST", path="/names") == Answered(200)
         lender.start("own")
         await until(lambda: lender.backend.ran == ["second", "own"])
