--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -128,12 +128,12 @@
             await asyncio.sleep(0.001)
 
 
-def run_with_hosts(helpers, scenario, *hosts, objective=Objective.LEAST_IMBALANCE):
+def run_with_hosts(helpers, scenario, *agents, objective=Objective.LEAST_IMBALANCE):
     """Run `scenario` on hosts built from these keywords; the first one's slot is taken."""
 
     async def main():
         async with contextlib.AsyncExitStack() as stack:
-            built = [LendingAgent(**options) for options in hosts]
+            built = [LendingAgent(**options) for options in agents]
             for agent in built:
                 await agent.server.start()
                 stack.push_async_callback(agent.server.close)
