--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.001)
 
 
-def run_with_hosts(helpers, scenario, *agents, objective=Objective.LEAST_IMBALANCE):
+def run_with_agents(helpers, scenario, *agents, objective=Objective.LEAST_IMBALANCE):
     """Run `scenario` on hosts built from these keywords; the first one's slot is taken."""
 
     async def main():
@@ -168,7 +168,7 @@
         assert sorted(requester.backend.ran + lender.backend.ran) == ["first", "second", "third"]
         assert (requester.borrower.borrowed, lender.lender.lent) == (2, 2)
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("own_slot_comes", [True, False])
@@ -183,7 +183,7 @@
         assert lender.lender.lent == (0 if own_slot_comes else 1)
         assert bool(requester.borrower.asked) != own_slot_comes
 
-    run_with_hosts(helpers, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
+    run_with_agents(helpers, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
 
 
 def _draining(agent):
@@ -229,7 +229,7 @@
         assert "second" not in lender.backend.ran
         assert lender.lender.open_slots == 0
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("options", [({"lend": False}, {}), ({}, {"lend": False})])
@@ -242,7 +242,7 @@
         assert await second == Answered(200)
         assert lender.backend.ran == []
 
-    run_with_hosts(helpers, scenario, *options)
+    run_with_agents(helpers, scenario, *options)
 
 
 async def _grant_and_close(connection):
@@ -291,7 +291,7 @@
         assert await second == outcome
         assert requester.backend.ran.count("second") == runs
 
-    run_with_hosts(helpers, scenario, {}, {"serve": serve})
+    run_with_agents(helpers, scenario, {}, {"serve": serve})
 
 
 def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(helpers):
@@ -308,7 +308,7 @@
         assert again == Unknown(UnknownReason.OUTCOME_NOT_KEPT)
         assert requester.backend.ran == ["first"]
 
-    run_with_hosts(helpers, scenario, {}, {"serve": _take_request_and_close})
+    run_with_agents(helpers, scenario, {}, {"serve": _take_request_and_close})
 
 
 def test_cancelling_a_lent_request_ends_it_at_the_lender(helpers):
@@ -320,7 +320,7 @@
         await until(lambda: lender.free_slots == 1 and not lender.lender.open_slots)
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 ENDS_DURING_AN_ASK = {
@@ -356,7 +356,7 @@
         assert requester.backend.ran.count("second") + len(requests) <= 1
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(helpers, scenario, {}, {"serve": serve})
+    run_with_agents(helpers, scenario, {}, {"serve": serve})
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -383,7 +383,7 @@
             connection.abort()
         assert (lender.backend.ran, lender.lender.open_slots) == ([], 0)
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(helpers):
@@ -399,7 +399,7 @@
         assert await own == Answered(200)
         assert "own" in requester.backend.ran
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(helpers):
@@ -413,7 +413,7 @@
         assert isinstance(refused, NotRun)
         assert "third" not in requester.backend.ran + lender.backend.ran
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 class FakeLendingClient:
@@ -501,7 +501,7 @@
         opened[-1].abort()
         lending_client.close()
 
-    run_with_hosts(helpers, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 class FakeConnection:
