--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -21,7 +21,7 @@
     return dataclasses.replace(view, member=member)
 
 
-def watch_control_stream(caller):
+def record_control_stream(caller):
     """Return what comes on the agent's control stream, as it comes."""
     received, handle = {}, caller._handle
 
@@ -61,7 +61,7 @@
     view = helpers.make_view(helpers.member_entry(helpers.AGENT))
     endpoint = helpers.make_endpoint(certificate, view)
     caller = helpers.Caller(0.0)
-    received = watch_control_stream(caller)
+    received = record_control_stream(caller)
     network = helpers.Network(endpoint, caller, 5, loss)
     stream_id = caller.request("GET", "/stream")
     events = []
