--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -25,12 +25,12 @@
     """Return what comes on the agent's control stream, as it comes."""
     received, handle = {}, caller._handle
 
-    def note(event):
+    def record(event):
         if isinstance(event, StreamDataReceived) and event.stream_id & 3 == 3:
             received.setdefault(event.stream_id, bytearray()).extend(event.data)
         handle(event)
 
-    caller._handle = note
+    caller._handle = record
     return received
 
 
