--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -260,7 +260,7 @@
     await connection.send(encode(RelayNotRun(NotRunReason.BACKEND_UNREACHABLE, 100)))
 
 
-async def _take_request_and_babble(connection):
+async def _take_request_and_send_garbage(connection):
     await _take_request_and_close(connection)
     await connection.send(b"\xff")
 
@@ -272,7 +272,7 @@
     "closes after the grant, GET": (_grant_and_close, "GET", LOST, 0),
     "closes after the request, POST": (_take_request_and_close, "POST", LOST, 0),
     "closes after the request, GET": (_take_request_and_close, "GET", LOST, 0),
-    "sends nonsense, POST": (_take_request_and_babble, "POST", LOST, 0),
+    "sends nonsense, POST": (_take_request_and_send_garbage, "POST", LOST, 0),
     "refuses after the grant, POST": (_grant_and_refuse, "POST", Answered(200), 1),
     "closes without an answer, POST": (lambda c: c.receive(), "POST", Answered(200), 1),
 }
