--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -11,7 +11,7 @@
 
 
 @contextlib.contextmanager
-def standing_still():
+def unresponsive_process():
     """A port whose process reads nothing; the kernel takes connections for it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         yield Endpoint(*listener.getsockname())
@@ -24,7 +24,7 @@
     yield endpoint
 
 
-@pytest.mark.parametrize(("agent", "answers"), [(standing_still, True), (gone, False)])
+@pytest.mark.parametrize(("agent", "answers"), [(unresponsive_process, True), (gone, False)])
 def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
         return await RelayClient("asker", "zagreb").is_alive(endpoint)
