--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -18,13 +18,13 @@
 
 
 @contextlib.contextmanager
-def gone():
+def closed_port():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         endpoint = Endpoint(*listener.getsockname())
     yield endpoint
 
 
-@pytest.mark.parametrize(("agent", "answers"), [(unresponsive_process, True), (gone, False)])
+@pytest.mark.parametrize(("agent", "answers"), [(unresponsive_process, True), (closed_port, False)])
 def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
         return await RelayClient("asker", "zagreb").is_alive(endpoint)
