--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("revisions", [(4, 5, 6), (6, 5, 4), (5, 5, 5), (4, 6, 5)])
 @pytest.mark.parametrize("case", [None, *TAKES_NONE])
-def test_no_datagram_goes_round_in_circles(helpers, certificate, case, revisions):
+def test_no_datagram_loops(helpers, certificate, case, revisions):
     sender, *own = revisions
     members = _members(helpers, 2, **TAKES_NONE.get(case, {}))
     others = [members[0], msgspec.structs.replace(members[1], weight=0)]
