--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -23,7 +23,7 @@
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot
-from jasperwalk.agent.ticket_desk import TicketService
+from jasperwalk.agent.ticket_service import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
 MAX_RELAY_TARGETS = 2
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -21,7 +21,7 @@
 from jasperwalk.agent.packets import read_head
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request, ResponseSink, Unknown
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.ticket_desk import TicketService
+from jasperwalk.agent.ticket_service import TicketService
 from jasperwalk.agent.tickets import RunNow, Ticket, TicketStore
 from jasperwalk.balancer.routes import ServiceRoute
 from jasperwalk.consensus.durable import DurableState, PersistBatch
