--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -32,6 +32,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
+from jasperwalk.agent.lending_client import LendingClient
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.metrics import AgentCollector
 from jasperwalk.agent.peers import PeerSlots
@@ -40,7 +41,6 @@
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import LendingClient
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -10,6 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
+from jasperwalk.agent.lending_client import BorrowedSlot
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
@@ -22,7 +23,6 @@
 )
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import BorrowedSlot
 from jasperwalk.agent.ticket_service import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
