--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -6,7 +6,7 @@
 A flow of another agent comes here when a balancer's table calls that agent offline. Its
 packets are always passed on to it, so that nothing is lost if it lives. The caller gets a
 stateless reset only when this agent's own table, fresh from a quorum, says the same and the
-agent does not answer, or has been replaced: see `jasperwalk.agent.lost_hosts`. A host that
+agent does not answer, or has been replaced: see `jasperwalk.agent.lost_agents`. A host that
 merely drains, or whose back end is down, answers and keeps its flows.
 """
 
@@ -18,7 +18,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramDropped, DropReason
-from jasperwalk.agent.lost_hosts import LostAgents, ProbeState
+from jasperwalk.agent.lost_agents import LostAgents, ProbeState
 from jasperwalk.agent.outgoing import Outgoing, ProbeAgent, ToAgent, ToFabric
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
