--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -17,7 +17,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.connection import RoutableServerConnection
 from jasperwalk.agent.connection_id_factory import ConnectionIdFactory
-from jasperwalk.agent.datagram_guard import (
+from jasperwalk.agent.datagram_filter import (
     AdmittedDatagram,
     DatagramDropped,
     DatagramFilter,
--- a/src/jasperwalk/agent/lost_agents.py
+++ b/src/jasperwalk/agent/lost_agents.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagram_guard import AdmittedDatagram
+from jasperwalk.agent.datagram_filter import AdmittedDatagram
 
 ANSWER_HOLDS_SECONDS = 1.0
 """Time for which an answer spares the next question."""
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramDropped, DropReason
+from jasperwalk.agent.datagram_filter import AdmittedDatagram, DatagramDropped, DropReason
 from jasperwalk.agent.lost_agents import LostAgents, ProbeState
 from jasperwalk.agent.outgoing import Outgoing, ProbeAgent, ToAgent, ToFabric
 from jasperwalk.agent.rate_limit import RateLimit
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -16,7 +16,7 @@
 
 from jasperwalk.agent import dispatcher
 from jasperwalk.agent.answers import LocalAnswer, not_run_answer
-from jasperwalk.agent.datagram_guard import AdmittedDatagram, DatagramFilter
+from jasperwalk.agent.datagram_filter import AdmittedDatagram, DatagramFilter
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.packets import read_head
 from jasperwalk.agent.requests import NotRun, NotRunReason, Request, ResponseSink, Unknown
--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -5,7 +5,7 @@
 from aioquic.h3.connection import ErrorCode
 
 from jasperwalk.agent.assembly import MAX_BODY_BYTES, RequestAssembler, RequestReady
-from jasperwalk.agent.datagram_guard import DropReason
+from jasperwalk.agent.datagram_filter import DropReason
 from jasperwalk.agent.handover import ANSWER_SECONDS
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.config.table_entries import AdminState
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from jasperwalk.agent.datagram_guard import DropReason
+from jasperwalk.agent.datagram_filter import DropReason
 from jasperwalk.agent.handover import ANSWER_SECONDS
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import MAX_DIVERTED_SHARE, SlowStart
--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.agent.datagram_guard import DropReason
+from jasperwalk.agent.datagram_filter import DropReason
 from jasperwalk.config.table_entries import AdminState, KeyEntry, KeyPurpose
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.messages.datagram_seal import DatagramSeal
