--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -24,8 +24,8 @@
     DropReason,
 )
 from jasperwalk.agent.flow import Flow
+from jasperwalk.agent.flow_maintenance import FlowMaintenance
 from jasperwalk.agent.flow_table import FlowTable
-from jasperwalk.agent.flow_upkeep import FlowMaintenance
 from jasperwalk.agent.handover import (
     MAX_HOPS,
     Handover,
