--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -26,8 +26,8 @@
     NodeRole,
     RoutesUpdate,
 )
-from jasperwalk.fleet.metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import BalancerNodeSettings
 from jasperwalk.fleet.targets import TargetPool
@@ -116,7 +116,7 @@
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
 
-        metrics = ProcessMetrics(
+        process_metrics = ProcessMetrics(
             process="balancer",
             counters=self._counts,
             gauges={
@@ -136,7 +136,9 @@
                 "flow_search": self.core.search_latency,
             },
         )
-        self._metrics = metrics_server(settings.metrics_listen, settings.metrics_path, metrics)
+        self._metrics = metrics_server(
+            settings.metrics_listen, settings.metrics_path, process_metrics
+        )
 
     def _counts(self) -> dict[str, int]:
         pacing = {} if self._pacer is None else vars(self._pacer.counters)
--- a/tests/fleet/test_process_metrics.py
+++ b/tests/fleet/test_process_metrics.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from jasperwalk.fleet.metrics import ProcessMetrics, metrics_server
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
 from jasperwalk.observability.latency import LatencyHistogram
 
 
-def metrics():
+def process_metrics():
     latency = LatencyHistogram()
     for seconds in (0.0005, 0.02, 0.02, 99.0):
         latency.observe(seconds)
@@ -31,17 +31,17 @@
     ],
 )
 def test_figures_in_the_text_format(line):
-    assert line in metrics().render().decode().splitlines()
+    assert line in process_metrics().render().decode().splitlines()
 
 
 def test_no_address_means_no_server():
-    assert metrics_server("", "/metrics", metrics()) is None
+    assert metrics_server("", "/metrics", process_metrics()) is None
 
 
 @pytest.mark.parametrize(("path", "status"), [("/metrics", b"200"), ("/other", b"404")])
 def test_the_server_answers_its_path_alone(path, status):
     async def main():
-        server = metrics_server("127.0.0.1:0", "/metrics", metrics())
+        server = metrics_server("127.0.0.1:0", "/metrics", process_metrics())
         await server.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", server.endpoint.port)
         writer.write(b"GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" % path.encode())
