--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -108,7 +108,7 @@
 
     def answered(self, target, kind):
         if kind is FrameKind.RETURNED:
-            self.asked[target] = kind
+            self.queried[target] = kind
 
     monkeypatch.setattr(search.Search, "advance", spray)
     monkeypatch.setattr(search.Search, "note_answer", answered)
