--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import ReservedSlot, SlotRequest
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.config.table_entries import accepts_new_work
 
 
--- a/src/jasperwalk/agent/local_runner.py
+++ b/src/jasperwalk/agent/local_runner.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.requests import NotRun, NotRunReason, Outcome, Request, ResponseSink
+from jasperwalk.agent.slot_allocator import SlotAllocator
 
 
 class LocalRunner:
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -13,7 +13,6 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
@@ -41,6 +40,7 @@
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -8,7 +8,6 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
 from jasperwalk.agent.lending_client import BorrowedSlot
 from jasperwalk.agent.local_runner import LocalRunner
@@ -23,6 +22,7 @@
 )
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.ticket_service import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -5,8 +5,8 @@
 import pytest
 
 from jasperwalk.agent.admission import Admission, AdmissionLimits, Admitted, Queued, Refused
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.requests import NotRunReason
+from jasperwalk.agent.slot_allocator import SlotAllocator
 
 LIMITS = AdmissionLimits(slots=2, queue_length=2, queue_wait_ms=500)
 
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -10,7 +10,6 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import lending
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lender import SlotLender
@@ -36,6 +35,7 @@
     UnknownReason,
 )
 from jasperwalk.agent.runner import RequestRunner
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tickets import TICKET_PATH
 from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
