--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -17,7 +17,7 @@
 from jasperwalk.agent.admission import Admitted, Queued, Refused
 from jasperwalk.agent.lending import SlotRefusal, SlotRequest
 from jasperwalk.agent.lending_client import BorrowedSlot, LendingClient
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_allocator import SlotAllocator
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -11,7 +11,7 @@
 from jasperwalk.agent.admission import AdmissionLimits
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.distribution.follower_table import FollowerTable
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lending import ReservedSlot, SlotRequest
 from jasperwalk.agent.local_runner import LocalRunner
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_allocator import SlotAllocator
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -34,7 +34,7 @@
 from jasperwalk.agent.lending_client import LendingClient
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.config.table_entries import MemberEntry
 
 MAX_CONSECUTIVE_REQUESTS = 3
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -22,7 +22,7 @@
 )
 from jasperwalk.agent.lending_client import BorrowedSlot, IdleLinks, LendingClient, LendingLink
 from jasperwalk.agent.local_runner import LocalRunner
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
 from jasperwalk.agent.relay_server import serve_relay
--- a/tests/agent/test_peer_slots.py
+++ b/tests/agent/test_peer_slots.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.peers import (
+from jasperwalk.agent.peer_slots import (
     FULL_BACKOFF_SECONDS,
     KNOWLEDGE_TTL_SECONDS,
     UNREACHABLE_BACKOFF_SECONDS,
