--- a/src/jasperwalk/agent/flow.py
+++ b/src/jasperwalk/agent/flow.py
@@ -18,7 +18,7 @@
 class Flow:
     """One QUIC connection.
 
-    `vip` is the packed end point that answers come from. `wakes_at` is the earliest entry for
+    `vip` is the packed end point that answers come from. `next_timer_at` is the earliest entry for
     the flow in the end point's timer heap. Times are in seconds.
     """
 
@@ -31,7 +31,7 @@
     pinged_at: float = -math.inf
     handshake_complete: bool = False
     connection_ids: set[bytes] = field(default_factory=set)
-    wakes_at: float = math.inf
+    next_timer_at: float = math.inf
 
     def next_timer(self) -> float:
         """Return when `run_timers` next has something to do, inf for never."""
--- a/src/jasperwalk/agent/flow_table.py
+++ b/src/jasperwalk/agent/flow_table.py
@@ -90,7 +90,7 @@
             flow = self._flows.get(number)
             if flow is None:
                 continue
-            flow.wakes_at = math.inf
+            flow.next_timer_at = math.inf
             flow.run_timers(now)
             self._collect(flow)
             if flow.handshake_overdue(now):
@@ -118,8 +118,8 @@
         ]
         self._collect(flow)
         due = flow.next_timer()
-        if due < flow.wakes_at and flow.number in self._flows:
-            flow.wakes_at = due
+        if due < flow.next_timer_at and flow.number in self._flows:
+            flow.next_timer_at = due
             heapq.heappush(self._timers, (due, flow.number))
         return datagrams
 
