--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Partial:
+class _PartialRequest:
     method: str
     path: str
     authority: str
@@ -77,7 +77,7 @@
         """Take the prefix of request IDs, unique to this start of the agent."""
         self._name = name
         self._count = 0
-        self._partial: dict[StreamReference, _Partial] = {}
+        self._partial: dict[StreamReference, _PartialRequest] = {}
         self._buffered = 0
 
     def handle(self, event: RequestEvent, default_deadline_ms: int) -> list[Assembled]:
@@ -155,7 +155,7 @@
     return int(value[:MAX_LENGTH_DIGITS]) if value.isascii() and value.isdigit() else 0
 
 
-def _parse(headers: HeaderList) -> _Partial | None:
+def _parse(headers: HeaderList) -> _PartialRequest | None:
     pseudo: dict[str, str] = {}
     fields: HeaderFields = []
     cookies: list[str] = []
@@ -179,4 +179,4 @@
     )
     if not well_formed or method == "CONNECT":
         return None
-    return _Partial(method, path, authority, fields)
+    return _PartialRequest(method, path, authority, fields)
