--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -138,7 +138,7 @@
                 admin=str(admin.endpoint),
                 links=describe_links(self._tls),
             )
-            await self._until_stopped(dispatcher, follower, graceful_close)
+            await self._wait_until_stopped(dispatcher, follower, graceful_close)
 
     def stop(self) -> None:
         """Stop as on a signal: end the requests in progress first."""
@@ -224,7 +224,7 @@
             self._certificate.run(self.endpoint),
         )
 
-    async def _until_stopped(
+    async def _wait_until_stopped(
         self, dispatcher: Dispatcher, follower: FollowerRunner, graceful_close: GracefulClose
     ) -> None:
         signalled = stop_event()
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -115,12 +115,14 @@
         )
         replica_runs = asyncio.create_task(self._run_replicas())
         try:
-            await self._until_stopped(stop, replica_runs)
+            await self._wait_until_stopped(stop, replica_runs)
         finally:
             replica_runs.cancel()
             await asyncio.gather(replica_runs, return_exceptions=True)
 
-    async def _until_stopped(self, stop: asyncio.Event, replica_runs: asyncio.Task[None]) -> None:
+    async def _wait_until_stopped(
+        self, stop: asyncio.Event, replica_runs: asyncio.Task[None]
+    ) -> None:
         stopped = asyncio.create_task(stop.wait())
         try:
             await asyncio.wait((replica_runs, stopped), return_when=asyncio.FIRST_COMPLETED)
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -240,7 +240,7 @@
             await asyncio.sleep(1.0)
             asked_at = world.now
             host.stop()
-            await self._until_stopped(host)
+            await self._wait_until_stopped(host)
             ended_at = max(host.stopped_at, asked_at)
             span = Interval(ended_at, world.now + action.seconds + RECOVERY_SECONDS)
             world.record.planned_ends[host.name].append(span)
@@ -261,7 +261,7 @@
         world.record.trace(world.now, f"serving {action.host} {action.service}")
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
 
-    async def _until_stopped(self, host: AgentHost) -> None:
+    async def _wait_until_stopped(self, host: AgentHost) -> None:
         until = self._world.now + LONGEST_DRAIN_SECONDS
         while host.process is not None and self._world.now < until:
             await asyncio.sleep(0.1)
