--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -98,13 +98,13 @@
     steps, expected = USES[case]
     store = TicketStore()
     ticket = _ticket(helpers)
-    verdicts = []
+    decisions = []
     for action, *arguments in steps:
         if action == "use":
-            verdicts.append(type(store.use(ticket, *arguments)).__name__)
+            decisions.append(type(store.use(ticket, *arguments)).__name__)
         else:
             getattr(store, action)(ticket, *arguments)
-    assert verdicts == expected
+    assert decisions == expected
 
 
 def test_a_full_store_refuses_and_forgets_nothing(helpers):
