--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -387,8 +387,8 @@
         fleet.backends[0].release.set()
         await fleet.fabric.until(lambda: stream.ended)
         assert stream.body == b"first,last"
-        newcomer = await ask(fleet.caller(), "GET", "/lookup")
-        assert newcomer.headers["jasperwalk-host"] == "two"
+        new_flow = await ask(fleet.caller(), "GET", "/lookup")
+        assert new_flow.headers["jasperwalk-host"] == "two"
         assert [agent.endpoint.open_flows for agent in fleet.agents] == [1, 1]
 
     run_with_fleet(helpers, certificate, scenario)
