--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -31,7 +31,7 @@
     assert 2 <= sum(budget.spend() for _ in range(100)) <= 3
 
 
-class FakeParts:
+class FakeDependencies:
     """Borrower, back end and relay in one: every request fails here with `outcome`."""
 
     def __init__(self, outcome, elsewhere):
@@ -67,7 +67,7 @@
     )
 
     async def main():
-        parts, clock = FakeParts(outcome, elsewhere), asyncio.get_running_loop().time
+        parts, clock = FakeDependencies(outcome, elsewhere), asyncio.get_running_loop().time
         runner = RequestRunner(
             parts, None, parts, parts, lambda: view, clock, random.Random(REQUESTS)
         )
