--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -20,7 +20,7 @@
     return named
 
 
-def _play(steps):
+def _run_steps(steps):
     admission = Admission(LIMITS)
     decided = []
     for now, action, *arguments in steps:
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_decisions(case):
     steps, expected = CASES[case]
-    admission, decided = _play(steps)
+    admission, decided = _run_steps(steps)
     assert decided == expected
     assert admission.waiting <= LIMITS.queue_length
 
