--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -83,7 +83,7 @@
                 assert result.candidates == candidates
 
 
-TAKES_NONE = {
+TAKES_NO_NEW_WORK = {
     "weight 0": {"weight": 0},
     "draining": {"admin_state": AdminState.DRAINING},
     "offline": {"operating_status": OperatingStatus.OFFLINE},
@@ -91,11 +91,11 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-@pytest.mark.parametrize("case", TAKES_NONE)
+@pytest.mark.parametrize("case", TAKES_NO_NEW_WORK)
 def test_a_member_that_takes_no_new_work_takes_no_flow_of_a_stale_balancer(
     helpers, certificate, case, fresh
 ):
-    members = _members(helpers, 3, **TAKES_NONE[case])
+    members = _members(helpers, 3, **TAKES_NO_NEW_WORK[case])
     endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
     named = (members[0].address, members[1].address)
     targets = {
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("case", TRUSTED)
 def test_whose_table_counts(helpers, certificate, case):
     changes, ports, revision, fresh, hops, expected = TRUSTED[case]
-    members = _members(helpers, 2, **TAKES_NONE.get(changes, {}))
+    members = _members(helpers, 2, **TAKES_NO_NEW_WORK.get(changes, {}))
     endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
     named = tuple(helpers.Endpoint("127.0.0.1", port) for port in ports)
     target, result = _open(
@@ -161,10 +161,10 @@
 
 
 @pytest.mark.parametrize("revisions", [(4, 5, 6), (6, 5, 4), (5, 5, 5), (4, 6, 5)])
-@pytest.mark.parametrize("case", [None, *TAKES_NONE])
+@pytest.mark.parametrize("case", [None, *TAKES_NO_NEW_WORK])
 def test_no_datagram_loops(helpers, certificate, case, revisions):
     sender, *own = revisions
-    members = _members(helpers, 2, **TAKES_NONE.get(case, {}))
+    members = _members(helpers, 2, **TAKES_NO_NEW_WORK.get(case, {}))
     others = [members[0], msgspec.structs.replace(members[1], weight=0)]
     endpoints = {}
     for number, pool in enumerate((members, others)):
