--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -49,11 +49,11 @@
         return self.elsewhere
 
 
-MOST_RETRIES = MAX_TOKENS + REQUESTS * RETRIES_PER_REQUEST
+MAX_RETRIES = MAX_TOKENS + REQUESTS * RETRIES_PER_REQUEST
 CASES = {
     # outcome here, outcome elsewhere, least and most retries
-    "did not run, and not elsewhere": (UNREACHABLE, UNREACHABLE, 1, MOST_RETRIES),
-    "did not run, elsewhere it did": (UNREACHABLE, Answered(200), 1, MOST_RETRIES),
+    "did not run, and not elsewhere": (UNREACHABLE, UNREACHABLE, 1, MAX_RETRIES),
+    "did not run, elsewhere it did": (UNREACHABLE, Answered(200), 1, MAX_RETRIES),
     "deadline too short: not retried": (NotRun(NotRunReason.DEADLINE_TOO_SHORT), UNREACHABLE, 0, 0),
     "may have run: not retried": (Unknown(UnknownReason.BACKEND_FAILED), UNREACHABLE, 0, 0),
 }
