--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -221,7 +221,7 @@
     assert network.run(lambda: caller.responses[0].ended)
 
 
-def test_an_initial_that_nobody_follows_up_on_is_forgotten(helpers, certificate):
+def test_a_handshake_that_is_not_completed_times_out(helpers, certificate):
     endpoint = helpers.make_endpoint(
         certificate, helpers.make_view(helpers.member_entry(helpers.AGENT))
     )
