--- a/tests/agent/test_key_renewal.py
+++ b/tests/agent/test_key_renewal.py
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("rotated", PURPOSES.values(), ids=PURPOSES)
 @pytest.mark.parametrize(("seed", "loss"), [(1, 0.0), (2, 0.0), (3, 0.1), (4, 0.2)])
-def test_a_flow_lives_on_and_lets_go_of_the_old_keys(helpers, certificate, rotated, seed, loss):
+def test_a_flow_moves_to_the_new_keys_and_stays_open(helpers, certificate, rotated, seed, loss):
     endpoint, caller, network, view = connected(helpers, certificate, seed, loss)
     set_keys(endpoint, view, keys_of(helpers, rotated))
     assert endpoint.oldest_keys() == OldestKeys(1, 1)
