--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -454,7 +454,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_slow_caller_holds_the_back_end_back(helpers, certificate):
+def test_a_slow_caller_limits_what_is_read_from_the_backend(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
