--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -412,7 +412,9 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_with_every_host_draining_requests_are_refused_and_do_not_circle(helpers, certificate):
+def test_with_every_host_draining_requests_are_refused_and_not_relayed_in_a_loop(
+    helpers, certificate
+):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
