--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("case", FAILING_LENDERS)
-def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(helpers, case):
+def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_requester(helpers, case):
     serve, method, outcome, runs = FAILING_LENDERS[case]
 
     async def scenario(requester, _):
