--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("state", list(AdminState))
 @pytest.mark.parametrize(("send", "reason"), SENDERS.values(), ids=SENDERS)
-def test_an_intruders_new_flow_is_dropped(helpers, certificate, send, reason, state):
+def test_a_forged_new_flow_is_dropped(helpers, certificate, send, reason, state):
     endpoint = agent(helpers, certificate, KEY, admin_state=state)
     endpoint.datagram_received(send(initial(helpers)), 0.0)
     endpoint.flush(0.0)
