--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -73,7 +73,7 @@
     assert endpoint.open_flows == 1
 
 
-def test_a_flow_that_is_handed_over_is_sealed_anew(helpers, certificate):
+def test_a_flow_that_is_handed_over_is_sealed_again(helpers, certificate):
     draining = agent(helpers, certificate, KEY, admin_state=AdminState.DRAINING)
     draining.datagram_received(DatagramSeal([KEY]).seal(initial(helpers)), 0.0)
     (handed,) = draining.take_outgoing()
