--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -83,7 +83,7 @@
     assert caller.terminated is None
 
 
-def test_flows_are_told_in_bounded_turns_and_not_after_the_drain_ended(helpers, monkeypatch):
+def test_flows_get_go_away_in_bounded_turns_and_not_after_the_drain_ended(helpers, monkeypatch):
     monkeypatch.setattr(go_away, "FLOWS_PER_TURN", 2)
     view = helpers.make_view(helpers.member_entry(helpers.AGENT))
     go_aways = PendingGoAways()
