--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -307,7 +307,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_late_answer_reaches_nobody(helpers, certificate):
+def test_a_late_answer_reaches_no_caller(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         late = await ask(caller, "GET", "/wait", jasperwalk_deadline_ms="150")
