--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -211,7 +211,7 @@
             return
         command = encode_command(OrderZone(order.zone, order.drained))
         proposed = replica.node.propose(command, self.now)
-        replica.pump()
+        replica.process_ready()
         if isinstance(proposed, Proposed):
             self.await_commit(replica_id, proposed, attempt)
 
@@ -247,7 +247,7 @@
         if leader is not None:
             command = PutConfiguration(version, b"text", ROUTES)
             leader.node.propose(encode_command(command), self.now)
-            leader.pump()
+            leader.process_ready()
         self.schedule(self.random.uniform(0.5, 2.0), lambda: self.configure(version + 1))
 
     # What is checked
