--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -462,7 +462,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(helpers):
+def test_a_connection_is_reused_only_after_a_refusal_or_a_complete_answer(helpers):
     opened = []
 
     async def scenario(requester, lender):
