--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whole_answers_over_a_lossy_reordering_network(helpers, certificate, seed):
+def test_answers_are_complete_over_a_lossy_reordering_network(helpers, certificate, seed):
     view = helpers.make_view(helpers.member_entry(helpers.AGENT))
     endpoint = helpers.make_endpoint(certificate, view, seed)
     caller = helpers.Caller(0.0)
