--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -58,10 +58,10 @@
     """One played race; `violations` has what was lost or undone."""
 
     def __init__(self, seed):
-        self.world = SimulatedCluster(seed, 3)
+        self.cluster = SimulatedCluster(seed, 3)
         self.random = Random(f"operators {seed}")
         self.queue, self.number = [], 0
-        self.nodes = {each: Node(StaleOrderGuard(REPEAT_SECONDS)) for each in self.world.replicas}
+        self.nodes = {each: Node(StaleOrderGuard(REPEAT_SECONDS)) for each in self.cluster.replicas}
         self.violations = []
         self.acknowledged = dict.fromkeys(ZONES)
         """Each zone's newest acknowledged order, None while a newer one is under way."""
@@ -69,14 +69,14 @@
 
     @property
     def now(self):
-        return self.world.now
+        return self.cluster.now
 
     def schedule(self, delay, action):
         self.number += 1
         heapq.heappush(self.queue, (self.now + delay, self.number, action))
 
     def play(self):
-        self.world.await_leader()
+        self.cluster.await_leader()
         for zone in ZONES:
             self.schedule(
                 self.random.uniform(0, 2), lambda one=zone: self.start_order(one, True, 0)
@@ -87,16 +87,16 @@
         end = self.now + RACE_SECONDS
         while self.now < end:
             self.step()
-        self.world.cuts.clear()
-        for replica in self.world.replicas.values():
+        self.cluster.cuts.clear()
+        for replica in self.cluster.replicas.values():
             if replica.node is None:
                 replica.start()
-        self.world.run(8.0)
+        self.cluster.run(8.0)
         self.check_end()
         return self
 
     def step(self):
-        self.world.step()
+        self.cluster.step()
         for replica_id, node in self.nodes.items():
             self.follow(replica_id, node)
         while self.queue and self.queue[0][0] <= self.now:
@@ -104,7 +104,7 @@
 
     def follow(self, replica_id, node):
         """Apply what is committed, and note the beginning of a term."""
-        replica = self.world.replicas[replica_id]
+        replica = self.cluster.replicas[replica_id]
         if len(replica.applied) < node.applied or replica.node is None:
             node.state, node.applied, node.guard = (
                 VersionedState(),
@@ -120,16 +120,16 @@
 
     def inject_fault(self):
         """Kill, or cut off, a replica for a while: mostly the one that leads."""
-        leader = self.world.leader()
-        ids = sorted(self.world.replicas)
+        leader = self.cluster.leader()
+        ids = sorted(self.cluster.replicas)
         is_leader_hit = leader is not None and self.random.random() < 0.7
         hit = leader.disk.replica_id if is_leader_hit else self.random.choice(ids)
         if self.random.random() < 0.5:
-            self.world.kill(hit)
-            self.schedule(self.random.uniform(0.2, 4.0), self.world.replicas[hit].start)
+            self.cluster.kill(hit)
+            self.schedule(self.random.uniform(0.2, 4.0), self.cluster.replicas[hit].start)
         else:
-            self.world.cut({hit})
-            self.schedule(self.random.uniform(0.2, 4.0), self.world.cuts.clear)
+            self.cluster.cut({hit})
+            self.schedule(self.random.uniform(0.2, 4.0), self.cluster.cuts.clear)
 
     # Operators
 
@@ -183,7 +183,7 @@
         self.schedule(delay, arrive)
 
     def leader_known_to(self, replica_id):
-        node = self.world.replicas[replica_id].node
+        node = self.cluster.replicas[replica_id].node
         if node is None:
             return None
         return replica_id if node.is_leader else node.leader_id
@@ -204,7 +204,7 @@
     def admit(self, replica_id, order, attempt, waits):
         if not self.leads(replica_id):
             return
-        node, replica = self.nodes[replica_id], self.world.replicas[replica_id]
+        node, replica = self.nodes[replica_id], self.cluster.replicas[replica_id]
         order = self.held(node, order)
         refusal = node.guard.admit(order, self.leadership(replica_id), waits(), self.now)
         if refusal is not None:
@@ -216,8 +216,8 @@
             self.await_commit(replica_id, proposed, attempt)
 
     def await_commit(self, replica_id, proposed, attempt):
-        entry = self.world.committed.get(proposed.index)
-        replica = self.world.replicas[replica_id]
+        entry = self.cluster.committed.get(proposed.index)
+        replica = self.cluster.replicas[replica_id]
         if entry is None or replica.applied_index < proposed.index:
             if replica.node is not None and self.now < attempt.closes_at:
                 self.schedule(
@@ -228,11 +228,11 @@
             attempt.acknowledged = True
 
     def leads(self, replica_id):
-        node = self.world.replicas[replica_id].node
+        node = self.cluster.replicas[replica_id].node
         return node is not None and node.is_leader
 
     def leadership(self, replica_id):
-        replica, node = self.world.replicas[replica_id], self.nodes[replica_id]
+        replica, node = self.cluster.replicas[replica_id], self.nodes[replica_id]
         term = replica.node.term
         since = node.leads_since if node.term == term else self.now
         return Leadership(term, is_settled(replica), since)
@@ -243,7 +243,7 @@
 
     def configure(self, version):
         """Another operator sends configurations meanwhile."""
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         if leader is not None:
             command = PutConfiguration(version, b"text", ROUTES)
             leader.node.propose(encode_command(command), self.now)
@@ -259,14 +259,14 @@
 
     def check(self, zone, drained):
         """While no newer order is under way, a settled leader holds the acknowledged one."""
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         is_last = self.acknowledged[zone] is not None and self.acknowledged[zone] == drained
         if leader is None or not is_last or not is_settled(leader):
             return
         self.compare(zone, drained, self.nodes[leader.disk.replica_id].state)
 
     def check_end(self):
-        leader = self.world.await_leader()
+        leader = self.cluster.await_leader()
         node = self.nodes[leader.disk.replica_id]
         self.follow(leader.disk.replica_id, node)
         for zone, drained in self.acknowledged.items():
