--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -120,7 +120,7 @@
     assert len(store) == 2
 
 
-def test_an_answer_is_kept_whole_or_not_at_all():
+def test_an_answer_is_kept_complete_or_not_at_all():
     answer = StoredAnswer(200, [])
     answer.append(b"x" * MAX_ANSWER_BYTES)
     assert not answer.truncated
