--- a/tests/agent/test_peer_slots.py
+++ b/tests/agent/test_peer_slots.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("case", LEARNED)
-def test_a_member_that_had_nothing_is_left_alone_for_a_while(helpers, case):
+def test_a_member_without_a_slot_is_not_asked_again_for_a_while(helpers, case):
     learn, seconds = LEARNED[case]
     (member,) = _members(helpers, 1)
     peers = PeerSlots(random.Random(SEED))
