--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -271,7 +271,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_large_answers_of_many_streams_are_whole(helpers, certificate):
+def test_large_answers_of_many_streams_are_complete(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         responses = await asyncio.gather(*(ask(caller, "GET", "/download") for _ in range(4)))
