--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -374,7 +374,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_host_ends_its_streams_and_gets_no_new_work(helpers, certificate):
+def test_a_draining_host_completes_its_streams_and_gets_no_new_work(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
