--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -394,7 +394,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_member_taken_out_of_its_pool_ends_its_streams(helpers, certificate):
+def test_a_member_removed_from_its_pool_completes_its_streams(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
