--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(("count", "others"), [(2, 1), (5, 2)])
-def test_an_agent_that_takes_none_tries_the_other_candidate_when_the_first_is_silent(
+def test_a_draining_agent_tries_the_other_candidate_when_the_first_is_silent(
     helpers, certificate, count, others
 ):
     members = _members(helpers, count, admin_state=AdminState.DRAINING)
