--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("case", TRUSTED)
-def test_whose_table_counts(helpers, certificate, case):
+def test_which_table_is_followed(helpers, certificate, case):
     changes, ports, revision, fresh, hops, expected = TRUSTED[case]
     members = _members(helpers, 2, **TAKES_NO_NEW_WORK.get(changes, {}))
     endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
