--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -189,7 +189,7 @@
     assert sum(endpoint.open_flows for endpoint in endpoints.values()) == 20
 
 
-def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(helpers, certificate):
+def test_slow_start_diverts_a_falling_share_and_never_refuses(helpers, certificate):
     members = _members(helpers, 3)
     endpoint = _endpoint(helpers, certificate, members, slow_start_ms=10_000)
     endpoint.slow_start.start(100.0)
