--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -75,7 +75,7 @@
         """Return how many uploads load the link, and how many wait."""
         return len(self._loading_until), len(self._waiting)
 
-    def admit_or_queue(
+    def take(
         self, key: bytes, packet: bytes, route: RouteEntry, arrived_at: float, now: float
     ) -> bool:
         """Take a new upload; True if it may be opened now, False if it waits here."""
