--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -103,7 +103,7 @@
 
 def test_another_host_in_its_place_is_not_judged_by_it():
     harness = failing_host_harness()
-    harness.agent.host_changed(1.05)
+    harness.agent.on_host_replaced(1.05)
     assert harness.open(1.1, caller(50)).kind is FrameKind.ACCEPTED
 
 
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -141,7 +141,7 @@
 
 def test_another_host_is_judged_anew():
     harness = slow_host_harness()
-    harness.agent.host_changed(harness.now)
+    harness.agent.on_host_replaced(harness.now)
     assert harness.ask(URGENT).kind is FrameKind.ACCEPTED
 
 
--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -168,7 +168,7 @@
         news = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
         self.state.announce(news, self.world.now)
         if before not in ("", self.state.host_id):
-            self.agent.host_changed(self.world.now)
+            self.agent.on_host_replaced(self.world.now)
         if host.phase is HostPhase.DRAINING and self.acknowledged_drain_at is None:
             self.acknowledged_drain_at = self.world.now
         self.world.tell(self)
