--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -45,20 +45,20 @@
     return MICROSECONDS * min(times) / COUNT
 
 
-def _requests(pace: HostServiceTimes | None = None) -> None:
+def _requests(service_times: HostServiceTimes | None = None) -> None:
     """Take requests and their answers."""
-    pace = pace or HostServiceTimes()
+    service_times = service_times or HostServiceTimes()
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
-        pace.record_request(number, LISTENER, SLOTS, now)
-        pace.record_answer(number, SLOTS, now + WORK_SECONDS)
+        service_times.record_request(number, LISTENER, SLOTS, now)
+        service_times.record_answer(number, SLOTS, now + WORK_SECONDS)
 
 
 def _judgement_time() -> float:
     """Time a judgement that is worked out anew; an agent does so each `SLOWDOWN_CACHE_SECONDS`."""
-    pace = HostServiceTimes()
-    _requests(pace)
-    slow_host = SlowHost(pace)
+    service_times = HostServiceTimes()
+    _requests(service_times)
+    slow_host = SlowHost(service_times)
     start = BETWEEN_SECONDS * COUNT
 
     def judge() -> None:
--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -175,7 +175,7 @@
     def _send(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         codec = self.parts.codec
         if codec.payload_bytes(packet) and flow.record_data_number(codec.data_number(packet)):
-            self.parts.pace.record_request(flow, packet, now)
+            self.parts.service_times.record_request(flow, packet, now)
             self.parts.table.record_request(flow, now)
         if codec.is_ending(packet) or codec.is_reset(packet):
             flow.caller_ended = True
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -43,7 +43,11 @@
             and self.waiting.try_enqueue(key, packet, terms, now)
         ):
             parts.answers.reply(
-                FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+                FrameKind.ACCEPTED,
+                parts.service_times.encoded_service_time(key, now),
+                key,
+                sender,
+                now,
             )
             return
         if reason is not None:
@@ -54,7 +58,7 @@
             self._admit(key, sender, now)
             parts.record_started(terms.route or DEFAULT_TERMS, now)
         parts.answers.reply(
-            FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+            FrameKind.ACCEPTED, parts.service_times.encoded_service_time(key, now), key, sender, now
         )
         parts.warm_up.record_opening(now)
         parts.to_host(packet)
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -84,10 +84,12 @@
         self._tag = service_tag(self.service)
         self.answers = BalancerAnswers(self._tag, self.host, self._load, self.to_balancer)
         self.meter = LoadMeter(self.started_at)
-        self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
-        self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.record_end)
+        self.service_times = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
+        self.table = HeldFlows(
+            self.meter, self.flow_lifetime_seconds, self.service_times.record_end
+        )
         self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
-        self.monitor = HostMonitor(self.host, self.log, self.pace)
+        self.monitor = HostMonitor(self.host, self.log, self.service_times)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
             self.host,
@@ -95,7 +97,7 @@
             self.monitor.requests,
             self.warm_up,
             self.zone,
-            self.pace,
+            self.service_times,
         )
         self.knowledge = FlowKnowledge(
             self.host, self.warm_up, self.started_at, self.flow_lifetime_seconds
@@ -112,7 +114,7 @@
             table=self.table,
             queue=self.queue,
             monitor=self.monitor,
-            pace=self.pace,
+            service_times=self.service_times,
             warm_up=self.warm_up,
             admission=self.admission,
             counters=self.counters,
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -41,7 +41,7 @@
     requests: RequestOutcomes
     warm_up: WarmUpLimit
     own_zone: str
-    pace: ServiceTimeMonitor
+    service_times: ServiceTimeMonitor
     _drained: DrainedZones = field(default=NO_ZONES)
 
     def update_zones(self, zones: DrainedZones) -> bool:
@@ -82,7 +82,7 @@
         # A flow that may wait has found no other host: a failing one is better than none.
         if not terms.waits and self.requests.refuses(terms.repeatable, now):
             return RefusalReason.FAILING
-        reason = self.pace.refusal(flow_key, busy, terms, now)
+        reason = self.service_times.refusal(flow_key, busy, terms, now)
         if reason is not None:
             return reason
         if busy >= max_requests(host.capacity):
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -10,15 +10,17 @@
 
 
 class HostMonitor:
-    """Passes on what the host does, to `response`, `requests` and `pace`; sans-IO.
+    """Passes on what the host does, to `response`, `requests` and `service_times`; sans-IO.
 
     Times are seconds.
     """
 
-    def __init__(self, host: HostState, log: DecisionLog, pace: ServiceTimeMonitor) -> None:
+    def __init__(
+        self, host: HostState, log: DecisionLog, service_times: ServiceTimeMonitor
+    ) -> None:
         self._host = host
         self._log = log
-        self.pace = pace
+        self.service_times = service_times
         self.response = HostResponse()
         self.requests = RequestOutcomes()
 
@@ -26,7 +28,7 @@
         """Note that the host gets an opening packet."""
         self.response.record_opening(now)
         self.requests.record_admission(now)
-        self.pace.record_admission(now)
+        self.service_times.record_admission(now)
 
     def record_answer(self, now: float) -> None:
         """Note that the host began to answer a request."""
@@ -64,11 +66,11 @@
         """Note that another host has taken the place of this one."""
         self.response.record_taken()
         self.requests.reset()
-        self.pace.on_host_replaced()
+        self.service_times.on_host_replaced()
 
     def check(self, now: float) -> None:
         """Log that the host no longer answers, or does again; call every second."""
-        self.pace.check(now)
+        self.service_times.check(now)
         if self.response.has_silence_changed(now):
             event = "host-silent" if self.response.is_silent(now) else "host-answers-again"
             self._log.note(event, **self._host.describe(now))
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -66,7 +66,7 @@
             parts.host_latency.observe(now - flow.requested_at)
             parts.monitor.record_answer(now)
             parts.table.record_answer(flow, now)
-            parts.pace.record_answer(flow, now)
+            parts.service_times.record_answer(flow, now)
         parts.table.set_busy(flow, False, now)
 
     def _record_reset(self, key: bytes, flow: HeldFlow, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -41,7 +41,7 @@
     table: HeldFlows
     queue: RequestScheduler
     monitor: HostMonitor
-    pace: ServiceTimeMonitor
+    service_times: ServiceTimeMonitor
     warm_up: WarmUpLimit
     admission: HostAdmission
     counters: AgentCounters
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -25,17 +25,17 @@
     host: HostState
     log: DecisionLog
     is_enabled: bool = True
-    pace: HostServiceTimes = field(default_factory=HostServiceTimes)
+    service_times: HostServiceTimes = field(default_factory=HostServiceTimes)
 
     def __post_init__(self) -> None:
         """Prepare the judgement."""
-        self.slow_host = SlowHost(self.pace)
+        self.slow_host = SlowHost(self.service_times)
 
     def record_request(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         """Note that a packet with a request, or with a further part of it, goes to the host."""
         if self.is_enabled:
             listener = self.codec.listener_of(self.codec.flow_key(packet))
-            self.pace.record_request(flow, listener, self.host.capacity, now)
+            self.service_times.record_request(flow, listener, self.host.capacity, now)
 
     def record_answer(self, flow: HeldFlow, now: float) -> None:
         """Note that the host began to answer a request.
@@ -45,15 +45,15 @@
         if not self.is_enabled:
             return
         if now < self.host.slow_until:
-            self.pace.record_end(flow, self.host.capacity, now)
+            self.service_times.record_end(flow, self.host.capacity, now)
             return
-        self.pace.record_answer(flow, self.host.capacity, now)
+        self.service_times.record_answer(flow, self.host.capacity, now)
         self.check(now)
 
     def record_end(self, flow: HeldFlow, now: float) -> None:
         """Note that a flow has no request under way any more."""
         if self.is_enabled:
-            self.pace.record_end(flow, self.host.capacity, now)
+            self.service_times.record_end(flow, self.host.capacity, now)
 
     def record_admission(self, now: float) -> None:
         """Note that the host gets a new flow."""
@@ -61,7 +61,7 @@
 
     def on_host_replaced(self) -> None:
         """Note that another host has taken the place of this one."""
-        self.pace.reset()
+        self.service_times.reset()
         self.slow_host.reset()
 
     def check(self, now: float) -> None:
@@ -71,15 +71,15 @@
         self.log.note(
             "host-slow" if self.slow_host.is_slow() else "host-usual-again",
             pace_ms=self.pace_ms(),
-            usual_ms=round(1000 * (self.pace.baseline_seconds() or 0.0), 1),
-            samples=self.pace.observations(),
+            usual_ms=round(1000 * (self.service_times.baseline_seconds() or 0.0), 1),
+            samples=self.service_times.observations(),
             newest_ms=self._newest_age_ms(now),
             **self.host.describe(now),
         )
 
     def _newest_age_ms(self, now: float) -> int:
         """Return the age of the newest measured request, -1 where there is none."""
-        age_seconds = self.pace.newest_age_seconds(now)
+        age_seconds = self.service_times.newest_age_seconds(now)
         return -1 if age_seconds is None else round(1000 * age_seconds)
 
     def pace_ms(self) -> float:
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -36,8 +36,8 @@
 class SlowHost:
     """Judges one host by its pace and decides about its new flows."""
 
-    def __init__(self, pace: HostServiceTimes) -> None:
-        self._pace = pace
+    def __init__(self, service_times: HostServiceTimes) -> None:
+        self._pace = service_times
         self._is_slow = False
         self._slowdown = 1.0
         """The last that was known, and when."""
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -31,7 +31,7 @@
 
     def __init__(self, measures_pace=True):
         super().__init__()
-        self.agent.pace.is_enabled = measures_pace
+        self.agent.service_times.is_enabled = measures_pace
         self.now, self.number = 1.0, 0
 
     def ask(self, route=None, waits=False):
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -31,9 +31,9 @@
 
     def __init__(self, slots=2, kinds=(("kind", WORK_SECONDS),), long_share=0.0, seed=5):
         self.random = random.Random(seed)
-        self.pace, self.slots = HostServiceTimes(), slots
+        self.service_times, self.slots = HostServiceTimes(), slots
         self.kinds, self.long_share = kinds, long_share
-        self.slow_host = SlowHost(self.pace)
+        self.slow_host = SlowHost(self.service_times)
         self.now, self.factor = 0.0, 1.0
         self.ends, self.number = [], 0
         self.seen_slow = []
@@ -43,7 +43,7 @@
         if self.random.random() < self.long_share:
             service_seconds *= LONG_FACTOR
         self.number += 1
-        self.pace.record_request(self.number, kind, self.slots, self.now)
+        self.service_times.record_request(self.number, kind, self.slots, self.now)
         end = self.now + service_seconds * self.factor * self.random.uniform(0.8, 1.2)
         self.ends.append((end, self.number))
 
@@ -55,7 +55,7 @@
             self.now = min(next_end[0], self.now + 0.02, until)
             if self.now == next_end[0]:
                 self.ends.remove(next_end)
-                self.pace.record_answer(next_end[1], self.slots, self.now)
+                self.service_times.record_answer(next_end[1], self.slots, self.now)
             self.slow_host.evaluate(self.now)
             self.seen_slow.append((self.now, self.slow_host.is_slow()))
         return self
@@ -64,9 +64,9 @@
         return sum(is_slow for _, is_slow in self.seen_slow) / len(self.seen_slow)
 
 
-def one(pace, name, start, end, kind="kind", slots=1):
-    pace.record_request(name, kind, slots, start)
-    pace.record_answer(name, slots, end)
+def one(service_times, name, start, end, kind="kind", slots=1):
+    service_times.record_request(name, kind, slots, start)
+    service_times.record_answer(name, slots, end)
 
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
@@ -88,7 +88,7 @@
 def test_a_slow_host_is_seen_before_it_has_answered():
     play = Play(4).run(5.0)
     for number in range(4):
-        play.pace.record_request(f"late {number}", "kind", 8, play.now)
+        play.service_times.record_request(f"late {number}", "kind", 8, play.now)
     now = play.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
     assert play.slow_host.evaluate(now)
     assert play.slow_host.is_slow()
@@ -122,24 +122,24 @@
 
 
 def test_a_queue_does_not_make_a_host_slow():
-    pace = HostServiceTimes()
+    service_times = HostServiceTimes()
     for number in range(20):
-        one(pace, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
+        one(service_times, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
     for number in range(8):
-        pace.record_request(f"burst {number}", "kind", 1, 2.0)
+        service_times.record_request(f"burst {number}", "kind", 1, 2.0)
     for number in range(8):
-        pace.record_answer(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
-    assert pace.slowdown(2.4) == pytest.approx(1.0, abs=0.1)
+        service_times.record_answer(f"burst {number}", 1, 2.0 + WORK_SECONDS * (number + 1))
+    assert service_times.slowdown(2.4) == pytest.approx(1.0, abs=0.1)
 
 
 def test_nothing_is_known_before_enough_requests_and_after_a_while():
-    pace = HostServiceTimes()
-    assert (pace.slowdown(0.0), pace.baseline_seconds("kind")) == (None, None)
+    service_times = HostServiceTimes()
+    assert (service_times.slowdown(0.0), service_times.baseline_seconds("kind")) == (None, None)
     for number in range(LEARNING_REQUESTS + 3):
-        one(pace, number, number * 0.1, number * 0.1 + WORK_SECONDS)
-    assert pace.slowdown(1.0) == pytest.approx(1.0)
-    assert pace.slowdown(1.0 + STALE_SECONDS) is None
-    assert pace.baseline_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
+        one(service_times, number, number * 0.1, number * 0.1 + WORK_SECONDS)
+    assert service_times.slowdown(1.0) == pytest.approx(1.0)
+    assert service_times.slowdown(1.0 + STALE_SECONDS) is None
+    assert service_times.baseline_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
 
 
 def test_a_host_that_stays_slow_becomes_usual():
@@ -153,19 +153,19 @@
     play = Play(2).run(5.0)
     play.factor = SLOW_WORK_FACTOR
     play.run(7.0)
-    play.pace.reset()
+    play.service_times.reset()
     play.slow_host.reset()
     assert not play.slow_host.is_slow()
     assert play.slow_host.service_seconds("kind") is None
 
 
 def test_memory_is_bounded():
-    pace = HostServiceTimes()
+    service_times = HostServiceTimes()
     for number in range(4 * MAX_KINDS):
-        one(pace, number, number * 1.0, number + 0.1, kind=number)
-        one(pace, "again", number + 0.2, number + 0.3, kind="again")
-    assert len(pace._baselines) <= MAX_KINDS
-    assert pace.observations() <= MAX_OBSERVATIONS
+        one(service_times, number, number * 1.0, number + 0.1, kind=number)
+        one(service_times, "again", number + 0.2, number + 0.3, kind="again")
+    assert len(service_times._baselines) <= MAX_KINDS
+    assert service_times.observations() <= MAX_OBSERVATIONS
 
 
 def slow_play():
@@ -209,7 +209,7 @@
 def test_a_slow_host_without_requests_stays_slow_until_the_judgement_is_old():
     play = slow_play()
     for _, name in play.ends:
-        play.pace.record_end(name, 2, play.now)
+        play.service_times.record_end(name, 2, play.now)
     assert not play.slow_host.evaluate(play.now + STALE_SECONDS + 0.1)
     assert play.slow_host.is_slow()
     assert play.slow_host.evaluate(play.now + VERDICT_LIFETIME_SECONDS + STALE_SECONDS + 0.1)
@@ -219,10 +219,10 @@
 def test_two_trials_as_usual_end_the_judgement_however_far_apart():
     play = slow_play()
     for _, name in play.ends:
-        play.pace.record_end(name, 2, play.now)
+        play.service_times.record_end(name, 2, play.now)
     for number, is_slow in enumerate((True, False)):
         now = play.now + (number + 1) * (STALE_SECONDS + 0.1)
-        one(play.pace, f"trial {number}", now, now + WORK_SECONDS, slots=2)
+        one(play.service_times, f"trial {number}", now, now + WORK_SECONDS, slots=2)
         play.slow_host.evaluate(now + WORK_SECONDS)
         assert play.slow_host.is_slow() is is_slow
 
