--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -37,7 +37,7 @@
     """Judges one host by its pace and decides about its new flows."""
 
     def __init__(self, service_times: HostServiceTimes) -> None:
-        self._pace = service_times
+        self._service_times = service_times
         self._is_slow = False
         self._slowdown = 1.0
         """The last that was known, and when."""
@@ -51,9 +51,9 @@
     def evaluate(self, now: float) -> bool:
         """Judge the host; return True where the judgement changed."""
         before = self._is_slow
-        slowdown = self._pace.slowdown(now)
+        slowdown = self._service_times.slowdown(now)
         if before and self._has_recovered():
-            self._pace.keep_newest(RECOVERY_REQUESTS)
+            self._service_times.keep_newest(RECOVERY_REQUESTS)
             self._slowdown = 1.0
             self._is_slow = False
         elif slowdown is not None:
@@ -65,7 +65,7 @@
         return self._is_slow != before
 
     def _has_recovered(self) -> bool:
-        newest = self._pace.newest_ratios(RECOVERY_REQUESTS)
+        newest = self._service_times.newest_ratios(RECOVERY_REQUESTS)
         return len(newest) == RECOVERY_REQUESTS and max(newest) < RECOVERY_FACTOR
 
     def service_seconds(self, kind: Hashable) -> float | None:
@@ -73,7 +73,7 @@
 
         That is by the last judgement.
         """
-        usual = self._pace.baseline_seconds(kind)
+        usual = self._service_times.baseline_seconds(kind)
         return None if usual is None else usual * self._slowdown
 
     def record_admission(self, now: float) -> None:
