--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -76,7 +76,7 @@
     wait_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     flow_idle_seconds: float = float("inf")
     """Longest rest of a flow that is kept."""
-    measures_pace: bool = True
+    measures_service_times: bool = True
     """False to measure nothing of the host's pace."""
 
     def __post_init__(self) -> None:
@@ -84,7 +84,9 @@
         self._tag = service_tag(self.service)
         self.answers = BalancerAnswers(self._tag, self.host, self._load, self.to_balancer)
         self.meter = LoadMeter(self.started_at)
-        self.service_times = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
+        self.service_times = ServiceTimeMonitor(
+            self.codec, self.host, self.log, self.measures_service_times
+        )
         self.table = HeldFlows(
             self.meter, self.flow_lifetime_seconds, self.service_times.record_end
         )
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -105,7 +105,7 @@
             warm_up_floor=settings.warm_up_floor,
             least_share=settings.least_share,
             shares=_shares(settings),
-            measures_pace=settings.policies.host_pace,
+            measures_service_times=settings.policies.host_pace,
         )
         self.helper = SearchHelper(
             codec=codec,
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -29,9 +29,9 @@
 class SlowHostHarness(Harness):
     """Serves one request after the other."""
 
-    def __init__(self, measures_pace=True):
+    def __init__(self, measures_service_times=True):
         super().__init__()
-        self.agent.service_times.is_enabled = measures_pace
+        self.agent.service_times.is_enabled = measures_service_times
         self.now, self.number = 1.0, 0
 
     def ask(self, route=None, waits=False):
@@ -59,8 +59,8 @@
         self.agent.receive_host_packet(packet, self.now)
 
 
-def slow_host_harness(measures_pace=True):
-    harness = SlowHostHarness(measures_pace)
+def slow_host_harness(measures_service_times=True):
+    harness = SlowHostHarness(measures_service_times)
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
     harness.ask(waits=True)
@@ -126,7 +126,7 @@
 
 
 def test_switched_off_nothing_is_told_or_refused():
-    harness = slow_host_harness(measures_pace=False)
+    harness = slow_host_harness(measures_service_times=False)
     answer = harness.ask(URGENT)
     assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_SERVICE_TIME)
     assert "host-slow" not in harness.agent.log.names()
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -217,7 +217,7 @@
             started_at=-100.0,
             flow_lifetime_seconds=LIFETIME,
             zone="a",
-            measures_pace=measured,
+            measures_service_times=measured,
         )
         self.by_address[address] = host
 
