--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -151,7 +151,7 @@
                 "zone_drained": self.core.admission.is_zone_drained,
                 "host_failing": self.core.monitor.requests.is_failing,
                 "host_slow": self.core.service_times.slow_host.is_slow,
-                "host_pace_ms": self.core.service_times.pace_ms,
+                "host_pace_ms": self.core.service_times.service_time_ms,
                 "host_ready": lambda: self.host.phase is HostPhase.READY,
                 "agents": lambda: len(self.helper.pool),
                 "searches": lambda: len(self.helper.searches),
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -70,7 +70,7 @@
             return
         self.log.note(
             "host-slow" if self.slow_host.is_slow() else "host-usual-again",
-            pace_ms=self.pace_ms(),
+            pace_ms=self.service_time_ms(),
             usual_ms=round(1000 * (self.service_times.baseline_seconds() or 0.0), 1),
             samples=self.service_times.observations(),
             newest_ms=self._newest_age_ms(now),
@@ -82,7 +82,7 @@
         age_seconds = self.service_times.newest_age_seconds(now)
         return -1 if age_seconds is None else round(1000 * age_seconds)
 
-    def pace_ms(self) -> float:
+    def service_time_ms(self) -> float:
         """Return what a typical request takes now, in milliseconds; 0.0 where it is not known."""
         return round(1000 * (self.slow_host.service_seconds(None) or 0.0), 1)
 
