--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -10,7 +10,7 @@
 HOST = Endpoint("10.0.0.9", 8080)
 
 
-class Told:
+class Recorder:
     def __init__(self):
         self.changes = 0
         self.new_hosts = 0
@@ -21,7 +21,7 @@
 
 
 def handler_and_state():
-    told, state = Told(), HostState()
+    told, state = Recorder(), HostState()
 
     def changed():
         told.changes += 1
