--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -21,15 +21,15 @@
 
 
 def handler_and_state():
-    told, state = Recorder(), HostState()
+    recorder, state = Recorder(), HostState()
 
     def changed():
-        told.changes += 1
+        recorder.changes += 1
 
     def replaced():
-        told.new_hosts += 1
+        recorder.new_hosts += 1
 
-    return AnnouncementHandler(state, "web", HOST, told, changed, replaced), state, told
+    return AnnouncementHandler(state, "web", HOST, recorder, changed, replaced), state, recorder
 
 
 def announcement(number=1, host="h1", service="web", address=HOST, born=0, phase=HostPhase.READY):
@@ -39,11 +39,11 @@
 
 
 def test_the_host_beside_the_agent_is_taken():
-    handler, state, told = handler_and_state()
+    handler, state, recorder = handler_and_state()
     assert handler.announce(announcement()) is AnnouncementOutcome.ACCEPTED
     assert handler.announce(announcement()) is AnnouncementOutcome.STALE
     assert state.phase is HostPhase.READY
-    assert told.changes == 1
+    assert recorder.changes == 1
 
 
 @pytest.mark.parametrize(
@@ -55,36 +55,36 @@
     ids=["another service", "another address"],
 )
 def test_what_another_host_says_of_itself_changes_nothing(foreign):
-    handler, state, told = handler_and_state()
+    handler, state, recorder = handler_and_state()
     handler.announce(announcement())
     assert handler.announce(foreign) is AnnouncementOutcome.REFUSED
     assert (state.host_id, state.phase) == ("h1", HostPhase.READY)
-    assert told.lines[-1][0] == "host-announcement-refused"
+    assert recorder.lines[-1][0] == "host-announcement-refused"
     assert handler.refused == 1
 
 
 def test_a_start_under_the_same_id_is_another_host():
     """The flows that the agent knows were the earlier start's: each is asked for anew."""
-    handler, _, told = handler_and_state()
+    handler, _, recorder = handler_and_state()
     handler.announce(announcement(7, born=1000))
     handler.announce(announcement(1, born=2000))
-    assert told.new_hosts == 1
-    assert told.changes == 2
+    assert recorder.new_hosts == 1
+    assert recorder.changes == 2
 
 
 def test_the_next_call_of_the_same_start_is_no_other_host():
-    handler, _, told = handler_and_state()
+    handler, _, recorder = handler_and_state()
     handler.announce(announcement(7, born=1000))
     handler.announce(announcement(8, born=1000))
-    assert told.new_hosts == 0
-    assert told.changes == 1
+    assert recorder.new_hosts == 0
+    assert recorder.changes == 1
 
 
 def test_an_unreadable_announcement_is_counted_and_told():
-    handler, state, told = handler_and_state()
+    handler, state, recorder = handler_and_state()
     handler.refuse("h1", "state: not a known state")
     assert state.phase is HostPhase.UNKNOWN
     assert handler.refused == 1
-    assert told.lines == [
+    assert recorder.lines == [
         ("host-announcement-refused", {"host": "h1", "reason": "state: not a known state"})
     ]
