--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -127,7 +127,7 @@
             self._host_endpoint,
             decisions,
             self._link.announce,
-            self._on_host_changed,
+            self._on_host_replaced,
         )
         self._host_calls = HttpServer(
             Endpoint.parse(settings.host_calls_listen), host_interface(handler)
@@ -229,7 +229,7 @@
         is_unknown = self.host.phase is HostPhase.UNKNOWN
         return is_unknown and await is_host_absent(self._host_endpoint)
 
-    def _on_host_changed(self) -> None:
+    def _on_host_replaced(self) -> None:
         self.core.on_host_replaced(time.monotonic())
 
     def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
