--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -68,7 +68,7 @@
         self._follower = Follower(self._state)
         self._founding = Founding(self._state)
         self._leadership: Leadership | None = None
-        self._output = ReadyBuilder(self._state)
+        self._ready_builder = ReadyBuilder(self._state)
 
     # Facts
 
@@ -212,7 +212,7 @@
         before = self._state.snapshot
         self._follower.on_install(sender, message, now)
         if self._state.snapshot is not before:
-            self._output.install = self._state.snapshot
+            self._ready_builder.install = self._state.snapshot
 
     def _receive_leader_reply(self, sender: int, message: AppendReply | InstallReply) -> None:
         if message.term > self._state.term:
@@ -286,13 +286,13 @@
     def ready(self) -> Ready:
         """Return what the host does next; empty while a batch is being persisted."""
         leadership = self._active_leadership()
-        if leadership is not None and not self._output.is_persisting:
+        if leadership is not None and not self._ready_builder.is_persisting:
             leadership.send_to_all()
-        return self._output.take()
+        return self._ready_builder.take()
 
     def persisted(self) -> None:
         """Note that the batch of the last `ready()` is synced to disk."""
-        self._output.persisted()
+        self._ready_builder.persisted()
         leadership = self._active_leadership()
         if leadership is not None:
             leadership.advance_commit()
