--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -288,7 +288,7 @@
         leadership = self._active_leadership()
         if leadership is not None and not self._ready_builder.is_persisting:
             leadership.send_to_all()
-        return self._ready_builder.take()
+        return self._ready_builder.build()
 
     def persisted(self) -> None:
         """Note that the batch of the last `ready()` is synced to disk."""
--- a/src/jasperwalk/consensus/ready_builder.py
+++ b/src/jasperwalk/consensus/ready_builder.py
@@ -21,7 +21,7 @@
         self.is_persisting = False
         self.install: SnapshotData | None = None
 
-    def take(self) -> Ready:
+    def build(self) -> Ready:
         """Return what the host does next."""
         if self.is_persisting:
             return Ready()
