--- a/src/jasperwalk/fleet/host_service_times.py
+++ b/src/jasperwalk/fleet/host_service_times.py
@@ -85,7 +85,7 @@
         return seconds[len(seconds) // 2]
 
 
-class HostServiceTimes:
+class HostSlowdowns:
     """Compares figures within kinds; a kind is a service and a listener."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_service_times import HostServiceTimes
+from jasperwalk.fleet.host_service_times import HostSlowdowns
 from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
@@ -56,7 +56,7 @@
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
     uses_service_times: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
-    _service_times: HostServiceTimes = field(default_factory=HostServiceTimes)
+    _service_times: HostSlowdowns = field(default_factory=HostSlowdowns)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
--- a/tests/fleet/test_host_service_times.py
+++ b/tests/fleet/test_host_service_times.py
@@ -14,7 +14,7 @@
     MIN_SAMPLES,
     MIN_SLOWDOWN,
     TYPICAL_RATIO,
-    HostServiceTimes,
+    HostSlowdowns,
     bounded_slowdown,
     slowdown_at_age,
 )
@@ -162,7 +162,7 @@
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
-    paces = HostServiceTimes()
+    paces = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
         assert paces.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
     assert paces.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
@@ -171,7 +171,7 @@
 
 
 def test_the_number_of_kinds_is_bounded():
-    paces = HostServiceTimes()
+    paces = HostSlowdowns()
     for number in range(3 * MAX_KINDS):
         paces.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
     assert len(paces._kinds) <= MAX_KINDS
