--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from jasperwalk.fleet.host_service_times import MAX_SLOWDOWN, slowdown_at_age
+from jasperwalk.fleet.host_slowdowns import MAX_SLOWDOWN, slowdown_at_age
 from jasperwalk.fleet.messages import HostPhase, NodeRecord
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import (
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_service_times import HostSlowdowns
+from jasperwalk.fleet.host_slowdowns import HostSlowdowns
 from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_service_times import MAX_SLOWDOWN, MIN_SAMPLES
+from jasperwalk.fleet.host_slowdowns import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
 from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, encode_service_time
--- a/tests/fleet/test_host_service_times.py
+++ b/tests/fleet/test_host_service_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.fleet.host_service_times import (
+from jasperwalk.fleet.host_slowdowns import (
     FULL_WEIGHT_SECONDS,
     MAX_KINDS,
     MAX_SAMPLE_AGE_SECONDS,
