--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -56,7 +56,7 @@
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
     uses_service_times: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
-    _service_times: HostSlowdowns = field(default_factory=HostSlowdowns)
+    _slowdowns: HostSlowdowns = field(default_factory=HostSlowdowns)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
@@ -150,7 +150,7 @@
         if prefers_own_zone:
             candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
+        by_expected_wait = self.uses_service_times and self._slowdowns.can_avoid_slow_hosts(
             service, usable, now
         )
         return min(
@@ -173,7 +173,7 @@
         """Take what an agent told of its host's pace for requests of a listener."""
         if not self.uses_service_times:
             return
-        slowdown = self._service_times.slowdown(target.record.service, listener, code, now)
+        slowdown = self._slowdowns.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
             target.slowdown = slowdown
             target.slowdown_at = now
