--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -69,9 +69,9 @@
     return _best(judge)
 
 
-def _choice_time(uses_service_times: bool) -> float:
+def _choice_time(weighs_slowdown: bool) -> float:
     """Time the choice of an agent where hosts are equal."""
-    pool = TargetPool("a", random.Random(SEED), uses_service_times=uses_service_times)
+    pool = TargetPool("a", random.Random(SEED), weighs_slowdown=weighs_slowdown)
     records = [_record(number) for number in range(AGENTS)]
     pool.update(FleetUpdate(True, records, []), 0.0)
     for target in pool.all_targets():
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -232,7 +232,7 @@
     def _record_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
         refuses_seconds = REFUSAL_SECONDS_BY_REASON.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
-        if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
+        if reply.flags == RefusalReason.SLOW and self.pool.weighs_slowdown:
             target.record_slow_refusal()
         self.counters.open_retries += 1
         self.log.note(
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -80,7 +80,7 @@
             settings.zone,
             self._random,
             settings.zone_regions,
-            uses_service_times=settings.policies.host_pace,
+            weighs_slowdown=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
         self._callers = DatagramSocket(bound.callers, self._on_packet, self._open_waiting)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -54,7 +54,7 @@
     _targets: dict[Endpoint, Target] = field(default_factory=dict)
     _by_service: dict[str, list[Target]] = field(default_factory=dict)
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
-    uses_service_times: bool = True
+    weighs_slowdown: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
     _slowdowns: HostSlowdowns = field(default_factory=HostSlowdowns)
     directory_since: float | None = None
@@ -150,7 +150,7 @@
         if prefers_own_zone:
             candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_expected_wait = self.uses_service_times and self._slowdowns.can_avoid_slow_hosts(
+        by_expected_wait = self.weighs_slowdown and self._slowdowns.can_avoid_slow_hosts(
             service, usable, now
         )
         return min(
@@ -171,7 +171,7 @@
 
     def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
         """Take what an agent told of its host's pace for requests of a listener."""
-        if not self.uses_service_times:
+        if not self.weighs_slowdown:
             return
         slowdown = self._slowdowns.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -37,8 +37,8 @@
 class Bench:
     """A balancer's agents, all but the first as usual."""
 
-    def __init__(self, uses_service_times=True, hosts=HOSTS):
-        self.pool = TargetPool("a", random.Random(SEED), uses_service_times=uses_service_times)
+    def __init__(self, weighs_slowdown=True, hosts=HOSTS):
+        self.pool = TargetPool("a", random.Random(SEED), weighs_slowdown=weighs_slowdown)
         records = [record(number + 1) for number in range(hosts)]
         self.pool.update(FleetUpdate(True, records, []), 0.0)
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("ratio", [1.0, 1.4, 1 / 1.4])
 def test_between_equals_every_choice_is_as_without_figures(ratio):
     assert max(ratio, 1 / ratio) < TYPICAL_RATIO
-    plain, weighed = Bench(uses_service_times=False), Bench()
+    plain, weighed = Bench(weighs_slowdown=False), Bench()
     for bench in (plain, weighed):
         bench.tell_usual()
         bench.tell(1, ratio * USUAL)
@@ -98,14 +98,14 @@
 
 
 def test_switched_off_nothing_is_weighed():
-    plain, told = Bench(uses_service_times=False), Bench(uses_service_times=False)
+    plain, told = Bench(weighs_slowdown=False), Bench(weighs_slowdown=False)
     told.tell_usual()
     told.tell(1, 100 * USUAL)
     assert plain.chosen() == told.chosen()
 
 
 def test_agents_that_tell_nothing_are_chosen_as_before():
-    plain, silent = Bench(uses_service_times=False), Bench()
+    plain, silent = Bench(weighs_slowdown=False), Bench()
     for number in range(1, HOSTS + 1):
         silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_SERVICE_TIME, 1.0)
     assert plain.chosen() == silent.chosen()
@@ -143,7 +143,7 @@
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
-    bench, plain = Bench(), Bench(uses_service_times=False)
+    bench, plain = Bench(), Bench(weighs_slowdown=False)
     for _ in range(MIN_SAMPLES):
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -224,7 +224,7 @@
     def _make_balancer(self, number, seed, measured, with_terms):
         routes = RouteTable()
         routes.replace(RouteSet(1, [kind.route(with_terms) for kind in self.kinds.values()]))
-        pool = TargetPool("a", random.Random(f"{seed}-{number}"), uses_service_times=measured)
+        pool = TargetPool("a", random.Random(f"{seed}-{number}"), weighs_slowdown=measured)
         address = (f"10.0.0.{number + 1}", 7601)
         core = FlowBalancer(
             codec=self.codec,
