--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -162,16 +162,16 @@
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
-    paces = HostSlowdowns()
+    slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
-        assert paces.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
-    assert paces.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
+        assert slowdowns.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert paces.slowdown("web", KIND, encode_service_time(9 * USUAL), late) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(9 * USUAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
-    paces = HostSlowdowns()
+    slowdowns = HostSlowdowns()
     for number in range(3 * MAX_KINDS):
-        paces.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
-    assert len(paces._kinds) <= MAX_KINDS
+        slowdowns.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
+    assert len(slowdowns._kinds) <= MAX_KINDS
