--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -231,7 +231,7 @@
     def _fleet_changed(self, update: FleetUpdate) -> None:
         self._has_agents = True
         self.core.fleet_changed(update, time.monotonic())
-        if update.whole:
+        if update.is_snapshot:
             self._log_snapshot(update)
         else:
             self._log_changes(update)
--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -97,7 +97,7 @@
         """Take another replica's news; return True if a change before it was missed."""
         claims = self._claims.setdefault(sender, HomeClaims(0, 0, now))
         claims.last_contact_at = now
-        if not update.whole:
+        if not update.is_snapshot:
             if (
                 update.process_incarnation != claims.process_incarnation
                 or update.sequence != claims.sequence + 1
@@ -160,7 +160,7 @@
         lost = [each for each in self._lost.values() if each.record.role is NodeRole.AGENT]
         held = [each for each in self._merged.values() if each.role is NodeRole.AGENT]
         return FleetUpdate(
-            whole=True,
+            is_snapshot=True,
             records=[*(each.record for each in lost), *held],
             removed=[each.record.endpoint for each in lost],
             removed_seconds_ago=[now - each.lost_at for each in lost],
@@ -178,7 +178,7 @@
         removed = [each for each in changed if each not in self._merged]
         if not records and not removed:
             return None
-        return FleetUpdate(whole=False, records=records, removed=removed)
+        return FleetUpdate(is_snapshot=False, records=records, removed=removed)
 
     def zones(self) -> set[str]:
         """Return the zones that nodes and hosts are in."""
--- a/src/jasperwalk/control/fleet/messages.py
+++ b/src/jasperwalk/control/fleet/messages.py
@@ -30,11 +30,11 @@
 
 
 class HomedNodes(msgspec.Struct, frozen=True, array_like=True, tag=312):
-    """A replica's linked nodes: all of them (`whole`), or the one change before `sequence`."""
+    """A replica's linked nodes: all of them (`is_snapshot`), or the one change before `sequence`."""
 
     process_incarnation: int
     sequence: int
-    whole: bool
+    is_snapshot: bool
     records: list[NodeRecord]
     removed: list[Endpoint]
 
--- a/src/jasperwalk/fleet/messages.py
+++ b/src/jasperwalk/fleet/messages.py
@@ -97,14 +97,14 @@
 
 
 class FleetUpdate(msgspec.Struct, frozen=True, array_like=True, tag=304):
-    """The home to a balancer: agents that changed or left; `whole` replaces all it knew.
+    """The home to a balancer: agents that changed or left; `is_snapshot` replaces all it knew.
 
     An agent in both lists left a moment ago without deregistering: it may still hold flows.
     `removed_seconds_ago` has the time since each agent of `removed` left, or is empty where all
     left just now.
     """
 
-    whole: bool
+    is_snapshot: bool
     records: list[NodeRecord]
     removed: list[Endpoint]
     removed_seconds_ago: list[float] = []
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -64,7 +64,7 @@
         """Take the directory's news in."""
         if self.directory_since is None:
             self.directory_since = now
-        if update.whole:
+        if update.is_snapshot:
             listed = {record.endpoint for record in update.records}
             for endpoint in [each for each in self._targets if each not in listed]:
                 self._unlist(endpoint, now)
--- a/tests/balancer/datagrams/support.py
+++ b/tests/balancer/datagrams/support.py
@@ -67,15 +67,15 @@
         )
         if version:
             self.route(version, *services)
-        self.learn(*records, whole=True, now=-100.0)
+        self.learn(*records, is_snapshot=True, now=-100.0)
 
     def route(self, version, *services):
         backends = [RouteBackend(service, 1.0) for service in services]
         routes = [FlowRoute("r", LISTENER, backends)] if services else []
         self.routes.replace(RouteSet(version, routes))
 
-    def learn(self, *records, whole=False, removed=(), now=0.0):
-        self.core.fleet_changed(FleetUpdate(whole, list(records), list(removed)), now)
+    def learn(self, *records, is_snapshot=False, removed=(), now=0.0):
+        self.core.fleet_changed(FleetUpdate(is_snapshot, list(records), list(removed)), now)
 
     def take_sent(self):
         """Return (kind, agent's number, body) of what was sent since the last call."""
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -311,7 +311,7 @@
     """Others may be missing in what a home tells right after a start of its own."""
     bench = Bench(version=1)
     bench.core.pool.directory_since = None
-    bench.learn(record(1), whole=True, now=0.95)
+    bench.learn(record(1), is_snapshot=True, now=0.95)
     bench.core.receive(DATA, 1.0)
     deny(bench, asked(bench), 1.01)
     bench.core.tick(1.01 + SECOND_ROUND_SECONDS)
@@ -325,7 +325,7 @@
     """A balancer that has just started knows no agent; agents that restarted do not know."""
     bench = searching()
     bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
-    bench.learn(record(1), whole=True, now=1.1)
+    bench.learn(record(1), is_snapshot=True, now=1.1)
     bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS + SETTLING_SECONDS)
     assert asked(bench) == {1}
     bench.answer(1, FrameKind.UNSURE, 1.35)
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -112,7 +112,7 @@
         (home,) = homes
         node = start(Node(home.server.endpoint))
         await until(lambda: node.of(RoutesUpdate) and node.of(FleetUpdate))
-        assert node.of(FleetUpdate)[0].whole
+        assert node.of(FleetUpdate)[0].is_snapshot
         assert len(node.of(RoutesUpdate)[0].changed) == 2
         home.routes = RouteSet(4, [route(1), route(2, "export")])
         home.links.publish_routes()
@@ -152,7 +152,7 @@
         (home,) = homes
         agent = start(Node(home.server.endpoint, role=NodeRole.AGENT))
         await until(lambda: agent.of(HomeStatus) and agent.of(FleetUpdate))
-        assert agent.of(FleetUpdate)[0].whole
+        assert agent.of(FleetUpdate)[0].is_snapshot
         assert agent.of(RoutesUpdate) == []
 
     play(scenario)
