--- a/tests/balancer/datagrams/support.py
+++ b/tests/balancer/datagrams/support.py
@@ -49,7 +49,7 @@
     )
 
 
-class Bench:
+class Harness:
     """The core under test."""
 
     def __init__(self, *records, version=1, services=("web",)):
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -11,7 +11,7 @@
     encode_request,
     service_tag,
 )
-from tests.balancer.datagrams.support import Bench, address_of, record
+from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import from_caller
 
 DATA = from_caller(0, b"data")
@@ -20,7 +20,7 @@
 
 def delegating(count=3, **options):
     """Return a balancer that lets agents search, and has got a packet of an unknown flow."""
-    bench = Bench(*(record(number) for number in range(1, count + 1)), **options)
+    bench = Harness(*(record(number) for number in range(1, count + 1)), **options)
     bench.core.delegated.is_enabled = True
     bench.core.receive(DATA, 1.0)
     return bench
@@ -127,7 +127,7 @@
 
 
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
-    bench = Bench(record(1, zone="b"), record(2), record(3))
+    bench = Harness(record(1, zone="b"), record(2), record(3))
     bench.core.delegated.is_enabled = True
     bench.learn(removed=[address_of(3)], now=0.5)
     bench.core.receive(DATA, 1.0)
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -8,7 +8,7 @@
 )
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.flows.frames import FrameKind
-from tests.balancer.datagrams.support import Bench, record
+from tests.balancer.datagrams.support import Harness, record
 from tests.flows.support import OPENING, from_caller, key_of
 
 OTHER = Endpoint("100.64.0.9", 40009)
@@ -20,7 +20,7 @@
 
 def early(*packets, agents=(1,)):
     """Return a balancer without routes that got these packets 0.1 s apart."""
-    bench = Bench(*(record(number) for number in agents), version=0)
+    bench = Harness(*(record(number) for number in agents), version=0)
     for position, packet in enumerate(packets):
         bench.core.receive(packet, 1.0 + 0.1 * position)
     assert bench.take_sent() == bench.resets == []
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -15,7 +15,7 @@
     RefusalReason,
     opening_terms,
 )
-from tests.balancer.datagrams.support import Bench, address_of, record
+from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import CALLER, OPENING, RESET, PlainCodec, from_caller, key_of
 
 SYN = from_caller(OPENING)
@@ -34,14 +34,14 @@
 
 
 def test_a_flow_stays_with_the_agent_that_accepted_it():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     number = opened(bench)
     bench.core.receive(DATA, 1.1)
     assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_a_copy_of_the_opening_packet_goes_to_the_same_agent():
-    bench = Bench(record(1), record(2), record(3))
+    bench = Harness(record(1), record(2), record(3))
     bench.core.receive(SYN, 1.0)
     ((_, number, _),) = bench.take_sent()
     bench.core.receive(SYN, 1.05)
@@ -49,7 +49,7 @@
 
 
 def test_a_refused_flow_goes_to_another_agent():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     ((_, first, _),) = bench.take_sent()
     bench.refuse(first, 1.01)
@@ -59,7 +59,7 @@
 
 
 def test_a_flow_that_every_agent_refused_may_wait_at_the_least_busy_one():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     loads = {1: 9.0, 2: 5.0}
     for _ in range(2):
@@ -73,7 +73,7 @@
 
 
 def test_a_flow_that_no_agent_lets_wait_is_reset_at_once():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     for _ in range(3):
         assert bench.resets == []
@@ -84,7 +84,7 @@
 
 
 def test_no_more_agents_are_tried_than_the_limit():
-    bench = Bench(*(record(number) for number in range(1, 10)))
+    bench = Harness(*(record(number) for number in range(1, 10)))
     bench.core.receive(SYN, 1.0)
     for _ in range(MAX_TRIES):
         number, waits = bench.take_opening()
@@ -98,7 +98,7 @@
 
 
 def test_a_flow_whose_agents_all_drain_is_reset_without_a_wait():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.core.receive(SYN, 1.0)
     number, _ = bench.take_opening()
     bench.learn(record(1, HostPhase.DRAINING))
@@ -107,7 +107,7 @@
 
 
 def test_a_silent_agent_is_passed_over_and_avoided():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     ((_, silent, _),) = bench.take_sent()
     bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS / 2)
@@ -133,14 +133,14 @@
     ids=["no agent", "draining", "unknown", "gone", "another service"],
 )
 def test_a_flow_without_a_host_is_reset_at_once(records):
-    bench = Bench(*records)
+    bench = Harness(*records)
     bench.core.receive(SYN, 1.0)
     assert bench.resets == [RESET_TO_CALLER]
     assert bench.sent == []
 
 
 def test_a_flow_without_a_route_is_reset():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.route(2)
     bench.core.receive(SYN, 1.0)
     bench.core.receive(DATA, 1.0)
@@ -148,7 +148,7 @@
 
 
 def test_a_balancer_without_routes_says_nothing():
-    bench = Bench(record(1), version=0)
+    bench = Harness(record(1), version=0)
     bench.core.receive(SYN, 1.0)
     bench.core.receive(DATA, 1.0)
     assert bench.resets == bench.sent == []
@@ -156,20 +156,20 @@
 
 
 def test_a_reset_is_never_answered_by_a_reset():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.route(2)
     bench.core.receive(from_caller(RESET), 1.0)
     assert bench.resets == []
 
 
 def test_the_second_service_of_a_route_takes_what_the_first_cannot():
-    bench = Bench(record(2, service="export"), services=("web", "export"))
+    bench = Harness(record(2, service="export"), services=("web", "export"))
     bench.core.receive(SYN, 1.0)
     assert bench.take_sent() == [(FrameKind.OPEN, 2, SYN)]
 
 
 def test_an_open_flow_outlives_a_change_of_its_route():
-    bench = Bench(record(1), record(2, service="export"))
+    bench = Harness(record(1), record(2, service="export"))
     number = opened(bench)
     bench.route(2, "export")
     bench.core.receive(DATA, 1.2)
@@ -177,7 +177,7 @@
 
 
 def test_an_open_flow_outlives_its_agents_absence_from_the_directory():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     number = opened(bench)
     bench.learn(removed=[address_of(number)], now=1.1)
     bench.core.receive(DATA, 1.2)
@@ -185,7 +185,7 @@
 
 
 def test_a_packet_that_comes_back_is_brought_to_the_holder():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     number = opened(bench)
     other = 3 - number
     bench.answer(number, FrameKind.RETURNED, 1.2, packet=DATA)
@@ -197,7 +197,7 @@
 
 def passed_over():
     """Return a balancer, an agent that did not answer in time, and the one asked after it."""
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     ((_, silent, _),) = bench.take_sent()
     bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
@@ -265,7 +265,7 @@
 
 
 def test_a_refusal_of_a_copy_takes_no_acceptance_back():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     number = opened(bench)
     bench.refuse(number, 1.2, RefusalReason.DRAINING)
     bench.core.receive(DATA, 1.3)
@@ -273,7 +273,7 @@
 
 
 def test_a_caller_that_follows_up_stands_for_an_answer_that_is_late():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     bench.core.receive(SYN, 1.0)
     ((_, number, _),) = bench.take_sent()
     bench.core.receive(DATA, 1.05)
@@ -294,7 +294,7 @@
 
 
 def test_an_agent_that_is_known_to_be_full_is_asked_to_let_the_flow_wait_at_once():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     opened(bench)
     bench.answer(1, FrameKind.HELD, 1.1, load=8.0)
     bench.core.receive(from_caller(OPENING, caller=CALLER.__class__("100.64.0.9", 1)), 1.2)
@@ -302,7 +302,7 @@
 
 
 def test_an_agent_is_told_how_long_ago_the_caller_began():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     copy = from_caller(OPENING, bytes((6,)))
     bench.core.receive(copy, 1.0)
     ((data, _),) = bench.sent
@@ -312,14 +312,14 @@
 
 @pytest.mark.parametrize("packet", [b"", b"x", DATA[:-1], DATA + b"x"])
 def test_malformed_packets_are_counted_and_go_nowhere(packet):
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.core.receive(packet, 1.0)
     assert bench.core.counters.packets_malformed == 1
     assert bench.sent == bench.resets == []
 
 
 def test_malformed_and_strange_replies_change_nothing():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.core.receive_reply(b"noise", ("10.0.0.1", 7602), 1.0)
     assert bench.core.counters.replies_malformed == 1
     bench.answer(9, FrameKind.ACCEPTED, 1.0)
@@ -328,7 +328,7 @@
 
 
 def test_flows_without_packets_are_forgotten_in_the_end():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     opened(bench)
     bench.core.sweep(30.0)
     assert len(bench.core) == 1
@@ -337,7 +337,7 @@
 
 
 def test_every_decision_is_noted_with_its_flow():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     opened(bench)
     other = CALLER.__class__("100.64.0.9", 1)
     bench.core.receive(from_caller(OPENING, caller=other), 1.0)
@@ -351,7 +351,7 @@
 
 @pytest.mark.parametrize("known", [[], [record(1, HostPhase.UNKNOWN)]])
 def test_a_new_flow_waits_for_a_host_that_is_expected_in_a_moment(known):
-    bench = Bench(version=1)
+    bench = Harness(version=1)
     bench.pool.directory_since = None
     bench.learn(*known, now=0.9)
     bench.core.receive(SYN, 1.0)
@@ -363,7 +363,7 @@
 
 
 def test_a_new_flow_waits_while_an_agent_that_restarted_has_not_heard_its_host():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     bench.core.receive(SYN, 1.0)
     assert bench.resets == []
@@ -372,7 +372,7 @@
 
 
 def test_a_flow_whose_host_does_not_appear_is_reset_before_its_caller_gives_up():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     bench.core.receive(SYN, 1.0)
     bench.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
@@ -383,14 +383,14 @@
 
 
 def test_an_agent_that_never_heard_of_a_host_lets_no_flow_wait():
-    bench = Bench(record(1, HostPhase.UNKNOWN))
+    bench = Harness(record(1, HostPhase.UNKNOWN))
     bench.core.receive(SYN, 1.0)
     assert bench.resets == [RESET_TO_CALLER]
 
 
 def test_a_flow_that_its_host_hands_back_after_the_agent_accepted_it_goes_to_another():
     """Seen on lsl-hanoi-edge-large, fresh-8c70: such hosts drew new flows, and none opened."""
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     first = opened(bench)
     bench.refuse(first, 1.01, RefusalReason.RETURNED)
     ((kind, second, body),) = bench.take_sent()
@@ -403,7 +403,7 @@
 
 
 def test_a_flow_that_the_only_host_hands_back_is_reset_at_once():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     opened(bench)
     bench.refuse(1, 1.01, RefusalReason.RETURNED)
     assert bench.take_opening() == (1, True)
@@ -413,7 +413,7 @@
 
 
 def test_a_flow_that_its_caller_has_followed_up_is_not_taken_back():
-    bench = Bench(record(1), record(2))
+    bench = Harness(record(1), record(2))
     number = opened(bench)
     bench.core.receive(DATA, 1.1)
     bench.take_sent()
@@ -424,7 +424,7 @@
 
 
 def test_an_agent_whose_host_fails_is_passed_over_for_a_while_and_then_asked_again():
-    bench = Bench(record(1), record(2), record(3))
+    bench = Harness(record(1), record(2), record(3))
     asked = opening_to(bench, 1, 1.0)
     key = key_of(caller=Endpoint("100.64.0.9", 1))
     bench.answer(asked, FrameKind.REFUSED, 1.0, RefusalReason.FAILING, key=key)
--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -7,7 +7,7 @@
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
 from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, encode_service_time
-from tests.balancer.datagrams.support import Bench, address_of, record
+from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
 USUAL, SLOW = 0.05, 0.4
@@ -15,7 +15,7 @@
 HOSTS = 3
 
 
-class PaceBench(Bench):
+class PaceBench(Harness):
     """Opens flows whose agents answer as told."""
 
     def __init__(self):
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -8,7 +8,7 @@
     PacketIntake,
 )
 from jasperwalk.flows.frames import FrameKind
-from tests.balancer.datagrams.support import Bench, record
+from tests.balancer.datagrams.support import Harness, record
 from tests.flows.support import OPENING, from_caller
 
 DATA = from_caller(0, b"data")
@@ -19,7 +19,7 @@
 
 
 def intake(**options):
-    bench = Bench(record(1), **options)
+    bench = Harness(record(1), **options)
     return bench, PacketIntake(bench.core)
 
 
--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -6,7 +6,7 @@
 from jasperwalk.flows.frames import FLAG_TERMS, REQUEST_HEAD, decode_opening
 from jasperwalk.flows.routes import FlowRoute, RouteBackend, RouteSet
 from jasperwalk.flows.terms import RouteTerms
-from tests.balancer.datagrams.support import Bench, address_of, record
+from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import LISTENER, OPENING, from_caller
 
 URGENT = RouteTerms(1, 400, 3000)
@@ -30,7 +30,7 @@
 
 
 def test_the_opening_packet_and_its_copies_carry_the_terms():
-    bench = Bench(record(1, reads_terms=True))
+    bench = Harness(record(1, reads_terms=True))
     route_two(bench, URGENT)
     for now, packet in ((1.0, from_caller(OPENING)), (1.2, from_caller(OPENING, bytes((2,))))):
         _, opening = sent_opening(bench, packet, now)
@@ -40,7 +40,7 @@
 
 def test_an_agent_of_an_earlier_release_gets_the_frame_that_it_knows():
     """A frame with terms would be malformed to it: the flow would wait for its answer."""
-    bench = Bench(record(1, reads_terms=False))
+    bench = Harness(record(1, reads_terms=False))
     route_two(bench, URGENT)
     flags, opening = sent_opening(bench, from_caller(OPENING))
     assert not flags & FLAG_TERMS
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("reads_terms", [False, True])
 def test_where_routes_are_alike_nothing_is_told(reads_terms):
-    bench = Bench(record(1, reads_terms=reads_terms))
+    bench = Harness(record(1, reads_terms=reads_terms))
     route_two(bench, ORDINARY)
     flags, _ = sent_opening(bench, from_caller(OPENING))
     assert not flags & FLAG_TERMS
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize(("terms", "asked"), [(URGENT, 2), (ORDINARY, 1)])
 def test_where_routes_differ_flows_stay_in_their_zone_while_it_has_room(terms, asked):
-    bench = Bench(record(1, zone="b"), record(2, zone="a"))
+    bench = Harness(record(1, zone="b"), record(2, zone="a"))
     route_two(bench, terms)
     endpoint = address_of(2)
     bench.pool.at((endpoint.host, endpoint.port)).record_load(1.5, 1.0)
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -13,7 +13,7 @@
 from jasperwalk.fleet.targets import SEARCHED_CANDIDATE_COUNT
 from jasperwalk.flows.frames import AgentReply, FrameKind, encode_answers, service_tag
 from jasperwalk.token_bucket import TokenBucket
-from tests.balancer.datagrams.support import Bench, address_of, record
+from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import CALLER, from_caller, key_of
 
 DATA = from_caller(0, b"data")
@@ -24,7 +24,7 @@
 
 def searching(*records, **options):
     """Return a balancer that has just got a packet of a flow that it does not know."""
-    bench = Bench(*records, **options)
+    bench = Harness(*records, **options)
     bench.core.receive(DATA, 1.0)
     return bench
 
@@ -53,14 +53,14 @@
 
 
 def test_draining_and_unlisted_agents_are_asked_too():
-    bench = Bench(record(1), record(2, HostPhase.DRAINING), record(3))
+    bench = Harness(record(1), record(2, HostPhase.DRAINING), record(3))
     bench.learn(removed=[address_of(3)], now=0.5)
     bench.core.receive(DATA, 1.0)
     assert asked(bench) == {1, 2, 3}
 
 
 def test_a_service_that_the_route_named_before_is_asked_too():
-    bench = Bench(record(1), record(2, service="export"))
+    bench = Harness(record(1), record(2, service="export"))
     bench.route(2, "export")
     bench.core.receive(DATA, 1.0)
     assert asked(bench) == {1, 2}
@@ -210,7 +210,7 @@
 
 
 def test_the_second_rounds_of_many_searches_share_their_frames():
-    bench = Bench(*many())
+    bench = Harness(*many())
     callers = search_many(bench, KEYS_PER_FRAME + 6)
     sent = bench.take_sent()
     assert {kind for kind, _, _ in sent} == {FrameKind.FIND}
@@ -221,7 +221,7 @@
 
 
 def test_one_frame_answers_for_many_searches():
-    bench = Bench(record(1))
+    bench = Harness(record(1))
     callers = search_many(bench, 3)
     ((_, _, body),) = bench.take_sent()
     kinds = [FrameKind.NOT_HELD, FrameKind.HELD, FrameKind.NOT_HELD]
@@ -239,7 +239,7 @@
 
 
 def test_questions_to_everyone_are_bounded_and_no_flow_is_reset_without_them():
-    bench = Bench(*many())
+    bench = Harness(*many())
     bench.core.searches._broadcast_budget = TokenBucket(0.0, 59.0, 1.0)
     callers = search_many(bench, 5)
     for _, number, body in bench.take_sent():
@@ -252,7 +252,7 @@
 
 def unanswered_twice(unlisted_at, phase=HostPhase.READY):
     """Search while agent 2 is silent, and unlisted since a time."""
-    bench = Bench(record(1), record(2, phase))
+    bench = Harness(record(1), record(2, phase))
     bench.learn(removed=[address_of(2)], now=unlisted_at)
     bench.core.receive(DATA, 10.0)
     asked(bench)
@@ -309,7 +309,7 @@
 
 def test_a_balancer_that_has_just_heard_of_agents_resets_nothing_yet():
     """Others may be missing in what a home tells right after a start of its own."""
-    bench = Bench(version=1)
+    bench = Harness(version=1)
     bench.core.pool.directory_since = None
     bench.learn(record(1), is_snapshot=True, now=0.95)
     bench.core.receive(DATA, 1.0)
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -18,7 +18,7 @@
     MAX_WAITING_UPLOADS,
     UploadAdmission,
 )
-from tests.balancer.datagrams.support import Bench, record
+from tests.balancer.datagrams.support import Harness, record
 from tests.flows.support import (
     ENDING,
     LISTENER,
@@ -48,7 +48,7 @@
 
 def bulk_bench(megabits=MEGABITS, is_bulk=True):
     """Return a balancer whose only route takes uploads, on a link of this rate."""
-    bench = Bench(record(1), record(2), version=0)
+    bench = Harness(record(1), record(2), version=0)
     backends = [RouteBackend("web", 1.0)]
     bench.routes.replace(RouteSet(1, [FlowRoute("r", LISTENER, backends, is_bulk)]))
     bench.now = 1.0
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -34,7 +34,7 @@
 OTHER_KIND = b"other!"
 
 
-class Bench:
+class Harness:
     """A balancer's agents, all but the first as usual."""
 
     def __init__(self, weighs_slowdown=True, hosts=HOSTS):
@@ -65,14 +65,14 @@
 
 
 def test_a_slow_host_is_not_chosen_while_others_have_room():
-    bench = Bench()
+    bench = Harness()
     bench.tell_usual()
     bench.tell(1, 8 * USUAL)
     assert "agent-1" not in bench.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
-    bench = Bench()
+    bench = Harness()
     bench.tell_usual()
     bench.tell(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
@@ -81,7 +81,7 @@
 
 
 def test_a_fast_host_gets_more():
-    bench = Bench()
+    bench = Harness()
     bench.tell_usual()
     bench.tell(1, USUAL / 3)
     assert bench.chosen().count("agent-1") > 200 / HOSTS * 2
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("ratio", [1.0, 1.4, 1 / 1.4])
 def test_between_equals_every_choice_is_as_without_figures(ratio):
     assert max(ratio, 1 / ratio) < TYPICAL_RATIO
-    plain, weighed = Bench(weighs_slowdown=False), Bench()
+    plain, weighed = Harness(weighs_slowdown=False), Harness()
     for bench in (plain, weighed):
         bench.tell_usual()
         bench.tell(1, ratio * USUAL)
@@ -98,14 +98,14 @@
 
 
 def test_switched_off_nothing_is_weighed():
-    plain, told = Bench(weighs_slowdown=False), Bench(weighs_slowdown=False)
+    plain, told = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
     told.tell_usual()
     told.tell(1, 100 * USUAL)
     assert plain.chosen() == told.chosen()
 
 
 def test_agents_that_tell_nothing_are_chosen_as_before():
-    plain, silent = Bench(weighs_slowdown=False), Bench()
+    plain, silent = Harness(weighs_slowdown=False), Harness()
     for number in range(1, HOSTS + 1):
         silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_SERVICE_TIME, 1.0)
     assert plain.chosen() == silent.chosen()
@@ -117,7 +117,7 @@
     ids=["slow", "fast"],
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
-    bench = Bench()
+    bench = Harness()
     bench.tell_usual()
     target = bench.target(1)
     bench.pool.record_service_time(target, KIND, code, 1.0)
@@ -143,7 +143,7 @@
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
-    bench, plain = Bench(), Bench(weighs_slowdown=False)
+    bench, plain = Harness(), Harness(weighs_slowdown=False)
     for _ in range(MIN_SAMPLES):
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
@@ -153,7 +153,7 @@
 
 
 def test_kinds_are_compared_each_with_itself():
-    bench = Bench()
+    bench = Harness()
     for number in range(1, HOSTS + 1):
         bench.tell(number, USUAL)
     for number in range(1, HOSTS + 1):
