--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -15,7 +15,7 @@
 HOSTS = 3
 
 
-class PaceBench(Harness):
+class SlowdownHarness(Harness):
     """Opens flows whose agents answer as told."""
 
     def __init__(self):
@@ -47,7 +47,7 @@
 
 
 def test_an_acceptance_that_tells_a_slow_host_keeps_new_flows_away():
-    bench = PaceBench()
+    bench = SlowdownHarness()
     bench.learn_usual()
     slow, _ = bench.open(1.0)
     bench.accept(slow, SLOW, 1.0)
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("flags", [UNKNOWN_SERVICE_TIME, 1, 255])
 def test_what_is_told_with_other_answers_is_not_a_pace(flags):
-    bench = PaceBench()
+    bench = SlowdownHarness()
     bench.learn_usual()
     number, _ = bench.open(1.0)
     bench.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(bench.caller))
@@ -70,7 +70,7 @@
 
 
 def test_an_agent_whose_host_is_slow_is_passed_over_for_a_while():
-    bench = PaceBench()
+    bench = SlowdownHarness()
     slow, _ = bench.open(1.0)
     bench.refuse_slow(slow, 1.0)
     other, _ = bench.take_opening()
@@ -85,7 +85,7 @@
 
 
 def test_a_flow_does_not_wait_at_a_slow_host_before_others_were_asked():
-    bench = PaceBench()
+    bench = SlowdownHarness()
     slow, _ = bench.open(1.0)
     bench.refuse_slow(slow, 1.0)
     bench.accept(bench.take_opening()[0], None, 1.0)
@@ -100,7 +100,7 @@
 
 
 def test_a_flow_that_all_hosts_refuse_as_slow_may_wait_in_the_end():
-    bench = PaceBench()
+    bench = SlowdownHarness()
     number, waits = bench.open(1.0)
     asked = [(number, waits)]
     while not waits:
