--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -20,87 +20,87 @@
 
 def delegating(count=3, **options):
     """Return a balancer that lets agents search, and has got a packet of an unknown flow."""
-    bench = Harness(*(record(number) for number in range(1, count + 1)), **options)
-    bench.core.delegated.is_enabled = True
-    bench.core.receive(DATA, 1.0)
-    return bench
+    harness = Harness(*(record(number) for number in range(1, count + 1)), **options)
+    harness.core.delegated.is_enabled = True
+    harness.core.receive(DATA, 1.0)
+    return harness
 
 
-def helper_of(bench):
+def helper_of(harness):
     """Return the agent that was asked, by the one question sent."""
-    ((data, (host, _port)),) = bench.sent
-    bench.sent = []
+    ((data, (host, _port)),) = harness.sent
+    harness.sent = []
     request = decode_locate(data)
     assert data[0] == FrameKind.LOCATE
     assert (request.service_tags, request.packet) == ((service_tag("web"),), DATA)
     return int(host.rpartition(".")[2])
 
 
-def verdict(bench, helper, kind, holder=None, now=1.01):
+def verdict(harness, helper, kind, holder=None, now=1.01):
     packed = b"" if holder is None else address_of(holder).pack()
-    bench.answer(helper, FrameKind.LOCATED, now, flags=kind, packet=packed)
+    harness.answer(helper, FrameKind.LOCATED, now, flags=kind, packet=packed)
 
 
 @pytest.mark.parametrize("agents", [12, 48, 136])
 def test_a_lost_flow_costs_one_question_whatever_the_number_of_agents(agents):
-    bench = delegating(agents)
-    sent_bytes = sum(len(data) for data, _ in bench.sent)
-    helper_of(bench)
+    harness = delegating(agents)
+    sent_bytes = sum(len(data) for data, _ in harness.sent)
+    helper_of(harness)
     assert sent_bytes == len(encode_request(FrameKind.LOCATE, 1, 0, b"")) + 4 + len(DATA)
-    assert bench.core.counters.searches_delegated == 1
-    assert bench.core.counters.search_questions == 0
+    assert harness.core.counters.searches_delegated == 1
+    assert harness.core.counters.search_questions == 0
 
 
 def test_the_holder_gets_what_followed_the_first_packet_and_all_later_ones():
-    bench = delegating()
-    helper = helper_of(bench)
-    bench.core.receive(MORE, 1.005)
-    assert bench.take_sent() == []
-    verdict(bench, helper, LocateVerdict.FOUND, holder=2)
-    assert bench.take_sent() == [(FrameKind.CARRY, 2, MORE)]
-    bench.core.receive(DATA, 1.1)
-    assert bench.take_sent() == [(FrameKind.CARRY, 2, DATA)]
-    assert not bench.core.has_pending()
+    harness = delegating()
+    helper = helper_of(harness)
+    harness.core.receive(MORE, 1.005)
+    assert harness.take_sent() == []
+    verdict(harness, helper, LocateVerdict.FOUND, holder=2)
+    assert harness.take_sent() == [(FrameKind.CARRY, 2, MORE)]
+    harness.core.receive(DATA, 1.1)
+    assert harness.take_sent() == [(FrameKind.CARRY, 2, DATA)]
+    assert not harness.core.has_pending()
 
 
 def test_a_flow_that_is_held_nowhere_is_reset():
-    bench = delegating()
-    verdict(bench, helper_of(bench), LocateVerdict.NOWHERE)
-    assert len(bench.resets) == 1
+    harness = delegating()
+    verdict(harness, helper_of(harness), LocateVerdict.NOWHERE)
+    assert len(harness.resets) == 1
 
 
 @pytest.mark.parametrize("holder", [None, 9], ids=["unknown", "at an agent not known here"])
 def test_without_a_holder_that_is_known_the_next_packet_begins_anew(holder):
-    bench = delegating()
+    harness = delegating()
     kind = LocateVerdict.UNKNOWN if holder is None else LocateVerdict.FOUND
-    verdict(bench, helper_of(bench), kind, holder)
-    assert bench.resets == bench.sent == []
-    bench.core.receive(DATA, 1.2)
-    helper_of(bench)
+    verdict(harness, helper_of(harness), kind, holder)
+    assert harness.resets == harness.sent == []
+    harness.core.receive(DATA, 1.2)
+    helper_of(harness)
 
 
 def test_an_agent_that_cannot_search_leaves_it_to_the_balancer():
-    bench = delegating()
-    verdict(bench, helper_of(bench), LocateVerdict.UNABLE)
-    assert {kind for kind, _, _ in bench.take_sent()} == {FrameKind.FIND}
+    harness = delegating()
+    verdict(harness, helper_of(harness), LocateVerdict.UNABLE)
+    assert {kind for kind, _, _ in harness.take_sent()} == {FrameKind.FIND}
 
 
 def test_an_agent_that_does_not_answer_is_passed_over():
-    bench = delegating()
-    first = helper_of(bench)
-    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
-    assert not bench.core.has_pending()
-    assert bench.core.counters.searches_unanswered == 1
-    bench.core.receive(DATA, 1.05 + ANSWER_TIMEOUT_SECONDS)
-    assert helper_of(bench) != first
+    harness = delegating()
+    first = helper_of(harness)
+    harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
+    assert not harness.core.has_pending()
+    assert harness.core.counters.searches_unanswered == 1
+    harness.core.receive(DATA, 1.05 + ANSWER_TIMEOUT_SECONDS)
+    assert helper_of(harness) != first
 
 
 def test_only_the_agent_that_was_asked_is_believed():
-    bench = delegating()
-    helper = helper_of(bench)
-    verdict(bench, helper % 3 + 1, LocateVerdict.NOWHERE)
-    assert bench.resets == []
-    assert bench.core.has_pending()
+    harness = delegating()
+    helper = helper_of(harness)
+    verdict(harness, helper % 3 + 1, LocateVerdict.NOWHERE)
+    assert harness.resets == []
+    assert harness.core.has_pending()
 
 
 @pytest.mark.parametrize(
@@ -109,26 +109,26 @@
     ids=["no verdict", "unknown verdict", "found nowhere", "nowhere with a holder"],
 )
 def test_a_malformed_verdict_is_counted_and_changes_nothing(flags, packet):
-    bench = delegating()
-    helper = helper_of(bench)
-    bench.answer(helper, FrameKind.LOCATED, 1.01, flags=flags, packet=packet)
-    assert bench.core.counters.replies_malformed == 1
-    assert bench.resets == bench.sent == []
-    assert bench.core.has_pending()
+    harness = delegating()
+    helper = helper_of(harness)
+    harness.answer(helper, FrameKind.LOCATED, 1.01, flags=flags, packet=packet)
+    assert harness.core.counters.replies_malformed == 1
+    assert harness.resets == harness.sent == []
+    assert harness.core.has_pending()
 
 
 def test_held_packets_are_bounded():
-    bench = delegating()
-    helper = helper_of(bench)
+    harness = delegating()
+    helper = helper_of(harness)
     for _ in range(100):
-        bench.core.receive(MORE, 1.005)
-    verdict(bench, helper, LocateVerdict.FOUND, holder=2)
-    assert len(bench.take_sent()) == MAX_HELD_PACKETS - 1
+        harness.core.receive(MORE, 1.005)
+    verdict(harness, helper, LocateVerdict.FOUND, holder=2)
+    assert len(harness.take_sent()) == MAX_HELD_PACKETS - 1
 
 
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
-    bench = Harness(record(1, zone="b"), record(2), record(3))
-    bench.core.delegated.is_enabled = True
-    bench.learn(removed=[address_of(3)], now=0.5)
-    bench.core.receive(DATA, 1.0)
-    assert helper_of(bench) == 2
+    harness = Harness(record(1, zone="b"), record(2), record(3))
+    harness.core.delegated.is_enabled = True
+    harness.learn(removed=[address_of(3)], now=0.5)
+    harness.core.receive(DATA, 1.0)
+    assert helper_of(harness) == 2
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -20,67 +20,67 @@
 
 def early(*packets, agents=(1,)):
     """Return a balancer without routes that got these packets 0.1 s apart."""
-    bench = Harness(*(record(number) for number in agents), version=0)
+    harness = Harness(*(record(number) for number in agents), version=0)
     for position, packet in enumerate(packets):
-        bench.core.receive(packet, 1.0 + 0.1 * position)
-    assert bench.take_sent() == bench.resets == []
-    return bench
+        harness.core.receive(packet, 1.0 + 0.1 * position)
+    assert harness.take_sent() == harness.resets == []
+    return harness
 
 
-def routes_come(bench, *services, now=1.5):
-    bench.route(1, *(services or ("web",)))
-    bench.core.routes_changed(now)
+def routes_come(harness, *services, now=1.5):
+    harness.route(1, *(services or ("web",)))
+    harness.core.routes_changed(now)
 
 
 def test_a_new_flow_is_opened_once_routes_are_there():
-    bench = early(SYN, SYN)
-    routes_come(bench)
-    assert bench.take_sent() == [(FrameKind.OPEN, 1, SYN)]
+    harness = early(SYN, SYN)
+    routes_come(harness)
+    assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
 def test_the_newest_flow_is_opened_first():
-    bench = early(SYN, OTHER_SYN)
-    routes_come(bench)
-    assert bench.take_sent() == [(FrameKind.OPEN, 1, OTHER_SYN), (FrameKind.OPEN, 1, SYN)]
+    harness = early(SYN, OTHER_SYN)
+    routes_come(harness)
+    assert harness.take_sent() == [(FrameKind.OPEN, 1, OTHER_SYN), (FrameKind.OPEN, 1, SYN)]
 
 
 def test_the_holder_of_an_open_flow_gets_its_packets_in_order():
-    bench = early(DATA, MORE)
-    routes_come(bench)
-    assert bench.take_sent() == [(FrameKind.FIND, 1, key_of())]
-    bench.answer(1, FrameKind.HELD, 1.51)
-    assert bench.take_sent() == [(FrameKind.CARRY, 1, DATA), (FrameKind.CARRY, 1, MORE)]
+    harness = early(DATA, MORE)
+    routes_come(harness)
+    assert harness.take_sent() == [(FrameKind.FIND, 1, key_of())]
+    harness.answer(1, FrameKind.HELD, 1.51)
+    assert harness.take_sent() == [(FrameKind.CARRY, 1, DATA), (FrameKind.CARRY, 1, MORE)]
 
 
 def test_a_flow_without_a_route_is_reset_then_and_not_before():
-    bench = early(SYN)
-    bench.route(1)
-    bench.core.routes_changed(1.5)
-    assert len(bench.resets) == 1
+    harness = early(SYN)
+    harness.route(1)
+    harness.core.routes_changed(1.5)
+    assert len(harness.resets) == 1
 
 
 def test_packets_that_are_too_old_are_dropped():
-    bench = early(SYN)
-    routes_come(bench, now=1.01 + MAX_HOLD_SECONDS)
-    assert bench.take_sent() == []
+    harness = early(SYN)
+    routes_come(harness, now=1.01 + MAX_HOLD_SECONDS)
+    assert harness.take_sent() == []
 
 
 def test_a_flow_that_waits_for_a_host_has_waited_since_it_came():
-    bench = early(SYN, agents=())
-    bench.learn(record(1, HostPhase.UNKNOWN), now=1.4)
-    routes_come(bench)
-    assert bench.core.has_pending()
-    bench.core.tick(1.01 + MAX_HOLD_SECONDS)
-    assert len(bench.resets) == 1
+    harness = early(SYN, agents=())
+    harness.learn(record(1, HostPhase.UNKNOWN), now=1.4)
+    routes_come(harness)
+    assert harness.core.has_pending()
+    harness.core.tick(1.01 + MAX_HOLD_SECONDS)
+    assert len(harness.resets) == 1
 
 
 def test_later_routes_play_nothing_again():
-    bench = early(SYN)
-    routes_come(bench)
-    bench.take_sent()
-    bench.route(2, "web")
-    bench.core.routes_changed(1.6)
-    assert bench.take_sent() == []
+    harness = early(SYN)
+    routes_come(harness)
+    harness.take_sent()
+    harness.route(2, "web")
+    harness.core.routes_changed(1.6)
+    assert harness.take_sent() == []
 
 
 def test_a_full_store_keeps_the_newest():
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -24,101 +24,101 @@
 RESET_TO_CALLER = (PlainCodec().reset_for(SYN), (CALLER.host, CALLER.port))
 
 
-def opened(bench, now=1.0):
+def opened(harness, now=1.0):
     """Open a flow and return its agent's number."""
-    bench.core.receive(SYN, now)
-    ((kind, number, body),) = bench.take_sent()
+    harness.core.receive(SYN, now)
+    ((kind, number, body),) = harness.take_sent()
     assert (kind, body) == (FrameKind.OPEN, SYN)
-    bench.answer(number, FrameKind.ACCEPTED, now)
+    harness.answer(number, FrameKind.ACCEPTED, now)
     return number
 
 
 def test_a_flow_stays_with_the_agent_that_accepted_it():
-    bench = Harness(record(1), record(2))
-    number = opened(bench)
-    bench.core.receive(DATA, 1.1)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness = Harness(record(1), record(2))
+    number = opened(harness)
+    harness.core.receive(DATA, 1.1)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_a_copy_of_the_opening_packet_goes_to_the_same_agent():
-    bench = Harness(record(1), record(2), record(3))
-    bench.core.receive(SYN, 1.0)
-    ((_, number, _),) = bench.take_sent()
-    bench.core.receive(SYN, 1.05)
-    assert bench.take_sent() == [(FrameKind.OPEN, number, SYN)]
+    harness = Harness(record(1), record(2), record(3))
+    harness.core.receive(SYN, 1.0)
+    ((_, number, _),) = harness.take_sent()
+    harness.core.receive(SYN, 1.05)
+    assert harness.take_sent() == [(FrameKind.OPEN, number, SYN)]
 
 
 def test_a_refused_flow_goes_to_another_agent():
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
-    ((_, first, _),) = bench.take_sent()
-    bench.refuse(first, 1.01)
-    ((kind, second, body),) = bench.take_sent()
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
+    ((_, first, _),) = harness.take_sent()
+    harness.refuse(first, 1.01)
+    ((kind, second, body),) = harness.take_sent()
     assert (kind, body) == (FrameKind.OPEN, SYN)
     assert second != first
 
 
 def test_a_flow_that_every_agent_refused_may_wait_at_the_least_busy_one():
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
     loads = {1: 9.0, 2: 5.0}
     for _ in range(2):
-        number, waits = bench.take_opening()
+        number, waits = harness.take_opening()
         assert not waits
-        bench.answer(number, FrameKind.REFUSED, 1.01, RefusalReason.FULL, load=loads[number])
-    assert bench.take_opening() == (2, True)
-    bench.answer(2, FrameKind.ACCEPTED, 1.02)
-    bench.core.receive(DATA, 1.5)
-    assert bench.take_sent() == [(FrameKind.CARRY, 2, DATA)]
+        harness.answer(number, FrameKind.REFUSED, 1.01, RefusalReason.FULL, load=loads[number])
+    assert harness.take_opening() == (2, True)
+    harness.answer(2, FrameKind.ACCEPTED, 1.02)
+    harness.core.receive(DATA, 1.5)
+    assert harness.take_sent() == [(FrameKind.CARRY, 2, DATA)]
 
 
 def test_a_flow_that_no_agent_lets_wait_is_reset_at_once():
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
     for _ in range(3):
-        assert bench.resets == []
-        number, _ = bench.take_opening()
-        bench.refuse(number, 1.01)
-    assert bench.resets == [RESET_TO_CALLER]
-    assert not bench.core.has_pending()
+        assert harness.resets == []
+        number, _ = harness.take_opening()
+        harness.refuse(number, 1.01)
+    assert harness.resets == [RESET_TO_CALLER]
+    assert not harness.core.has_pending()
 
 
 def test_no_more_agents_are_tried_than_the_limit():
-    bench = Harness(*(record(number) for number in range(1, 10)))
-    bench.core.receive(SYN, 1.0)
+    harness = Harness(*(record(number) for number in range(1, 10)))
+    harness.core.receive(SYN, 1.0)
     for _ in range(MAX_TRIES):
-        number, waits = bench.take_opening()
+        number, waits = harness.take_opening()
         assert not waits
-        bench.refuse(number, 1.01)
-    number, waits = bench.take_opening()
+        harness.refuse(number, 1.01)
+    number, waits = harness.take_opening()
     assert waits
-    bench.refuse(number, 1.01)
-    assert bench.sent == []
-    assert bench.resets == [RESET_TO_CALLER]
+    harness.refuse(number, 1.01)
+    assert harness.sent == []
+    assert harness.resets == [RESET_TO_CALLER]
 
 
 def test_a_flow_whose_agents_all_drain_is_reset_without_a_wait():
-    bench = Harness(record(1))
-    bench.core.receive(SYN, 1.0)
-    number, _ = bench.take_opening()
-    bench.learn(record(1, HostPhase.DRAINING))
-    bench.refuse(number, 1.01, RefusalReason.DRAINING)
-    assert bench.resets == [RESET_TO_CALLER]
+    harness = Harness(record(1))
+    harness.core.receive(SYN, 1.0)
+    number, _ = harness.take_opening()
+    harness.learn(record(1, HostPhase.DRAINING))
+    harness.refuse(number, 1.01, RefusalReason.DRAINING)
+    assert harness.resets == [RESET_TO_CALLER]
 
 
 def test_a_silent_agent_is_passed_over_and_avoided():
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
-    ((_, silent, _),) = bench.take_sent()
-    bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS / 2)
-    assert bench.take_sent() == []
-    bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
-    ((_, other, _),) = bench.take_sent()
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
+    ((_, silent, _),) = harness.take_sent()
+    harness.core.tick(1.0 + OPEN_TIMEOUT_SECONDS / 2)
+    assert harness.take_sent() == []
+    harness.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
+    ((_, other, _),) = harness.take_sent()
     assert other != silent
-    bench.answer(other, FrameKind.ACCEPTED, 1.2, load=3.0)
+    harness.answer(other, FrameKind.ACCEPTED, 1.2, load=3.0)
     caller = CALLER.__class__("100.64.0.9", 1)
-    bench.core.receive(from_caller(OPENING, caller=caller), 1.3)
-    assert bench.take_sent()[0][1] == other
+    harness.core.receive(from_caller(OPENING, caller=caller), 1.3)
+    assert harness.take_sent()[0][1] == other
 
 
 @pytest.mark.parametrize(
@@ -133,76 +133,76 @@
     ids=["no agent", "draining", "unknown", "gone", "another service"],
 )
 def test_a_flow_without_a_host_is_reset_at_once(records):
-    bench = Harness(*records)
-    bench.core.receive(SYN, 1.0)
-    assert bench.resets == [RESET_TO_CALLER]
-    assert bench.sent == []
+    harness = Harness(*records)
+    harness.core.receive(SYN, 1.0)
+    assert harness.resets == [RESET_TO_CALLER]
+    assert harness.sent == []
 
 
 def test_a_flow_without_a_route_is_reset():
-    bench = Harness(record(1))
-    bench.route(2)
-    bench.core.receive(SYN, 1.0)
-    bench.core.receive(DATA, 1.0)
-    assert len(bench.resets) == 2
+    harness = Harness(record(1))
+    harness.route(2)
+    harness.core.receive(SYN, 1.0)
+    harness.core.receive(DATA, 1.0)
+    assert len(harness.resets) == 2
 
 
 def test_a_balancer_without_routes_says_nothing():
-    bench = Harness(record(1), version=0)
-    bench.core.receive(SYN, 1.0)
-    bench.core.receive(DATA, 1.0)
-    assert bench.resets == bench.sent == []
-    assert bench.core.counters.early_packets == 2
+    harness = Harness(record(1), version=0)
+    harness.core.receive(SYN, 1.0)
+    harness.core.receive(DATA, 1.0)
+    assert harness.resets == harness.sent == []
+    assert harness.core.counters.early_packets == 2
 
 
 def test_a_reset_is_never_answered_by_a_reset():
-    bench = Harness(record(1))
-    bench.route(2)
-    bench.core.receive(from_caller(RESET), 1.0)
-    assert bench.resets == []
+    harness = Harness(record(1))
+    harness.route(2)
+    harness.core.receive(from_caller(RESET), 1.0)
+    assert harness.resets == []
 
 
 def test_the_second_service_of_a_route_takes_what_the_first_cannot():
-    bench = Harness(record(2, service="export"), services=("web", "export"))
-    bench.core.receive(SYN, 1.0)
-    assert bench.take_sent() == [(FrameKind.OPEN, 2, SYN)]
+    harness = Harness(record(2, service="export"), services=("web", "export"))
+    harness.core.receive(SYN, 1.0)
+    assert harness.take_sent() == [(FrameKind.OPEN, 2, SYN)]
 
 
 def test_an_open_flow_outlives_a_change_of_its_route():
-    bench = Harness(record(1), record(2, service="export"))
-    number = opened(bench)
-    bench.route(2, "export")
-    bench.core.receive(DATA, 1.2)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness = Harness(record(1), record(2, service="export"))
+    number = opened(harness)
+    harness.route(2, "export")
+    harness.core.receive(DATA, 1.2)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_an_open_flow_outlives_its_agents_absence_from_the_directory():
-    bench = Harness(record(1))
-    number = opened(bench)
-    bench.learn(removed=[address_of(number)], now=1.1)
-    bench.core.receive(DATA, 1.2)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness = Harness(record(1))
+    number = opened(harness)
+    harness.learn(removed=[address_of(number)], now=1.1)
+    harness.core.receive(DATA, 1.2)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_a_packet_that_comes_back_is_brought_to_the_holder():
-    bench = Harness(record(1), record(2))
-    number = opened(bench)
+    harness = Harness(record(1), record(2))
+    number = opened(harness)
     other = 3 - number
-    bench.answer(number, FrameKind.RETURNED, 1.2, packet=DATA)
-    assert {sent[0] for sent in bench.take_sent()} == {FrameKind.FIND}
-    bench.answer(other, FrameKind.HELD, 1.21)
-    assert bench.take_sent() == [(FrameKind.CARRY, other, DATA)]
-    assert bench.resets == []
+    harness.answer(number, FrameKind.RETURNED, 1.2, packet=DATA)
+    assert {sent[0] for sent in harness.take_sent()} == {FrameKind.FIND}
+    harness.answer(other, FrameKind.HELD, 1.21)
+    assert harness.take_sent() == [(FrameKind.CARRY, other, DATA)]
+    assert harness.resets == []
 
 
 def passed_over():
     """Return a balancer, an agent that did not answer in time, and the one asked after it."""
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
-    ((_, silent, _),) = bench.take_sent()
-    bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
-    ((_, other, _),) = bench.take_sent()
-    return bench, silent, other
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
+    ((_, silent, _),) = harness.take_sent()
+    harness.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
+    ((_, other, _),) = harness.take_sent()
+    return harness, silent, other
 
 
 @pytest.mark.parametrize("answers", ["silent", "other", "silent other", "other silent", ""])
@@ -211,234 +211,234 @@
 
     Nobody else is asked, and the holder gets the first packet with the question.
     """
-    bench, silent, other = passed_over()
+    harness, silent, other = passed_over()
     for name in answers.split():
-        bench.answer({"silent": silent, "other": other}[name], FrameKind.ACCEPTED, 1.2)
-    bench.core.receive(DATA, 1.3)
-    assert sorted(bench.take_sent()) == sorted(
+        harness.answer({"silent": silent, "other": other}[name], FrameKind.ACCEPTED, 1.2)
+    harness.core.receive(DATA, 1.3)
+    assert sorted(harness.take_sent()) == sorted(
         [(FrameKind.CONFIRM, silent, DATA), (FrameKind.CONFIRM, other, DATA)]
     )
-    bench.core.receive(MORE, 1.305)
-    bench.answer(other, FrameKind.NOT_HELD, 1.31)
-    assert bench.take_sent() == []
-    bench.answer(silent, FrameKind.HELD, 1.31)
-    assert bench.take_sent() == [(FrameKind.CARRY, silent, MORE)]
-    bench.core.receive(DATA, 1.4)
-    assert bench.take_sent() == [(FrameKind.CARRY, silent, DATA)]
+    harness.core.receive(MORE, 1.305)
+    harness.answer(other, FrameKind.NOT_HELD, 1.31)
+    assert harness.take_sent() == []
+    harness.answer(silent, FrameKind.HELD, 1.31)
+    assert harness.take_sent() == [(FrameKind.CARRY, silent, MORE)]
+    harness.core.receive(DATA, 1.4)
+    assert harness.take_sent() == [(FrameKind.CARRY, silent, DATA)]
 
 
 @pytest.mark.parametrize("denied", [True, False], ids=["denied", "unanswered"])
 def test_a_flow_that_none_of_the_agents_asked_confirms_is_searched(denied):
-    bench, silent, other = passed_over()
-    bench.core.receive(DATA, 1.3)
-    bench.take_sent()
+    harness, silent, other = passed_over()
+    harness.core.receive(DATA, 1.3)
+    harness.take_sent()
     if denied:
-        bench.answer(other, FrameKind.NOT_HELD, 1.31)
-        bench.answer(silent, FrameKind.NOT_HELD, 1.31)
+        harness.answer(other, FrameKind.NOT_HELD, 1.31)
+        harness.answer(silent, FrameKind.NOT_HELD, 1.31)
     else:
-        bench.core.tick(1.3 + CONFIRM_TIMEOUT_SECONDS)
-    assert {(kind, number) for kind, number, _ in bench.take_sent()} == {
+        harness.core.tick(1.3 + CONFIRM_TIMEOUT_SECONDS)
+    assert {(kind, number) for kind, number, _ in harness.take_sent()} == {
         (FrameKind.FIND, silent),
         (FrameKind.FIND, other),
     }
     now = 1.32 if denied else 1.31 + CONFIRM_TIMEOUT_SECONDS
-    bench.answer(other, FrameKind.NOT_HELD, now)
-    bench.answer(silent, FrameKind.UNSURE, now)
-    assert bench.take_sent() == [(FrameKind.CARRY, silent, DATA)]
+    harness.answer(other, FrameKind.NOT_HELD, now)
+    harness.answer(silent, FrameKind.UNSURE, now)
+    assert harness.take_sent() == [(FrameKind.CARRY, silent, DATA)]
 
 
 def test_a_late_refusal_leaves_the_flow_to_the_agent_asked_after():
-    bench, silent, other = passed_over()
-    bench.refuse(silent, 1.2)
-    bench.answer(other, FrameKind.ACCEPTED, 1.2)
-    bench.core.receive(DATA, 1.3)
-    assert bench.take_sent() == [(FrameKind.CARRY, other, DATA)]
+    harness, silent, other = passed_over()
+    harness.refuse(silent, 1.2)
+    harness.answer(other, FrameKind.ACCEPTED, 1.2)
+    harness.core.receive(DATA, 1.3)
+    assert harness.take_sent() == [(FrameKind.CARRY, other, DATA)]
 
 
 def test_a_late_acceptance_counts_where_the_agent_asked_after_refuses():
-    bench, silent, other = passed_over()
-    bench.answer(silent, FrameKind.ACCEPTED, 1.2)
-    bench.refuse(other, 1.21)
-    assert bench.sent == bench.resets == []
-    bench.core.receive(DATA, 1.3)
-    assert bench.take_sent() == [(FrameKind.CARRY, silent, DATA)]
+    harness, silent, other = passed_over()
+    harness.answer(silent, FrameKind.ACCEPTED, 1.2)
+    harness.refuse(other, 1.21)
+    assert harness.sent == harness.resets == []
+    harness.core.receive(DATA, 1.3)
+    assert harness.take_sent() == [(FrameKind.CARRY, silent, DATA)]
 
 
 def test_a_refusal_of_a_copy_takes_no_acceptance_back():
-    bench = Harness(record(1), record(2))
-    number = opened(bench)
-    bench.refuse(number, 1.2, RefusalReason.DRAINING)
-    bench.core.receive(DATA, 1.3)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness = Harness(record(1), record(2))
+    number = opened(harness)
+    harness.refuse(number, 1.2, RefusalReason.DRAINING)
+    harness.core.receive(DATA, 1.3)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_a_caller_that_follows_up_stands_for_an_answer_that_is_late():
-    bench = Harness(record(1), record(2))
-    bench.core.receive(SYN, 1.0)
-    ((_, number, _),) = bench.take_sent()
-    bench.core.receive(DATA, 1.05)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
-    bench.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
-    assert bench.sent == bench.resets == []
-    assert bench.core.counters.flows_opened == 1
+    harness = Harness(record(1), record(2))
+    harness.core.receive(SYN, 1.0)
+    ((_, number, _),) = harness.take_sent()
+    harness.core.receive(DATA, 1.05)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness.core.tick(1.0 + OPEN_TIMEOUT_SECONDS)
+    assert harness.sent == harness.resets == []
+    assert harness.core.counters.flows_opened == 1
 
 
 def test_a_flow_that_an_agent_may_have_taken_is_never_reset():
-    bench, _silent, other = passed_over()
-    bench.refuse(other, 1.2)
-    number, waits = bench.take_opening()
+    harness, _silent, other = passed_over()
+    harness.refuse(other, 1.2)
+    number, waits = harness.take_opening()
     assert (number, waits) == (other, True)
-    bench.refuse(other, 1.21, RefusalReason.DRAINING)
-    assert bench.resets == []
-    assert not bench.core.has_pending()
+    harness.refuse(other, 1.21, RefusalReason.DRAINING)
+    assert harness.resets == []
+    assert not harness.core.has_pending()
 
 
 def test_an_agent_that_is_known_to_be_full_is_asked_to_let_the_flow_wait_at_once():
-    bench = Harness(record(1))
-    opened(bench)
-    bench.answer(1, FrameKind.HELD, 1.1, load=8.0)
-    bench.core.receive(from_caller(OPENING, caller=CALLER.__class__("100.64.0.9", 1)), 1.2)
-    assert bench.take_opening() == (1, True)
+    harness = Harness(record(1))
+    opened(harness)
+    harness.answer(1, FrameKind.HELD, 1.1, load=8.0)
+    harness.core.receive(from_caller(OPENING, caller=CALLER.__class__("100.64.0.9", 1)), 1.2)
+    assert harness.take_opening() == (1, True)
 
 
 def test_an_agent_is_told_how_long_ago_the_caller_began():
-    bench = Harness(record(1))
+    harness = Harness(record(1))
     copy = from_caller(OPENING, bytes((6,)))
-    bench.core.receive(copy, 1.0)
-    ((data, _),) = bench.sent
+    harness.core.receive(copy, 1.0)
+    ((data, _),) = harness.sent
     _, flags, _ = REQUEST_HEAD.unpack_from(data)
     assert opening_terms(flags).age_seconds == pytest.approx(0.6)
 
 
 @pytest.mark.parametrize("packet", [b"", b"x", DATA[:-1], DATA + b"x"])
 def test_malformed_packets_are_counted_and_go_nowhere(packet):
-    bench = Harness(record(1))
-    bench.core.receive(packet, 1.0)
-    assert bench.core.counters.packets_malformed == 1
-    assert bench.sent == bench.resets == []
+    harness = Harness(record(1))
+    harness.core.receive(packet, 1.0)
+    assert harness.core.counters.packets_malformed == 1
+    assert harness.sent == harness.resets == []
 
 
 def test_malformed_and_strange_replies_change_nothing():
-    bench = Harness(record(1))
-    bench.core.receive_reply(b"noise", ("10.0.0.1", 7602), 1.0)
-    assert bench.core.counters.replies_malformed == 1
-    bench.answer(9, FrameKind.ACCEPTED, 1.0)
-    bench.answer(1, FrameKind.ACCEPTED, 1.0, key=key_of(CALLER.__class__("1.2.3.4", 5)))
-    assert len(bench.core) == 0
+    harness = Harness(record(1))
+    harness.core.receive_reply(b"noise", ("10.0.0.1", 7602), 1.0)
+    assert harness.core.counters.replies_malformed == 1
+    harness.answer(9, FrameKind.ACCEPTED, 1.0)
+    harness.answer(1, FrameKind.ACCEPTED, 1.0, key=key_of(CALLER.__class__("1.2.3.4", 5)))
+    assert len(harness.core) == 0
 
 
 def test_flows_without_packets_are_forgotten_in_the_end():
-    bench = Harness(record(1))
-    opened(bench)
-    bench.core.sweep(30.0)
-    assert len(bench.core) == 1
-    bench.core.sweep(100.0)
-    assert len(bench.core) == 0
+    harness = Harness(record(1))
+    opened(harness)
+    harness.core.sweep(30.0)
+    assert len(harness.core) == 1
+    harness.core.sweep(100.0)
+    assert len(harness.core) == 0
 
 
 def test_every_decision_is_noted_with_its_flow():
-    bench = Harness(record(1))
-    opened(bench)
+    harness = Harness(record(1))
+    opened(harness)
     other = CALLER.__class__("100.64.0.9", 1)
-    bench.core.receive(from_caller(OPENING, caller=other), 1.0)
-    assert bench.log.names() == ["flow-opened"]
+    harness.core.receive(from_caller(OPENING, caller=other), 1.0)
+    assert harness.log.names() == ["flow-opened"]
     for _ in range(2):
         reason = RefusalReason.FULL
-        bench.answer(1, FrameKind.REFUSED, 1.1, flags=reason, key=key_of(other))
-    assert bench.log.names() == ["flow-opened", "flow-refused", "flow-refused", "flow-reset"]
-    assert all("flow" in fields for _, fields in bench.log.events)
+        harness.answer(1, FrameKind.REFUSED, 1.1, flags=reason, key=key_of(other))
+    assert harness.log.names() == ["flow-opened", "flow-refused", "flow-refused", "flow-reset"]
+    assert all("flow" in fields for _, fields in harness.log.events)
 
 
 @pytest.mark.parametrize("known", [[], [record(1, HostPhase.UNKNOWN)]])
 def test_a_new_flow_waits_for_a_host_that_is_expected_in_a_moment(known):
-    bench = Harness(version=1)
-    bench.pool.directory_since = None
-    bench.learn(*known, now=0.9)
-    bench.core.receive(SYN, 1.0)
-    bench.core.receive(SYN, 1.2)
-    bench.core.tick(1.3)
-    assert bench.sent == bench.resets == []
-    bench.learn(record(1), now=1.4)
-    assert bench.take_sent() == [(FrameKind.OPEN, 1, SYN)]
+    harness = Harness(version=1)
+    harness.pool.directory_since = None
+    harness.learn(*known, now=0.9)
+    harness.core.receive(SYN, 1.0)
+    harness.core.receive(SYN, 1.2)
+    harness.core.tick(1.3)
+    assert harness.sent == harness.resets == []
+    harness.learn(record(1), now=1.4)
+    assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
 def test_a_new_flow_waits_while_an_agent_that_restarted_has_not_heard_its_host():
-    bench = Harness(record(1))
-    bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
-    bench.core.receive(SYN, 1.0)
-    assert bench.resets == []
-    bench.learn(record(1, incarnation=2), now=1.2)
-    assert bench.take_sent() == [(FrameKind.OPEN, 1, SYN)]
+    harness = Harness(record(1))
+    harness.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
+    harness.core.receive(SYN, 1.0)
+    assert harness.resets == []
+    harness.learn(record(1, incarnation=2), now=1.2)
+    assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
 def test_a_flow_whose_host_does_not_appear_is_reset_before_its_caller_gives_up():
-    bench = Harness(record(1))
-    bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
-    bench.core.receive(SYN, 1.0)
-    bench.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
-    assert bench.resets == []
-    bench.core.tick(1.01 + MAX_PARKING_SECONDS)
-    assert bench.resets == [RESET_TO_CALLER]
-    assert not bench.core.has_pending()
+    harness = Harness(record(1))
+    harness.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
+    harness.core.receive(SYN, 1.0)
+    harness.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
+    assert harness.resets == []
+    harness.core.tick(1.01 + MAX_PARKING_SECONDS)
+    assert harness.resets == [RESET_TO_CALLER]
+    assert not harness.core.has_pending()
 
 
 def test_an_agent_that_never_heard_of_a_host_lets_no_flow_wait():
-    bench = Harness(record(1, HostPhase.UNKNOWN))
-    bench.core.receive(SYN, 1.0)
-    assert bench.resets == [RESET_TO_CALLER]
+    harness = Harness(record(1, HostPhase.UNKNOWN))
+    harness.core.receive(SYN, 1.0)
+    assert harness.resets == [RESET_TO_CALLER]
 
 
 def test_a_flow_that_its_host_hands_back_after_the_agent_accepted_it_goes_to_another():
     """Seen on lsl-hanoi-edge-large, fresh-8c70: such hosts drew new flows, and none opened."""
-    bench = Harness(record(1), record(2))
-    first = opened(bench)
-    bench.refuse(first, 1.01, RefusalReason.RETURNED)
-    ((kind, second, body),) = bench.take_sent()
+    harness = Harness(record(1), record(2))
+    first = opened(harness)
+    harness.refuse(first, 1.01, RefusalReason.RETURNED)
+    ((kind, second, body),) = harness.take_sent()
     assert (kind, body) == (FrameKind.OPEN, SYN)
     assert second != first
-    bench.answer(second, FrameKind.ACCEPTED, 1.02)
-    bench.core.receive(DATA, 1.1)
-    assert bench.take_sent() == [(FrameKind.CARRY, second, DATA)]
-    assert bench.core.counters.openings_returned == 1
+    harness.answer(second, FrameKind.ACCEPTED, 1.02)
+    harness.core.receive(DATA, 1.1)
+    assert harness.take_sent() == [(FrameKind.CARRY, second, DATA)]
+    assert harness.core.counters.openings_returned == 1
 
 
 def test_a_flow_that_the_only_host_hands_back_is_reset_at_once():
-    bench = Harness(record(1))
-    opened(bench)
-    bench.refuse(1, 1.01, RefusalReason.RETURNED)
-    assert bench.take_opening() == (1, True)
-    bench.refuse(1, 1.02, RefusalReason.RETURNED)
-    assert len(bench.resets) == 1
-    assert not bench.core.has_pending()
+    harness = Harness(record(1))
+    opened(harness)
+    harness.refuse(1, 1.01, RefusalReason.RETURNED)
+    assert harness.take_opening() == (1, True)
+    harness.refuse(1, 1.02, RefusalReason.RETURNED)
+    assert len(harness.resets) == 1
+    assert not harness.core.has_pending()
 
 
 def test_a_flow_that_its_caller_has_followed_up_is_not_taken_back():
-    bench = Harness(record(1), record(2))
-    number = opened(bench)
-    bench.core.receive(DATA, 1.1)
-    bench.take_sent()
-    bench.refuse(number, 1.2, RefusalReason.RETURNED)
-    assert bench.take_sent() == []
-    bench.core.receive(DATA, 1.3)
-    assert bench.take_sent() == [(FrameKind.CARRY, number, DATA)]
+    harness = Harness(record(1), record(2))
+    number = opened(harness)
+    harness.core.receive(DATA, 1.1)
+    harness.take_sent()
+    harness.refuse(number, 1.2, RefusalReason.RETURNED)
+    assert harness.take_sent() == []
+    harness.core.receive(DATA, 1.3)
+    assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
 def test_an_agent_whose_host_fails_is_passed_over_for_a_while_and_then_asked_again():
-    bench = Harness(record(1), record(2), record(3))
-    asked = opening_to(bench, 1, 1.0)
+    harness = Harness(record(1), record(2), record(3))
+    asked = opening_to(harness, 1, 1.0)
     key = key_of(caller=Endpoint("100.64.0.9", 1))
-    bench.answer(asked, FrameKind.REFUSED, 1.0, RefusalReason.FAILING, key=key)
+    harness.answer(asked, FrameKind.REFUSED, 1.0, RefusalReason.FAILING, key=key)
     for port in range(2, 30):
         now = 1.0 + FAILING_SECONDS * port / 31
-        assert opening_to(bench, port, now) != asked
-    later = {opening_to(bench, port, 1.01 + FAILING_SECONDS) for port in range(30, 90)}
+        assert opening_to(harness, port, now) != asked
+    later = {opening_to(harness, port, 1.01 + FAILING_SECONDS) for port in range(30, 90)}
     assert asked in later
 
 
-def opening_to(bench, port, now):
+def opening_to(harness, port, now):
     """Open a flow; return the agent that was asked for it."""
-    bench.take_sent()
-    bench.core.receive(from_caller(OPENING, caller=Endpoint("100.64.0.9", port)), now)
-    kind, number, _ = bench.take_sent()[0]
+    harness.take_sent()
+    harness.core.receive(from_caller(OPENING, caller=Endpoint("100.64.0.9", port)), now)
+    kind, number, _ = harness.take_sent()[0]
     assert kind is FrameKind.OPEN
     return number
--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -47,66 +47,66 @@
 
 
 def test_an_acceptance_that_tells_a_slow_host_keeps_new_flows_away():
-    bench = SlowdownHarness()
-    bench.learn_usual()
-    slow, _ = bench.open(1.0)
-    bench.accept(slow, SLOW, 1.0)
-    assert bench.target(slow).slowdown == MAX_SLOWDOWN
+    harness = SlowdownHarness()
+    harness.learn_usual()
+    slow, _ = harness.open(1.0)
+    harness.accept(slow, SLOW, 1.0)
+    assert harness.target(slow).slowdown == MAX_SLOWDOWN
     asked = []
     for _ in range(6):
-        number, _ = bench.open(1.1)
-        bench.accept(number, USUAL, 1.1)
+        number, _ = harness.open(1.1)
+        harness.accept(number, USUAL, 1.1)
         asked.append(number)
     assert slow not in asked
 
 
 @pytest.mark.parametrize("flags", [UNKNOWN_SERVICE_TIME, 1, 255])
 def test_what_is_told_with_other_answers_is_not_a_pace(flags):
-    bench = SlowdownHarness()
-    bench.learn_usual()
-    number, _ = bench.open(1.0)
-    bench.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(bench.caller))
-    assert bench.target(number).slowdown == 1.0
+    harness = SlowdownHarness()
+    harness.learn_usual()
+    number, _ = harness.open(1.0)
+    harness.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(harness.caller))
+    assert harness.target(number).slowdown == 1.0
 
 
 def test_an_agent_whose_host_is_slow_is_passed_over_for_a_while():
-    bench = SlowdownHarness()
-    slow, _ = bench.open(1.0)
-    bench.refuse_slow(slow, 1.0)
-    other, _ = bench.take_opening()
-    bench.accept(other, None, 1.0)
+    harness = SlowdownHarness()
+    slow, _ = harness.open(1.0)
+    harness.refuse_slow(slow, 1.0)
+    other, _ = harness.take_opening()
+    harness.accept(other, None, 1.0)
     assert other != slow
     for now, load in ((1.0 + SLOW_SECONDS - 0.01, 5.0), (1.0 + SLOW_SECONDS, 5.0)):
         for number in range(1, HOSTS + 1):
-            bench.target(number).record_load(0.0 if number == slow else load, now)
-        asked, _ = bench.open(now)
-        bench.accept(asked, None, now)
+            harness.target(number).record_load(0.0 if number == slow else load, now)
+        asked, _ = harness.open(now)
+        harness.accept(asked, None, now)
         assert (asked == slow) is (now >= 1.0 + SLOW_SECONDS)
 
 
 def test_a_flow_does_not_wait_at_a_slow_host_before_others_were_asked():
-    bench = SlowdownHarness()
-    slow, _ = bench.open(1.0)
-    bench.refuse_slow(slow, 1.0)
-    bench.accept(bench.take_opening()[0], None, 1.0)
+    harness = SlowdownHarness()
+    slow, _ = harness.open(1.0)
+    harness.refuse_slow(slow, 1.0)
+    harness.accept(harness.take_opening()[0], None, 1.0)
     now = 1.0 + SLOW_SECONDS
     full = CAPACITY * FULL_LOAD_PER_SLOT
     for number in range(1, HOSTS + 1):
-        bench.target(number).record_load(full if number == slow else 3 * full, now)
-    assert bench.open(now) == (slow, False)
-    bench.refuse_slow(slow, now)
-    other, waits = bench.take_opening()
+        harness.target(number).record_load(full if number == slow else 3 * full, now)
+    assert harness.open(now) == (slow, False)
+    harness.refuse_slow(slow, now)
+    other, waits = harness.take_opening()
     assert (other != slow, waits) == (True, True)
 
 
 def test_a_flow_that_all_hosts_refuse_as_slow_may_wait_in_the_end():
-    bench = SlowdownHarness()
-    number, waits = bench.open(1.0)
+    harness = SlowdownHarness()
+    number, waits = harness.open(1.0)
     asked = [(number, waits)]
     while not waits:
-        bench.refuse_slow(number, 1.0)
-        number, waits = bench.take_opening()
+        harness.refuse_slow(number, 1.0)
+        number, waits = harness.take_opening()
         asked.append((number, waits))
     assert len(asked) == HOSTS + 1
-    bench.accept(number, SLOW, 1.0)
-    assert bench.resets == []
+    harness.accept(number, SLOW, 1.0)
+    assert harness.resets == []
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -48,40 +48,40 @@
 
 def bulk_bench(megabits=MEGABITS, is_bulk=True):
     """Return a balancer whose only route takes uploads, on a link of this rate."""
-    bench = Harness(record(1), record(2), version=0)
+    harness = Harness(record(1), record(2), version=0)
     backends = [RouteBackend("web", 1.0)]
-    bench.routes.replace(RouteSet(1, [FlowRoute("r", LISTENER, backends, is_bulk)]))
-    bench.now = 1.0
-    core = bench.core
+    harness.routes.replace(RouteSet(1, [FlowRoute("r", LISTENER, backends, is_bulk)]))
+    harness.now = 1.0
+    core = harness.core
     core.link = pacer_of(megabits, core.send) if megabits else None
     core.uploads = UploadAdmission(PlainCodec(), core.link, WINDOW_BYTES, RESEND_SECONDS)
     if core.link is not None:
-        core.send_bulk = lambda *datagram: core.link.send_bulk(*datagram, bench.now)
-    return bench
+        core.send_bulk = lambda *datagram: core.link.send_bulk(*datagram, harness.now)
+    return harness
 
 
-def opened(bench, now=1.0):
+def opened(harness, now=1.0):
     """Return the callers' ports whose openings went to an agent, which takes them."""
     ports = []
-    for kind, number, body in bench.take_sent():
+    for kind, number, body in harness.take_sent():
         if kind is FrameKind.OPEN:
-            bench.answer(number, FrameKind.ACCEPTED, now, key=body[:12])
+            harness.answer(number, FrameKind.ACCEPTED, now, key=body[:12])
             ports.append(Endpoint.unpack(body[:6]).port)
     return ports
 
 
 def full(waiting=(3, 4)):
     """Return a balancer that expects as much as its link carries, and some uploads that wait."""
-    bench = bulk_bench()
+    harness = bulk_bench()
     for number in (1, 2, *waiting):
-        bench.core.receive(packet(number, OPENING), 1.0)
-    assert opened(bench) == [1, 2]
-    return bench
+        harness.core.receive(packet(number, OPENING), 1.0)
+    assert opened(harness) == [1, 2]
+    return harness
 
 
-def receive(bench, now, number, flags=0, data=b""):
-    bench.now = now
-    bench.core.receive(packet(number, flags, data), now)
+def receive(harness, now, number, flags=0, data=b""):
+    harness.now = now
+    harness.core.receive(packet(number, flags, data), now)
 
 
 @pytest.mark.parametrize(
@@ -89,85 +89,85 @@
     [(2.0, 1), (MEGABITS, 2), (3.7, 3), (7.4, 7), (0.1, 1), (1000.0, 900), (0.0, 900)],
 )
 def test_the_link_decides_how_many_windows_are_expected_at_once(megabits, count):
-    bench = bulk_bench(megabits)
+    harness = bulk_bench(megabits)
     for number in range(1, 901):
-        bench.core.receive(packet(number, OPENING), 1.0)
-    assert len(opened(bench)) == count
+        harness.core.receive(packet(number, OPENING), 1.0)
+    assert len(opened(harness)) == count
 
 
 def test_an_upload_beyond_the_limit_waits_until_one_has_ended_the_oldest_first():
-    bench = full()
-    receive(bench, 1.1, 1, ENDING, b"last")
-    bench.core.tick(1.12)
-    assert opened(bench) == [3]
-    receive(bench, 1.2, 2, RESET)
-    bench.core.tick(1.22)
-    assert opened(bench) == [4]
-    assert bench.resets == []
+    harness = full()
+    receive(harness, 1.1, 1, ENDING, b"last")
+    harness.core.tick(1.12)
+    assert opened(harness) == [3]
+    receive(harness, 1.2, 2, RESET)
+    harness.core.tick(1.22)
+    assert opened(harness) == [4]
+    assert harness.resets == []
 
 
 def test_an_upload_that_rests_makes_room_though_it_has_not_ended():
-    bench = full(waiting=(3,))
-    receive(bench, 1.1, 1, 0, b"data")
-    bench.core.tick(1.1 + LOADING_SECONDS)
-    assert opened(bench) == []
-    bench.core.tick(1.11 + LOADING_SECONDS)
-    assert opened(bench) == [3]
+    harness = full(waiting=(3,))
+    receive(harness, 1.1, 1, 0, b"data")
+    harness.core.tick(1.1 + LOADING_SECONDS)
+    assert opened(harness) == []
+    harness.core.tick(1.11 + LOADING_SECONDS)
+    assert opened(harness) == [3]
 
 
 def test_an_upload_whose_data_waits_for_the_link_makes_no_room():
-    bench = full(waiting=(3,))
-    keep_the_link_full(bench, 1.1)
+    harness = full(waiting=(3,))
+    keep_the_link_full(harness, 1.1)
     resting = 1.11 + FIRST_DATA_SECONDS
-    bench.core.tick(resting)
-    assert opened(bench) == []
+    harness.core.tick(resting)
+    assert opened(harness) == []
     for step in range(35):
-        bench.core.link.release(resting + step * 0.01)
-    bench.core.tick(resting + 0.35)
-    assert opened(bench) == [3]
+        harness.core.link.release(resting + step * 0.01)
+    harness.core.tick(resting + 0.35)
+    assert opened(harness) == [3]
 
 
 def test_a_copy_of_a_waiting_uploads_opening_packet_changes_nothing():
-    bench = full(waiting=(3,))
-    receive(bench, 1.2, 3, OPENING, b"\x02")
-    receive(bench, 1.3, 1, ENDING, b"last")
-    bench.core.tick(1.32)
-    receive(bench, 1.4, 2, ENDING, b"last")
-    bench.core.tick(1.42)
-    assert opened(bench) == [3]
+    harness = full(waiting=(3,))
+    receive(harness, 1.2, 3, OPENING, b"\x02")
+    receive(harness, 1.3, 1, ENDING, b"last")
+    harness.core.tick(1.32)
+    receive(harness, 1.4, 2, ENDING, b"last")
+    harness.core.tick(1.42)
+    assert opened(harness) == [3]
 
 
-def keep_the_link_full(bench, now):
+def keep_the_link_full(harness, now):
     """Let two open uploads send more than the link carries."""
     for number in (1, 2):
         for position in range(40):
-            receive(bench, now, number, 0, bytes((position,)).ljust(1000, b"."))
+            receive(harness, now, number, 0, bytes((position,)).ljust(1000, b"."))
 
 
 def test_an_upload_that_waits_for_too_long_is_reset_before_its_caller_gives_up():
-    bench = full(waiting=(3,))
+    harness = full(waiting=(3,))
     for step in range(int(MAX_WAIT_SECONDS / 0.1) + 2):
         now = 1.0 + step * 0.1
-        keep_the_link_full(bench, now)
-        bench.core.tick(now)
-    assert [to for _, to in bench.resets] == [("100.64.0.9", 3)]
-    assert not bench.core.uploads.has_waiting()
-    assert bench.core.link.backlog_seconds() < MAX_BULK_SECONDS + RESEND_SECONDS
+        keep_the_link_full(harness, now)
+        harness.core.tick(now)
+    assert [to for _, to in harness.resets] == [("100.64.0.9", 3)]
+    assert not harness.core.uploads.has_waiting()
+    assert harness.core.link.backlog_seconds() < MAX_BULK_SECONDS + RESEND_SECONDS
 
 
 def test_an_upload_that_sends_nothing_is_not_expected_any_more():
-    bench = full(waiting=(3,))
-    receive(bench, 1.0 + FIRST_DATA_SECONDS, 2, 0, b"data")
-    bench.core.tick(1.01 + FIRST_DATA_SECONDS)
-    assert opened(bench) == [3]
+    harness = full(waiting=(3,))
+    receive(harness, 1.0 + FIRST_DATA_SECONDS, 2, 0, b"data")
+    harness.core.tick(1.01 + FIRST_DATA_SECONDS)
+    assert opened(harness) == [3]
 
 
 def test_packets_without_data_make_no_room():
-    bench = full(waiting=(3,))
+    harness = full(waiting=(3,))
     for number in (1, 2):
-        receive(bench, 1.1, number)
-    bench.core.tick(1.1)
-    assert opened(bench) == []
+        receive(harness, 1.1, number)
+    harness.core.tick(1.1)
+    assert opened(harness) == []
 
 
 def test_waiting_uploads_are_bounded():
@@ -179,19 +179,19 @@
 
 
 def test_other_flows_and_links_of_unknown_rate_are_not_limited():
-    for bench in (bulk_bench(is_bulk=False), bulk_bench(megabits=0.0)):
+    for harness in (bulk_bench(is_bulk=False), bulk_bench(megabits=0.0)):
         for number in (1, 2, 3, 4):
-            bench.core.receive(packet(number, OPENING), 1.0)
-        assert opened(bench) == [1, 2, 3, 4]
+            harness.core.receive(packet(number, OPENING), 1.0)
+        assert opened(harness) == [1, 2, 3, 4]
 
 
 def test_an_upload_found_by_a_search_takes_its_turns_too():
-    bench = bulk_bench()
+    harness = bulk_bench()
     for position in range(20):
-        receive(bench, 1.0, 7, 0, bytes((position,)).ljust(1000, b"."))
-    asked = {number for kind, number, _ in bench.take_sent() if kind is FrameKind.FIND}
+        receive(harness, 1.0, 7, 0, bytes((position,)).ljust(1000, b"."))
+    asked = {number for kind, number, _ in harness.take_sent() if kind is FrameKind.FIND}
     key = PlainCodec().flow_key(packet(7))
-    bench.answer(min(asked), FrameKind.HELD, 1.0, key=key)
-    carried = [kind for kind, _, _ in bench.take_sent() if kind is FrameKind.CARRY]
+    harness.answer(min(asked), FrameKind.HELD, 1.0, key=key)
+    carried = [kind for kind, _, _ in harness.take_sent() if kind is FrameKind.CARRY]
     assert 0 < len(carried) < 16
-    assert bench.core.link.backlog_bytes() > 0
+    assert harness.core.link.backlog_bytes() > 0
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -65,35 +65,35 @@
 
 
 def test_a_slow_host_is_not_chosen_while_others_have_room():
-    bench = Harness()
-    bench.tell_usual()
-    bench.tell(1, 8 * USUAL)
-    assert "agent-1" not in bench.chosen()
+    harness = Harness()
+    harness.tell_usual()
+    harness.tell(1, 8 * USUAL)
+    assert "agent-1" not in harness.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
-    bench = Harness()
-    bench.tell_usual()
-    bench.tell(1, 8 * USUAL)
+    harness = Harness()
+    harness.tell_usual()
+    harness.tell(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
-        bench.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
-    assert bench.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
+        harness.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
+    assert harness.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
 
 
 def test_a_fast_host_gets_more():
-    bench = Harness()
-    bench.tell_usual()
-    bench.tell(1, USUAL / 3)
-    assert bench.chosen().count("agent-1") > 200 / HOSTS * 2
+    harness = Harness()
+    harness.tell_usual()
+    harness.tell(1, USUAL / 3)
+    assert harness.chosen().count("agent-1") > 200 / HOSTS * 2
 
 
 @pytest.mark.parametrize("ratio", [1.0, 1.4, 1 / 1.4])
 def test_between_equals_every_choice_is_as_without_figures(ratio):
     assert max(ratio, 1 / ratio) < TYPICAL_RATIO
     plain, weighed = Harness(weighs_slowdown=False), Harness()
-    for bench in (plain, weighed):
-        bench.tell_usual()
-        bench.tell(1, ratio * USUAL)
+    for harness in (plain, weighed):
+        harness.tell_usual()
+        harness.tell(1, ratio * USUAL)
     assert plain.chosen(1000) == weighed.chosen(1000)
 
 
@@ -117,10 +117,10 @@
     ids=["slow", "fast"],
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
-    bench = Harness()
-    bench.tell_usual()
-    target = bench.target(1)
-    bench.pool.record_service_time(target, KIND, code, 1.0)
+    harness = Harness()
+    harness.tell_usual()
+    target = harness.target(1)
+    harness.pool.record_service_time(target, KIND, code, 1.0)
     target.record_load(2.0, 1.0)
     load = target.relative_load(1.0)
     assert target.expected_wait(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
@@ -143,22 +143,22 @@
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
-    bench, plain = Harness(), Harness(weighs_slowdown=False)
+    harness, plain = Harness(), Harness(weighs_slowdown=False)
     for _ in range(MIN_SAMPLES):
-        bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
+        harness.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
-        bench.tell(number, 8 * USUAL)
-    assert all(bench.target(number).slowdown == MAX_SLOWDOWN for number in slow)
-    assert bench.chosen() == plain.chosen()
+        harness.tell(number, 8 * USUAL)
+    assert all(harness.target(number).slowdown == MAX_SLOWDOWN for number in slow)
+    assert harness.chosen() == plain.chosen()
 
 
 def test_kinds_are_compared_each_with_itself():
-    bench = Harness()
+    harness = Harness()
     for number in range(1, HOSTS + 1):
-        bench.tell(number, USUAL)
+        harness.tell(number, USUAL)
     for number in range(1, HOSTS + 1):
-        bench.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
-    assert {bench.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
+        harness.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
+    assert {harness.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
