--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -46,7 +46,7 @@
     return from_caller(flags, data, caller=caller(number))
 
 
-def bulk_bench(megabits=MEGABITS, is_bulk=True):
+def bulk_harness(megabits=MEGABITS, is_bulk=True):
     """Return a balancer whose only route takes uploads, on a link of this rate."""
     harness = Harness(record(1), record(2), version=0)
     backends = [RouteBackend("web", 1.0)]
@@ -72,7 +72,7 @@
 
 def full(waiting=(3, 4)):
     """Return a balancer that expects as much as its link carries, and some uploads that wait."""
-    harness = bulk_bench()
+    harness = bulk_harness()
     for number in (1, 2, *waiting):
         harness.core.receive(packet(number, OPENING), 1.0)
     assert opened(harness) == [1, 2]
@@ -89,7 +89,7 @@
     [(2.0, 1), (MEGABITS, 2), (3.7, 3), (7.4, 7), (0.1, 1), (1000.0, 900), (0.0, 900)],
 )
 def test_the_link_decides_how_many_windows_are_expected_at_once(megabits, count):
-    harness = bulk_bench(megabits)
+    harness = bulk_harness(megabits)
     for number in range(1, 901):
         harness.core.receive(packet(number, OPENING), 1.0)
     assert len(opened(harness)) == count
@@ -179,14 +179,14 @@
 
 
 def test_other_flows_and_links_of_unknown_rate_are_not_limited():
-    for harness in (bulk_bench(is_bulk=False), bulk_bench(megabits=0.0)):
+    for harness in (bulk_harness(is_bulk=False), bulk_harness(megabits=0.0)):
         for number in (1, 2, 3, 4):
             harness.core.receive(packet(number, OPENING), 1.0)
         assert opened(harness) == [1, 2, 3, 4]
 
 
 def test_an_upload_found_by_a_search_takes_its_turns_too():
-    harness = bulk_bench()
+    harness = bulk_harness()
     for position in range(20):
         receive(harness, 1.0, 7, 0, bytes((position,)).ljust(1000, b"."))
     asked = {number for kind, number, _ in harness.take_sent() if kind is FrameKind.FIND}
