--- a/tests/balancer/datagrams/support.py
+++ b/tests/balancer/datagrams/support.py
@@ -67,14 +67,14 @@
         )
         if version:
             self.route(version, *services)
-        self.learn(*records, is_snapshot=True, now=-100.0)
+        self.update_fleet(*records, is_snapshot=True, now=-100.0)
 
     def route(self, version, *services):
         backends = [RouteBackend(service, 1.0) for service in services]
         routes = [FlowRoute("r", LISTENER, backends)] if services else []
         self.routes.replace(RouteSet(version, routes))
 
-    def learn(self, *records, is_snapshot=False, removed=(), now=0.0):
+    def update_fleet(self, *records, is_snapshot=False, removed=(), now=0.0):
         self.core.fleet_changed(FleetUpdate(is_snapshot, list(records), list(removed)), now)
 
     def take_sent(self):
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -129,6 +129,6 @@
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
     harness = Harness(record(1, zone="b"), record(2), record(3))
     harness.core.delegated.is_enabled = True
-    harness.learn(removed=[address_of(3)], now=0.5)
+    harness.update_fleet(removed=[address_of(3)], now=0.5)
     harness.core.receive(DATA, 1.0)
     assert helper_of(harness) == 2
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -67,7 +67,7 @@
 
 def test_a_flow_that_waits_for_a_host_has_waited_since_it_came():
     harness = early(SYN, agents=())
-    harness.learn(record(1, HostPhase.UNKNOWN), now=1.4)
+    harness.update_fleet(record(1, HostPhase.UNKNOWN), now=1.4)
     routes_come(harness)
     assert harness.core.has_pending()
     harness.core.tick(1.01 + MAX_HOLD_SECONDS)
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -101,7 +101,7 @@
     harness = Harness(record(1))
     harness.core.receive(SYN, 1.0)
     number, _ = harness.take_opening()
-    harness.learn(record(1, HostPhase.DRAINING))
+    harness.update_fleet(record(1, HostPhase.DRAINING))
     harness.refuse(number, 1.01, RefusalReason.DRAINING)
     assert harness.resets == [RESET_TO_CALLER]
 
@@ -179,7 +179,7 @@
 def test_an_open_flow_outlives_its_agents_absence_from_the_directory():
     harness = Harness(record(1))
     number = opened(harness)
-    harness.learn(removed=[address_of(number)], now=1.1)
+    harness.update_fleet(removed=[address_of(number)], now=1.1)
     harness.core.receive(DATA, 1.2)
     assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
@@ -353,27 +353,27 @@
 def test_a_new_flow_waits_for_a_host_that_is_expected_in_a_moment(known):
     harness = Harness(version=1)
     harness.pool.directory_since = None
-    harness.learn(*known, now=0.9)
+    harness.update_fleet(*known, now=0.9)
     harness.core.receive(SYN, 1.0)
     harness.core.receive(SYN, 1.2)
     harness.core.tick(1.3)
     assert harness.sent == harness.resets == []
-    harness.learn(record(1), now=1.4)
+    harness.update_fleet(record(1), now=1.4)
     assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
 def test_a_new_flow_waits_while_an_agent_that_restarted_has_not_heard_its_host():
     harness = Harness(record(1))
-    harness.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
+    harness.update_fleet(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     harness.core.receive(SYN, 1.0)
     assert harness.resets == []
-    harness.learn(record(1, incarnation=2), now=1.2)
+    harness.update_fleet(record(1, incarnation=2), now=1.2)
     assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
 def test_a_flow_whose_host_does_not_appear_is_reset_before_its_caller_gives_up():
     harness = Harness(record(1))
-    harness.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
+    harness.update_fleet(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     harness.core.receive(SYN, 1.0)
     harness.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
     assert harness.resets == []
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -54,7 +54,7 @@
 
 def test_draining_and_unlisted_agents_are_asked_too():
     harness = Harness(record(1), record(2, HostPhase.DRAINING), record(3))
-    harness.learn(removed=[address_of(3)], now=0.5)
+    harness.update_fleet(removed=[address_of(3)], now=0.5)
     harness.core.receive(DATA, 1.0)
     assert asked(harness) == {1, 2, 3}
 
@@ -253,7 +253,7 @@
 def unanswered_twice(unlisted_at, phase=HostPhase.READY):
     """Search while agent 2 is silent, and unlisted since a time."""
     harness = Harness(record(1), record(2, phase))
-    harness.learn(removed=[address_of(2)], now=unlisted_at)
+    harness.update_fleet(removed=[address_of(2)], now=unlisted_at)
     harness.core.receive(DATA, 10.0)
     asked(harness)
     deny(harness, [1], 10.01)
@@ -311,12 +311,12 @@
     """Others may be missing in what a home tells right after a start of its own."""
     harness = Harness(version=1)
     harness.core.pool.directory_since = None
-    harness.learn(record(1), is_snapshot=True, now=0.95)
+    harness.update_fleet(record(1), is_snapshot=True, now=0.95)
     harness.core.receive(DATA, 1.0)
     deny(harness, asked(harness), 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
     assert harness.take_sent() == []
-    harness.learn(record(2), now=1.2)
+    harness.update_fleet(record(2), now=1.2)
     harness.core.tick(0.95 + SETTLING_SECONDS + ROUND_GRID_SECONDS)
     assert asked(harness) == {1, 2}
 
@@ -325,7 +325,7 @@
     """A balancer that has just started knows no agent; agents that restarted do not know."""
     harness = searching()
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
-    harness.learn(record(1), is_snapshot=True, now=1.1)
+    harness.update_fleet(record(1), is_snapshot=True, now=1.1)
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS + SETTLING_SECONDS)
     assert asked(harness) == {1}
     harness.answer(1, FrameKind.UNSURE, 1.35)
--- a/tests/balancer/datagrams/test_zones.py
+++ b/tests/balancer/datagrams/test_zones.py
@@ -32,7 +32,7 @@
 def test_an_agent_that_is_learned_later_is_in_a_drained_zone_too():
     harness = Harness(record(2, zone="b"))
     drain(harness, 1, "a")
-    harness.learn(record(1, zone="a"), now=9.0)
+    harness.update_fleet(record(1, zone="a"), now=9.0)
     assert opened_at(harness) == [2]
 
 
