--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -40,7 +40,7 @@
         endpoint = address_of(number)
         return self.pool.at((endpoint.host, endpoint.port))
 
-    def learn_usual(self):
+    def establish_baseline(self):
         for _ in range(4 * MIN_SAMPLES):
             number, _ = self.open(0.5)
             self.accept(number, USUAL, 0.5)
@@ -48,7 +48,7 @@
 
 def test_an_acceptance_that_tells_a_slow_host_keeps_new_flows_away():
     harness = SlowdownHarness()
-    harness.learn_usual()
+    harness.establish_baseline()
     slow, _ = harness.open(1.0)
     harness.accept(slow, SLOW, 1.0)
     assert harness.target(slow).slowdown == MAX_SLOWDOWN
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("flags", [UNKNOWN_SERVICE_TIME, 1, 255])
 def test_what_is_told_with_other_answers_is_not_a_pace(flags):
     harness = SlowdownHarness()
-    harness.learn_usual()
+    harness.establish_baseline()
     number, _ = harness.open(1.0)
     harness.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(harness.caller))
     assert harness.target(number).slowdown == 1.0
