--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -46,12 +46,12 @@
         endpoint = address_of(number)
         return self.pool.at((endpoint.host, endpoint.port))
 
-    def tell(self, number, seconds, now=1.0, kind=KIND):
+    def report(self, number, seconds, now=1.0, kind=KIND):
         self.pool.record_service_time(self.target(number), kind, encode_service_time(seconds), now)
 
     def tell_usual(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
-            self.tell(number, USUAL, now)
+            self.report(number, USUAL, now)
 
     def chosen(self, count=200, now=1.0, loads=None):
         source = random.Random(3)
@@ -67,14 +67,14 @@
 def test_a_slow_host_is_not_chosen_while_others_have_room():
     harness = Harness()
     harness.tell_usual()
-    harness.tell(1, 8 * USUAL)
+    harness.report(1, 8 * USUAL)
     assert "agent-1" not in harness.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
     harness = Harness()
     harness.tell_usual()
-    harness.tell(1, 8 * USUAL)
+    harness.report(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
         harness.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
     assert harness.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
@@ -83,7 +83,7 @@
 def test_a_fast_host_gets_more():
     harness = Harness()
     harness.tell_usual()
-    harness.tell(1, USUAL / 3)
+    harness.report(1, USUAL / 3)
     assert harness.chosen().count("agent-1") > 200 / HOSTS * 2
 
 
@@ -93,14 +93,14 @@
     plain, weighed = Harness(weighs_slowdown=False), Harness()
     for harness in (plain, weighed):
         harness.tell_usual()
-        harness.tell(1, ratio * USUAL)
+        harness.report(1, ratio * USUAL)
     assert plain.chosen(1000) == weighed.chosen(1000)
 
 
 def test_switched_off_nothing_is_weighed():
     plain, told = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
     told.tell_usual()
-    told.tell(1, 100 * USUAL)
+    told.report(1, 100 * USUAL)
     assert plain.chosen() == told.chosen()
 
 
@@ -147,7 +147,7 @@
     for _ in range(MIN_SAMPLES):
         harness.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
-        harness.tell(number, 8 * USUAL)
+        harness.report(number, 8 * USUAL)
     assert all(harness.target(number).slowdown == MAX_SLOWDOWN for number in slow)
     assert harness.chosen() == plain.chosen()
 
@@ -155,9 +155,9 @@
 def test_kinds_are_compared_each_with_itself():
     harness = Harness()
     for number in range(1, HOSTS + 1):
-        harness.tell(number, USUAL)
+        harness.report(number, USUAL)
     for number in range(1, HOSTS + 1):
-        harness.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
+        harness.report(number, 20 * USUAL, 1.2, OTHER_KIND)
     assert {harness.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
