--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -49,7 +49,7 @@
     def report(self, number, seconds, now=1.0, kind=KIND):
         self.pool.record_service_time(self.target(number), kind, encode_service_time(seconds), now)
 
-    def tell_usual(self, now=0.8, numbers=range(2, HOSTS + 1)):
+    def report_typical(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
             self.report(number, USUAL, now)
 
@@ -66,14 +66,14 @@
 
 def test_a_slow_host_is_not_chosen_while_others_have_room():
     harness = Harness()
-    harness.tell_usual()
+    harness.report_typical()
     harness.report(1, 8 * USUAL)
     assert "agent-1" not in harness.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
     harness = Harness()
-    harness.tell_usual()
+    harness.report_typical()
     harness.report(1, 8 * USUAL)
     for number in range(2, HOSTS + 1):
         harness.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
@@ -82,7 +82,7 @@
 
 def test_a_fast_host_gets_more():
     harness = Harness()
-    harness.tell_usual()
+    harness.report_typical()
     harness.report(1, USUAL / 3)
     assert harness.chosen().count("agent-1") > 200 / HOSTS * 2
 
@@ -92,14 +92,14 @@
     assert max(ratio, 1 / ratio) < TYPICAL_RATIO
     plain, weighed = Harness(weighs_slowdown=False), Harness()
     for harness in (plain, weighed):
-        harness.tell_usual()
+        harness.report_typical()
         harness.report(1, ratio * USUAL)
     assert plain.chosen(1000) == weighed.chosen(1000)
 
 
 def test_switched_off_nothing_is_weighed():
     plain, told = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
-    told.tell_usual()
+    told.report_typical()
     told.report(1, 100 * USUAL)
     assert plain.chosen() == told.chosen()
 
@@ -118,7 +118,7 @@
 )
 def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
     harness = Harness()
-    harness.tell_usual()
+    harness.report_typical()
     target = harness.target(1)
     harness.pool.record_service_time(target, KIND, code, 1.0)
     target.record_load(2.0, 1.0)
@@ -145,7 +145,7 @@
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
     harness, plain = Harness(), Harness(weighs_slowdown=False)
     for _ in range(MIN_SAMPLES):
-        harness.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
+        harness.report_typical(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
         harness.report(number, 8 * USUAL)
     assert all(harness.target(number).slowdown == MAX_SLOWDOWN for number in slow)
