--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -10,7 +10,7 @@
 from tests.balancer.datagrams.support import Harness, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
-USUAL, SLOW = 0.05, 0.4
+TYPICAL, SLOW = 0.05, 0.4
 CAPACITY = 4
 HOSTS = 3
 
@@ -43,7 +43,7 @@
     def establish_baseline(self):
         for _ in range(4 * MIN_SAMPLES):
             number, _ = self.open(0.5)
-            self.accept(number, USUAL, 0.5)
+            self.accept(number, TYPICAL, 0.5)
 
 
 def test_an_acceptance_that_tells_a_slow_host_keeps_new_flows_away():
@@ -55,7 +55,7 @@
     asked = []
     for _ in range(6):
         number, _ = harness.open(1.1)
-        harness.accept(number, USUAL, 1.1)
+        harness.accept(number, TYPICAL, 1.1)
         asked.append(number)
     assert slow not in asked
 
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -29,7 +29,7 @@
 from tests.flows.support import LISTENER
 
 HOSTS = 8
-USUAL = 0.05
+TYPICAL = 0.05
 KIND = LISTENER.pack()
 OTHER_KIND = b"other!"
 
@@ -51,7 +51,7 @@
 
     def report_typical(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
-            self.report(number, USUAL, now)
+            self.report(number, TYPICAL, now)
 
     def chosen(self, count=200, now=1.0, loads=None):
         source = random.Random(3)
@@ -67,14 +67,14 @@
 def test_a_slow_host_is_not_chosen_while_others_have_room():
     harness = Harness()
     harness.report_typical()
-    harness.report(1, 8 * USUAL)
+    harness.report(1, 8 * TYPICAL)
     assert "agent-1" not in harness.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
     harness = Harness()
     harness.report_typical()
-    harness.report(1, 8 * USUAL)
+    harness.report(1, 8 * TYPICAL)
     for number in range(2, HOSTS + 1):
         harness.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
     assert harness.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
@@ -83,7 +83,7 @@
 def test_a_fast_host_gets_more():
     harness = Harness()
     harness.report_typical()
-    harness.report(1, USUAL / 3)
+    harness.report(1, TYPICAL / 3)
     assert harness.chosen().count("agent-1") > 200 / HOSTS * 2
 
 
@@ -93,14 +93,14 @@
     plain, weighed = Harness(weighs_slowdown=False), Harness()
     for harness in (plain, weighed):
         harness.report_typical()
-        harness.report(1, ratio * USUAL)
+        harness.report(1, ratio * TYPICAL)
     assert plain.chosen(1000) == weighed.chosen(1000)
 
 
 def test_switched_off_nothing_is_weighed():
     plain, told = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
     told.report_typical()
-    told.report(1, 100 * USUAL)
+    told.report(1, 100 * TYPICAL)
     assert plain.chosen() == told.chosen()
 
 
@@ -147,7 +147,7 @@
     for _ in range(MIN_SAMPLES):
         harness.report_typical(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
-        harness.report(number, 8 * USUAL)
+        harness.report(number, 8 * TYPICAL)
     assert all(harness.target(number).slowdown == MAX_SLOWDOWN for number in slow)
     assert harness.chosen() == plain.chosen()
 
@@ -155,23 +155,23 @@
 def test_kinds_are_compared_each_with_itself():
     harness = Harness()
     for number in range(1, HOSTS + 1):
-        harness.report(number, USUAL)
+        harness.report(number, TYPICAL)
     for number in range(1, HOSTS + 1):
-        harness.report(number, 20 * USUAL, 1.2, OTHER_KIND)
+        harness.report(number, 20 * TYPICAL, 1.2, OTHER_KIND)
     assert {harness.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
     slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
-        assert slowdowns.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
-    assert slowdowns.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
+        assert slowdowns.slowdown("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(TYPICAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert slowdowns.slowdown("web", KIND, encode_service_time(9 * USUAL), late) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(9 * TYPICAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
     slowdowns = HostSlowdowns()
     for number in range(3 * MAX_KINDS):
-        slowdowns.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
+        slowdowns.slowdown("web", number.to_bytes(6, "big"), encode_service_time(TYPICAL), 1.0)
     assert len(slowdowns._kinds) <= MAX_KINDS
