--- a/tests/balancer/datagrams/test_thin_link.py
+++ b/tests/balancer/datagrams/test_thin_link.py
@@ -7,7 +7,7 @@
 MEGABITS = 3.7
 UPLOADS_PER_SECOND = MEGABITS * 1e6 / 8 / (PACKETS * PACKET_BYTES)
 """What the link carries in one direction."""
-USUAL_SHARE = 0.5
+TYPICAL_SHARE = 0.5
 BURST = 1.5
 BURST_BEGINS, BURST_ENDS = 5.0, 8.0
 RECOVERED_AFTER = 2.0
@@ -16,7 +16,7 @@
 
 def rate_at(second):
     is_burst = BURST_BEGINS <= second < BURST_ENDS
-    return UPLOADS_PER_SECOND * (BURST if is_burst else USUAL_SHARE)
+    return UPLOADS_PER_SECOND * (BURST if is_burst else TYPICAL_SHARE)
 
 
 def played(seed, limited):
