--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -45,10 +45,10 @@
         self.advertised = None
         self.routes = RouteSet(1, [route(1), route(2)])
         self.directory = NodeDirectory(1)
-        self.told = []
+        self.reported = []
         # Each change is sent by itself; how several are put together: test_home_links.
         self.links = HomeLinks(
-            self.directory, self._view, self.told.append, fleet_interval_seconds=0.0
+            self.directory, self._view, self.reported.append, fleet_interval_seconds=0.0
         )
         hello = make_hello(ConnectionKind.PEER, "home", CLUSTER_ID)
         self.server = FramedServer(
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -98,10 +98,10 @@
 
 
 def test_switched_off_nothing_is_weighed():
-    plain, told = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
-    told.report_typical()
-    told.report(1, 100 * TYPICAL)
-    assert plain.chosen() == told.chosen()
+    plain, reported = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
+    reported.report_typical()
+    reported.report(1, 100 * TYPICAL)
+    assert plain.chosen() == reported.chosen()
 
 
 def test_agents_that_tell_nothing_are_chosen_as_before():
