--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -55,7 +55,7 @@
 class Violation:
     """A broken promise: what, when, and to which flow."""
 
-    promise: str
+    invariant: str
     at: float
     detail: str
 
@@ -402,8 +402,8 @@
 
     # What is checked
 
-    def violate(self, promise, detail):
-        self.violations.append(Violation(promise, round(self.now, 3), detail))
+    def violate(self, invariant, detail):
+        self.violations.append(Violation(invariant, round(self.now, 3), detail))
 
     def saw_packet(self, host, key, packet):
         listener = Endpoint.unpack(key[6:])
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -39,7 +39,7 @@
     promises = set()
     for seed in MUTANT_SEEDS:
         world = play(seed, delegates=bool(seed % 2))
-        promises.update(violation.promise for violation in world.violations)
+        promises.update(violation.invariant for violation in world.violations)
     return promises
 
 
