--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -36,11 +36,11 @@
 
 
 def broken_promises():
-    promises = set()
+    invariants = set()
     for seed in MUTANT_SEEDS:
         world = play(seed, delegates=bool(seed % 2))
-        promises.update(violation.invariant for violation in world.violations)
-    return promises
+        invariants.update(violation.invariant for violation in world.violations)
+    return invariants
 
 
 def test_mutant_a_first_denial_resets(monkeypatch):
