--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -35,7 +35,7 @@
     assert first.seen == second.seen
 
 
-def broken_promises():
+def violated_invariants():
     invariants = set()
     for seed in MUTANT_SEEDS:
         world = play(seed, delegates=bool(seed % 2))
@@ -54,38 +54,38 @@
         self._queried_all = True
 
     monkeypatch.setattr(search.Search, "__init__", asks_all)
-    assert "an open flow is not reset" in broken_promises()
+    assert "an open flow is not reset" in violated_invariants()
 
 
 def test_mutant_nobody_heeds_that_a_host_leaves(monkeypatch):
     # Balancers avoid such a host too, so the agent's refusal alone is seldom needed.
     monkeypatch.setattr(flow_admission.FlowAdmission, "_refusal", lambda *_: None)
     monkeypatch.setattr(target.Target, "is_usable", lambda *_: True)
-    assert "a host that leaves gets no new flow" in broken_promises()
+    assert "a host that leaves gets no new flow" in violated_invariants()
 
 
 def test_mutant_balancers_send_into_a_drained_zone(monkeypatch):
     # Agents that are cut off from control do not know that they should refuse.
     monkeypatch.setattr(targets.TargetPool, "drain_zones", lambda *_: True)
-    assert "a drained zone gets no new flow" in broken_promises()
+    assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_agents_take_flows_in_a_drained_zone(monkeypatch):
     # Balancers that are cut off from control go on sending.
     monkeypatch.setattr(flow_agent.HostAdmission, "is_zone_drained", lambda *_: False)
-    assert "a drained zone gets no new flow" in broken_promises()
+    assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_a_restarted_agent_denies_what_it_does_not_know(monkeypatch):
     monkeypatch.setattr(flow_knowledge.FlowKnowledge, "knows_all_flows", lambda *_: True)
-    assert "an open flow is not reset" in broken_promises()
+    assert "an open flow is not reset" in violated_invariants()
 
 
 def test_mutant_frames_do_not_name_their_service(monkeypatch):
     for module in (target, targets):
         monkeypatch.setattr(module, "service_tag", lambda _: 1)
     monkeypatch.setattr(flow_agent, "service_tag", lambda _: 1)
-    assert "a packet reaches only hosts of its service" in broken_promises()
+    assert "a packet reaches only hosts of its service" in violated_invariants()
 
 
 def test_mutant_a_late_call_makes_a_leaving_host_ready(monkeypatch):
@@ -95,7 +95,7 @@
         return True
 
     monkeypatch.setattr(HostState, "announce", trusting)
-    assert "a host that leaves gets no new flow" in broken_promises()
+    assert "a host that leaves gets no new flow" in violated_invariants()
 
 
 def test_mutant_packets_are_shown_to_everyone(monkeypatch):
@@ -112,4 +112,4 @@
 
     monkeypatch.setattr(search.Search, "advance", spray)
     monkeypatch.setattr(search.Search, "note_answer", answered)
-    assert "an open flow is found again" in broken_promises()
+    assert "an open flow is found again" in violated_invariants()
