--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_day_breaks_no_promise(seed):
+def test_a_run_violates_no_invariant(seed):
     world = play(seed, delegates=bool(seed % 2))
     assert world.violations == []
     assert len(world.holders) > 20
