--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -29,7 +29,7 @@
     assert sum(each.searches for each in counters) < 20
 
 
-def test_the_same_seed_plays_the_same_day():
+def test_the_same_seed_gives_the_same_run():
     first, second = play(7), play(7)
     assert first.order == second.order
     assert first.seen == second.seen
