--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -38,7 +38,7 @@
 HEARTBEAT = 1.0
 SPRAY_SECONDS = 2.0
 SPRAY_PACKETS = 3
-CALM_SECONDS = 6.0
+QUIET_SECONDS = 6.0
 """After the last fault, before the end is judged."""
 OTHER_LISTENER = Endpoint("198.18.0.2", 443)
 SLOW_SECONDS = 2.5
@@ -518,6 +518,6 @@
         kind = world.random.choice(FAULTS)
         world.later(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
     schedule_zone_orders(world, seconds)
-    world.run(1.5 + seconds + CALM_SECONDS + IDLE)
+    world.run(1.5 + seconds + QUIET_SECONDS + IDLE)
     world.judge_end()
     return world
