--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -46,7 +46,7 @@
 ZONES = ("a", "b")
 CUT_OFF_SECONDS = 3.0
 """How late balancers, or else agents, learn that a zone is drained."""
-NEWS_SECONDS = 0.05
+UPDATE_DELAY_SECONDS = 0.05
 """Longest way of the directory's news."""
 SERVICES = {"web": LISTENER, "export": OTHER_LISTENER}
 
@@ -383,10 +383,10 @@
         if drained:
             self.drained_at[zone] = self.now
         for balancer in self.balancers:
-            delay = CUT_OFF_SECONDS if late == "balancers" else NEWS_SECONDS
+            delay = CUT_OFF_SECONDS if late == "balancers" else UPDATE_DELAY_SECONDS
             self.later(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
         for slot in self.slots.values():
-            delay = CUT_OFF_SECONDS if late == "agents" else NEWS_SECONDS
+            delay = CUT_OFF_SECONDS if late == "agents" else UPDATE_DELAY_SECONDS
             self.later(delay, lambda one=slot: self._tell_zones(one, zones))
 
     def _tell_zones(self, slot, zones):
