--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -147,7 +147,7 @@
             log=SilentLog(),
         )
         self.helper.fleet_changed(self.world.directory(), self.world.now)
-        self.world.tell(self)
+        self.world.announce_agent(self)
 
     def send_to_host(self, packet):
         host = self.host
@@ -171,7 +171,7 @@
             self.agent.on_host_replaced(self.world.now)
         if host.phase is HostPhase.DRAINING and self.acknowledged_drain_at is None:
             self.acknowledged_drain_at = self.world.now
-        self.world.tell(self)
+        self.world.announce_agent(self)
 
     def record(self):
         return NodeRecord(
@@ -355,7 +355,7 @@
         if caller is not None:
             self.later(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
 
-    def tell(self, slot):
+    def announce_agent(self, slot):
         """Pass an agent's record on, after a delay that differs between balancers."""
         record = slot.record()
         for balancer in self.balancers:
