--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -360,10 +360,10 @@
         record = slot.record()
         for balancer in self.balancers:
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda core=balancer.core: self._told(core, record))
+            self.later(delay, lambda core=balancer.core: self._notify(core, record))
         for other in self.slots.values():
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda other=other: self._told(other.helper, record))
+            self.later(delay, lambda other=other: self._notify(other.helper, record))
 
     def directory(self):
         """Return the directory whole; it remembers for a while agents that left silently."""
@@ -371,7 +371,7 @@
         lost = [slot.address for slot in self.slots.values() if slot.agent is None]
         return FleetUpdate(True, records, lost)
 
-    def _told(self, core, record):
+    def _notify(self, core, record):
         core.fleet_changed(FleetUpdate(False, [record], []), self.now)
 
     def order_zone(self, zone, drained, late):
