--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -387,9 +387,9 @@
             self.later(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
         for slot in self.slots.values():
             delay = CUT_OFF_SECONDS if late == "agents" else UPDATE_DELAY_SECONDS
-            self.later(delay, lambda one=slot: self._tell_zones(one, zones))
+            self.later(delay, lambda one=slot: self._notify_zones(one, zones))
 
-    def _tell_zones(self, slot, zones):
+    def _notify_zones(self, slot, zones):
         if slot.agent is not None:
             slot.agent.zones_changed(zones, self.now)
 
