--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -115,7 +115,7 @@
         self.agent = None
         self.new_host(service)
         self.start_agent()
-        self.beat()
+        self.send_heartbeats()
 
     def new_host(self, service):
         self.hosts += 1
@@ -153,11 +153,11 @@
         host = self.host
         self.world.later(0.0005, lambda: host.receive(packet))
 
-    def beat(self):
+    def send_heartbeats(self):
         """The host speaks to its agent, again and again."""
         if self.agent is not None and self.host.alive:
             self.speak()
-        self.world.later(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.beat)
+        self.world.later(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.send_heartbeats)
 
     def speak(self):
         host = self.host
