--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -253,7 +253,7 @@
 
     def receive(self, packet):
         if packet[12] & RESET:
-            self.world.was_reset(self)
+            self.world.on_reset(self)
             self.ended = True
         elif packet.endswith(b"answer"):
             return
@@ -433,7 +433,7 @@
         self.holders[key] = host
         self.seen[key] = [(self.now, True)]
 
-    def was_reset(self, caller):
+    def on_reset(self, caller):
         holder = self.holders.get(caller.key())
         if holder is not None and holder.alive and caller.key() in holder.flows:
             self.violate("an open flow is not reset", f"{holder.host_id} {caller.endpoint}")
