--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -76,7 +76,7 @@
             return
         codec, world = self.world.codec, self.world
         key = codec.flow_key(packet)
-        world.saw_packet(self, key, packet)
+        world.check_packet(self, key, packet)
         if codec.is_opening(packet):
             self.half_open.add(key)
             self._answer(key, b"hello " + self.host_id.encode())
@@ -405,7 +405,7 @@
     def violate(self, invariant, detail):
         self.violations.append(Violation(invariant, round(self.now, 3), detail))
 
-    def saw_packet(self, host, key, packet):
+    def check_packet(self, host, key, packet):
         listener = Endpoint.unpack(key[6:])
         if SERVICES[host.service] != listener:
             self.violate("a packet reaches only hosts of its service", host.host_id)
