--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -84,7 +84,7 @@
         if key in self.half_open and packet.endswith(b"@" + self.host_id.encode()):
             self.half_open.discard(key)
             self.flows.add(key)
-            world.opened(key, self)
+            world.on_opened(key, self)
         if key not in self.flows:
             returned = packet[:12] + bytes((packet[12] | RETURNED,)) + packet[13:]
             world.later(0.0005, lambda: world.slots[self.slot].from_host(returned))
@@ -429,7 +429,7 @@
         if lasts:
             self.violate("an open flow's packets reach its host", host.host_id)
 
-    def opened(self, key, host):
+    def on_opened(self, key, host):
         self.holders[key] = host
         self.seen[key] = [(self.now, True)]
 
