--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -438,7 +438,7 @@
         if holder is not None and holder.alive and caller.key() in holder.flows:
             self.violate("an open flow is not reset", f"{holder.host_id} {caller.endpoint}")
 
-    def judge_end(self):
+    def check_end(self):
         """Each open flow of a living host is known to be held, by whoever asks."""
         for key, host in self.holders.items():
             caller = self.callers[Endpoint.unpack(key[:6])]
@@ -519,5 +519,5 @@
         world.later(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
     schedule_zone_orders(world, seconds)
     world.run(1.5 + seconds + QUIET_SECONDS + IDLE)
-    world.judge_end()
+    world.check_end()
     return world
