--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -415,9 +415,9 @@
         zone = self.slots[host.slot].zone
         if self.codec.is_opening(packet) and self.now > self.drained_at.get(zone, self.now) + 0.1:
             self.violate("a drained zone gets no new flow", host.host_id)
-        self._watch_spray(host, key)
+        self._check_spray(host, key)
 
-    def _watch_spray(self, host, key):
+    def _check_spray(self, host, key):
         holder = self.holders.get(key)
         if holder is None or not holder.alive or key not in holder.flows:
             return
