--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -374,8 +374,8 @@
     def _notify(self, core, record):
         core.fleet_changed(FleetUpdate(False, [record], []), self.now)
 
-    def order_zone(self, zone, drained, late):
-        """Drain or restore a zone; `late` says who is cut off and learns it long after."""
+    def order_zone(self, zone, drained, cut_off):
+        """Drain or restore a zone; `cut_off` says who is cut off and learns it long after."""
         held = set(self.zones.zones) - {zone}
         names = sorted(held | {zone} if drained else held)
         self.zones = zones = DrainedZones(self.zones.revision + 1, names)
@@ -383,10 +383,10 @@
         if drained:
             self.drained_at[zone] = self.now
         for balancer in self.balancers:
-            delay = CUT_OFF_SECONDS if late == "balancers" else UPDATE_DELAY_SECONDS
+            delay = CUT_OFF_SECONDS if cut_off == "balancers" else UPDATE_DELAY_SECONDS
             self.later(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
         for slot in self.slots.values():
-            delay = CUT_OFF_SECONDS if late == "agents" else UPDATE_DELAY_SECONDS
+            delay = CUT_OFF_SECONDS if cut_off == "agents" else UPDATE_DELAY_SECONDS
             self.later(delay, lambda one=slot: self._notify_zones(one, zones))
 
     def _notify_zones(self, slot, zones):
@@ -485,10 +485,10 @@
     """Let an operator drain a zone and restore it, once or twice; drawn apart from the faults."""
     drawn = random.Random(f"zones {world.seed}")
     for _ in range(drawn.randint(0, 2)):
-        zone, late = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
+        zone, cut_off = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
         drained_at = drawn.uniform(1.0, seconds * 0.6)
         restored_at = drained_at + drawn.uniform(1.0, 6.0)
-        world.later(drained_at, lambda one=zone, who=late: world.order_zone(one, True, who))
+        world.later(drained_at, lambda one=zone, who=cut_off: world.order_zone(one, True, who))
         world.later(restored_at, lambda one=zone: world.order_zone(one, False, ""))
 
 
