--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -165,8 +165,8 @@
         if self.agent is None:
             return
         before = self.state.host_id
-        news = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
-        self.state.announce(news, self.world.now)
+        announcement = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
+        self.state.announce(announcement, self.world.now)
         if before not in ("", self.state.host_id):
             self.agent.on_host_replaced(self.world.now)
         if host.phase is HostPhase.DRAINING and self.acknowledged_drain_at is None:
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -89,9 +89,13 @@
 
 
 def test_mutant_a_late_call_makes_a_leaving_host_ready(monkeypatch):
-    def trusting(self, news, now):
-        self.host_id, self.call_number, self.heard_at = news.host_id, news.call_number, now
-        self.phase, self.capacity = HostPhase.READY, news.capacity
+    def trusting(self, announcement, now):
+        self.host_id, self.call_number, self.heard_at = (
+            announcement.host_id,
+            announcement.call_number,
+            now,
+        )
+        self.phase, self.capacity = HostPhase.READY, announcement.capacity
         return True
 
     monkeypatch.setattr(HostState, "announce", trusting)
