--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -73,8 +73,8 @@
 
 def test_a_limit_of_hours_is_told_as_a_minute():
     head = encode_open_head(7, OpeningTerms(False, True, 0.0, CarriedTerms(1, 0.4, 7200.0, 0)))
-    told = decode_opening(head[1], head[REQUEST_HEAD.size :]).terms.route
-    assert told.limit_seconds == pytest.approx(65.535)
+    sent_terms = decode_opening(head[1], head[REQUEST_HEAD.size :]).terms.route
+    assert sent_terms.limit_seconds == pytest.approx(65.535)
 
 
 @pytest.mark.parametrize("length", range(7))
@@ -87,7 +87,7 @@
     return FlowRoute(name, Endpoint("198.18.0.1", port), [RouteBackend(service, 1.0)], terms=terms)
 
 
-def told(table, port):
+def sent_terms(table, port):
     return table.find(Endpoint("198.18.0.1", port).pack()).terms
 
 
@@ -104,16 +104,16 @@
             ],
         )
     )
-    assert told(table, 1) == CarriedTerms(1, 0.4, 3.0, caller_group("a"))
-    assert told(table, 2) == CarriedTerms(2, 0.3, 2.5, caller_group("a"))
-    assert told(table, 3) is None
+    assert sent_terms(table, 1) == CarriedTerms(1, 0.4, 3.0, caller_group("a"))
+    assert sent_terms(table, 2) == CarriedTerms(2, 0.3, 2.5, caller_group("a"))
+    assert sent_terms(table, 3) is None
 
 
 def test_a_limit_alone_calls_for_nothing():
     table = RouteTable()
     longer = RouteTerms(2, 300, 9000)
     table.replace(RouteSet(1, [route("a", "s", ORDINARY, 1), route("b", "s", longer, 2)]))
-    assert told(table, 1) is None
+    assert sent_terms(table, 1) is None
 
 
 def test_terms_follow_the_configuration_and_the_turns_go_on():
@@ -123,6 +123,6 @@
     assert entry.terms is None
     table.replace(RouteSet(2, [route("a", "s", URGENT, 1), route("b", "s", ORDINARY, 2)]))
     assert table.find(Endpoint("198.18.0.1", 1).pack()) is entry
-    assert told(table, 1).priority == URGENT.priority
+    assert sent_terms(table, 1).priority == URGENT.priority
     table.replace(RouteSet(3, [route("a", "s", ORDINARY, 1), route("b", "s", ORDINARY, 2)]))
-    assert told(table, 1) is None
+    assert sent_terms(table, 1) is None
