--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -119,12 +119,12 @@
             self.send(upload, upload.next_packet, FIRST_RETRY_SECONDS)
             upload.next_packet += 1
 
-    def send(self, upload, position, patience):
+    def send(self, upload, position, timeout):
         if position in upload.acknowledged:
             return
         self.cross("in", lambda: self.carry(upload, position))
-        following = min(2 * patience, LONGEST_RETRY_SECONDS)
-        self.later(patience, lambda: self.send(upload, position, following))
+        following = min(2 * timeout, LONGEST_RETRY_SECONDS)
+        self.later(timeout, lambda: self.send(upload, position, following))
 
     def cross(self, direction, arrived):
         start = max(self.now, self.free_at[direction])
