--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -60,7 +60,7 @@
         self.random = random.Random(seed)
         self.bytes_per_second = link_bytes_per_second(megabits)
         paced_rate = PACED_SHARE * self.bytes_per_second
-        self.pacer = LinkPacer(paced_rate, self.leave) if limited else None
+        self.pacer = LinkPacer(paced_rate, self.transmit) if limited else None
         self.admission = UploadAdmission(
             PlainCodec(), self.pacer, WINDOW * PACKET_BYTES, FIRST_RETRY_SECONDS
         )
@@ -137,11 +137,11 @@
         self.under_way[frame] = lambda: self.acknowledge(upload, position)
         frame = frame.ljust(PACKET_BYTES, b".")
         if self.pacer is None:
-            self.leave(frame, AGENT)
+            self.transmit(frame, AGENT)
         else:
             self.pacer.send_bulk(upload.key(), position, frame, AGENT, self.now)
 
-    def leave(self, frame, _address):
+    def transmit(self, frame, _address):
         if self.free_at["out"] - self.now <= BUFFER_SECONDS:
             self.cross("out", self.under_way[frame.rstrip(b".")])
 
