--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -122,7 +122,7 @@
     def send(self, upload, position, timeout):
         if position in upload.acknowledged:
             return
-        self.cross("in", lambda: self.carry(upload, position))
+        self.cross("in", lambda: self.receive_packet(upload, position))
         following = min(2 * timeout, LONGEST_RETRY_SECONDS)
         self.later(timeout, lambda: self.send(upload, position, following))
 
@@ -131,7 +131,7 @@
         self.free_at[direction] = start + PACKET_BYTES / self.bytes_per_second
         self.later(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
 
-    def carry(self, upload, position):
+    def receive_packet(self, upload, position):
         self.admission.record_packet(upload.key(), upload.packet(), self.now)
         frame = position.to_bytes(2, "big") + upload.key()
         self.under_way[frame] = lambda: self.acknowledge(upload, position)
