--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -122,11 +122,11 @@
     def send(self, upload, position, timeout):
         if position in upload.acknowledged:
             return
-        self.cross("in", lambda: self.receive_packet(upload, position))
+        self.transfer("in", lambda: self.receive_packet(upload, position))
         following = min(2 * timeout, LONGEST_RETRY_SECONDS)
         self.later(timeout, lambda: self.send(upload, position, following))
 
-    def cross(self, direction, arrived):
+    def transfer(self, direction, arrived):
         start = max(self.now, self.free_at[direction])
         self.free_at[direction] = start + PACKET_BYTES / self.bytes_per_second
         self.later(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
@@ -143,7 +143,7 @@
 
     def transmit(self, frame, _address):
         if self.free_at["out"] - self.now <= BUFFER_SECONDS:
-            self.cross("out", self.under_way[frame.rstrip(b".")])
+            self.transfer("out", self.under_way[frame.rstrip(b".")])
 
     def acknowledge(self, upload, position):
         upload.acknowledged.add(position)
