--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -64,7 +64,7 @@
         self.admission = UploadAdmission(
             PlainCodec(), self.pacer, WINDOW * PACKET_BYTES, FIRST_RETRY_SECONDS
         )
-        self.under_way = {}
+        self.in_flight = {}
         self.now, self.events, self.order = 0.0, [], 0
         self.free_at = {"in": 0.0, "out": 0.0}
         self.uploads = []
@@ -134,7 +134,7 @@
     def receive_packet(self, upload, position):
         self.admission.record_packet(upload.key(), upload.packet(), self.now)
         frame = position.to_bytes(2, "big") + upload.key()
-        self.under_way[frame] = lambda: self.acknowledge(upload, position)
+        self.in_flight[frame] = lambda: self.acknowledge(upload, position)
         frame = frame.ljust(PACKET_BYTES, b".")
         if self.pacer is None:
             self.transmit(frame, AGENT)
@@ -143,7 +143,7 @@
 
     def transmit(self, frame, _address):
         if self.free_at["out"] - self.now <= BUFFER_SECONDS:
-            self.transfer("out", self.under_way[frame.rstrip(b".")])
+            self.transfer("out", self.in_flight[frame.rstrip(b".")])
 
     def acknowledge(self, upload, position):
         upload.acknowledged.add(position)
