--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -21,7 +21,7 @@
 PACKETS = 33
 WINDOW = 16
 FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 1.6
+MAX_RETRY_SECONDS = 1.6
 DELAY_SECONDS = 0.002
 OBJECTIVE_SECONDS = 1.0
 TRIES = 3
@@ -123,7 +123,7 @@
         if position in upload.acknowledged:
             return
         self.transfer("in", lambda: self.receive_packet(upload, position))
-        following = min(2 * timeout, LONGEST_RETRY_SECONDS)
+        following = min(2 * timeout, MAX_RETRY_SECONDS)
         self.later(timeout, lambda: self.send(upload, position, following))
 
     def transfer(self, direction, arrived):
