--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -37,7 +37,7 @@
     """One upload of a caller; it is tried again where it is reset."""
 
     number: int
-    began_at: float
+    started_at: float
     tries: int = 1
     next_packet: int = 0
     acknowledged: set[int] = field(default_factory=set)
@@ -154,10 +154,10 @@
 
     def in_time(self, since, until):
         """Return the share of uploads begun in this span that met their objective."""
-        begun = [each for each in self.uploads if since <= each.began_at < until]
+        begun = [each for each in self.uploads if since <= each.started_at < until]
         met = [
             each
             for each in begun
-            if each.ended_at is not None and each.ended_at - each.began_at <= OBJECTIVE_SECONDS
+            if each.ended_at is not None and each.ended_at - each.started_at <= OBJECTIVE_SECONDS
         ]
         return len(met) / len(begun)
