--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -101,9 +101,9 @@
     def arrive(self):
         upload = Upload(len(self.uploads), self.now)
         self.uploads.append(upload)
-        self.begin(upload)
+        self.start_upload(upload)
 
-    def begin(self, upload):
+    def start_upload(self, upload):
         key = upload.key()
         self.open[key] = upload
         if self.admission.take(key, upload.packet(), None, self.now, self.now):
@@ -112,7 +112,7 @@
     def reset(self, upload):
         if upload.tries < TRIES:
             upload.tries += 1
-            self.later(DELAY_SECONDS, lambda: self.begin(upload))
+            self.later(DELAY_SECONDS, lambda: self.start_upload(upload))
 
     def send_more(self, upload):
         while upload.next_packet < min(PACKETS, len(upload.acknowledged) + WINDOW):
