--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -70,7 +70,7 @@
         self.uploads = []
         self.open = {}
 
-    def later(self, delay, action):
+    def schedule(self, delay, action):
         self.order += 1
         heapq.heappush(self.events, (self.now + delay, self.order, action))
 
@@ -79,9 +79,9 @@
         at = 0.0
         while at < seconds:
             at += self.random.expovariate(rate_at(at))
-            self.later(at, self.arrive)
-        self.later(TICK_SECONDS, self.tick)
-        self.later(RELEASE_SECONDS, self.release)
+            self.schedule(at, self.arrive)
+        self.schedule(TICK_SECONDS, self.tick)
+        self.schedule(RELEASE_SECONDS, self.release)
         while self.events and self.events[0][0] < seconds + 8.0:
             self.now, _, action = heapq.heappop(self.events)
             action()
@@ -91,12 +91,12 @@
             self.reset(self.open.pop(key))
         for key, _ in self.admission.take_due(self.now):
             self.send_more(self.open[key])
-        self.later(TICK_SECONDS, self.tick)
+        self.schedule(TICK_SECONDS, self.tick)
 
     def release(self):
         if self.pacer is not None:
             self.pacer.release(self.now)
-        self.later(RELEASE_SECONDS, self.release)
+        self.schedule(RELEASE_SECONDS, self.release)
 
     def arrive(self):
         upload = Upload(len(self.uploads), self.now)
@@ -112,7 +112,7 @@
     def reset(self, upload):
         if upload.tries < TRIES:
             upload.tries += 1
-            self.later(DELAY_SECONDS, lambda: self.start_upload(upload))
+            self.schedule(DELAY_SECONDS, lambda: self.start_upload(upload))
 
     def send_more(self, upload):
         while upload.next_packet < min(PACKETS, len(upload.acknowledged) + WINDOW):
@@ -124,12 +124,12 @@
             return
         self.transfer("in", lambda: self.receive_packet(upload, position))
         following = min(2 * timeout, MAX_RETRY_SECONDS)
-        self.later(timeout, lambda: self.send(upload, position, following))
+        self.schedule(timeout, lambda: self.send(upload, position, following))
 
     def transfer(self, direction, arrived):
         start = max(self.now, self.free_at[direction])
         self.free_at[direction] = start + PACKET_BYTES / self.bytes_per_second
-        self.later(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
+        self.schedule(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
 
     def receive_packet(self, upload, position):
         self.admission.record_packet(upload.key(), upload.packet(), self.now)
