--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -56,7 +56,7 @@
         self._replica: FleetReplica | None = None
         self._renew = False
         self.directory = NodeDirectory(self._process_incarnation)
-        self._homes = HomeLinks(self.directory, self._home_view, self._notify_replicas)
+        self._home_links = HomeLinks(self.directory, self._home_view, self._notify_replicas)
         operators = settings.operators_endpoint()
         service = ConfigurationService(lambda: self._replica)
         zone_orders = ZoneOrders(
@@ -68,7 +68,7 @@
             counters=lambda: {
                 **vars(service.counters),
                 **vars(zone_orders.counters),
-                **vars(self._homes.counters),
+                **vars(self._home_links.counters),
             },
             gauges={
                 "configuration_version": lambda: self._home_view().routes.version,
@@ -89,7 +89,7 @@
         hello = make_hello(ConnectionKind.PEER, settings.name, CLUSTER_ID)
         handlers = {
             ConnectionKind.PEER: self._serve_peer,
-            ConnectionKind.SUBSCRIBER: self._homes.serve,
+            ConnectionKind.SUBSCRIBER: self._home_links.serve,
             ConnectionKind.REPORTER: JoinRequestHandler(self._answer_join).serve,
             ConnectionKind.OPERATOR: OperatorRequestHandler(zone_orders).serve,
         }
@@ -181,7 +181,7 @@
             process_incarnation=self._process_incarnation,
             random=self._random,
             on_change=self._publish,
-            own_zones_in_force=self._homes.zones_in_force,
+            own_zones_in_force=self._home_links.zones_in_force,
             storage_faults=self._storage_faults(),
         )
 
@@ -193,10 +193,10 @@
         return StorageFaults(Path(path))
 
     def _publish(self) -> None:
-        self._homes.publish_restrictions()
-        self._homes.publish_fleet()
-        self._homes.publish_routes()
-        self._homes.publish_status()
+        self._home_links.publish_restrictions()
+        self._home_links.publish_fleet()
+        self._home_links.publish_routes()
+        self._home_links.publish_status()
 
     def _home_view(self) -> HomeView:
         replica = self._replica
