--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -87,9 +87,9 @@
             world.on_opened(key, self)
         if key not in self.flows:
             returned = packet[:12] + bytes((packet[12] | RETURNED,)) + packet[13:]
-            world.later(0.0005, lambda: world.slots[self.slot].from_host(returned))
+            world.schedule(0.0005, lambda: world.slots[self.slot].from_host(returned))
             return
-        world.later(world.random.uniform(0.01, 0.1), lambda: self._reply(key))
+        world.schedule(world.random.uniform(0.01, 0.1), lambda: self._reply(key))
 
     def _reply(self, key):
         if self.alive and key in self.flows:
@@ -98,7 +98,7 @@
     def _answer(self, key, data):
         caller, listener = Endpoint.unpack(key[:6]), Endpoint.unpack(key[6:])
         packet = from_host(0, data, caller=caller, listener=listener)
-        self.world.later(0.0005, lambda: self.world.slots[self.slot].from_host(packet))
+        self.world.schedule(0.0005, lambda: self.world.slots[self.slot].from_host(packet))
 
 
 class Slot:
@@ -151,13 +151,13 @@
 
     def send_to_host(self, packet):
         host = self.host
-        self.world.later(0.0005, lambda: host.receive(packet))
+        self.world.schedule(0.0005, lambda: host.receive(packet))
 
     def send_heartbeats(self):
         """The host speaks to its agent, again and again."""
         if self.agent is not None and self.host.alive:
             self.speak()
-        self.world.later(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.send_heartbeats)
+        self.world.schedule(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.send_heartbeats)
 
     def speak(self):
         host = self.host
@@ -249,7 +249,7 @@
             return
         self.attempts += 1
         self._send(OPENING, b"")
-        self.world.later(0.2 * self.attempts, self.open)
+        self.world.schedule(0.2 * self.attempts, self.open)
 
     def receive(self, packet):
         if packet[12] & RESET:
@@ -265,8 +265,8 @@
         if self.ended:
             return
         for delay in (0.0, 0.2, 0.6):
-            self.world.later(delay, lambda: self._send(0, b"@" + self.greeting))
-        self.world.later(self.world.random.uniform(0.5, IDLE / 2), self.speak)
+            self.world.schedule(delay, lambda: self._send(0, b"@" + self.greeting))
+        self.world.schedule(self.world.random.uniform(0.5, IDLE / 2), self.speak)
 
     def _send(self, flags, data):
         packet = from_caller(flags, data, caller=self.endpoint, listener=self.listener)
@@ -299,11 +299,11 @@
             service = "export" if number % 3 == 0 else "web"
             self.slots[number] = Slot(self, number, service)
         self.balancers = [Balancer(self, each) for each in range(1, self.balancer_count + 1)]
-        self.later(TICK, self._tick)
+        self.schedule(TICK, self._tick)
 
     # Time and network
 
-    def later(self, delay, action):
+    def schedule(self, delay, action):
         self.order += 1
         heapq.heappush(self.queue, (self.now + delay, self.order, action))
 
@@ -320,11 +320,11 @@
             if slot.agent is not None:
                 slot.agent.admit_waiting(self.now)
                 slot.helper.tick(self.now)
-        self.later(TICK, self._tick)
+        self.schedule(TICK, self._tick)
 
     def _deliver(self, action, lag=0.0):
         if self.random.random() >= self.loss:
-            self.later(lag + self.random.uniform(0.0003, 0.003), action)
+            self.schedule(lag + self.random.uniform(0.0003, 0.003), action)
 
     def send_from_caller(self, packet):
         # The fabric: any balancer, mostly the same one for a flow.
@@ -353,17 +353,17 @@
     def send_to_caller(self, packet, to):
         caller = self.callers.get(Endpoint(*to))
         if caller is not None:
-            self.later(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
+            self.schedule(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
 
     def announce_agent(self, slot):
         """Pass an agent's record on, after a delay that differs between balancers."""
         record = slot.record()
         for balancer in self.balancers:
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda core=balancer.core: self._notify(core, record))
+            self.schedule(delay, lambda core=balancer.core: self._notify(core, record))
         for other in self.slots.values():
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda other=other: self._notify(other.helper, record))
+            self.schedule(delay, lambda other=other: self._notify(other.helper, record))
 
     def directory(self):
         """Return the directory whole; it remembers for a while agents that left silently."""
@@ -384,10 +384,10 @@
             self.drained_at[zone] = self.now
         for balancer in self.balancers:
             delay = CUT_OFF_SECONDS if cut_off == "balancers" else UPDATE_DELAY_SECONDS
-            self.later(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
+            self.schedule(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
         for slot in self.slots.values():
             delay = CUT_OFF_SECONDS if cut_off == "agents" else UPDATE_DELAY_SECONDS
-            self.later(delay, lambda one=slot: self._notify_zones(one, zones))
+            self.schedule(delay, lambda one=slot: self._notify_zones(one, zones))
 
     def _notify_zones(self, slot, zones):
         if slot.agent is not None:
@@ -475,7 +475,7 @@
     if kind == "drain":
         slot.host.phase = HostPhase.DRAINING
         slot.speak()
-        world.later(4.0, lambda: replace_host(world, slot, slot.service))
+        world.schedule(4.0, lambda: replace_host(world, slot, slot.service))
     if kind == "reuse":
         other = "web" if slot.service == "export" else "export"
         replace_host(world, slot, other)
@@ -488,13 +488,13 @@
         zone, cut_off = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
         drained_at = drawn.uniform(1.0, seconds * 0.6)
         restored_at = drained_at + drawn.uniform(1.0, 6.0)
-        world.later(drained_at, lambda one=zone, who=cut_off: world.order_zone(one, True, who))
-        world.later(restored_at, lambda one=zone: world.order_zone(one, False, ""))
+        world.schedule(drained_at, lambda one=zone, who=cut_off: world.order_zone(one, True, who))
+        world.schedule(restored_at, lambda one=zone: world.order_zone(one, False, ""))
 
 
 def restart_agent(world, slot):
     slot.agent = None
-    world.later(world.random.uniform(0.05, 0.4), slot.start_agent)
+    world.schedule(world.random.uniform(0.05, 0.4), slot.start_agent)
 
 
 def replace_host(world, slot, service):
@@ -502,7 +502,7 @@
     slot.host.alive = False
     slot.agent = None
     slot.new_host(service)
-    world.later(world.random.uniform(0.05, 0.4), slot.start_agent)
+    world.schedule(world.random.uniform(0.05, 0.4), slot.start_agent)
 
 
 def play(seed, seconds=16.0, **options):
@@ -513,10 +513,10 @@
         listener = SERVICES["export" if number % 4 == 0 else "web"]
         caller = Caller(world, Endpoint("100.64.0.1", 1000 + number), listener)
         world.callers[caller.endpoint] = caller
-        world.later(world.random.uniform(0.0, seconds * 0.7), caller.open)
+        world.schedule(world.random.uniform(0.0, seconds * 0.7), caller.open)
     for _ in range(world.random.randint(2, 7)):
         kind = world.random.choice(FAULTS)
-        world.later(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
+        world.schedule(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
     schedule_zone_orders(world, seconds)
     world.run(1.5 + seconds + QUIET_SECONDS + IDLE)
     world.check_end()
