--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -72,12 +72,12 @@
             return self.now - waiting[0][0] if waiting else 0.0
 
         def follow_quorum(self) -> None:
-            prompt = [each for each in self.replicas if self.lag(each) < ELECTION_SECONDS]
-            if len(prompt) < QUORUM:
+            responsive = [each for each in self.replicas if self.lag(each) < ELECTION_SECONDS]
+            if len(responsive) < QUORUM:
                 # An election takes one to two time-outs once the replicas answer again.
                 self.elected_at = self.now + 1.5 * ELECTION_SECONDS
             for replica in self.replicas:
-                holds = replica in prompt and self.now >= self.elected_at
+                holds = replica in responsive and self.now >= self.elected_at
                 holds = holds and replica is not self.cut_off
                 if holds:
                     replica.cut_off_since = None
