--- a/tests/balancer/datagrams/test_thin_link.py
+++ b/tests/balancer/datagrams/test_thin_link.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.balancer.datagrams.thin_link_model import PACKET_BYTES, PACKETS, ThinLink
+from tests.balancer.datagrams.thin_link_model import PACKET_BYTES, PACKETS, BottleneckLink
 
 MEGABITS = 3.7
 UPLOADS_PER_SECOND = MEGABITS * 1e6 / 8 / (PACKETS * PACKET_BYTES)
@@ -20,7 +20,7 @@
 
 
 def played(seed, limited):
-    link = ThinLink(seed, MEGABITS, limited)
+    link = BottleneckLink(seed, MEGABITS, limited)
     link.play(rate_at, SECONDS)
     return link
 
--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/thin_link_model.py
@@ -53,7 +53,7 @@
         return from_caller(flags, b"data", caller=self.caller())
 
 
-class ThinLink:
+class BottleneckLink:
     """Plays uploads through one balancer; `limited` switches pacer and admission on."""
 
     def __init__(self, seed, megabits, limited):
