--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -125,14 +125,14 @@
     world = joined_world(builders, seed=2)
     cut_off, began = world.replicas[0], world.now
     world.cut_off = cut_off
-    concerned = [each for each in world.followers if each.link.replica is cut_off]
+    affected = [each for each in world.followers if each.link.replica is cut_off]
     moved: dict[str, float] = {}
     while world.now - began < MAX_MOVE_SECONDS:
         world.step()
-        for each in concerned:
+        for each in affected:
             elsewhere = each.link is not None and each.link.replica is not cut_off
             if elsewhere and each.core.fresh(world.now):
                 moved.setdefault(each.core.facts.name, world.now - began)
     times = sorted(moved.values())
-    assert len(times) == len(concerned) > FOLLOWERS // 5
+    assert len(times) == len(affected) > FOLLOWERS // 5
     print(f"moved after p50 {times[len(times) // 2]:.2f} s, longest {times[-1]:.2f} s")
