--- a/tests/balancer/datagrams/test_thin_link.py
+++ b/tests/balancer/datagrams/test_thin_link.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.balancer.datagrams.thin_link_model import PACKET_BYTES, PACKETS, BottleneckLink
+from tests.balancer.datagrams.bottleneck_link_model import PACKET_BYTES, PACKETS, BottleneckLink
 
 MEGABITS = 3.7
 UPLOADS_PER_SECOND = MEGABITS * 1e6 / 8 / (PACKETS * PACKET_BYTES)
