--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -179,7 +179,7 @@
 class Follower:
     """A follower that checks its table against the log at every change."""
 
-    def __init__(self, core: FollowerCore, world: World) -> None:
+    def __init__(self, core: FollowerCore, world: SimulatedFleet) -> None:
         self.core = core
         self.world = world
         self.link: Link | None = None
@@ -223,7 +223,7 @@
             self.link = None
 
 
-class World:
+class SimulatedFleet:
     """Everything of one trial."""
 
     def __init__(self, seed: int, replicas: int, config: PublisherConfig | None = None) -> None:
@@ -299,7 +299,7 @@
 def builders() -> SimpleNamespace:
     """The builders of this file."""
     return SimpleNamespace(
-        World=World,
+        SimulatedFleet=SimulatedFleet,
         PORTS=PORTS,
         address=address,
         facts=facts,
--- a/tests/distribution/test_convergence.py
+++ b/tests/distribution/test_convergence.py
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_revisions_never_go_back_and_all_converge(builders, seed: int) -> None:
     print(f"seed {seed}")
-    world = builders.World(seed, replicas=3)
+    world = builders.SimulatedFleet(seed, replicas=3)
     for number in range(1, 5):
         world.add_follower(f"b{number}", BALANCER, builders.address(100 + number))
         world.add_follower(f"a{number}", AGENT, builders.address(number))
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("role", [BALANCER, AGENT])
 @pytest.mark.parametrize("missed", [1, 300])
 def test_a_follower_that_was_away_catches_up(builders, role: SubscriberRole, missed: int) -> None:
-    world = builders.World(5, replicas=1)
+    world = builders.SimulatedFleet(5, replicas=1)
     follower = world.add_follower("f", role, builders.address(1))
     world.log.upsert(builders.service(1))
     world.log.upsert(builders.member(1, 1))
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("fault", ["cut off", "behind", "silent"])
 def test_a_follower_leaves_a_bad_replica_for_a_good_one(builders, fault: str) -> None:
-    world = builders.World(1, replicas=2)
+    world = builders.SimulatedFleet(1, replicas=2)
     follower = world.add_follower("f", BALANCER, builders.address(100))
     world.log.upsert(builders.service(1))
     for replica in world.replicas:
@@ -135,7 +135,7 @@
 
 
 def test_without_a_quorum_followers_keep_their_table_and_back_off(builders) -> None:
-    world = builders.World(2, replicas=2)
+    world = builders.SimulatedFleet(2, replicas=2)
     follower = world.add_follower("f", BALANCER, builders.address(100))
     world.log.upsert(builders.service(1))
     for replica in world.replicas:
--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -26,7 +26,7 @@
 
 
 def loaded_world(builders, seed: int):
-    class LoadedWorld(builders.World):
+    class LoadedWorld(builders.SimulatedFleet):
         """A world whose replicas take time for their subscribers."""
 
         def __init__(self) -> None:
