--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -179,9 +179,9 @@
 class Follower:
     """A follower that checks its table against the log at every change."""
 
-    def __init__(self, core: FollowerCore, world: SimulatedFleet) -> None:
+    def __init__(self, core: FollowerCore, fleet: SimulatedFleet) -> None:
         self.core = core
-        self.world = world
+        self.fleet = fleet
         self.link: Link | None = None
         self.revisions: list[int] = []
         self.reasons: list = []
@@ -192,8 +192,8 @@
             match effect:
                 case Connect():
                     self.connects.append((now, effect.endpoint))
-                    self.link = self.world.open_link(effect.endpoint)
-                    self.world.complete_connection(self, now)
+                    self.link = self.fleet.open_link(effect.endpoint)
+                    self.fleet.complete_connection(self, now)
                 case Disconnect():
                     self.reasons.append(effect.reason)
                     self.drop_link()
@@ -207,7 +207,7 @@
         assert revision == table.revision
         assert not self.revisions or revision >= self.revisions[-1], "revision went back"
         self.revisions.append(revision)
-        expected = self.world.log.scoped(revision, self.core.facts)
+        expected = self.fleet.log.scoped(revision, self.core.facts)
         assert set(table.entries()) == expected, f"wrong content at {revision}"
         indexed = {each for item in table.services() for each in table.members_of(item.service_id)}
         services = {item.service_id for item in table.services()}
--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -87,52 +87,52 @@
     return LoadedWorld()
 
 
-def fresh_count(world) -> int:
-    return sum(each.core.fresh(world.now) for each in world.followers)
+def fresh_count(fleet) -> int:
+    return sum(each.core.fresh(fleet.now) for each in fleet.followers)
 
 
 def joined_world(builders, seed: int):
     """Return a world all of whose followers have joined, one after the other, and are fresh."""
-    world = loaded_world(builders, seed)
-    world.log.upsert(builders.service(1))
-    for replica in world.replicas:
-        replica.apply_to(1, world.now)
+    fleet = loaded_world(builders, seed)
+    fleet.log.upsert(builders.service(1))
+    for replica in fleet.replicas:
+        replica.apply_to(1, fleet.now)
     for number in range(FOLLOWERS):
-        world.add_follower(f"b{number}", SubscriberRole.BALANCER, builders.address(number))
-        world.run(STEP_SECONDS)
-    world.run(SETTLE_SECONDS)
-    assert fresh_count(world) == FOLLOWERS
-    world.joins = 0
-    return world
+        fleet.add_follower(f"b{number}", SubscriberRole.BALANCER, builders.address(number))
+        fleet.run(STEP_SECONDS)
+    fleet.run(SETTLE_SECONDS)
+    assert fresh_count(fleet) == FOLLOWERS
+    fleet.joins = 0
+    return fleet
 
 
 @pytest.mark.parametrize(("outage_seconds", "most_joins"), [(2.5, 360), (8.0, 2400)])
 def test_a_fleet_comes_back_after_an_outage_of_control(
     builders, outage_seconds, most_joins
 ) -> None:
-    world = joined_world(builders, seed=1)
-    world.elected_at = world.now + outage_seconds
-    world.run(outage_seconds)
-    began = world.now
-    while fresh_count(world) < FOLLOWERS and world.now - began < MAX_RETURN_SECONDS:
-        world.run(0.5)
-    print(f"back {world.now - began:.1f} s after {outage_seconds} s, {world.joins} joins")
-    assert fresh_count(world) == FOLLOWERS
-    assert world.joins <= most_joins
+    fleet = joined_world(builders, seed=1)
+    fleet.elected_at = fleet.now + outage_seconds
+    fleet.run(outage_seconds)
+    began = fleet.now
+    while fresh_count(fleet) < FOLLOWERS and fleet.now - began < MAX_RETURN_SECONDS:
+        fleet.run(0.5)
+    print(f"back {fleet.now - began:.1f} s after {outage_seconds} s, {fleet.joins} joins")
+    assert fresh_count(fleet) == FOLLOWERS
+    assert fleet.joins <= most_joins
 
 
 def test_subscribers_of_a_cut_off_replica_are_on_a_fresh_one_within_seconds(builders) -> None:
-    world = joined_world(builders, seed=2)
-    cut_off, began = world.replicas[0], world.now
-    world.cut_off = cut_off
-    affected = [each for each in world.followers if each.link.replica is cut_off]
+    fleet = joined_world(builders, seed=2)
+    cut_off, began = fleet.replicas[0], fleet.now
+    fleet.cut_off = cut_off
+    affected = [each for each in fleet.followers if each.link.replica is cut_off]
     moved: dict[str, float] = {}
-    while world.now - began < MAX_MOVE_SECONDS:
-        world.step()
+    while fleet.now - began < MAX_MOVE_SECONDS:
+        fleet.step()
         for each in affected:
             elsewhere = each.link is not None and each.link.replica is not cut_off
-            if elsewhere and each.core.fresh(world.now):
-                moved.setdefault(each.core.facts.name, world.now - began)
+            if elsewhere and each.core.fresh(fleet.now):
+                moved.setdefault(each.core.facts.name, fleet.now - began)
     times = sorted(moved.values())
     assert len(times) == len(affected) > FOLLOWERS // 5
     print(f"moved after p50 {times[len(times) // 2]:.2f} s, longest {times[-1]:.2f} s")
