--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -29,7 +29,7 @@
     return harness
 
 
-def asked(harness):
+def queried(harness):
     sent = harness.take_sent()
     assert all((kind, body) == (FrameKind.FIND, key_of()) for kind, _, body in sent)
     return {number for _, number, _ in sent}
@@ -37,14 +37,14 @@
 
 def test_the_agents_are_asked_and_no_host_sees_the_packet_meanwhile():
     harness = searching(record(1), record(2), record(3))
-    assert asked(harness) == {1, 2, 3}
+    assert queried(harness) == {1, 2, 3}
     harness.core.receive(MORE, 1.001)
     assert harness.take_sent() == []
 
 
 def test_the_holder_gets_the_packets_in_their_order_and_all_later_ones():
     harness = searching(record(1), record(2))
-    asked(harness)
+    queried(harness)
     harness.core.receive(MORE, 1.001)
     harness.answer(2, FrameKind.HELD, 1.002)
     assert harness.take_sent() == [(FrameKind.CARRY, 2, DATA), (FrameKind.CARRY, 2, MORE)]
@@ -56,14 +56,14 @@
     harness = Harness(record(1), record(2, HostPhase.DRAINING), record(3))
     harness.update_fleet(removed=[address_of(3)], now=0.5)
     harness.core.receive(DATA, 1.0)
-    assert asked(harness) == {1, 2, 3}
+    assert queried(harness) == {1, 2, 3}
 
 
 def test_a_service_that_the_route_named_before_is_asked_too():
     harness = Harness(record(1), record(2, service="export"))
     harness.route(2, "export")
     harness.core.receive(DATA, 1.0)
-    assert asked(harness) == {1, 2}
+    assert queried(harness) == {1, 2}
 
 
 def deny(harness, numbers, now):
@@ -73,27 +73,27 @@
 
 def test_a_flow_is_reset_only_after_every_agent_denied_it_twice():
     harness = searching(record(1), record(2))
-    deny(harness, asked(harness), 1.01)
+    deny(harness, queried(harness), 1.01)
     assert harness.resets == []
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
-    deny(harness, asked(harness), 1.1)
+    deny(harness, queried(harness), 1.1)
     assert len(harness.resets) == 1
 
 
 def test_the_second_round_asks_every_service():
     harness = searching(record(1), record(2, service="export"))
-    deny(harness, asked(harness), 1.01)
+    deny(harness, queried(harness), 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
-    assert asked(harness) == {1, 2}
+    assert queried(harness) == {1, 2}
 
 
 def test_an_agent_that_does_not_answer_keeps_the_flow_from_being_reset():
     harness = searching(record(1), record(2))
-    asked(harness)
+    queried(harness)
     deny(harness, [1], 1.01)
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     harness.core.tick(1.1 + ANSWER_TIMEOUT_SECONDS + SECOND_ROUND_SECONDS)
-    assert asked(harness) == {1, 2}
+    assert queried(harness) == {1, 2}
     deny(harness, [1], 1.4)
     harness.core.tick(2.0)
     assert harness.resets == []
@@ -103,7 +103,7 @@
 
 def test_agents_that_cannot_know_are_shown_one_packet_one_after_the_other():
     harness = searching(record(1), record(2), record(3))
-    asked(harness)
+    queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
     harness.answer(2, FrameKind.NOT_HELD, 1.01)
     harness.answer(3, FrameKind.UNSURE, 1.01)
@@ -118,7 +118,7 @@
 
 def test_no_host_is_shown_a_packet_while_an_agent_may_still_say_that_it_holds_the_flow():
     harness = searching(record(1), record(2))
-    asked(harness)
+    queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
     assert harness.take_sent() == []
     harness.answer(2, FrameKind.HELD, 1.02)
@@ -127,7 +127,7 @@
 
 def test_a_host_that_keeps_a_shown_packet_without_a_word_is_passed_over():
     harness = searching(record(1), record(2))
-    asked(harness)
+    queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
     harness.answer(2, FrameKind.UNSURE, 1.01)
     ((_, first, _),) = harness.take_sent()
@@ -143,7 +143,7 @@
 
 def test_held_packets_are_bounded():
     harness = searching(record(1))
-    asked(harness)
+    queried(harness)
     for _ in range(100):
         harness.core.receive(MORE, 1.01)
     harness.answer(1, FrameKind.HELD, 1.02)
@@ -165,29 +165,29 @@
 
 def test_only_candidates_are_asked_first_and_everyone_in_the_second_round():
     harness = searching(*many())
-    first = asked(harness)
+    first = queried(harness)
     assert len(first) == SEARCHED_CANDIDATE_COUNT
     deny(harness, first, 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
-    assert asked(harness) == set(range(1, 61))
+    assert queried(harness) == set(range(1, 61))
 
 
 def test_a_flow_held_beyond_the_candidates_is_found_in_the_second_round():
     harness = searching(*many())
-    first = asked(harness)
+    first = queried(harness)
     deny(harness, first, 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
-    holder = min(asked(harness) - first)
+    holder = min(queried(harness) - first)
     harness.answer(holder, FrameKind.HELD, 1.3)
     assert harness.take_sent() == [(FrameKind.CARRY, holder, DATA)]
 
 
 def test_no_host_beyond_the_candidates_is_shown_a_packet():
     harness = searching(*many())
-    first = asked(harness)
+    first = queried(harness)
     deny(harness, first, 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
-    for number in asked(harness):
+    for number in queried(harness):
         kind = FrameKind.NOT_HELD if number in first else FrameKind.UNSURE
         harness.answer(number, kind, 1.1)
     assert harness.take_sent() == []
@@ -255,11 +255,11 @@
     harness = Harness(record(1), record(2, phase))
     harness.update_fleet(removed=[address_of(2)], now=unlisted_at)
     harness.core.receive(DATA, 10.0)
-    asked(harness)
+    queried(harness)
     deny(harness, [1], 10.01)
     harness.core.tick(10.1)
     harness.core.tick(10.2 + SECOND_ROUND_SECONDS)
-    asked(harness)
+    queried(harness)
     deny(harness, [1], 10.5)
     harness.core.tick(11.0)
     return harness
@@ -281,7 +281,7 @@
 
 def test_no_host_is_shown_a_packet_while_a_candidates_answer_is_missing():
     harness = searching(record(1), record(2), record(3))
-    asked(harness)
+    queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
     harness.answer(2, FrameKind.UNSURE, 1.01)
     for step in range(1, 100):
@@ -291,7 +291,7 @@
 
 def test_a_host_that_returned_a_packet_is_not_shown_the_next_one():
     harness = searching(record(1), record(2))
-    asked(harness)
+    queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
     harness.answer(2, FrameKind.UNSURE, 1.01)
     ((_, first, _),) = harness.take_sent()
@@ -301,7 +301,7 @@
     harness.take_sent()
     assert not harness.core.has_pending()
     harness.core.receive(MORE, 3.5)
-    for number in asked(harness):
+    for number in queried(harness):
         harness.answer(number, FrameKind.UNSURE, 3.51)
     ((_, shown, _),) = harness.take_sent()
     assert shown != first
@@ -313,12 +313,12 @@
     harness.core.pool.directory_since = None
     harness.update_fleet(record(1), is_snapshot=True, now=0.95)
     harness.core.receive(DATA, 1.0)
-    deny(harness, asked(harness), 1.01)
+    deny(harness, queried(harness), 1.01)
     harness.core.tick(1.01 + SECOND_ROUND_SECONDS)
     assert harness.take_sent() == []
     harness.update_fleet(record(2), now=1.2)
     harness.core.tick(0.95 + SETTLING_SECONDS + ROUND_GRID_SECONDS)
-    assert asked(harness) == {1, 2}
+    assert queried(harness) == {1, 2}
 
 
 def test_an_agent_that_was_learnt_during_the_search_is_shown_the_packet():
@@ -327,7 +327,7 @@
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     harness.update_fleet(record(1), is_snapshot=True, now=1.1)
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS + SETTLING_SECONDS)
-    assert asked(harness) == {1}
+    assert queried(harness) == {1}
     harness.answer(1, FrameKind.UNSURE, 1.35)
     assert harness.take_sent() == [(FrameKind.CARRY, 1, DATA)]
     harness.answer(1, FrameKind.HELD, 1.36)
@@ -351,7 +351,7 @@
     numbers = list(range(1, 60))
     silent = record(60, phase, service="export")
     harness = searching(*(record(number) for number in numbers), silent)
-    deny(harness, asked(harness), 1.0)
+    deny(harness, queried(harness), 1.0)
     return harness, numbers
 
 
