--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -26,7 +26,7 @@
 
 
 def loaded_world(builders, seed: int):
-    class LoadedWorld(builders.SimulatedFleet):
+    class LoadedFleet(builders.SimulatedFleet):
         """A world whose replicas take time for their subscribers."""
 
         def __init__(self) -> None:
@@ -84,7 +84,7 @@
                 elif replica.cut_off_since is None:
                     replica.cut_off_since = self.now
 
-    return LoadedWorld()
+    return LoadedFleet()
 
 
 def fresh_count(fleet) -> int:
