--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -336,7 +336,7 @@
     assert (FrameKind.CARRY, 1, MORE) in harness.take_sent()
 
 
-def play_until(harness, until, deny_by=()):
+def run_until(harness, until, deny_by=()):
     """Let time pass from 1.0 s; the agents named in `deny_by` answer each question at once."""
     for step in range(1, round((until - 1.0) / 0.02) + 1):
         now = 1.0 + step * 0.02
@@ -358,14 +358,14 @@
 def test_an_agent_without_a_host_that_falls_silent_does_not_keep_callers_of_dead_flows_waiting():
     """After a loss of power, machines of hosts that had left came back for some seconds."""
     harness, numbers = fleet_with_a_silent_agent(HostPhase.UNKNOWN)
-    play_until(harness, 2.0, deny_by=numbers)
+    run_until(harness, 2.0, deny_by=numbers)
     assert len(harness.resets) == 1
     assert not harness.core.has_pending()
 
 
 def test_the_next_search_knows_already_that_the_agent_is_silent():
     harness, numbers = fleet_with_a_silent_agent(HostPhase.UNKNOWN)
-    play_until(harness, 2.0, deny_by=numbers)
+    run_until(harness, 2.0, deny_by=numbers)
     other = CALLER.__class__("100.64.1.1", 7)
     harness.core.receive(from_caller(0, b"data", caller=other), 2.0)
     for now in (2.0, 2.1, 2.2, 2.3):
@@ -379,7 +379,7 @@
 @pytest.mark.parametrize("phase", [HostPhase.READY, HostPhase.DRAINING])
 def test_an_agent_with_a_host_that_falls_silent_may_hold_the_flow(phase):
     harness, numbers = fleet_with_a_silent_agent(phase)
-    play_until(harness, 3.0, deny_by=numbers)
+    run_until(harness, 3.0, deny_by=numbers)
     assert harness.resets == []
     assert not harness.core.has_pending()
 
@@ -387,14 +387,14 @@
 def test_a_candidate_without_a_host_that_falls_silent_may_hold_the_flow():
     harness = searching(record(1), record(2, HostPhase.UNKNOWN))
     deny(harness, [1], 1.0)
-    play_until(harness, 3.0, deny_by=[1])
+    run_until(harness, 3.0, deny_by=[1])
     assert harness.resets == []
 
 
 def test_one_lost_answer_is_no_silence():
     """The second question to an agent that never saw its host is answered."""
     harness, numbers = fleet_with_a_silent_agent(HostPhase.UNKNOWN)
-    play_until(harness, 1.1, deny_by=numbers)
+    run_until(harness, 1.1, deny_by=numbers)
     harness.core.tick(1.18)
     assert [number for _, number, _ in harness.take_sent()] == [60]
     harness.answer(60, FrameKind.HELD, 1.19)
