--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -25,7 +25,7 @@
 MAX_MOVE_SECONDS = 5.0
 
 
-def loaded_world(builders, seed: int):
+def loaded_fleet(builders, seed: int):
     class LoadedFleet(builders.SimulatedFleet):
         """A world whose replicas take time for their subscribers."""
 
@@ -93,7 +93,7 @@
 
 def joined_world(builders, seed: int):
     """Return a world all of whose followers have joined, one after the other, and are fresh."""
-    fleet = loaded_world(builders, seed)
+    fleet = loaded_fleet(builders, seed)
     fleet.log.upsert(builders.service(1))
     for replica in fleet.replicas:
         replica.apply_to(1, fleet.now)
