--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -250,7 +250,7 @@
     assert len(callers) == harness.core.counters.searches_given_up
 
 
-def unanswered_twice(unlisted_at, phase=HostPhase.READY):
+def silent_in_both_rounds(unlisted_at, phase=HostPhase.READY):
     """Search while agent 2 is silent, and unlisted since a time."""
     harness = Harness(record(1), record(2, phase))
     harness.update_fleet(removed=[address_of(2)], now=unlisted_at)
@@ -266,17 +266,17 @@
 
 
 def test_a_lost_agent_that_does_not_answer_keeps_no_caller_waiting():
-    assert len(unanswered_twice(5.0).resets) == 1
+    assert len(silent_in_both_rounds(5.0).resets) == 1
 
 
 def test_a_leaving_host_whose_agent_vanished_may_still_serve_its_flows():
     """Its agent was told to stop before it had said goodbye: seen as a broken flow."""
-    assert unanswered_twice(5.0, HostPhase.DRAINING).resets == []
-    assert len(unanswered_twice(-1.0, HostPhase.DRAINING).resets) == 1
+    assert silent_in_both_rounds(5.0, HostPhase.DRAINING).resets == []
+    assert len(silent_in_both_rounds(-1.0, HostPhase.DRAINING).resets) == 1
 
 
 def test_an_agent_that_only_just_lost_its_link_may_still_hold_the_flow():
-    assert unanswered_twice(9.5).resets == []
+    assert silent_in_both_rounds(9.5).resets == []
 
 
 def test_no_host_is_shown_a_packet_while_a_candidates_answer_is_missing():
