--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -91,7 +91,7 @@
     return sum(each.core.fresh(fleet.now) for each in fleet.followers)
 
 
-def joined_world(builders, seed: int):
+def joined_fleet(builders, seed: int):
     """Return a world all of whose followers have joined, one after the other, and are fresh."""
     fleet = loaded_fleet(builders, seed)
     fleet.log.upsert(builders.service(1))
@@ -110,7 +110,7 @@
 def test_a_fleet_comes_back_after_an_outage_of_control(
     builders, outage_seconds, most_joins
 ) -> None:
-    fleet = joined_world(builders, seed=1)
+    fleet = joined_fleet(builders, seed=1)
     fleet.elected_at = fleet.now + outage_seconds
     fleet.run(outage_seconds)
     began = fleet.now
@@ -122,7 +122,7 @@
 
 
 def test_subscribers_of_a_cut_off_replica_are_on_a_fresh_one_within_seconds(builders) -> None:
-    fleet = joined_world(builders, seed=2)
+    fleet = joined_fleet(builders, seed=2)
     cut_off, began = fleet.replicas[0], fleet.now
     fleet.cut_off = cut_off
     affected = [each for each in fleet.followers if each.link.replica is cut_off]
