--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("flags", [UNKNOWN_SERVICE_TIME, 1, 255])
-def test_what_is_told_with_other_answers_is_not_a_pace(flags):
+def test_the_flags_of_other_answers_are_no_service_time(flags):
     harness = SlowdownHarness()
     harness.establish_baseline()
     number, _ = harness.open(1.0)
