--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -14,7 +14,7 @@
 LEADING = Leadership(term=3, is_settled=True, leads_since=0.0)
 
 
-def guard():
+def make_guard():
     return StaleOrderGuard(REPEAT)
 
 
@@ -32,7 +32,7 @@
 
 
 def test_a_zones_first_order_and_its_copies_count_at_once():
-    one = guard()
+    one = make_guard()
     assert pause(one, True, None, 1.0) == 0.0
     assert admit(one, True, None, 1.0) is None
     assert pause(one, True, True, 1.5) == 0.0
@@ -40,7 +40,7 @@
 
 
 def test_a_drain_that_comes_after_the_restore_pauses_and_counts_only_while_its_caller_waits():
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     admit(one, False, True, 2.0)
     assert pause(one, True, False, 2.1) == REVERSAL_PAUSE_SECONDS
@@ -49,49 +49,49 @@
 
 
 def test_a_restore_that_comes_after_the_drain_pauses_as_well():
-    one = guard()
+    one = make_guard()
     admit(one, False, True, 10.0)
     admit(one, True, False, 11.0)
     assert pause(one, False, True, 11.2) == REVERSAL_PAUSE_SECONDS
 
 
 def test_a_copy_pauses_while_the_opposite_order_is_not_committed_yet():
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     admit(one, False, True, 9.0)
     assert pause(one, True, True, 9.01) == REVERSAL_PAUSE_SECONDS
 
 
 def test_an_old_order_is_reversed_at_once():
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     assert pause(one, False, True, 1.0 + REPEAT) == 0.0
 
 
 @pytest.mark.parametrize(("led_for", "pauses"), [(1.0, True), (REPEAT, False)])
 def test_a_new_leader_counts_from_the_beginning_of_its_term(led_for, pauses):
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     newer = Leadership(term=4, is_settled=True, leads_since=100.0)
     assert bool(pause(one, False, True, 100.0 + led_for, newer)) is pauses
 
 
 def test_a_leader_that_is_not_settled_takes_no_order():
-    one = guard()
+    one = make_guard()
     unsettled = Leadership(term=4, is_settled=False, leads_since=1.0)
     assert admit(one, True, None, 1.0, unsettled) is OrderRefusal.NOT_SETTLED
     assert pause(one, True, False, 1.0, LEADING) == REVERSAL_PAUSE_SECONDS
 
 
 def test_zones_are_ordered_apart():
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     assert one.pause_seconds(ZoneOrder("b", False, None, 1.1), LEADING, 1.1) == 0.0
 
 
 def test_an_order_that_pauses_is_overtaken_by_its_opposite():
     """The restore changes nothing and is acknowledged at once; its operator sent it later."""
-    one = guard()
+    one = make_guard()
     admit(one, True, None, 1.0)
     admit(one, False, True, 2.0)
     assert pause(one, True, False, 3.0) == REVERSAL_PAUSE_SECONDS
@@ -101,7 +101,7 @@
 
 
 def test_an_order_that_changed_nothing_is_new_as_well():
-    one = guard()
+    one = make_guard()
     old = Leadership(term=3, is_settled=True, leads_since=-100.0)
     assert admit(one, False, False, 10.0, old) is None
     assert pause(one, True, False, 11.0, old) == REVERSAL_PAUSE_SECONDS
