--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -46,7 +46,7 @@
             self.accept(number, TYPICAL, 0.5)
 
 
-def test_an_acceptance_that_tells_a_slow_host_keeps_new_flows_away():
+def test_an_acceptance_that_reports_a_slow_host_keeps_new_flows_away():
     harness = SlowdownHarness()
     harness.establish_baseline()
     slow, _ = harness.open(1.0)
