--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -69,7 +69,7 @@
     assert harness.target(number).slowdown == 1.0
 
 
-def test_an_agent_whose_host_is_slow_is_passed_over_for_a_while():
+def test_an_agent_whose_host_is_slow_is_avoided_for_a_while():
     harness = SlowdownHarness()
     slow, _ = harness.open(1.0)
     harness.refuse_slow(slow, 1.0)
