--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -75,7 +75,7 @@
     )
 
 
-class Home:
+class HomeHarness:
     """The links of one home, without sockets."""
 
     def __init__(self, interval_seconds):
@@ -108,7 +108,7 @@
 
 def run(scenario, interval_seconds):
     async def main():
-        home = Home(interval_seconds)
+        home = HomeHarness(interval_seconds)
         try:
             await scenario(home)
         finally:
