--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -116,7 +116,7 @@
     [(MAX_SERVICE_TIME_CODE, MAX_SLOWDOWN), (1, MIN_SLOWDOWN)],
     ids=["slow", "fast"],
 )
-def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
+def test_a_wrong_service_time_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
     harness = Harness()
     harness.report_typical()
     target = harness.target(1)
