--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -121,7 +121,7 @@
     assert len(tracker.evaluate([member(ONLINE)], 100.0)) == 1
 
 
-def _many(count: int, silent: int) -> tuple[list[MemberEntry], list[AgentObservation]]:
+def _make_members(count: int, silent: int) -> tuple[list[MemberEntry], list[AgentObservation]]:
     """Make members of which the first `silent` are not heard any more from second 100 on."""
     members, reports = [], []
     for number in range(count):
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize(("count", "silent", "expected"), SILENCES.values(), ids=SILENCES.keys())
 def test_the_silence_of_most_members_is_doubted_for_a_while(tracker, count, silent, expected):
-    members, heard = _many(count, silent)
+    members, heard = _make_members(count, silent)
     for each in members:
         tracker.observe(msgspec.structs.replace(observation(), address=each.address), 100.0)
     now, changes = 100.0, []
@@ -157,7 +157,7 @@
 
 
 def test_members_that_come_back_while_their_silence_is_doubted_never_were_offline(tracker):
-    members, _ = _many(400, 400)
+    members, _ = _make_members(400, 400)
     for half_second in range(200, 240):
         now = half_second / 2
         # From second 108 on they come back, forty each half second.
