--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -104,7 +104,7 @@
     assert plain.chosen() == reported.chosen()
 
 
-def test_agents_that_tell_nothing_are_chosen_as_before():
+def test_agents_that_report_nothing_are_chosen_as_before():
     plain, silent = Harness(weighs_slowdown=False), Harness()
     for number in range(1, HOSTS + 1):
         silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_SERVICE_TIME, 1.0)
