--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -37,7 +37,7 @@
 """Revisions that the runner of the present test announced."""
 
 
-class PublisherHost:
+class PublisherServer:
     """The smallest host of a publisher: one server, one core, registrations granted at once."""
 
     def __init__(self, table: VersionedTable) -> None:
@@ -50,7 +50,7 @@
         self.ticker: asyncio.Task[None] | None = None
         self.closing: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> PublisherHost:
+    async def __aenter__(self) -> PublisherServer:
         await self.server.start()
         self.ticker = asyncio.ensure_future(self.tick())
         return self
@@ -114,7 +114,7 @@
 @pytest.fixture
 def make_runner(builders):
     def make(
-        *hosts: PublisherHost,
+        *hosts: PublisherServer,
         role: SubscriberRole = SubscriberRole.BALANCER,
         cluster: str = CLUSTER,
     ) -> FollowerRunner:
@@ -139,7 +139,7 @@
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as first, PublisherHost(table) as second:
+        async with PublisherServer(table) as first, PublisherServer(table) as second:
             runner = make_runner(first, second)
             async with running(runner):
                 await until(runner.fresh)
@@ -168,7 +168,7 @@
     table, make_runner, payload: bytes
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
+        async with PublisherServer(table) as host:
             runner = make_runner(host)
             async with running(runner) as task:
                 await until(runner.fresh)
@@ -184,7 +184,7 @@
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
+        async with PublisherServer(table) as host:
             runner = make_runner(host, role=SubscriberRole.AGENT)
             async with running(runner) as task:
                 await until(lambda: runner.incarnation == 4)
@@ -199,7 +199,7 @@
 
 def test_a_follower_of_another_cluster_is_sent_nothing(table, make_runner) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
+        async with PublisherServer(table) as host:
             runner = make_runner(host, cluster="hanoi")
             async with running(runner):
                 await until(lambda: host.server.refused.get("wrong-cluster", 0) >= 2)
