--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -128,7 +128,7 @@
     assert target.expected_wait(old) == target.relative_load(old)
 
 
-def test_a_figure_counts_less_with_age():
+def test_a_slowdown_counts_less_with_age():
     weights = [
         slowdown_at_age(4.0, age)
         for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, MAX_SLOWDOWN_AGE_SECONDS, 99.0)
