--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -114,11 +114,11 @@
 @pytest.fixture
 def make_runner(builders):
     def make(
-        *hosts: PublisherServer,
+        *publishers: PublisherServer,
         role: SubscriberRole = SubscriberRole.BALANCER,
         cluster: str = CLUSTER,
     ) -> FollowerRunner:
-        replicas = [host.server.endpoint for host in hosts]
+        replicas = [host.server.endpoint for host in publishers]
         facts = builders.facts("f", role, builders.address(1))
         core = FollowerCore(FollowerConfig(), facts, replicas, random.Random(3))
         return FollowerRunner(core, cluster, lambda table: CHANGES.append(table.revision))
