--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -161,7 +161,7 @@
     assert {harness.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
-def test_nothing_is_compared_with_few_or_old_figures():
+def test_nothing_is_compared_with_few_or_old_samples():
     slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
         assert slowdowns.slowdown("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
