--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -238,7 +238,7 @@
     assert [kind for kind, _, _ in harness.take_sent()] == [FrameKind.CARRY]
 
 
-def test_questions_to_everyone_are_bounded_and_no_flow_is_reset_without_them():
+def test_queries_to_all_agents_are_bounded_and_no_flow_is_reset_without_them():
     harness = Harness(*many())
     harness.core.searches._broadcast_budget = TokenBucket(0.0, 59.0, 1.0)
     callers = search_many(harness, 5)
