--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -265,7 +265,7 @@
 
     def _close_former_connection(self, link: SubscriberLink) -> list[PublisherEffect]:
         # A process that lost its connection comes back before this side notices the loss.
-        former = self._subscribers.same_process(link)
+        former = self._subscribers.find_same_process(link)
         return [] if former is None else self._close(former, CloseReason.RECONNECTED)
 
     def _heartbeat_due(self, link: SubscriberLink, now: float) -> list[PublisherEffect]:
--- a/src/jasperwalk/distribution/subscriber_directory.py
+++ b/src/jasperwalk/distribution/subscriber_directory.py
@@ -33,7 +33,7 @@
         """Return the link of a connection."""
         return self._links.get(subscriber_id)
 
-    def same_process(self, link: SubscriberLink) -> SubscriberLink | None:
+    def find_same_process(self, link: SubscriberLink) -> SubscriberLink | None:
         """Return the link that the process of `link` has already, None where it has none."""
         former_id = self._by_identity.get(link.identity)
         return None if former_id is None else self._links[former_id]
