--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -307,7 +307,7 @@
     assert shown != first
 
 
-def test_a_balancer_that_has_just_heard_of_agents_resets_nothing_yet():
+def test_a_balancer_that_has_just_received_its_first_agents_resets_nothing_yet():
     """Others may be missing in what a home tells right after a start of its own."""
     harness = Harness(version=1)
     harness.core.pool.directory_since = None
