--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -52,7 +52,7 @@
         self._random = random_source
         self._base = backoff_base_seconds
         self._cap = backoff_cap_seconds
-        self._not_before = 0.0
+        self._next_attempt_at = 0.0
         self._failures_in_a_row = 0
         self._configured = list(dict.fromkeys(replicas))
         self._learned: list[Endpoint] = []
@@ -79,7 +79,7 @@
     def next_available_at(self) -> float:
         """Return the earliest time at which some replica may be tried."""
         earliest = min(record.available_at for record in self._eligible())
-        return max(earliest, self._not_before)
+        return max(earliest, self._next_attempt_at)
 
     def choose(self, now: float) -> Endpoint | None:
         """Return the replica that waits longest for its turn, or None while all back off."""
@@ -103,7 +103,7 @@
         self._failures_in_a_row += 1
         pause = min(MAX_PAUSE_SECONDS, self._base * 2**exponent)
         pause = min(self._cap, max(spread_seconds, pause))
-        self._not_before = now + self._random.random() * pause
+        self._next_attempt_at = now + self._random.random() * pause
         record = self._records.get(endpoint)
         if record is None:
             return
