--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -34,7 +34,7 @@
         """Tell whether new flows wait for `open_waiting`."""
         return bool(self._openings)
 
-    def take(self, packet: bytes, now: float) -> None:
+    def receive(self, packet: bytes, now: float) -> None:
         """Take a packet; new flows wait for `open_waiting`."""
         core = self.core
         key = core.key_of(packet)
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -185,7 +185,7 @@
     # Datagrams
 
     def _on_packet(self, data: bytes, _sender: SocketAddress) -> None:
-        self._intake.take(data, time.monotonic())
+        self._intake.receive(data, time.monotonic())
 
     def _open_waiting(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
