--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -91,10 +91,10 @@
         self,
         endpoint: Endpoint,
         now: float,
-        at_least_seconds: float = 0.0,
+        min_backoff_seconds: float = 0.0,
         spread_seconds: float = 0.0,
     ) -> None:
-        """Back off from a replica, for `at_least_seconds` or more.
+        """Back off from a replica, for `min_backoff_seconds` or more.
 
         The next attempt at any replica comes at a random moment of the pause, which is
         `spread_seconds` or longer.
@@ -111,7 +111,7 @@
         backoff = min(self._cap, self._base * 2**exponent)
         record.failures += 1
         jittered = backoff * (0.5 + self._random.random() / 2)
-        record.available_at = now + at_least_seconds + jittered
+        record.available_at = now + min_backoff_seconds + jittered
 
     def record_served(self, endpoint: Endpoint) -> None:
         """Note that a replica serves well, which ends its back-off."""
