--- a/src/jasperwalk/balancer/process.py
+++ b/src/jasperwalk/balancer/process.py
@@ -100,14 +100,14 @@
         )
         stopped = asyncio.create_task(stop.wait())
         following = asyncio.create_task(self._runner.run())
-        watching = asyncio.create_task(self._await_freshness())
+        awaiting_freshness = asyncio.create_task(self._await_freshness())
         try:
             await asyncio.wait((stopped, following), return_when=asyncio.FIRST_COMPLETED)
             if following.done():
                 # A follower ends by itself only through a defect: fail loudly, not silently.
                 following.result()
         finally:
-            tasks = (stopped, following, watching)
+            tasks = (stopped, following, awaiting_freshness)
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
