--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -24,7 +24,7 @@
     def __init__(self, config: PublisherConfig) -> None:
         self._config = config
         self._started_at: OrderedDict[int, float] = OrderedDict()
-        self._next_turn = 0.0
+        self._next_retry_at = 0.0
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether one more may join now."""
@@ -44,11 +44,11 @@
         config = self._config
         least = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
         latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
-        turn = max(self._next_turn, least)
+        turn = max(self._next_retry_at, least)
         if turn > latest:
             # Turns beyond the horizon begin anew: late ones share the moments of early ones.
             turn = least
-        self._next_turn = turn + 1 / config.retries_per_second
+        self._next_retry_at = turn + 1 / config.retries_per_second
         return round((turn - now) * MILLISECONDS_PER_SECOND)
 
     def _remove_overdue(self, now: float) -> None:
