--- a/src/jasperwalk/fleet/home_link.py
+++ b/src/jasperwalk/fleet/home_link.py
@@ -142,7 +142,7 @@
             while True:
                 async with asyncio.timeout(SILENCE_SECONDS):
                     payload = await connection.receive()
-                self._take(HOME_DECODER.decode(payload))
+                self._handle_message(HOME_DECODER.decode(payload))
         except TimeoutError:
             logger.info("home-lost", home=str(replica), kind="silent")
         except JasperwalkError as error:
@@ -159,7 +159,7 @@
             await asyncio.sleep(PING_SECONDS)
             await connection.send(codec.encode(NodePing(self._zones_revision)))
 
-    def _take(self, message: HomeMessage) -> None:
+    def _handle_message(self, message: HomeMessage) -> None:
         now = time.monotonic()
         if isinstance(message, DrainedZones):
             self._zones_revision = max(self._zones_revision, message.revision)
