--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -44,12 +44,12 @@
         config = self._config
         least = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
         latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
-        turn = max(self._next_retry_at, least)
-        if turn > latest:
+        retry_at = max(self._next_retry_at, least)
+        if retry_at > latest:
             # Turns beyond the horizon begin anew: late ones share the moments of early ones.
-            turn = least
-        self._next_retry_at = turn + 1 / config.retries_per_second
-        return round((turn - now) * MILLISECONDS_PER_SECOND)
+            retry_at = least
+        self._next_retry_at = retry_at + 1 / config.retries_per_second
+        return round((retry_at - now) * MILLISECONDS_PER_SECOND)
 
     def _remove_overdue(self, now: float) -> None:
         limit = now - self._config.join_seconds
