--- a/src/jasperwalk/fleet/home_link.py
+++ b/src/jasperwalk/fleet/home_link.py
@@ -102,7 +102,7 @@
             else:
                 self._connect_seconds = FIRST_CONNECT_SECONDS
                 self.home = dialled.replica
-                await self._use(dialled.connection, dialled.replica)
+                await self._serve_connection(dialled.connection, dialled.replica)
             # A home that ends every link at once must not be dialled in a tight loop.
             elapsed = time.monotonic() - started_at
             await asyncio.sleep(max(0.0, RETRY_SECONDS - elapsed))
@@ -131,7 +131,7 @@
             logger.debug("home-not-reached", home=str(replica), kind=error.kind)
             raise
 
-    async def _use(self, connection: FramedConnection, replica: Endpoint) -> None:
+    async def _serve_connection(self, connection: FramedConnection, replica: Endpoint) -> None:
         self._connection = connection
         self._current_at = time.monotonic()
         logger.info("home-linked", home=str(replica))
