--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -42,12 +42,12 @@
     def retry_after_ms(self, now: float) -> int:
         """Return when one that is refused may come back: a turn of its own, in milliseconds."""
         config = self._config
-        least = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
+        earliest = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
         latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
-        retry_at = max(self._next_retry_at, least)
+        retry_at = max(self._next_retry_at, earliest)
         if retry_at > latest:
             # Turns beyond the horizon begin anew: late ones share the moments of early ones.
-            retry_at = least
+            retry_at = earliest
         self._next_retry_at = retry_at + 1 / config.retries_per_second
         return round((retry_at - now) * MILLISECONDS_PER_SECOND)
 
