--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -69,7 +69,7 @@
             for endpoint in [each for each in self._targets if each not in listed]:
                 self._unlist(endpoint, now)
         for record in update.records:
-            self._take(record, now)
+            self._add_record(record, now)
         for endpoint, seconds_ago in update.removals():
             self._unlist(endpoint, now - seconds_ago)
         self._index()
@@ -88,7 +88,7 @@
         if target is not None and target.unlisted_since is None:
             target.unlisted_since = since
 
-    def _take(self, record: NodeRecord, now: float) -> None:
+    def _add_record(self, record: NodeRecord, now: float) -> None:
         held = self._targets.get(record.endpoint)
         is_same_service = held is not None and held.record.service == record.service
         if held is None or not is_same_service or held.departed:
