--- a/src/jasperwalk/distribution/update_encoder.py
+++ b/src/jasperwalk/distribution/update_encoder.py
@@ -87,15 +87,15 @@
             self._deltas[cache_key] = self._encode_delta(scope, base_revision)
         return self._deltas[cache_key]
 
-    def snapshot(self, scope: int, least_revision: int, now: float) -> EncodedSnapshot:
-        """Return a snapshot of the scope at `least_revision` or later.
+    def snapshot(self, scope: int, min_revision: int, now: float) -> EncodedSnapshot:
+        """Return a snapshot of the scope at `min_revision` or later.
 
         One of the whole table that was made a moment ago is used again, so that balancers
         that load a large table at the same time share its bytes; a delta brings them up to
         date afterwards. An agent might not have been in the scope at an earlier revision.
         """
         recent = self._snapshots.get(scope)
-        if recent is not None and self._reusable(recent, scope, least_revision, now):
+        if recent is not None and self._reusable(recent, scope, min_revision, now):
             return recent
         made = EncodedSnapshot(
             revision=self.table.revision, parts=self._encode_snapshot(scope), made_at=now
@@ -110,15 +110,13 @@
         for scope in old:
             del self._snapshots[scope]
 
-    def _reusable(
-        self, recent: EncodedSnapshot, scope: int, least_revision: int, now: float
-    ) -> bool:
+    def _reusable(self, recent: EncodedSnapshot, scope: int, min_revision: int, now: float) -> bool:
         if recent.revision == self.table.revision:
             return True
         return (
             scope == WHOLE_TABLE
             and now - recent.made_at <= self._config.snapshot_reuse_seconds
-            and recent.revision >= least_revision
+            and recent.revision >= min_revision
             and self.delta(scope, recent.revision) is not None
         )
 
