--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -89,20 +89,20 @@
             target.unlisted_since = since
 
     def _add_record(self, record: NodeRecord, now: float) -> None:
-        held = self._targets.get(record.endpoint)
-        is_same_service = held is not None and held.record.service == record.service
-        if held is None or not is_same_service or held.departed:
-            if held is not None:
-                held.departed = True
-            held = self._targets[record.endpoint] = make_target(record, now)
-        if held.record.incarnation != record.incarnation:
-            held.started_at = now
+        known = self._targets.get(record.endpoint)
+        is_same_service = known is not None and known.record.service == record.service
+        if known is None or not is_same_service or known.departed:
+            if known is not None:
+                known.departed = True
+            known = self._targets[record.endpoint] = make_target(record, now)
+        if known.record.incarnation != record.incarnation:
+            known.started_at = now
         # A restarted agent has the same host beside it: its flows go on.
-        held.record = record
-        held.unlisted_since = None
-        held.slow_until = now + record.slow_start_seconds
-        held.departed = record.phase in HOSTLESS
-        held.zone_drained = record.zone_of_host() in self.drained.zones
+        known.record = record
+        known.unlisted_since = None
+        known.slow_until = now + record.slow_start_seconds
+        known.departed = record.phase in HOSTLESS
+        known.zone_drained = record.zone_of_host() in self.drained.zones
 
     def _index(self) -> None:
         self._by_service = {}
