--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -31,7 +31,7 @@
     )
 
 
-def test_an_announced_agent_is_told_once():
+def test_an_announced_agent_is_reported_once():
     directory = NodeDirectory(1)
     directory.announce(node(1))
     assert changes(directory) == (["node-1"], [])
