--- a/src/jasperwalk/flows/terms.py
+++ b/src/jasperwalk/flows/terms.py
@@ -35,14 +35,14 @@
 NO_TERMS = RouteTerms()
 
 
-class TermsReading(msgspec.Struct, frozen=True):
+class ParsedTerms(msgspec.Struct, frozen=True):
     """Terms that were read, and the names of the values that were passed over."""
 
     terms: RouteTerms
     ignored: tuple[str, ...] = ()
 
 
-def read_terms(priority: Any, objective_ms: Any, limit_ms: Any) -> TermsReading:
+def read_terms(priority: Any, objective_ms: Any, limit_ms: Any) -> ParsedTerms:
     """Read terms as they came; None stands for one that is not named."""
     ignored = []
     if not _is_priority(priority):
@@ -55,7 +55,7 @@
         ignored += ["limit"] if limit_ms is not None else []
         limit_ms = 0
     terms = RouteTerms(priority, round(objective_ms), round(limit_ms))
-    return TermsReading(terms, tuple(ignored))
+    return ParsedTerms(terms, tuple(ignored))
 
 
 def _is_priority(value: Any) -> bool:
