--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -38,7 +38,7 @@
     assert changes(directory) == ([], [])
 
 
-def test_balancers_are_no_news_for_balancers():
+def test_balancers_are_not_reported_to_balancers():
     directory = NodeDirectory(1)
     directory.announce(node(1, role=NodeRole.BALANCER))
     assert changes(directory) == ([], [])
