--- a/src/jasperwalk/flows/terms.py
+++ b/src/jasperwalk/flows/terms.py
@@ -42,7 +42,7 @@
     ignored: tuple[str, ...] = ()
 
 
-def read_terms(priority: Any, objective_ms: Any, limit_ms: Any) -> ParsedTerms:
+def parse_terms(priority: Any, objective_ms: Any, limit_ms: Any) -> ParsedTerms:
     """Read terms as they came; None stands for one that is not named."""
     ignored = []
     if not _is_priority(priority):
--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -19,7 +19,7 @@
     CarriedTerms,
     RouteTerms,
     caller_group,
-    read_terms,
+    parse_terms,
 )
 
 URGENT = RouteTerms(1, 400, 3000)
@@ -28,29 +28,29 @@
 
 
 def test_terms_are_read_as_named():
-    reading = read_terms(1, 400, 3000.0)
+    reading = parse_terms(1, 400, 3000.0)
     assert reading.terms == URGENT
     assert reading.ignored == ()
 
 
 def test_terms_that_are_not_named_are_none():
-    assert read_terms(None, None, None).terms == NO_TERMS
-    assert not read_terms(None, None, None).ignored
+    assert parse_terms(None, None, None).terms == NO_TERMS
+    assert not parse_terms(None, None, None).ignored
 
 
 @pytest.mark.parametrize("priority", [-1, 8, 1.0, True, "1", [], float("nan")])
 def test_an_unknown_priority_counts_as_none(priority):
-    reading = read_terms(priority, 400, 3000)
+    reading = parse_terms(priority, 400, 3000)
     assert reading.terms.priority == NORMAL_PRIORITY
     assert reading.ignored == ("priority",)
 
 
 @pytest.mark.parametrize("duration", [0, -5, DAY_MS + 1, True, "400", float("nan"), float("inf")])
 def test_an_absurd_duration_counts_as_none(duration):
-    assert read_terms(1, duration, 3000).ignored == ("objective",)
-    assert read_terms(1, duration, 3000).terms.objective_ms == 0
-    assert read_terms(1, 400, duration).ignored == ("limit",)
-    assert read_terms(1, 400, duration).terms.limit_ms == 0
+    assert parse_terms(1, duration, 3000).ignored == ("objective",)
+    assert parse_terms(1, duration, 3000).terms.objective_ms == 0
+    assert parse_terms(1, 400, duration).ignored == ("limit",)
+    assert parse_terms(1, 400, duration).terms.limit_ms == 0
 
 
 def test_terms_travel_before_the_opening_packet():
