--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -61,7 +61,7 @@
     assert names(directory) == {"node-1"}
 
 
-def test_news_of_another_home_are_merged():
+def test_updates_of_another_home_are_merged():
     here, there = NodeDirectory(1), NodeDirectory(2)
     assert here.merge_nodes(7, there.announce(node(1)), 0.0) is True
     assert here.merge_nodes(7, there.own_nodes(), 0.0) is False
