--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -12,7 +12,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.control.fleet.messages import HomedNodes, ReplicaHeartbeat
-from jasperwalk.fleet.messages import HOSTLESS, FleetUpdate, NodeRecord, NodeRole
+from jasperwalk.fleet.messages import HOSTLESS_PHASES, FleetUpdate, NodeRecord, NodeRole
 
 CLAIM_LIFETIME_SECONDS = 6.0
 """A silent replica's claims are kept this long: its nodes find another home meanwhile."""
@@ -152,7 +152,7 @@
                 return
         del self._merged[endpoint]
         self._changed[endpoint] = None
-        if held.phase not in HOSTLESS:
+        if held.phase not in HOSTLESS_PHASES:
             self._lost[endpoint] = LostNode(held, now)
 
     def agents(self, now: float) -> FleetUpdate:
--- a/src/jasperwalk/fleet/messages.py
+++ b/src/jasperwalk/fleet/messages.py
@@ -36,7 +36,7 @@
     """No host has run there since the agent's process began; one may start."""
 
 
-HOSTLESS = frozenset((HostPhase.GONE, HostPhase.ABSENT))
+HOSTLESS_PHASES = frozenset((HostPhase.GONE, HostPhase.ABSENT))
 """Phases in which no flow can be held beside the agent."""
 
 
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -11,7 +11,13 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.fleet.host_slowdowns import HostSlowdowns
-from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
+from jasperwalk.fleet.messages import (
+    HOSTLESS_PHASES,
+    DrainedZones,
+    FleetUpdate,
+    HostPhase,
+    NodeRecord,
+)
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import service_tag
@@ -101,7 +107,7 @@
         known.record = record
         known.unlisted_since = None
         known.slow_until = now + record.slow_start_seconds
-        known.departed = record.phase in HOSTLESS
+        known.departed = record.phase in HOSTLESS_PHASES
         known.zone_drained = record.zone_of_host() in self.drained.zones
 
     def _index(self) -> None:
