--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -71,7 +71,7 @@
     assert names(here) == {"node-2"}
 
 
-def test_a_missed_change_is_noticed_by_the_next_change_and_by_a_beat():
+def test_a_missed_change_is_noticed_by_the_next_change_and_by_a_heartbeat():
     here, there = NodeDirectory(1), NodeDirectory(2)
     here.merge_nodes(7, there.own_nodes(), 0.0)
     there.announce(node(1))
