--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -64,7 +64,7 @@
 MAX_DATAGRAM_BYTES: Final = HEADER_LENGTH + MAX_PAYLOAD_BYTES
 """Largest datagram from the fabric, in bytes."""
 
-unpack_short: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
+unpack_short_header: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
 """Reads what the short path needs, in one call.
 
 The fields: constant part of the PROXY header, VIP's host and port, first octet of the
@@ -152,7 +152,9 @@
         decryptors = self._decryptors
         for datagram in datagrams:
             try:
-                prefix, vip_host, vip_port, first_octet, rotation, block = unpack_short(datagram)
+                prefix, vip_host, vip_port, first_octet, rotation, block = unpack_short_header(
+                    datagram
+                )
                 if prefix == HEADER_PREFIX and FIXED_BIT <= first_octet < LONG_HEADER_BIT:
                     route = routes[vip_host, vip_port]
                     server_id = decryptors[rotation].update(block)
