--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -131,7 +131,7 @@
     assert names(directory) == {"node-1"}
 
 
-def test_an_agent_that_left_without_a_goodbye_is_told_as_lost_for_a_while():
+def test_an_agent_that_left_without_deregistering_is_listed_as_lost_for_a_while():
     directory = NodeDirectory(1)
     directory.announce(node(1))
     directory.unlink(node(1), 10.0)
