--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -10,14 +10,14 @@
 from tests.flows.support import LISTENER, OPENING, from_caller
 
 URGENT = RouteTerms(1, 400, 3000)
-ORDINARY = RouteTerms(2, 300, 2500)
+NORMAL = RouteTerms(2, 300, 2500)
 OTHER_LISTENER = Endpoint("198.18.0.9", 9)
 
 
 def route_two(harness, terms, version=2):
     backends = [RouteBackend("web", 1.0)]
     first = FlowRoute("r", LISTENER, backends, terms=terms)
-    other = FlowRoute("other", OTHER_LISTENER, backends, terms=ORDINARY)
+    other = FlowRoute("other", OTHER_LISTENER, backends, terms=NORMAL)
     harness.routes.replace(RouteSet(version, [first, other]))
 
 
@@ -50,12 +50,12 @@
 @pytest.mark.parametrize("reads_terms", [False, True])
 def test_where_routes_are_alike_nothing_is_told(reads_terms):
     harness = Harness(record(1, reads_terms=reads_terms))
-    route_two(harness, ORDINARY)
+    route_two(harness, NORMAL)
     flags, _ = sent_opening(harness, from_caller(OPENING))
     assert not flags & FLAG_TERMS
 
 
-@pytest.mark.parametrize(("terms", "asked"), [(URGENT, 2), (ORDINARY, 1)])
+@pytest.mark.parametrize(("terms", "asked"), [(URGENT, 2), (NORMAL, 1)])
 def test_where_routes_differ_flows_stay_in_their_zone_while_it_has_room(terms, asked):
     harness = Harness(record(1, zone="b"), record(2, zone="a"))
     route_two(harness, terms)
--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -23,7 +23,7 @@
 )
 
 URGENT = RouteTerms(1, 400, 3000)
-ORDINARY = RouteTerms(2, 300, 2500)
+NORMAL = RouteTerms(2, 300, 2500)
 DAY_MS = 24 * 60 * 60 * 1000
 
 
@@ -98,9 +98,9 @@
             1,
             [
                 route("holds", "booking", URGENT, 1),
-                route("feeds", "booking", ORDINARY, 2),
-                route("uploads", "manifests", ORDINARY, 3),
-                route("more-uploads", "manifests", ORDINARY, 4),
+                route("feeds", "booking", NORMAL, 2),
+                route("uploads", "manifests", NORMAL, 3),
+                route("more-uploads", "manifests", NORMAL, 4),
             ],
         )
     )
@@ -112,17 +112,17 @@
 def test_a_limit_alone_calls_for_nothing():
     table = RouteTable()
     longer = RouteTerms(2, 300, 9000)
-    table.replace(RouteSet(1, [route("a", "s", ORDINARY, 1), route("b", "s", longer, 2)]))
+    table.replace(RouteSet(1, [route("a", "s", NORMAL, 1), route("b", "s", longer, 2)]))
     assert sent_terms(table, 1) is None
 
 
 def test_terms_follow_the_configuration_and_the_turns_go_on():
     table = RouteTable()
-    table.replace(RouteSet(1, [route("a", "s", ORDINARY, 1), route("b", "s", ORDINARY, 2)]))
+    table.replace(RouteSet(1, [route("a", "s", NORMAL, 1), route("b", "s", NORMAL, 2)]))
     entry = table.find(Endpoint("198.18.0.1", 1).pack())
     assert entry.terms is None
-    table.replace(RouteSet(2, [route("a", "s", URGENT, 1), route("b", "s", ORDINARY, 2)]))
+    table.replace(RouteSet(2, [route("a", "s", URGENT, 1), route("b", "s", NORMAL, 2)]))
     assert table.find(Endpoint("198.18.0.1", 1).pack()) is entry
     assert sent_terms(table, 1).priority == URGENT.priority
-    table.replace(RouteSet(3, [route("a", "s", ORDINARY, 1), route("b", "s", ORDINARY, 2)]))
+    table.replace(RouteSet(3, [route("a", "s", NORMAL, 1), route("b", "s", NORMAL, 2)]))
     assert sent_terms(table, 1) is None
