--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -143,7 +143,7 @@
     assert names(directory) == set()
 
 
-def test_an_agent_that_said_goodbye_or_came_back_is_not_told_as_lost():
+def test_an_agent_that_deregistered_or_came_back_is_not_listed_as_lost():
     directory = NodeDirectory(1)
     directory.announce(node(1, phase=HostPhase.GONE))
     directory.unlink(node(1), 10.0)
