--- a/tests/control/fleet/test_cluster.py
+++ b/tests/control/fleet/test_cluster.py
@@ -105,7 +105,7 @@
     run(scenario())
 
 
-def test_a_replica_that_was_removed_while_away_begins_anew(tmp_path):
+def test_a_replica_that_was_removed_while_down_starts_again_under_another_id(tmp_path):
     async def scenario():
         async with Cluster(tmp_path, 4) as cluster:
             away = cluster.replicas[3]
