--- a/tests/control/fleet/test_zone_orders.py
+++ b/tests/control/fleet/test_zone_orders.py
@@ -31,7 +31,7 @@
     run(scenario())
 
 
-def test_a_drained_zone_outlives_lost_disks_and_the_death_of_all(tmp_path):
+def test_a_drained_zone_survives_two_lost_disks_and_a_restart_of_all_replicas(tmp_path):
     async def scenario():
         async with Cluster(tmp_path, 5) as cluster:
             await cluster.put(configuration(7))
