--- a/tests/control/fleet/test_autopilot.py
+++ b/tests/control/fleet/test_autopilot.py
@@ -85,7 +85,7 @@
     assert made.next_change(listed, {}, 1.0) is None
 
 
-def test_a_newcomer_that_asks_no_longer_is_forgotten():
+def test_a_join_request_that_is_not_repeated_expires():
     made = make_autopilot((9, 9, False))
     assert made.next_change(members(*FIVE), {}, REQUEST_LIFETIME_SECONDS + 0.1) is None
 
