--- a/tests/control/fleet/test_identity.py
+++ b/tests/control/fleet/test_identity.py
@@ -35,7 +35,7 @@
     assert identity.founders == {}
 
 
-def test_a_removed_replica_begins_anew_in_another_folder(tmp_path):
+def test_a_removed_replica_starts_again_in_another_folder(tmp_path):
     first = open_identity(tmp_path, SEEDS[0], SEEDS, founding=True)
     create(first)
     renewed = renew_identity(tmp_path)
