--- a/tests/control/fleet/test_versioned_state.py
+++ b/tests/control/fleet/test_versioned_state.py
@@ -43,7 +43,7 @@
     assert VersionedState.restore(state.serialise()).held == state.held
 
 
-def test_noise_in_the_log_changes_nothing():
+def test_an_undecodable_log_entry_changes_nothing():
     state, _ = applied(command(3))
     assert state.apply(b"noise") is None
     assert state.held.version == 3
