--- a/tests/control/fleet/test_versioned_state.py
+++ b/tests/control/fleet/test_versioned_state.py
@@ -97,7 +97,7 @@
     assert restored.zones.drained_zones() == DrainedZones()
 
 
-def test_what_cold_hosts_bear_is_held_with_the_configuration():
+def test_warm_ups_are_stored_with_the_configuration():
     warm_ups = {"web": WarmUp(2.0, 20.0)}
     state, _ = applied(PutConfiguration(3, b"text", [], 0, warm_ups))
     assert VersionedState.restore(state.serialise()).held.warm_ups == warm_ups
