--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -194,7 +194,7 @@
     run(scenario, SHORT_SECONDS)
 
 
-def test_an_agent_gets_what_its_own_service_says_of_cold_hosts():
+def test_an_agent_is_sent_the_warm_up_of_its_own_service():
     async def scenario(home):
         home.warm_ups = {"web": WarmUp(2.0, 20.0), "export": WarmUp(1.0, 5.0)}
         agent = home.link(node(1))
