--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -141,7 +141,7 @@
     assert core.phase is FollowerPhase.REPLACED
 
 
-def test_a_thawed_process_does_not_take_buffered_heartbeats_for_news(core) -> None:
+def test_a_resumed_process_does_not_treat_buffered_heartbeats_as_current(core) -> None:
     core.message(Heartbeat(10, 0, 5), 0.1)
     assert core.fresh(2.0)
     effects = core.message(Heartbeat(10, 0, 5), 60.0)
