--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -118,7 +118,7 @@
     assert core.tick(0.6, 1.5) == []
 
 
-def test_a_publisher_that_stood_still_tells_its_true_age(builders, core) -> None:
+def test_a_publisher_that_was_suspended_reports_its_true_quorum_age(builders, core) -> None:
     assert closings(core.subscriber_opened(1, builders.subscribe(), 10.0)) == [
         (1, CloseReason.STALE_REPLICA)
     ]
