--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -155,7 +155,7 @@
     assert closings(effects) == [(2, CloseReason.SILENT)]
 
 
-def test_a_publisher_that_stood_still_hears_its_subscribers_first(builders, core) -> None:
+def test_a_publisher_that_was_suspended_closes_no_subscriber_at_once(builders, core) -> None:
     core.subscriber_opened(1, builders.subscribe(), 0.0)
     core.tick(0.1, 0.0)
     assert closings(core.tick(20.0, 0.0)) == []
