--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -107,7 +107,7 @@
     assert delta.upserts == [builders.member(1, 1, weight=303)]
 
 
-def test_heartbeats_cost_only_what_is_due_and_tell_the_quorums_age(builders, core) -> None:
+def test_only_due_heartbeats_are_sent_and_they_carry_the_quorum_age(builders, core) -> None:
     for number in range(2000):
         subscribe = builders.subscribe(name=f"b{number}", revision=3)
         core.subscriber_opened(number, subscribe, number / 4000)
