--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -164,7 +164,7 @@
     assert closed_at == [pytest.approx(25.0, abs=0.6)]
 
 
-def test_an_agent_is_registered_and_hears_of_it_at_once(builders, core) -> None:
+def test_an_agent_is_registered_and_notified_at_once(builders, core) -> None:
     subscribe = builders.subscribe(AGENT, builders.address(1), name="host-1")
     wanted = RegisterAgent(builders.address(1), "boot", "host-1", "a")
     assert core.subscriber_opened(1, subscribe, 0.0)[0] == wanted
