--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -259,7 +259,7 @@
     assert isinstance(FROM_PUBLISHER_DECODER.decode(first), Snapshot)
 
 
-def test_subscribers_are_told_of_the_replicas_once_and_when_they_change(builders, core) -> None:
+def test_subscribers_are_notified_of_the_replicas_once_and_when_they_change(builders, core) -> None:
     first, second = [builders.address(200)], [builders.address(200), builders.address(201)]
     assert of_type(ReplicaEndpoints, core.subscriber_opened(1, builders.subscribe(), 0.0)) == []
     assert of_type(ReplicaEndpoints, core.replicas_changed(7, first)) == [
