--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -229,7 +229,7 @@
     assert set(moved.entries) == {builders.service(2), builders.fleet_key(0), *members}
 
 
-def test_the_links_tell_what_each_subscriber_acknowledged(builders, core, table) -> None:
+def test_links_record_what_each_subscriber_acknowledged(builders, core, table) -> None:
     core.subscriber_opened(1, builders.subscribe(name="b1", at=builders.address(10)), 0.0)
     core.subscriber_opened(2, builders.subscribe(name="b2", at=builders.address(11)), 0.0)
     core.subscriber_opened(3, builders.subscribe(AGENT, builders.address(1), name="a1"), 0.0)
