--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -251,7 +251,7 @@
     assert leave_reason(effects) is LeaveReason.STALE_QUORUM
 
 
-def test_attempts_grow_rare_and_patient_while_no_replica_answers(core) -> None:
+def test_attempts_become_rarer_and_time_outs_longer_while_no_replica_answers(core) -> None:
     core.disconnected(0.0)
     now, tried_at, waited = 0.0, [], []
     while now < 120.0:
