--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -295,7 +295,7 @@
     assert of_type(Reject, core.subscriber_opened(3, builders.subscribe(name="b3"), 2.0)) == []
 
 
-def test_turns_of_refused_subscribers_end_at_the_longest_retry(builders, core) -> None:
+def test_retry_times_of_refused_subscribers_are_bounded(builders, core) -> None:
     core.tick(0.0, math.inf)
     waits = [
         of_type(Reject, core.subscriber_opened(n, builders.subscribe(), 0.0))[0].retry_after_ms
