--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -271,7 +271,7 @@
     assert len(of_type(ReplicaEndpoints, core.replicas_changed(9, second))) == 2
 
 
-def test_snapshots_begin_in_turn_and_refused_ones_come_back_one_by_one(builders, table) -> None:
+def test_concurrent_joins_are_limited_and_refused_ones_retry_one_by_one(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(join_limit=2, retries_per_second=10))
     core.tick(0.0, 0.0)
     opened = [core.subscriber_opened(n, builders.subscribe(name=f"b{n}"), 0.0) for n in range(5)]
