--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -180,7 +180,7 @@
     asyncio.run(scenario())
 
 
-def test_an_agent_hears_its_incarnation_and_stops_when_it_is_replaced(
+def test_an_agent_receives_its_incarnation_and_stops_when_it_is_replaced(
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
