--- a/tests/distribution/test_replica_choice.py
+++ b/tests/distribution/test_replica_choice.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_replica_that_is_well_is_tried_soon_however_often_another_failed(seed):
+def test_a_healthy_replica_is_tried_soon_however_often_another_failed(seed):
     choice = ReplicaChoice([CUT_OFF, WELL], 0.1, 5.0, random.Random(seed))
     for second in range(12):
         choice.record_failure(CUT_OFF, float(second))
