--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -93,7 +93,7 @@
     assert len(tracker.evaluate([member(ONLINE)], 114.0)) == 1
 
 
-def test_a_new_leader_acts_on_what_it_hears_during_its_grace(tracker) -> None:
+def test_a_new_leader_acts_on_reports_during_its_grace_period(tracker) -> None:
     tracker.leader_started(100.0)
     tracker.observe(observation(healthy=False), 100.1)
     assert [each.operating_status for each in tracker.evaluate([member(ONLINE)], 100.1)] == [
