--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("stood_still", [False, True])
-def test_a_leader_that_is_new_or_stood_still_waits_before_it_declares_silence(
+def test_a_new_or_suspended_leader_waits_before_it_declares_members_offline(
     tracker, stood_still: bool
 ) -> None:
     if not stood_still:
