--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -101,7 +101,7 @@
     ]
 
 
-def test_a_flapping_member_has_to_be_well_for_a_while(tracker) -> None:
+def test_a_flapping_member_has_to_be_healthy_for_a_while(tracker) -> None:
     entry, now, online_at = member(ONLINE), 100.0, []
     for second in range(40):
         now = 100.0 + second
