--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("count", "silent", "expected"), SILENCES.values(), ids=SILENCES.keys())
-def test_the_silence_of_most_members_is_doubted_for_a_while(tracker, count, silent, expected):
+def test_the_silence_of_most_members_is_unconfirmed_for_a_while(tracker, count, silent, expected):
     members, heard = _make_members(count, silent)
     for each in members:
         tracker.observe(msgspec.structs.replace(observation(), address=each.address), 100.0)
