--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -156,7 +156,7 @@
     assert (now - 100.0, len(changes)) == (expected, silent)
 
 
-def test_members_that_come_back_while_their_silence_is_doubted_never_were_offline(tracker):
+def test_members_that_come_back_while_their_silence_is_unconfirmed_never_were_offline(tracker):
     members, _ = _make_members(400, 400)
     for half_second in range(200, 240):
         now = half_second / 2
