--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -153,7 +153,7 @@
     run(scenario, SHORT_SECONDS)
 
 
-def test_a_link_that_ended_is_given_up_once_however_many_updates_follow():
+def test_a_link_that_ended_is_dropped_once_however_many_updates_follow():
     async def scenario(home):
         _, agents = await linked_fleet(home)
         with structlog.testing.capture_logs() as logs:
