--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -237,7 +237,7 @@
     run(scenario, 0.0)
 
 
-def test_a_link_that_the_node_has_given_up_ends_and_changes_nothing_more():
+def test_a_link_that_the_node_has_replaced_ends_and_changes_nothing_more():
     async def scenario(home):
         silent, new_link = returned_node(home)
         await until(lambda: silent.is_closed)
