--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 @pytest.mark.parametrize("times", [4.0, 6.0])
-def test_a_rush_of_one_group_leaves_the_others_as_they_were(size, times):
+def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
     burst = {RUSHING: times}
     without = [play(FirstOfAll, size, burst, seed) for seed in SEEDS]
     fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
