--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -83,7 +83,7 @@
     assert pause(guard, True, False, 1.0, LEADING) == REVERSAL_PAUSE_SECONDS
 
 
-def test_zones_are_ordered_apart():
+def test_orders_for_different_zones_are_independent():
     guard = make_guard()
     admit(guard, True, None, 1.0)
     assert guard.pause_seconds(ZoneOrder("b", False, None, 1.1), LEADING, 1.1) == 0.0
