--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
-def test_the_hosts_do_as_much_as_without_shares(size):
+def test_throughput_is_the_same_as_without_shares(size):
     burst = {RUSHING: 5.0}
     fair = play(FairShares, size, burst, 1)
     without = play(FirstOfAll, size, burst, 1)
