--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -100,7 +100,7 @@
     assert overtaken is OrderRefusal.OVERTAKEN
 
 
-def test_an_order_that_changed_nothing_is_new_as_well():
+def test_an_order_that_changed_nothing_also_counts_as_new():
     guard = make_guard()
     old = Leadership(term=3, is_settled=True, leads_since=-100.0)
     assert admit(guard, False, False, 10.0, old) is None
