--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -61,7 +61,7 @@
     assert fair.begun.total() >= 0.98 * without.begun.total()
 
 
-def test_what_the_others_leave_goes_to_the_group_that_rushes():
+def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
     fair = play(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
