--- a/tests/control/fleet/test_identity.py
+++ b/tests/control/fleet/test_identity.py
@@ -24,7 +24,7 @@
     assert again == first
 
 
-def test_a_lost_disk_comes_back_under_another_id(tmp_path):
+def test_a_replica_with_a_lost_disk_gets_another_id(tmp_path):
     identity = open_identity(tmp_path, SEEDS[0], SEEDS, founding=False)
     assert identity.replica_id != founder_id(SEEDS[0])
     assert identity.founders == {}
