--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
-def test_a_rush_of_all_is_borne_by_all_alike(size):
+def test_a_burst_of_all_groups_affects_all_equally(size):
     fair = play(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
     in_time = [served([fair], [group]) for group in GROUPS]
     assert max(in_time) - min(in_time) < 0.1
