--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", FAILED_ONCE)
-def test_races_that_once_failed(seed):
+def test_seeds_of_former_failures(seed):
     assert play(seed).violations == []
 
 
