--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -75,7 +75,7 @@
     assert max(in_time) - min(in_time) < 0.1
 
 
-def test_agents_that_forgot_everything_are_fair_again_at_once():
+def test_agents_that_restart_are_fair_again_at_once():
     class Forgetful(FairShares):
         """An agent that is restarted every now and then."""
 
