--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -10,7 +10,7 @@
 
 SEEDS_PER_TEST = 25
 TESTS = int(os.environ.get("JASPERWALK_ORDER_RACES", "200")) // SEEDS_PER_TEST
-FAILED_ONCE = (311, 4308, 4620, 6427, 7803, 8033, 8355)
+FORMER_FAILURE_SEEDS = (311, 4308, 4620, 6427, 7803, 8033, 8355)
 """Seeds that once failed: an order that paused was taken after its opposite."""
 MUTANT_SEEDS = range(60)
 
@@ -21,7 +21,7 @@
         assert (seed, play(seed).violations) == (seed, [])
 
 
-@pytest.mark.parametrize("seed", FAILED_ONCE)
+@pytest.mark.parametrize("seed", FORMER_FAILURE_SEEDS)
 def test_seeds_of_former_failures(seed):
     assert play(seed).violations == []
 
