--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -87,7 +87,7 @@
     assert served([play(Forgetful, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
 
 
-def test_weights_divide_a_host_that_all_want_whole():
+def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
     played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
     assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
