--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -98,7 +98,7 @@
 # Whose turn it is
 
 
-def test_a_single_group_has_every_turn():
+def test_a_single_group_is_always_served():
     shares = FairShares()
     for step in range(1000):
         assert shares.group_to_serve([7], 0.01 * step) == 7
