--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -112,7 +112,7 @@
     assert shares.group_to_serve([3, 1, 2], 5.0) == 1
 
 
-def test_one_that_had_more_of_the_host_comes_later_though_it_had_fewer_requests():
+def test_use_is_counted_in_service_time_and_not_in_requests():
     shares = FairShares()
     shares.record_served(1, 0.5, 1.0)
     for _ in range(4):
