--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -137,7 +137,7 @@
     assert shares.group_to_serve([1, 2], 1.0 + idle_seconds) == 1
 
 
-def test_an_idle_group_saves_nothing_up():
+def test_an_idle_group_accumulates_no_credit():
     def turns_of_one_that_was_idle(idle_seconds):
         shares = FairShares()
         steps = round(idle_seconds / SERVICE_SECONDS)
