--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -186,7 +186,7 @@
 # Whose request is let go
 
 
-def test_a_rushing_group_loses_its_own_requests_first():
+def test_a_group_with_a_burst_loses_its_own_requests_first():
     shares = FairShares()
     assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
     shares.record_served(2, 5.0, 1.0)
