--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -207,7 +207,7 @@
     assert FairShares({1: 3.0}).group_to_shed({1: 12, 2: 5, 3: 1}, 1.0) == 2
 
 
-def test_the_last_request_of_a_light_group_stays_while_another_has_more_over():
+def test_the_last_request_of_a_light_group_stays_while_another_has_more_excess():
     assert FairShares({1: 0.1}).group_to_shed({1: 1, 2: 9}, 1.0) == 2
 
 
