--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -211,7 +211,7 @@
     assert FairShares({1: 0.1}).group_to_shed({1: 1, 2: 9}, 1.0) == 2
 
 
-def test_of_equals_the_one_that_used_more_loses_its_request():
+def test_on_a_tie_the_group_that_used_more_loses_its_request():
     shares = FairShares()
     assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 2
     shares.record_served(1, 0.1, 1.0)
