--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -105,7 +105,7 @@
         shares.record_served(7, 1.0, 0.01 * step)
 
 
-def test_equals_are_served_in_the_order_given():
+def test_on_a_tie_groups_are_served_in_the_order_given():
     shares = FairShares()
     assert shares.group_to_serve([3, 1, 2], 5.0) == 3
     shares.record_served(3, 0.05, 5.0)
