--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
-def test_a_slow_host_is_seen_soon_and_is_usual_again_after(slots):
+def test_a_slow_host_is_detected_soon_and_recovers(slots):
     play = Play(slots).run(5.0)
     assert not play.slow_host.is_slow()
     play.factor = SLOW_WORK_FACTOR
