--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -85,7 +85,7 @@
     assert play.slow_host.service_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.3)
 
 
-def test_a_slow_host_is_seen_before_it_has_answered():
+def test_a_slow_host_is_detected_before_it_has_answered():
     play = Play(4).run(5.0)
     for number in range(4):
         play.service_times.record_request(f"late {number}", "kind", 8, play.now)
