--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -118,7 +118,7 @@
         role: SubscriberRole = SubscriberRole.BALANCER,
         cluster: str = CLUSTER,
     ) -> FollowerRunner:
-        replicas = [host.server.endpoint for host in publishers]
+        replicas = [replica_server.server.endpoint for replica_server in publishers]
         facts = builders.facts("f", role, builders.address(1))
         core = FollowerCore(FollowerConfig(), facts, replicas, random.Random(3))
         return FollowerRunner(core, cluster, lambda table: CHANGES.append(table.revision))
@@ -144,8 +144,8 @@
             async with running(runner):
                 await until(runner.fresh)
                 table.upsert(builders.member(2, 1), 3)
-                for host in (first, second):
-                    host.perform(host.core.table_advanced(time.monotonic()))
+                for replica_server in (first, second):
+                    replica_server.perform(replica_server.core.table_advanced(time.monotonic()))
                 await until(lambda: runner.table.revision == 3)
                 serving, other = (first, second) if first.connections else (second, first)
                 await serving.server.close()
@@ -168,12 +168,12 @@
     table, make_runner, payload: bytes
 ) -> None:
     async def scenario() -> None:
-        async with PublisherServer(table) as host:
-            runner = make_runner(host)
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server)
             async with running(runner) as task:
                 await until(runner.fresh)
-                host.write(1, payload)
-                await until(lambda: 2 in host.connections)
+                replica_server.write(1, payload)
+                await until(lambda: 2 in replica_server.connections)
                 assert not task.done()
                 assert runner.table.revision == 2
 
@@ -184,12 +184,14 @@
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
-        async with PublisherServer(table) as host:
-            runner = make_runner(host, role=SubscriberRole.AGENT)
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server, role=SubscriberRole.AGENT)
             async with running(runner) as task:
                 await until(lambda: runner.incarnation == 4)
                 now = time.monotonic()
-                host.perform(host.core.agent_registered(builders.address(1), "newer", 5, now))
+                replica_server.perform(
+                    replica_server.core.agent_registered(builders.address(1), "newer", 5, now)
+                )
                 await asyncio.wait_for(asyncio.shield(task), timeout=10)
                 assert runner.incarnation == 0
                 assert not runner.fresh()
@@ -199,10 +201,10 @@
 
 def test_a_follower_of_another_cluster_is_sent_nothing(table, make_runner) -> None:
     async def scenario() -> None:
-        async with PublisherServer(table) as host:
-            runner = make_runner(host, cluster="hanoi")
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server, cluster="hanoi")
             async with running(runner):
-                await until(lambda: host.server.refused.get("wrong-cluster", 0) >= 2)
+                await until(lambda: replica_server.server.refused.get("wrong-cluster", 0) >= 2)
                 assert runner.table.revision == 0
 
     asyncio.run(scenario())
