--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -139,7 +139,7 @@
     assert harness.ask().flags == UNKNOWN_SERVICE_TIME
 
 
-def test_another_host_is_judged_anew():
+def test_a_replacement_host_starts_without_a_verdict():
     harness = slow_host_harness()
     harness.agent.on_host_replaced(harness.now)
     assert harness.ask(URGENT).kind is FrameKind.ACCEPTED
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -149,7 +149,7 @@
     assert not play.slow_host.is_slow()
 
 
-def test_another_host_is_judged_anew():
+def test_a_replacement_host_starts_without_a_verdict():
     play = Play(2).run(5.0)
     play.factor = SLOW_WORK_FACTOR
     play.run(7.0)
