--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -201,7 +201,7 @@
     assert play.slow_host.refuses("kind", 1, 2, 0.1, now)
 
 
-def test_a_host_as_usual_refuses_nothing():
+def test_a_host_that_is_not_slow_refuses_nothing():
     play = Play(2).run(5.0)
     assert not play.slow_host.refuses("kind", 100, 2, 0.001, play.now)
 
