--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -206,7 +206,7 @@
     assert not play.slow_host.refuses("kind", 100, 2, 0.001, play.now)
 
 
-def test_a_slow_host_without_requests_stays_slow_until_the_judgement_is_old():
+def test_a_slow_host_without_requests_stays_slow_until_the_verdict_expires():
     play = slow_play()
     for _, name in play.ends:
         play.service_times.record_end(name, 2, play.now)
