--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -216,7 +216,7 @@
     assert not play.slow_host.is_slow()
 
 
-def test_two_trials_as_usual_end_the_judgement_however_far_apart():
+def test_two_trials_in_the_usual_time_end_the_verdict_however_far_apart():
     play = slow_play()
     for _, name in play.ends:
         play.service_times.record_end(name, 2, play.now)
