--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -227,7 +227,7 @@
         assert play.slow_host.is_slow() is is_slow
 
 
-def test_the_judgement_does_not_waver_between_its_bounds():
+def test_the_verdict_does_not_change_between_its_thresholds():
     assert RECOVERY_FACTOR < SLOW_FACTOR
     play = slow_play()
     play.factor = (RECOVERY_FACTOR + SLOW_FACTOR) / 2 * 1.2
