--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -140,7 +140,7 @@
     assert left[-1][1] == 255
 
 
-def test_a_fat_link_delays_nothing():
+def test_a_fast_link_delays_nothing():
     pacer, left = sent_at_once(link_bytes_per_second(1000.0), 1000, bulk=True)
     assert len(left) == 1000
     assert pacer.pause() is None
