--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -154,7 +154,7 @@
     )
 
 
-def test_a_clock_that_goes_back_earns_nothing():
+def test_a_clock_that_goes_back_adds_no_credit():
     pacer, left = sent_at_once(RATE, 100, bulk=True)
     before = len(left)
     pacer.release(-50.0)
