--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -98,7 +98,7 @@
     assert min(begun.count(b"b"), begun.count(b"c")) >= 4
 
 
-def test_a_full_queue_lets_the_least_urgent_go_and_of_these_the_one_that_is_late():
+def test_a_full_queue_sheds_the_least_urgent_and_of_these_the_late_one():
     waiting = scheduler()
     add(waiting, "urgent", URGENT, 0.0)
     add(waiting, "old", ORDINARY, 0.1)
