--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -110,7 +110,7 @@
     assert b"urgent" in waiting
 
 
-def test_requests_of_open_flows_are_never_let_go_for_want_of_room():
+def test_requests_of_open_flows_are_never_shed_for_want_of_capacity():
     waiting = scheduler()
     hold(waiting, "open", ORDINARY)
     assert waiting.shed_openings(0, 0.0) == []
