--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_nothing_is_lost_and_nothing_is_begun_twice(seed):
+def test_nothing_is_lost_and_nothing_is_started_twice(seed):
     drawn = random.Random(seed)
     waiting = scheduler(0.1)
     added, gone = set(), []
