--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_host_that_fails_one_in_fifty_is_not_judged(seed):
+def test_a_host_that_fails_one_in_fifty_does_not_count_as_failing(seed):
     played = Play(seed, share=0.02).run()
     assert played.taken == Play(seed, judged=False, share=0.02).run().taken
 
