--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -102,7 +102,7 @@
     assert not outcomes.refuses(False, over + RARE_TRIAL_INTERVAL_SECONDS + 0.01)
 
 
-def test_answered_trials_in_a_row_clear_it_and_the_pause_begins_anew():
+def test_answered_trials_in_a_row_end_the_verdict_and_reset_the_pause():
     outcomes = failing()
     outcomes.record_failure(2.0)
     assert outcomes.pause_seconds == 2 * MIN_PAUSE_SECONDS
