--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -124,7 +124,7 @@
     assert outcomes.pause_seconds == MAX_PAUSE_SECONDS
 
 
-def test_requests_from_before_the_pause_neither_clear_nor_prolong_it():
+def test_requests_from_before_the_pause_neither_end_nor_extend_it():
     outcomes = failing()
     for _ in range(20):
         assert not outcomes.record_answer(1.1)
