--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -92,7 +92,7 @@
     assert not outcomes.is_failing()
 
 
-def test_after_the_pause_it_gets_trials_at_a_pace():
+def test_after_the_pause_it_gets_trials_at_intervals():
     outcomes = failing()
     over = 1.0 + MIN_PAUSE_SECONDS
     assert outcomes.refuses(True, over - 0.01)
