--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -28,7 +28,7 @@
     assert requests.count(1.1) == 1
 
 
-def test_a_request_that_is_never_answered_keeps_no_place_for_long():
+def test_a_request_that_is_never_answered_stops_counting_after_a_while():
     """A host that leaves some of its requests unanswered would soon have no place left."""
     requests = measured(0.03)
     requests.start("lost", 1.0)
