--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -51,7 +51,7 @@
     assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
 
 
-def test_another_host_is_measured_anew():
+def test_a_replacement_host_is_measured_from_the_start():
     requests = measured(0.5)
     assert requests.mean_seconds == pytest.approx(0.5)
     requests.reset_times()
