--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -45,7 +45,7 @@
     assert measured(seconds).overdue_seconds() == overdue
 
 
-def test_a_host_of_which_nothing_is_known_is_waited_for():
+def test_a_host_without_measurements_has_the_longest_time():
     requests = RequestsInFlight()
     assert requests.overdue_seconds() == MAX_OVERDUE_SECONDS
     assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
