--- a/tests/scheduling/test_slot_use.py
+++ b/tests/scheduling/test_slot_use.py
@@ -36,7 +36,7 @@
     assert held(use, "a", 1, 1.7) == pytest.approx(0.2)
 
 
-def test_a_request_that_was_not_whole_leaves_its_slot_to_the_next():
+def test_an_incomplete_request_leaves_its_slot_to_the_next():
     use = SlotUse()
     use.start("upload", "kind", 1, 1.0)
     use.start("b", "kind", 1, 1.1)
