--- a/tests/agent/datagrams/test_confirmed_flows.py
+++ b/tests/agent/datagrams/test_confirmed_flows.py
@@ -73,7 +73,7 @@
     assert harness.host_packets == [from_caller(0, b"more")]
 
 
-def test_another_services_balancer_hears_nothing_of_the_flow():
+def test_a_balancer_of_another_service_learns_nothing_of_the_flow():
     harness = half_open()
     assert confirm(harness, MINE, service="export") == [(FrameKind.NOT_HELD, OTHER_BALANCER)]
     assert harness.host_packets == []
