--- a/tests/agent/datagrams/test_confirmed_flows.py
+++ b/tests/agent/datagrams/test_confirmed_flows.py
@@ -88,7 +88,7 @@
     assert confirm(harness, from_caller(0, b"hello@copy0")) == [(FrameKind.HELD, OTHER_BALANCER)]
 
 
-def test_a_carried_packet_that_follows_another_host_up_is_handed_back():
+def test_a_packet_that_follows_another_host_up_is_returned():
     harness = half_open()
     harness.frame(FrameKind.CARRY, OTHERS, 1.1)
     ((reply, to),) = harness.replies
