--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -56,7 +56,7 @@
     assert harness.open(now, caller(52), flags=FLAG_REPEATABLE).kind is FrameKind.REFUSED
 
 
-def test_a_copy_of_an_opening_that_was_taken_passes():
+def test_a_copy_of_an_admitted_opening_is_forwarded():
     harness = Harness()
     assert harness.open(1.0, caller(9)).kind is FrameKind.ACCEPTED
     for port in range(1, MIN_FAILURES + 1):
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -100,7 +100,7 @@
     assert refused == {RefusalReason.FULL}
 
 
-def test_a_copy_of_an_opening_that_was_taken_passes():
+def test_a_copy_of_an_admitted_opening_is_forwarded():
     harness = SlowHostHarness()
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
