--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -278,7 +278,7 @@
     assert len(harness.agent) == 1
 
 
-def test_another_host_beside_the_agent_begins_with_a_clean_record():
+def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
     hand_back(harness, MAX_CONSECUTIVE_RETURNS)
     harness.agent.on_host_replaced(1.1)
