--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -285,7 +285,7 @@
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
 
-def test_callers_that_left_are_known_by_the_time_that_the_others_take():
+def test_callers_that_left_are_detected_by_the_follow_up_time_of_others():
     """After an outage most waiting callers have left; their places are not kept for 0.25 s each."""
     harness = Harness()
     for number in range(20):
