--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(("slots", "requests"), [(1, 2), (2, 3), (3, 5), (4, 6), (10, 14)])
-def test_a_host_has_its_next_requests_at_hand_and_no_more(slots, requests):
+def test_a_host_has_its_next_requests_and_no_more(slots, requests):
     assert max_requests(slots) == requests
 
 
