--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_flow_is_in_doubt_until_its_caller_follows_up():
+def test_a_flow_is_unconfirmed_until_its_caller_follows_up():
     """Another host may have answered the caller first; the host tells by handing back."""
     harness = Harness()
     harness.open()
