--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -104,7 +104,7 @@
     harness.agent.on_host_replaced(now)
 
 
-def test_flows_of_a_host_that_another_one_replaced_are_in_doubt():
+def test_flows_of_a_replaced_host_are_unconfirmed():
     harness = Harness()
     harness.open()
     replaced(harness, 2.0)
