--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -51,7 +51,7 @@
         "a late call of the host before",
     ],
 )
-def test_the_newest_word_of_the_present_host_counts(announcement, phase):
+def test_the_newest_announcement_of_the_present_host_counts(announcement, phase):
     assert state_after(*announcement).phase is phase
 
 
