--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -69,7 +69,7 @@
     assert host.slow_start_seconds(13.0) == 0.0
 
 
-def test_a_host_that_said_goodbye_has_left():
+def test_a_host_that_deregistered_has_left():
     assert state_after(call(1), "h1").has_left()
     assert not state_after(call(1)).has_left()
 
