--- a/tests/agent/datagrams/test_host_response.py
+++ b/tests/agent/datagrams/test_host_response.py
@@ -31,7 +31,7 @@
     assert response.is_silent(1.01 + HOST_SILENCE_SECONDS)
 
 
-def test_further_packets_do_not_prolong_the_patience():
+def test_further_packets_do_not_extend_the_timeout():
     response = asked_at(1.0)
     response.record_opening(1.3)
     assert response.is_silent(1.01 + HOST_SILENCE_SECONDS)
