--- a/tests/agent/datagrams/test_planned_stop.py
+++ b/tests/agent/datagrams/test_planned_stop.py
@@ -29,7 +29,7 @@
     return pauses
 
 
-def test_it_serves_on_until_the_host_has_said_goodbye(monkeypatch):
+def test_it_serves_on_until_the_host_has_deregistered(monkeypatch):
     assert len(outlast(monkeypatch, host(HostPhase.DRAINING), leaves_after=7)) == 7
 
 
