--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -395,7 +395,7 @@
     assert host.agent.shares.group_to_serve([FEED_TERMS.group, 99], 0.6) == 99
 
 
-def test_a_young_crowd_waits_and_a_lasting_one_is_refused_at_once():
+def test_a_short_burst_waits_and_a_lasting_one_is_refused_at_once():
     """After an outage all callers come back together, and are worked off within their time."""
     host = overloaded_host(FULL + 20)
     assert host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
