--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -404,7 +404,7 @@
     assert host.open_with(92, FEEDS, FEED_TERMS, at_end + 0.01, waits=True) is FrameKind.REFUSED
 
 
-def test_a_crowd_is_over_once_a_flow_may_expect_its_answer_in_time():
+def test_a_burst_is_over_once_a_flow_may_expect_its_answer_in_time():
     host = overloaded_host(FULL + 20)
     host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True)
     host.agent.release_held(1.5)
