--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -364,7 +364,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_in_a_rush_the_urgent_do_not_pay_for_the_open_flows(seed):
+def test_in_a_burst_urgent_flows_are_not_delayed_by_open_ones(seed):
     """Without terms requests of open flows reach the host at once, and new flows alone wait."""
     assert Burst(seed, has_terms=False).play() <= 10
     assert Burst(seed, has_terms=True).play() >= 30
