--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -370,7 +370,7 @@
     assert Burst(seed, has_terms=True).play() >= 30
 
 
-def test_a_rush_of_one_group_of_callers_stays_with_that_group():
+def test_a_burst_of_one_group_of_callers_affects_that_group_only():
     """Ten flows of callers that rush, and one of another group that comes last but one."""
     host = Host(shares=FairShares())
     rushing = CarriedTerms(1, 0.4, 3.0, group=1)
