--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -161,7 +161,7 @@
     assert host.begun() == [(1, FEEDS.port)]
 
 
-def test_a_caller_that_leaves_takes_its_waiting_request_along():
+def test_a_reset_of_the_caller_cancels_its_waiting_request():
     host = overloaded_host()
     host.begun()
     reset = from_caller(RESET, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
