--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -243,7 +243,7 @@
     assert len(host.begun()) == FULL + 3
 
 
-def test_a_draining_host_ends_what_its_open_flows_ask():
+def test_a_draining_host_still_serves_its_open_flows():
     host = overloaded_host()
     host.begun()
     host.say(HostPhase.DRAINING, 2)
