--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -209,7 +209,7 @@
     assert host.replies[-1][0].kind is FrameKind.RETURNED
 
 
-def test_an_agent_that_ends_gives_what_waits_to_the_host():
+def test_an_agent_that_stops_forwards_what_waits_to_the_host():
     host = overloaded_host()
     host.begun()
     host.agent.release_held(1.1)
