--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -153,7 +153,7 @@
     assert numbers == [2, 3]
 
 
-def test_what_runs_at_the_host_is_not_held_back_half_way():
+def test_further_packets_of_a_started_request_are_not_held():
     """The next packets of a request whose first was passed on follow it."""
     host = overloaded_host()
     host.begun()
