--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -63,7 +63,7 @@
     assert harness.agent.counters.frames_malformed == 1
 
 
-def test_nobody_is_told_of_a_flow_that_nobody_asked_for():
+def test_no_balancer_is_notified_of_a_flow_it_did_not_ask_for():
     harness = Harness()
     harness.open()
     harness.follow_up([CALLER])
