--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -80,7 +80,7 @@
     assert recorder.changes == 1
 
 
-def test_an_unreadable_announcement_is_counted_and_told():
+def test_an_unreadable_announcement_is_counted_and_logged():
     handler, state, recorder = handler_and_state()
     handler.refuse("h1", "state: not a known state")
     assert state.phase is HostPhase.UNKNOWN
