--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -38,7 +38,7 @@
     )
 
 
-def test_the_host_beside_the_agent_is_taken():
+def test_an_announcement_of_the_host_beside_the_agent_is_accepted():
     handler, state, recorder = handler_and_state()
     assert handler.announce(announcement()) is AnnouncementOutcome.ACCEPTED
     assert handler.announce(announcement()) is AnnouncementOutcome.STALE
