--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -125,7 +125,7 @@
     assert fields["pace_ms"] > 3 * fields["usual_ms"]
 
 
-def test_switched_off_nothing_is_told_or_refused():
+def test_when_disabled_nothing_is_reported_or_refused():
     harness = slow_host_harness(measures_service_times=False)
     answer = harness.ask(URGENT)
     assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_SERVICE_TIME)
