--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -13,7 +13,7 @@
 BURST_FROM, BURST_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
 
 
-class FirstOfAll:
+class FirstGroup:
     """No shares: the request that the queue names first, whatever its group."""
 
     def record_served(self, group, seconds, now):
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -13,7 +13,7 @@
     RESCALE_HALF_LIVES,
     FairShares,
 )
-from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstOfAll, Replay
+from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstGroup, Replay
 
 RUSHING, CALM = 1, (2, 3, 4)
 GROUPS = (RUSHING, *CALM)
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("times", [4.0, 6.0])
 def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
     burst = {RUSHING: times}
-    without = [play(FirstOfAll, size, burst, seed) for seed in SEEDS]
+    without = [play(FirstGroup, size, burst, seed) for seed in SEEDS]
     fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
     assert served(fair, CALM) > 0.94
@@ -57,7 +57,7 @@
 def test_throughput_is_the_same_as_without_shares(size):
     burst = {RUSHING: 5.0}
     fair = play(FairShares, size, burst, 1)
-    without = play(FirstOfAll, size, burst, 1)
+    without = play(FirstGroup, size, burst, 1)
     assert fair.begun.total() >= 0.98 * without.begun.total()
 
 
