--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -76,7 +76,7 @@
 
 
 def test_agents_that_restart_are_fair_again_at_once():
-    class Forgetful(FairShares):
+    class RestartingShares(FairShares):
         """An agent that is restarted every now and then."""
 
         def record_served(self, group, seconds, now):
@@ -84,7 +84,7 @@
                 self.__init__()
             super().record_served(group, seconds, now)
 
-    assert served([play(Forgetful, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
+    assert served([play(RestartingShares, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
 
 
 def test_weights_divide_a_host_that_all_groups_overload():
