--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -26,7 +26,7 @@
 SEEN_WITHIN_SECONDS = 1.0
 
 
-class Play:
+class HostSimulation:
     """One host that is kept busy; each slot works on one request after the other."""
 
     def __init__(self, slots=2, kinds=(("kind", WORK_SECONDS),), long_share=0.0, seed=5):
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
 def test_a_slow_host_is_detected_soon_and_recovers(slots):
-    play = Play(slots).run(5.0)
+    play = HostSimulation(slots).run(5.0)
     assert not play.slow_host.is_slow()
     play.factor = SLOW_WORK_FACTOR
     play.run(5.0 + SEEN_WITHIN_SECONDS)
@@ -86,7 +86,7 @@
 
 
 def test_a_slow_host_is_detected_before_it_has_answered():
-    play = Play(4).run(5.0)
+    play = HostSimulation(4).run(5.0)
     for number in range(4):
         play.service_times.record_request(f"late {number}", "kind", 8, play.now)
     now = play.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
@@ -97,12 +97,12 @@
 @pytest.mark.parametrize("slots", [1, 2, 4])
 @pytest.mark.parametrize("seed", range(3))
 def test_a_few_long_requests_do_not_make_a_host_slow(slots, seed):
-    play = Play(slots, long_share=LONG_SHARE, seed=seed).run(60.0)
+    play = HostSimulation(slots, long_share=LONG_SHARE, seed=seed).run(60.0)
     assert play.share_slow() < 0.01
 
 
 def test_one_long_request_does_not_make_a_host_slow():
-    play = Play(1).run(5.0)
+    play = HostSimulation(1).run(5.0)
     play.factor = LONG_FACTOR
     play.ends.clear()
     play.begin()
@@ -113,7 +113,7 @@
 
 def test_another_mix_of_kinds_does_not_make_a_host_slow():
     quick, long = ("quick", 0.01), ("long", 0.01 * 2 * SLOW_FACTOR)
-    play = Play(2, kinds=(quick, long)).run(5.0)
+    play = HostSimulation(2, kinds=(quick, long)).run(5.0)
     play.kinds = (long,)
     play.run(10.0)
     play.kinds = (quick,)
@@ -143,14 +143,14 @@
 
 
 def test_a_host_that_stays_slow_becomes_usual():
-    play = Play(2).run(5.0)
+    play = HostSimulation(2).run(5.0)
     play.factor = 2 * SLOW_FACTOR
     play.run(120.0)
     assert not play.slow_host.is_slow()
 
 
 def test_a_replacement_host_starts_without_a_verdict():
-    play = Play(2).run(5.0)
+    play = HostSimulation(2).run(5.0)
     play.factor = SLOW_WORK_FACTOR
     play.run(7.0)
     play.service_times.reset()
@@ -169,7 +169,7 @@
 
 
 def slow_play():
-    play = Play(2).run(5.0)
+    play = HostSimulation(2).run(5.0)
     play.factor = SLOW_WORK_FACTOR
     return play.run(7.0)
 
@@ -202,7 +202,7 @@
 
 
 def test_a_host_that_is_not_slow_refuses_nothing():
-    play = Play(2).run(5.0)
+    play = HostSimulation(2).run(5.0)
     assert not play.slow_host.refuses("kind", 100, 2, 0.001, play.now)
 
 
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -24,7 +24,7 @@
 FAILING_SHARE_PLAYED = 0.49
 
 
-class Play:
+class HostSimulation:
     """Flows come to one host that fails some requests for a while; counts what is lost."""
 
     def __init__(self, seed, judged=True, share=FAILING_SHARE_PLAYED):
@@ -61,20 +61,20 @@
 
 
 def test_few_requests_are_lost_that_may_not_be_repeated():
-    without = sum(Play(seed, judged=False).run().lost for seed in range(20))
-    judged = sum(Play(seed).run().lost for seed in range(20))
+    without = sum(HostSimulation(seed, judged=False).run().lost for seed in range(20))
+    judged = sum(HostSimulation(seed).run().lost for seed in range(20))
     assert judged < 0.2 * without
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_host_that_serves_again_gets_all_flows_again(seed):
-    assert Play(seed).run().taken_at_the_end >= 0.8 * 3.0 * FLOWS_PER_SECOND * 0.7
+    assert HostSimulation(seed).run().taken_at_the_end >= 0.8 * 3.0 * FLOWS_PER_SECOND * 0.7
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_host_that_fails_one_in_fifty_does_not_count_as_failing(seed):
-    played = Play(seed, share=0.02).run()
-    assert played.taken == Play(seed, judged=False, share=0.02).run().taken
+    played = HostSimulation(seed, share=0.02).run()
+    assert played.taken == HostSimulation(seed, judged=False, share=0.02).run().taken
 
 
 def failing(now=1.0):
