--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -71,54 +71,54 @@
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
 def test_a_slow_host_is_detected_soon_and_recovers(slots):
-    play = HostSimulation(slots).run(5.0)
-    assert not play.slow_host.is_slow()
-    play.factor = SLOW_WORK_FACTOR
-    play.run(5.0 + SEEN_WITHIN_SECONDS)
-    assert play.slow_host.is_slow()
-    assert play.slow_host.service_seconds("kind") > SLOW_FACTOR * WORK_SECONDS
-    play.run(10.0)
-    assert play.slow_host.is_slow()
-    play.factor = 1.0
-    play.run(10.0 + SEEN_WITHIN_SECONDS)
-    assert not play.slow_host.is_slow()
-    assert play.slow_host.service_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.3)
+    simulation = HostSimulation(slots).run(5.0)
+    assert not simulation.slow_host.is_slow()
+    simulation.factor = SLOW_WORK_FACTOR
+    simulation.run(5.0 + SEEN_WITHIN_SECONDS)
+    assert simulation.slow_host.is_slow()
+    assert simulation.slow_host.service_seconds("kind") > SLOW_FACTOR * WORK_SECONDS
+    simulation.run(10.0)
+    assert simulation.slow_host.is_slow()
+    simulation.factor = 1.0
+    simulation.run(10.0 + SEEN_WITHIN_SECONDS)
+    assert not simulation.slow_host.is_slow()
+    assert simulation.slow_host.service_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.3)
 
 
 def test_a_slow_host_is_detected_before_it_has_answered():
-    play = HostSimulation(4).run(5.0)
+    simulation = HostSimulation(4).run(5.0)
     for number in range(4):
-        play.service_times.record_request(f"late {number}", "kind", 8, play.now)
-    now = play.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
-    assert play.slow_host.evaluate(now)
-    assert play.slow_host.is_slow()
+        simulation.service_times.record_request(f"late {number}", "kind", 8, simulation.now)
+    now = simulation.now + SLOW_FACTOR * WORK_SECONDS + STALE_SECONDS + 0.1
+    assert simulation.slow_host.evaluate(now)
+    assert simulation.slow_host.is_slow()
 
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
 @pytest.mark.parametrize("seed", range(3))
 def test_a_few_long_requests_do_not_make_a_host_slow(slots, seed):
-    play = HostSimulation(slots, long_share=LONG_SHARE, seed=seed).run(60.0)
-    assert play.share_slow() < 0.01
+    simulation = HostSimulation(slots, long_share=LONG_SHARE, seed=seed).run(60.0)
+    assert simulation.share_slow() < 0.01
 
 
 def test_one_long_request_does_not_make_a_host_slow():
-    play = HostSimulation(1).run(5.0)
-    play.factor = LONG_FACTOR
-    play.ends.clear()
-    play.begin()
-    play.factor = 1.0
-    play.run(8.0)
-    assert play.share_slow() == 0.0
+    simulation = HostSimulation(1).run(5.0)
+    simulation.factor = LONG_FACTOR
+    simulation.ends.clear()
+    simulation.begin()
+    simulation.factor = 1.0
+    simulation.run(8.0)
+    assert simulation.share_slow() == 0.0
 
 
 def test_another_mix_of_kinds_does_not_make_a_host_slow():
     quick, long = ("quick", 0.01), ("long", 0.01 * 2 * SLOW_FACTOR)
-    play = HostSimulation(2, kinds=(quick, long)).run(5.0)
-    play.kinds = (long,)
-    play.run(10.0)
-    play.kinds = (quick,)
-    play.run(15.0)
-    assert play.share_slow() == 0.0
+    simulation = HostSimulation(2, kinds=(quick, long)).run(5.0)
+    simulation.kinds = (long,)
+    simulation.run(10.0)
+    simulation.kinds = (quick,)
+    simulation.run(15.0)
+    assert simulation.share_slow() == 0.0
 
 
 def test_a_queue_does_not_make_a_host_slow():
@@ -143,20 +143,20 @@
 
 
 def test_a_host_that_stays_slow_becomes_usual():
-    play = HostSimulation(2).run(5.0)
-    play.factor = 2 * SLOW_FACTOR
-    play.run(120.0)
-    assert not play.slow_host.is_slow()
+    simulation = HostSimulation(2).run(5.0)
+    simulation.factor = 2 * SLOW_FACTOR
+    simulation.run(120.0)
+    assert not simulation.slow_host.is_slow()
 
 
 def test_a_replacement_host_starts_without_a_verdict():
-    play = HostSimulation(2).run(5.0)
-    play.factor = SLOW_WORK_FACTOR
-    play.run(7.0)
-    play.service_times.reset()
-    play.slow_host.reset()
-    assert not play.slow_host.is_slow()
-    assert play.slow_host.service_seconds("kind") is None
+    simulation = HostSimulation(2).run(5.0)
+    simulation.factor = SLOW_WORK_FACTOR
+    simulation.run(7.0)
+    simulation.service_times.reset()
+    simulation.slow_host.reset()
+    assert not simulation.slow_host.is_slow()
+    assert simulation.slow_host.service_seconds("kind") is None
 
 
 def test_memory_is_bounded():
@@ -169,9 +169,9 @@
 
 
 def slow_play():
-    play = HostSimulation(2).run(5.0)
-    play.factor = SLOW_WORK_FACTOR
-    return play.run(7.0)
+    simulation = HostSimulation(2).run(5.0)
+    simulation.factor = SLOW_WORK_FACTOR
+    return simulation.run(7.0)
 
 
 @pytest.mark.parametrize(
@@ -187,49 +187,53 @@
     ],
 )
 def test_a_slow_host_takes_what_it_serves_in_time(remaining_seconds, busy, refused):
-    play = slow_play()
-    play.slow_host.record_admission(play.now)
-    assert play.slow_host.refuses("kind", busy, 2, remaining_seconds, play.now) is refused
+    simulation = slow_play()
+    simulation.slow_host.record_admission(simulation.now)
+    assert (
+        simulation.slow_host.refuses("kind", busy, 2, remaining_seconds, simulation.now) is refused
+    )
 
 
 def test_an_idle_slow_host_gets_a_trial_now_and_then():
-    play = slow_play()
-    play.slow_host.record_admission(play.now)
-    now = play.now + TRIAL_INTERVAL_SECONDS
-    assert play.slow_host.refuses("kind", 0, 2, 0.1, now - 0.01)
-    assert not play.slow_host.refuses("kind", 0, 2, 0.1, now)
-    assert play.slow_host.refuses("kind", 1, 2, 0.1, now)
+    simulation = slow_play()
+    simulation.slow_host.record_admission(simulation.now)
+    now = simulation.now + TRIAL_INTERVAL_SECONDS
+    assert simulation.slow_host.refuses("kind", 0, 2, 0.1, now - 0.01)
+    assert not simulation.slow_host.refuses("kind", 0, 2, 0.1, now)
+    assert simulation.slow_host.refuses("kind", 1, 2, 0.1, now)
 
 
 def test_a_host_that_is_not_slow_refuses_nothing():
-    play = HostSimulation(2).run(5.0)
-    assert not play.slow_host.refuses("kind", 100, 2, 0.001, play.now)
+    simulation = HostSimulation(2).run(5.0)
+    assert not simulation.slow_host.refuses("kind", 100, 2, 0.001, simulation.now)
 
 
 def test_a_slow_host_without_requests_stays_slow_until_the_verdict_expires():
-    play = slow_play()
-    for _, name in play.ends:
-        play.service_times.record_end(name, 2, play.now)
-    assert not play.slow_host.evaluate(play.now + STALE_SECONDS + 0.1)
-    assert play.slow_host.is_slow()
-    assert play.slow_host.evaluate(play.now + VERDICT_LIFETIME_SECONDS + STALE_SECONDS + 0.1)
-    assert not play.slow_host.is_slow()
+    simulation = slow_play()
+    for _, name in simulation.ends:
+        simulation.service_times.record_end(name, 2, simulation.now)
+    assert not simulation.slow_host.evaluate(simulation.now + STALE_SECONDS + 0.1)
+    assert simulation.slow_host.is_slow()
+    assert simulation.slow_host.evaluate(
+        simulation.now + VERDICT_LIFETIME_SECONDS + STALE_SECONDS + 0.1
+    )
+    assert not simulation.slow_host.is_slow()
 
 
 def test_two_trials_in_the_usual_time_end_the_verdict_however_far_apart():
-    play = slow_play()
-    for _, name in play.ends:
-        play.service_times.record_end(name, 2, play.now)
+    simulation = slow_play()
+    for _, name in simulation.ends:
+        simulation.service_times.record_end(name, 2, simulation.now)
     for number, is_slow in enumerate((True, False)):
-        now = play.now + (number + 1) * (STALE_SECONDS + 0.1)
-        one(play.service_times, f"trial {number}", now, now + WORK_SECONDS, slots=2)
-        play.slow_host.evaluate(now + WORK_SECONDS)
-        assert play.slow_host.is_slow() is is_slow
+        now = simulation.now + (number + 1) * (STALE_SECONDS + 0.1)
+        one(simulation.service_times, f"trial {number}", now, now + WORK_SECONDS, slots=2)
+        simulation.slow_host.evaluate(now + WORK_SECONDS)
+        assert simulation.slow_host.is_slow() is is_slow
 
 
 def test_the_verdict_does_not_change_between_its_thresholds():
     assert RECOVERY_FACTOR < SLOW_FACTOR
-    play = slow_play()
-    play.factor = (RECOVERY_FACTOR + SLOW_FACTOR) / 2 * 1.2
-    play.run(8.0)
-    assert play.slow_host.is_slow()
+    simulation = slow_play()
+    simulation.factor = (RECOVERY_FACTOR + SLOW_FACTOR) / 2 * 1.2
+    simulation.run(8.0)
+    assert simulation.slow_host.is_slow()
