--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -168,7 +168,7 @@
     assert service_times.observations() <= MAX_OBSERVATIONS
 
 
-def slow_play():
+def simulated_slow_host():
     simulation = HostSimulation(2).run(5.0)
     simulation.factor = SLOW_WORK_FACTOR
     return simulation.run(7.0)
@@ -187,7 +187,7 @@
     ],
 )
 def test_a_slow_host_takes_what_it_serves_in_time(remaining_seconds, busy, refused):
-    simulation = slow_play()
+    simulation = simulated_slow_host()
     simulation.slow_host.record_admission(simulation.now)
     assert (
         simulation.slow_host.refuses("kind", busy, 2, remaining_seconds, simulation.now) is refused
@@ -195,7 +195,7 @@
 
 
 def test_an_idle_slow_host_gets_a_trial_now_and_then():
-    simulation = slow_play()
+    simulation = simulated_slow_host()
     simulation.slow_host.record_admission(simulation.now)
     now = simulation.now + TRIAL_INTERVAL_SECONDS
     assert simulation.slow_host.refuses("kind", 0, 2, 0.1, now - 0.01)
@@ -209,7 +209,7 @@
 
 
 def test_a_slow_host_without_requests_stays_slow_until_the_verdict_expires():
-    simulation = slow_play()
+    simulation = simulated_slow_host()
     for _, name in simulation.ends:
         simulation.service_times.record_end(name, 2, simulation.now)
     assert not simulation.slow_host.evaluate(simulation.now + STALE_SECONDS + 0.1)
@@ -221,7 +221,7 @@
 
 
 def test_two_trials_in_the_usual_time_end_the_verdict_however_far_apart():
-    simulation = slow_play()
+    simulation = simulated_slow_host()
     for _, name in simulation.ends:
         simulation.service_times.record_end(name, 2, simulation.now)
     for number, is_slow in enumerate((True, False)):
@@ -233,7 +233,7 @@
 
 def test_the_verdict_does_not_change_between_its_thresholds():
     assert RECOVERY_FACTOR < SLOW_FACTOR
-    simulation = slow_play()
+    simulation = simulated_slow_host()
     simulation.factor = (RECOVERY_FACTOR + SLOW_FACTOR) / 2 * 1.2
     simulation.run(8.0)
     assert simulation.slow_host.is_slow()
