--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -29,10 +29,10 @@
     return dict.fromkeys(GROUPS, share * hosts * slots / SERVICE_SECONDS)
 
 
-def served(plays, groups):
+def served(simulations, groups):
     """Return the share of these groups' requests that was answered in time, in all plays."""
-    came = sum(each.came[group] for each in plays for group in groups)
-    return sum(each.in_time[group] for each in plays for group in groups) / came
+    came = sum(each.came[group] for each in simulations for group in groups)
+    return sum(each.in_time[group] for each in simulations for group in groups) / came
 
 
 def play(make_shares, size, burst, seed):
