--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -35,7 +35,7 @@
     return sum(each.in_time[group] for each in simulations for group in groups) / came
 
 
-def play(make_shares, size, burst, seed):
+def simulate(make_shares, size, burst, seed):
     hosts, slots = size
     return Replay(make_shares, rates(hosts, slots), burst, hosts, slots, seed).run()
 
@@ -47,8 +47,8 @@
 @pytest.mark.parametrize("times", [4.0, 6.0])
 def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
     burst = {RUSHING: times}
-    without = [play(FirstGroup, size, burst, seed) for seed in SEEDS]
-    fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
+    without = [simulate(FirstGroup, size, burst, seed) for seed in SEEDS]
+    fair = [simulate(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
     assert served(fair, CALM) > 0.94
 
@@ -56,21 +56,21 @@
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_throughput_is_the_same_as_without_shares(size):
     burst = {RUSHING: 5.0}
-    fair = play(FairShares, size, burst, 1)
-    without = play(FirstGroup, size, burst, 1)
+    fair = simulate(FairShares, size, burst, 1)
+    without = simulate(FirstGroup, size, burst, 1)
     assert fair.begun.total() >= 0.98 * without.begun.total()
 
 
 def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
-    fair = play(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
+    fair = simulate(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
     assert fair.begun[RUSHING] > 0.85 * left * 4.0
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_a_burst_of_all_groups_affects_all_equally(size):
-    fair = play(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
+    fair = simulate(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
     in_time = [served([fair], [group]) for group in GROUPS]
     assert max(in_time) - min(in_time) < 0.1
 
@@ -84,12 +84,12 @@
                 self.__init__()
             super().record_served(group, seconds, now)
 
-    assert served([play(RestartingShares, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
+    assert served([simulate(RestartingShares, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
 
 
 def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
-    played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
+    played = simulate(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
     assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
         assert played.begun[group] / played.begun.total() == pytest.approx(1 / 6, abs=0.04)
--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -53,7 +53,7 @@
     ]
 
 
-def play(arrivals, seconds, paced=True):
+def simulate(arrivals, seconds, paced=True):
     """Hand datagrams to a link at their times; return the link."""
     link = BoundedLink()
     pacer = LinkPacer(PACED_SHARE * RATE, link.take)
@@ -73,22 +73,22 @@
 
 
 def test_a_window_at_once_is_more_than_the_link_holds_unless_it_is_paced():
-    unpaced, _ = play(window_of(1), 0.5, paced=False)
+    unpaced, _ = simulate(window_of(1), 0.5, paced=False)
     assert len(unpaced.lost) >= 5
-    paced, _ = play(window_of(1), 0.5)
+    paced, _ = simulate(window_of(1), 0.5)
     assert not paced.lost
     assert len(paced.crossed) == WINDOW
 
 
 def test_two_windows_at_once_are_across_before_their_callers_send_again():
-    link, _ = play(window_of(1) + window_of(2), 0.5)
+    link, _ = simulate(window_of(1) + window_of(2), 0.5)
     assert not link.lost
     assert max(link.crossed.values()) < CALLERS_RESEND_SECONDS
 
 
 def test_small_datagrams_go_before_a_window_that_waits():
     small = datagram(9, 0, size=200)
-    link, _ = play([*window_of(1), (0.02, None, small)], 0.5)
+    link, _ = simulate([*window_of(1), (0.02, None, small)], 0.5)
     assert not link.lost
     assert link.crossed[small] - 0.02 < BURST_SECONDS + BUFFER_SECONDS
     assert link.crossed[small] < max(link.crossed.values()) / 2
@@ -97,14 +97,14 @@
 def test_flows_take_turns_so_that_a_short_upload_is_not_kept_behind_a_long_one():
     long = [(number * ARRIVAL_SECONDS, 1, datagram(1, number)) for number in range(2 * WINDOW)]
     short = [(0.02, 2, datagram(2, number)) for number in range(3)]
-    link, _ = play(long + short, 0.5)
+    link, _ = simulate(long + short, 0.5)
     last_of_short = max(at for data, at in link.crossed.items() if data[0] == 2)
     assert last_of_short < max(link.crossed.values()) / 2
 
 
 def test_a_copy_of_what_still_waits_is_not_taken_and_one_of_what_has_left_is():
     again = [(0.03, 1, datagram(1, WINDOW - 1)), (0.4, 1, datagram(1, WINDOW - 1))]
-    link, pacer = play(window_of(1) + again, 0.6)
+    link, pacer = simulate(window_of(1) + again, 0.6)
     assert pacer.counters.datagrams_copies == 1
     assert link.free_at > 0.4
 
--- a/tests/scheduling/test_slow_hosts.py
+++ b/tests/scheduling/test_slow_hosts.py
@@ -18,7 +18,7 @@
     )
 
 
-def play(seed, measured, hosts, slots, flows_per_second, slow=(), **settings):
+def simulate(seed, measured, hosts, slots, flows_per_second, slow=(), **settings):
     world = World(
         seed,
         kinds(flows_per_second),
@@ -36,7 +36,7 @@
 
 def late_share(measured, hosts, slots, flows_per_second, slow):
     results = [
-        play(
+        simulate(
             seed,
             measured,
             hosts,
@@ -80,18 +80,18 @@
 
 def test_where_routes_are_alike_a_slow_host_is_full_sooner():
     slow = range(0, 12, 4)
-    world = play(2, True, 12, 2, 250, slow, with_terms=False)
+    world = simulate(2, True, 12, 2, 250, slow, with_terms=False)
     assert sum(host.agent.counters.flows_refused_slow for host in world.hosts) == 0
     counted = {"count_from": SLOW_FROM, "count_until": SLOW_UNTIL, "with_terms": False}
-    before = play(2, False, 12, 2, 250, slow, **counted).result
-    after = play(2, True, 12, 2, 250, slow, **counted).result
+    before = simulate(2, False, 12, 2, 250, slow, **counted).result
+    after = simulate(2, True, 12, 2, 250, slow, **counted).result
     assert after.late_share() < before.late_share()
 
 
 def test_a_service_whose_hosts_are_all_slow_loses_no_request_for_it():
     everywhere = range(12)
-    before = play(3, False, 12, 2, 40, everywhere).result
-    after = play(3, True, 12, 2, 40, everywhere).result
+    before = simulate(3, False, 12, 2, 40, everywhere).result
+    after = simulate(3, True, 12, 2, 40, everywhere).result
     served = after.in_time + after.late
     assert served >= 0.99 * (before.in_time + before.late) * after.asked / before.asked
 
@@ -102,7 +102,7 @@
     shares, late = {}, {}
     for measured in (False, True):
         results = [
-            play(
+            simulate(
                 seed, measured, 12, 2, flows_per_second, speeds=speeds, count_from=SLOW_FROM
             ).result
             for seed in MANY_SEEDS
