--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -64,7 +64,7 @@
         return sum(is_slow for _, is_slow in self.seen_slow) / len(self.seen_slow)
 
 
-def one(service_times, name, start, end, kind="kind", slots=1):
+def serve_one(service_times, name, start, end, kind="kind", slots=1):
     service_times.record_request(name, kind, slots, start)
     service_times.record_answer(name, slots, end)
 
@@ -124,7 +124,7 @@
 def test_a_queue_does_not_make_a_host_slow():
     service_times = HostServiceTimes()
     for number in range(20):
-        one(service_times, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
+        serve_one(service_times, number, 0.1 * number, 0.1 * number + WORK_SECONDS)
     for number in range(8):
         service_times.record_request(f"burst {number}", "kind", 1, 2.0)
     for number in range(8):
@@ -136,7 +136,7 @@
     service_times = HostServiceTimes()
     assert (service_times.slowdown(0.0), service_times.baseline_seconds("kind")) == (None, None)
     for number in range(LEARNING_REQUESTS + 3):
-        one(service_times, number, number * 0.1, number * 0.1 + WORK_SECONDS)
+        serve_one(service_times, number, number * 0.1, number * 0.1 + WORK_SECONDS)
     assert service_times.slowdown(1.0) == pytest.approx(1.0)
     assert service_times.slowdown(1.0 + STALE_SECONDS) is None
     assert service_times.baseline_seconds("kind") == pytest.approx(WORK_SECONDS, rel=0.02)
@@ -162,8 +162,8 @@
 def test_memory_is_bounded():
     service_times = HostServiceTimes()
     for number in range(4 * MAX_KINDS):
-        one(service_times, number, number * 1.0, number + 0.1, kind=number)
-        one(service_times, "again", number + 0.2, number + 0.3, kind="again")
+        serve_one(service_times, number, number * 1.0, number + 0.1, kind=number)
+        serve_one(service_times, "again", number + 0.2, number + 0.3, kind="again")
     assert len(service_times._baselines) <= MAX_KINDS
     assert service_times.observations() <= MAX_OBSERVATIONS
 
@@ -226,7 +226,7 @@
         simulation.service_times.record_end(name, 2, simulation.now)
     for number, is_slow in enumerate((True, False)):
         now = simulation.now + (number + 1) * (STALE_SECONDS + 0.1)
-        one(simulation.service_times, f"trial {number}", now, now + WORK_SECONDS, slots=2)
+        serve_one(simulation.service_times, f"trial {number}", now, now + WORK_SECONDS, slots=2)
         simulation.slow_host.evaluate(now + WORK_SECONDS)
         assert simulation.slow_host.is_slow() is is_slow
 
