--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -22,7 +22,7 @@
 MAX_FORMER_HOSTS = 64
 """Starts of hosts that are remembered as gone or replaced: announcements are late by seconds, and a
 machine has few starts of its host in that time."""
-RETURN_SECONDS = 2.0
+MIN_SILENCE_BEFORE_RETURN_SECONDS = 2.0
 """Silence of the present host after which one that it replaced may take its place again. Hosts
 announce themselves about once a second, so a living one is not replaced by a late announcement."""
 RETURN_SPAN_SECONDS = 1.0
@@ -181,7 +181,7 @@
             return False
         if last_call_number is not None and call_number <= last_call_number:
             return False
-        is_silent = now - self.announced_at > RETURN_SECONDS
+        is_silent = now - self.announced_at > MIN_SILENCE_BEFORE_RETURN_SECONDS
         return self._is_repeated(start, call_number, now) and is_silent
 
     def _is_repeated(self, start: HostStart, call_number: int, now: float) -> bool:
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -3,7 +3,7 @@
 from jasperwalk.agent.datagrams.host import (
     MAX_FORMER_HOSTS,
     MAX_NEW_HOST_CALL_NUMBER,
-    RETURN_SECONDS,
+    MIN_SILENCE_BEFORE_RETURN_SECONDS,
     RETURN_SPAN_SECONDS,
     HostAnnouncement,
     HostState,
@@ -88,7 +88,7 @@
     state.announce(call(3, host="new"), 0.0)
     assert state.announce(call(8, host="old"), 0.2)
     assert not state.announce(call(4, host="new"), 0.8)
-    assert state.announce(call(7, host="new"), 0.3 + RETURN_SECONDS)
+    assert state.announce(call(7, host="new"), 0.3 + MIN_SILENCE_BEFORE_RETURN_SECONDS)
     assert (state.host_id, state.phase) == ("new", READY)
 
 
@@ -147,7 +147,7 @@
 def test_a_start_whose_clock_was_set_back_counts_once_the_one_before_is_silent():
     state = state_after(start(3, BORN_AGAIN))
     assert not state.announce(start(1, BORN), 10.5)
-    assert state.announce(start(4, BORN), 10.1 + RETURN_SECONDS)
+    assert state.announce(start(4, BORN), 10.1 + MIN_SILENCE_BEFORE_RETURN_SECONDS)
     assert state.started_unix_ms == BORN
 
 
@@ -175,7 +175,7 @@
     assert len(state._replaced) <= MAX_FORMER_HOSTS
 
 
-LONG_SILENCE = 3 * RETURN_SECONDS
+LONG_SILENCE = 3 * MIN_SILENCE_BEFORE_RETURN_SECONDS
 FORMER, PRESENT = call(20, host="former"), call(3, host="present")
 EARLY, LATER = 1_700_000_000_000, 1_700_000_009_000
 
@@ -214,7 +214,7 @@
     for number, phase, later in late_calls:
         assert not state.announce(call(number, phase, "former"), silent_for + later)
     assert (state.host_id, state.phase) == ("present", READY)
-    assert state.announce(call(4, host="present"), silent_for + RETURN_SECONDS)
+    assert state.announce(call(4, host="present"), silent_for + MIN_SILENCE_BEFORE_RETURN_SECONDS)
 
 
 @pytest.mark.parametrize("born", [EARLY, LATER])
@@ -232,7 +232,7 @@
 @pytest.mark.parametrize("known", [registered_again, known_alone])
 def test_a_host_that_goes_on_calling_while_the_present_one_is_silent_counts(known):
     state = known()
-    times = [RETURN_SECONDS + 0.1 + each for each in (0.0, RETURN_SPAN_SECONDS)]
+    times = [MIN_SILENCE_BEFORE_RETURN_SECONDS + 0.1 + each for each in (0.0, RETURN_SPAN_SECONDS)]
     taken = [state.announce(call(21 + n, host="former"), at) for n, at in enumerate(times)]
     assert taken == [False, True]
     assert state.host_id == "former"
