--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -25,7 +25,7 @@
 MIN_SILENCE_BEFORE_RETURN_SECONDS = 2.0
 """Silence of the present host after which one that it replaced may take its place again. Hosts
 announce themselves about once a second, so a living one is not replaced by a late announcement."""
-RETURN_SPAN_SECONDS = 1.0
+MIN_RETURN_SPAN_SECONDS = 1.0
 """Time between two calls after which a host is taken to go on announcing itself. Calls that a cut
 has held up come in together, however long their sender is gone."""
 MAX_NEW_HOST_CALL_NUMBER = 10
@@ -188,7 +188,7 @@
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
         first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
         _drop_oldest(self._unconfirmed)
-        return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
+        return call_number > first.number and now - first.at >= MIN_RETURN_SPAN_SECONDS
 
     def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -3,8 +3,8 @@
 from jasperwalk.agent.datagrams.host import (
     MAX_FORMER_HOSTS,
     MAX_NEW_HOST_CALL_NUMBER,
+    MIN_RETURN_SPAN_SECONDS,
     MIN_SILENCE_BEFORE_RETURN_SECONDS,
-    RETURN_SPAN_SECONDS,
     HostAnnouncement,
     HostState,
 )
@@ -201,8 +201,8 @@
     "one": [(21, READY, 0.0)],
     "one that drains": [(21, DRAINING, 0.0)],
     "several that the cut held up together": [(21, READY, 0.0), (22, READY, 0.1), (24, READY, 0.9)],
-    "out of order": [(24, READY, 0.0), (21, READY, RETURN_SPAN_SECONDS), (23, READY, 2.0)],
-    "the same one again": [(21, READY, 0.0), (21, READY, RETURN_SPAN_SECONDS)],
+    "out of order": [(24, READY, 0.0), (21, READY, MIN_RETURN_SPAN_SECONDS), (23, READY, 2.0)],
+    "the same one again": [(21, READY, 0.0), (21, READY, MIN_RETURN_SPAN_SECONDS)],
 }
 
 
@@ -232,7 +232,9 @@
 @pytest.mark.parametrize("known", [registered_again, known_alone])
 def test_a_host_that_goes_on_calling_while_the_present_one_is_silent_counts(known):
     state = known()
-    times = [MIN_SILENCE_BEFORE_RETURN_SECONDS + 0.1 + each for each in (0.0, RETURN_SPAN_SECONDS)]
+    times = [
+        MIN_SILENCE_BEFORE_RETURN_SECONDS + 0.1 + each for each in (0.0, MIN_RETURN_SPAN_SECONDS)
+    ]
     taken = [state.announce(call(21 + n, host="former"), at) for n, at in enumerate(times)]
     assert taken == [False, True]
     assert state.host_id == "former"
