--- a/src/jasperwalk/agent/datagrams/flow_knowledge.py
+++ b/src/jasperwalk/agent/datagrams/flow_knowledge.py
@@ -16,7 +16,7 @@
 
 SILENT_HOST_SECONDS = 4.0
 """A host that has not spoken this long after its agent's start is not there."""
-IDLE_SLACK = 2.0
+IDLE_SLACK_SECONDS = 2.0
 """Seconds added to the longest rest of a flow: packets under way, clocks of both sides."""
 STARTED_TOGETHER_SECONDS = 0.4
 """A host that started at most this long before its agent's process got no flow through an earlier
@@ -59,7 +59,7 @@
         known_for = now - self.started_at
         if self.host.phase is HostPhase.UNKNOWN and known_for > SILENT_HOST_SECONDS:
             return True
-        return known_for > min(self.flow_lifetime_seconds, idle_seconds + IDLE_SLACK)
+        return known_for > min(self.flow_lifetime_seconds, idle_seconds + IDLE_SLACK_SECONDS)
 
     def _host_started_with_agent(self) -> bool:
         """Tell whether the host started when this process did: the machine has come back.
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.flow_knowledge import (
-    IDLE_SLACK,
+    IDLE_SLACK_SECONDS,
     SILENT_HOST_SECONDS,
 )
 from jasperwalk.agent.datagrams.host import HostAnnouncement
@@ -96,7 +96,7 @@
     harness = Harness()
     harness.agent.flow_idle_seconds = 15.0
     assert harness.find(16.0) is FrameKind.UNSURE
-    assert harness.find(15.0 + IDLE_SLACK + 0.1) is FrameKind.NOT_HELD
+    assert harness.find(15.0 + IDLE_SLACK_SECONDS + 0.1) is FrameKind.NOT_HELD
 
 
 def replaced(harness, now):
