--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -276,9 +276,9 @@
         elif isinstance(message, WarmUpUpdate):
             self.core.warm_up.configure(message.version, message.warm_up)
         elif isinstance(message, HomeStatus):
-            self._take_status(message)
+            self._handle_status(message)
 
-    def _take_status(self, message: HomeStatus) -> None:
+    def _handle_status(self, message: HomeStatus) -> None:
         """Learn how long a flow may rest; the longest time received counts."""
         if message.flow_idle_ms:
             idle_seconds = message.flow_idle_ms / 1000
