--- a/tests/agent/datagrams/test_planned_stop.py
+++ b/tests/agent/datagrams/test_planned_stop.py
@@ -15,7 +15,7 @@
     return state
 
 
-def outlast(monkeypatch, state, leaves_after=None):
+def pauses_before_stop(monkeypatch, state, leaves_after=None):
     """Return after how many pauses the agent goes on to stop."""
     pauses = []
 
@@ -30,11 +30,11 @@
 
 
 def test_it_serves_on_until_the_host_has_deregistered(monkeypatch):
-    assert len(outlast(monkeypatch, host(HostPhase.DRAINING), leaves_after=7)) == 7
+    assert len(pauses_before_stop(monkeypatch, host(HostPhase.DRAINING), leaves_after=7)) == 7
 
 
 def test_it_stops_within_its_grace_all_the_same(monkeypatch):
-    pauses = outlast(monkeypatch, host(HostPhase.DRAINING))
+    pauses = pauses_before_stop(monkeypatch, host(HostPhase.DRAINING))
     assert 0 < sum(pauses) <= GRACE_SECONDS - planned_stop.DEREGISTRATION_MARGIN_SECONDS
 
 
@@ -42,4 +42,4 @@
     gone = host(HostPhase.DRAINING)
     gone.leave("h1")
     for state in (host(HostPhase.READY), HostState(), gone):
-        assert outlast(monkeypatch, state) == []
+        assert pauses_before_stop(monkeypatch, state) == []
