--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -59,13 +59,13 @@
     def note(self, seconds: float) -> None:
         """Take the time of one more request."""
         if self.seconds is None:
-            self._learn(seconds)
+            self._add_first_sample(seconds)
         elif seconds > self.seconds:
             self.seconds *= BASELINE_STEP
         elif seconds < self.seconds:
             self.seconds /= BASELINE_STEP
 
-    def _learn(self, seconds: float) -> None:
+    def _add_first_sample(self, seconds: float) -> None:
         self._first.append(seconds)
         if len(self._first) >= LEARNING_REQUESTS:
             self.seconds = _median(self._first)
