--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -37,7 +37,7 @@
 """A request that is not answered yet counts from this ratio on: most requests differ by less."""
 BASELINE_STEP = 1.01
 """Factor by which a request moves what is usual for its kind: 70 requests double it."""
-LEARNING_REQUESTS = 5
+FIRST_SAMPLES = 5
 """Requests whose median is the first value of what is usual for a kind."""
 MAX_KINDS = 64
 """Kinds that are told apart; all further ones count as one."""
@@ -67,7 +67,7 @@
 
     def _add_first_sample(self, seconds: float) -> None:
         self._first.append(seconds)
-        if len(self._first) >= LEARNING_REQUESTS:
+        if len(self._first) >= FIRST_SAMPLES:
             self.seconds = _median(self._first)
             self._first = []
 
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jasperwalk.scheduling.host_service_times import (
-    LEARNING_REQUESTS,
+    FIRST_SAMPLES,
     MAX_KINDS,
     MAX_OBSERVATIONS,
     STALE_SECONDS,
@@ -135,7 +135,7 @@
 def test_nothing_is_known_before_enough_requests_and_after_a_while():
     service_times = HostServiceTimes()
     assert (service_times.slowdown(0.0), service_times.baseline_seconds("kind")) == (None, None)
-    for number in range(LEARNING_REQUESTS + 3):
+    for number in range(FIRST_SAMPLES + 3):
         serve_one(service_times, number, number * 0.1, number * 0.1 + WORK_SECONDS)
     assert service_times.slowdown(1.0) == pytest.approx(1.0)
     assert service_times.slowdown(1.0 + STALE_SECONDS) is None
