--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -143,7 +143,7 @@
         return self._slowdown
 
     def _compute_slowdown(self, now: float) -> float | None:
-        ratios = self._newest_ratios(now) + self._lower_bounds(now)
+        ratios = self._newest_ratios(now) + self._ratios_in_flight(now)
         return _median(ratios) if len(ratios) >= MIN_OBSERVATIONS else None
 
     def _newest_ratios(self, now: float) -> list[float]:
@@ -156,7 +156,7 @@
             newest.append(ratio)
         return newest
 
-    def _lower_bounds(self, now: float) -> list[float]:
+    def _ratios_in_flight(self, now: float) -> list[float]:
         """Return the ratios so far of requests that noticeably take longer than usual."""
         ratios = [self._ratio_so_far(request, now) for request in self._slots.running()]
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
