--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -167,7 +167,7 @@
         return fields
 
 
-class _ExchangeCut(aiohttp.ClientError):
+class _ExchangeBroken(aiohttp.ClientError):
     """The connection to the back end ended before the head of the answer."""
 
 
@@ -184,7 +184,7 @@
     except aiohttp.ClientConnectorError:  # no connection came about: nothing is repeated
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise _ExchangeCut from error
+        raise _ExchangeBroken from error
 
 
 def _is_refusal(response: aiohttp.ClientResponse) -> bool:
