--- a/src/jasperwalk/agent/flow.py
+++ b/src/jasperwalk/agent/flow.py
@@ -10,7 +10,7 @@
 
 KEEPALIVE_SECONDS = 15.0
 """Interval of pings while a request is open: a quiet stream must not hit an idle time-out."""
-HANDSHAKE_SECONDS = 10.0
+HANDSHAKE_TIMEOUT_SECONDS = 10.0
 """Time for a handshake; an Initial that nobody follows up on must not hold memory longer."""
 
 
@@ -39,7 +39,7 @@
         if due is None:
             return math.inf
         if not self.handshake_complete:
-            return min(due, self.opened_at + HANDSHAKE_SECONDS)
+            return min(due, self.opened_at + HANDSHAKE_TIMEOUT_SECONDS)
         if self.http.open_requests:
             return min(due, self._keepalive_at())
         return due
@@ -55,7 +55,7 @@
 
     def handshake_overdue(self, now: float) -> bool:
         """Tell whether the caller did not complete the handshake in time."""
-        return not self.handshake_complete and now >= self.opened_at + HANDSHAKE_SECONDS
+        return not self.handshake_complete and now >= self.opened_at + HANDSHAKE_TIMEOUT_SECONDS
 
     def _keepalive_at(self) -> float:
         return max(self.opened_at, self.pinged_at) + KEEPALIVE_SECONDS
