--- a/src/jasperwalk/agent/flow.py
+++ b/src/jasperwalk/agent/flow.py
@@ -8,7 +8,7 @@
 from jasperwalk.agent.connection import RoutableServerConnection
 from jasperwalk.agent.http3 import Http3Flow
 
-KEEPALIVE_SECONDS = 15.0
+KEEPALIVE_INTERVAL_SECONDS = 15.0
 """Interval of pings while a request is open: a quiet stream must not hit an idle time-out."""
 HANDSHAKE_TIMEOUT_SECONDS = 10.0
 """Time for a handshake; an Initial that nobody follows up on must not hold memory longer."""
@@ -58,4 +58,4 @@
         return not self.handshake_complete and now >= self.opened_at + HANDSHAKE_TIMEOUT_SECONDS
 
     def _keepalive_at(self) -> float:
-        return max(self.opened_at, self.pinged_at) + KEEPALIVE_SECONDS
+        return max(self.opened_at, self.pinged_at) + KEEPALIVE_INTERVAL_SECONDS
