--- a/src/jasperwalk/agent/lost_agents.py
+++ b/src/jasperwalk/agent/lost_agents.py
@@ -16,7 +16,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagram_filter import AdmittedDatagram
 
-ANSWER_HOLDS_SECONDS = 1.0
+ANSWER_VALID_SECONDS = 1.0
 """Time for which an answer spares the next question."""
 SILENCE_HOLDS_SECONDS = 5.0
 """Time for which silence counts, until the question is put again."""
@@ -73,7 +73,7 @@
             return []
         waiting, agent.waiting = agent.waiting, []
         if answered:
-            agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_HOLDS_SECONDS
+            agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_VALID_SECONDS
             return []
         agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
