--- a/src/jasperwalk/agent/lost_agents.py
+++ b/src/jasperwalk/agent/lost_agents.py
@@ -18,7 +18,7 @@
 
 ANSWER_VALID_SECONDS = 1.0
 """Time for which an answer spares the next question."""
-SILENCE_HOLDS_SECONDS = 5.0
+SILENCE_VALID_SECONDS = 5.0
 """Time for which silence counts, until the question is put again."""
 MAX_WAITING_PACKETS = 200
 """Packets kept for one agent while the question is out."""
@@ -75,5 +75,5 @@
         if answered:
             agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_VALID_SECONDS
             return []
-        agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_HOLDS_SECONDS
+        agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_VALID_SECONDS
         return waiting
