--- a/src/jasperwalk/agent/lost_agents.py
+++ b/src/jasperwalk/agent/lost_agents.py
@@ -37,7 +37,7 @@
 @dataclass(slots=True)
 class _ProbedAgent:
     state: ProbeState = ProbeState.PROBE_NOW
-    holds_until: float = 0.0
+    valid_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
 
@@ -58,7 +58,7 @@
         After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
         """
         agent = self._agents.setdefault(address, _ProbedAgent())
-        if agent.state is not ProbeState.PROBING and now >= agent.holds_until:
+        if agent.state is not ProbeState.PROBING and now >= agent.valid_until:
             agent.state = ProbeState.PROBING
             agent.waiting.append(packet)
             return ProbeState.PROBE_NOW
@@ -73,7 +73,7 @@
             return []
         waiting, agent.waiting = agent.waiting, []
         if answered:
-            agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_VALID_SECONDS
+            agent.state, agent.valid_until = ProbeState.ALIVE, now + ANSWER_VALID_SECONDS
             return []
-        agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_VALID_SECONDS
+        agent.state, agent.valid_until = ProbeState.LOST, now + SILENCE_VALID_SECONDS
         return waiting
