--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -43,7 +43,7 @@
 MAX_HEADER_FIELD_BYTES = 16_384
 MAX_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
-CLIENT_MADE_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+AUTOMATIC_CLIENT_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """Fields that aiohttp would add by itself."""
 
 
@@ -58,7 +58,7 @@
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
-            skip_auto_headers=CLIENT_MADE_FIELDS,
+            skip_auto_headers=AUTOMATIC_CLIENT_FIELDS,
             read_bufsize=READ_BUFFER_BYTES,
             max_field_size=MAX_HEADER_FIELD_BYTES,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
