--- a/src/jasperwalk/agent/requests.py
+++ b/src/jasperwalk/agent/requests.py
@@ -18,7 +18,7 @@
 REQUEST_ID_HEADER = "jasperwalk-request-id"
 NOT_RUN_HEADER = "jasperwalk-not-run"
 TICKET_HEADER = "idempotency-key"
-OWN_PREFIX = "jasperwalk-"
+JASPERWALK_HEADER_PREFIX = "jasperwalk-"
 MAX_DEADLINE_MS = 24 * 3600 * 1000
 
 HOP_BY_HOP = frozenset(
@@ -165,7 +165,7 @@
     kept: HeaderFields = []
     for name, value in headers:
         lower = name.lower()
-        if lower in HOP_BY_HOP or lower in named or lower.startswith(OWN_PREFIX):
+        if lower in HOP_BY_HOP or lower in named or lower.startswith(JASPERWALK_HEADER_PREFIX):
             continue
         kept.append((lower, value))
     return kept
