--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -18,7 +18,7 @@
 INITIAL_SERVICE_SECONDS = 0.05
 MIN_RETRY_AFTER_MS = 100
 MAX_RETRY_AFTER_MS = 30_000
-SHED_SECONDS = 1.0
+SHEDDING_SECONDS = 1.0
 """Time for which new requests are refused after the back end shed one."""
 
 
@@ -129,7 +129,7 @@
 
     def shed(self, now: float) -> None:
         """Note that the back end refused a request as too much."""
-        self._shedding_until = now + SHED_SECONDS
+        self._shedding_until = now + SHEDDING_SECONDS
 
     def set_limits(self, limits: AdmissionLimits, now: float) -> list[Decision]:
         """Take new limits; running requests keep their slots."""
