--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -115,7 +115,7 @@
     async def _run_borrowed(
         self, slot: BorrowedSlot, request: Request, deadline_at: float, sink: ResponseSink
     ) -> Outcome:
-        outcome = await slot.run(self._timed(request, deadline_at), sink)
+        outcome = await slot.run(self._with_remaining_time(request, deadline_at), sink)
         if not _may_run_here(outcome) or not self._budget.spend():
             return outcome
         self.retried += 1
@@ -152,13 +152,13 @@
         service = self._view().service
         if service is None:
             return NotRun(NotRunReason.NO_SERVICE)
-        timed = self._timed(request, deadline_at)
+        timed = self._with_remaining_time(request, deadline_at)
         if timed.deadline_ms <= 0:
             return NotRun(NotRunReason.DEADLINE_TOO_SHORT)
         self.relayed += 1
         return await self._relay.run(target, service.service_id, timed, sink)
 
-    def _timed(self, request: Request, deadline_at: float) -> Request:
+    def _with_remaining_time(self, request: Request, deadline_at: float) -> Request:
         """Return the request with the time that is left."""
         remaining_ms = int((deadline_at - self._clock()) * 1000)
         return msgspec.structs.replace(request, deadline_ms=remaining_ms)
