--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -152,11 +152,11 @@
         service = self._view().service
         if service is None:
             return NotRun(NotRunReason.NO_SERVICE)
-        timed = self._with_remaining_time(request, deadline_at)
-        if timed.deadline_ms <= 0:
+        updated_request = self._with_remaining_time(request, deadline_at)
+        if updated_request.deadline_ms <= 0:
             return NotRun(NotRunReason.DEADLINE_TOO_SHORT)
         self.relayed += 1
-        return await self._relay.run(target, service.service_id, timed, sink)
+        return await self._relay.run(target, service.service_id, updated_request, sink)
 
     def _with_remaining_time(self, request: Request, deadline_at: float) -> Request:
         """Return the request with the time that is left."""
