--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -104,8 +104,8 @@
                 endpoint.send_data(item.stream, item.answer.body, ended=True)
 
     network.serve = serve
-    whole = b"n" * (MAX_BODY_BYTES + 1_000_000)
-    response = caller.responses[caller.request("POST", "/submit", whole)]
+    oversized_body = b"n" * (MAX_BODY_BYTES + 1_000_000)
+    response = caller.responses[caller.request("POST", "/submit", oversized_body)]
     assert network.run(lambda: response.ended and response.stopped is not None)
     assert (response.status, response.stopped) == (413, ErrorCode.H3_NO_ERROR)
     caller.request("POST", "/lookup", b"short")
