--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -323,14 +323,14 @@
     run_with_agents(helpers, scenario, {}, {})
 
 
-ENDS_DURING_AN_ASK = {
+ENDS_DURING_A_SLOT_REQUEST = {
     "the own slot comes first": lambda requester, _: requester.backend.release.set(),
     "the asker cancels": lambda _, second: second.cancel(),
 }
 
 
 @pytest.mark.parametrize("late_turns", range(4))
-@pytest.mark.parametrize("case", ENDS_DURING_AN_ASK)
+@pytest.mark.parametrize("case", ENDS_DURING_A_SLOT_REQUEST)
 def test_a_slot_that_comes_too_late_is_given_back_and_nothing_runs_twice(helpers, case, late_turns):
     asked, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
     requests = []
@@ -350,7 +350,7 @@
         go_on.set()
         for _ in range(late_turns):  # the grant and the other end meet in different orders
             await asyncio.sleep(0)
-        ENDS_DURING_AN_ASK[case](requester, second)
+        ENDS_DURING_A_SLOT_REQUEST[case](requester, second)
         await asyncio.wait([second])
         await asyncio.wait_for(closed.wait(), LIMIT_SECONDS)
         assert requester.backend.ran.count("second") + len(requests) <= 1
