--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -58,14 +58,14 @@
     burst = {RUSHING: 5.0}
     fair = simulate(FairShares, size, burst, 1)
     without = simulate(FirstGroup, size, burst, 1)
-    assert fair.begun.total() >= 0.98 * without.begun.total()
+    assert fair.started.total() >= 0.98 * without.started.total()
 
 
 def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
     fair = simulate(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
-    assert fair.begun[RUSHING] > 0.85 * left * 4.0
+    assert fair.started[RUSHING] > 0.85 * left * 4.0
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
@@ -90,9 +90,9 @@
 def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
     played = simulate(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
-    assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
+    assert played.started[RUSHING] / played.started.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
-        assert played.begun[group] / played.begun.total() == pytest.approx(1 / 6, abs=0.04)
+        assert played.started[group] / played.started.total() == pytest.approx(1 / 6, abs=0.04)
 
 
 # Whose turn it is
