--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -25,9 +25,9 @@
     def __init__(self) -> None:
         self._time = SmoothedTime()
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Note one caller's time."""
-        self._time.note(seconds)
+        self._time.record(seconds)
 
     def timeout_seconds(self) -> float:
         """Return after how long a caller is taken to have left."""
@@ -50,7 +50,7 @@
         """Note a caller's next packet."""
         flow = self._flows.pop(key, None)
         if flow is not None:
-            self.follow_up_time.note(now - flow.opened_at)
+            self.follow_up_time.record(now - flow.opened_at)
 
     def discard(self, key: bytes) -> None:
         """Forget a flow that is gone."""
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -56,7 +56,7 @@
         self.seconds: float | None = None
         self._first: list[float] = []
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take the time of one more request."""
         if self.seconds is None:
             self._add_first_sample(seconds)
@@ -103,7 +103,7 @@
         if usual.seconds is not None:
             self._ratios.append((now, seconds / usual.seconds))
             self._update_typical(usual.seconds)
-        usual.note(seconds)
+        usual.record(seconds)
 
     def record_end(self, request: Hashable, slots: int, now: float) -> None:
         """Note that a request ended without a measurable answer."""
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -44,7 +44,7 @@
 
     def record_answer(self, seconds: float) -> None:
         """Note how long the host took to begin an answer."""
-        self._answer_time.note(seconds)
+        self._answer_time.record(seconds)
 
     def reset_times(self) -> None:
         """Begin anew: another host has taken the place of this one."""
--- a/src/jasperwalk/scheduling/smoothed_time.py
+++ b/src/jasperwalk/scheduling/smoothed_time.py
@@ -22,7 +22,7 @@
         self._mean = 0.0
         self._deviation = 0.0
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Note one sample."""
         if not self._mean:
             self._mean, self._deviation = seconds, seconds / 2
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -302,18 +302,18 @@
 def test_the_time_that_callers_take_is_bounded_both_ways():
     times = FollowUpTime()
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
-    times.note(0.0001)
+    times.record(0.0001)
     assert times.timeout_seconds() == MIN_FOLLOW_UP_SECONDS
     for _ in range(50):
-        times.note(2.0)
+        times.record(2.0)
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
 def test_callers_that_take_longer_are_waited_for_longer():
     times = FollowUpTime()
     for _ in range(100):
-        times.note(0.05)
+        times.record(0.05)
     steady = times.timeout_seconds()
     for number in range(100):
-        times.note(0.05 + 0.03 * (number % 2))
+        times.record(0.05 + 0.03 * (number % 2))
     assert MIN_FOLLOW_UP_SECONDS < steady < times.timeout_seconds()
