--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -70,7 +70,7 @@
         packet = from_host(flags, b"\x01answer", caller=caller, listener=listener)
         self.agent.receive_host_packet(packet, now)
 
-    def begun(self):
+    def started(self):
         """Return (port, listener's port) of what has reached the host since the last call."""
         packets, self.host_packets[:] = list(self.host_packets), []
         ends = [(Endpoint.unpack(each[:6]), Endpoint.unpack(each[6:12])) for each in packets]
@@ -82,7 +82,7 @@
     host = Host()
     for port in range(1, feeds + 1):
         host.feed(port)
-    host.begun()
+    host.started()
     for port in range(1, feeds + 1):
         host.ask(port, 2, 1.0)
     return host
@@ -90,28 +90,28 @@
 
 def test_a_request_of_an_open_flow_waits_where_the_host_is_busy():
     host = overloaded_host()
-    assert len(host.begun()) == FULL
+    assert len(host.started()) == FULL
     assert len(host.agent.queue) == 2
     host.answer(1, FEEDS, 1.05)
-    assert host.begun() == [(FULL + 1, FEEDS.port)]
+    assert host.started() == [(FULL + 1, FEEDS.port)]
 
 
 def test_an_urgent_flow_goes_before_the_requests_of_open_ones_that_wait():
     host = overloaded_host()
-    host.begun()
+    host.started()
     assert host.open_with(90, HOLDS, HOLD_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
     host.answer(1, FEEDS, 1.05)
-    assert host.begun() == [(90, HOLDS.port)]
+    assert host.started() == [(90, HOLDS.port)]
 
 
 def test_where_the_host_has_room_nothing_waits():
     host = Host()
     for port in range(1, FULL + 1):
         host.feed(port)
-    host.begun()
+    host.started()
     for port in range(1, FULL + 1):
         host.ask(port, 2, 1.0)
-    assert len(host.begun()) == FULL
+    assert len(host.started()) == FULL
     assert host.agent.counters.requests_held == 0
 
 
@@ -130,19 +130,19 @@
 
 def test_copies_of_a_request_that_waits_are_absorbed():
     host = overloaded_host()
-    host.begun()
+    host.started()
     for now in (1.2, 1.6):
         host.ask(FULL + 1, 2, now)
-    assert host.begun() == []
+    assert host.started() == []
     assert host.agent.counters.request_copies_absorbed == 2
     host.answer(1, FEEDS, 1.7)
     host.answer(2, FEEDS, 1.7)
-    assert host.begun().count((FULL + 1, FEEDS.port)) == 1
+    assert host.started().count((FULL + 1, FEEDS.port)) == 1
 
 
 def test_further_packets_of_a_request_wait_behind_its_first_and_acknowledgements_pass():
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.ask(FULL + 1, 3, 1.01)
     acknowledgement = from_caller(0, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
     host.frame(FrameKind.CARRY, acknowledgement, 1.02)
@@ -156,29 +156,29 @@
 def test_further_packets_of_a_started_request_are_not_held():
     """The next packets of a request whose first was passed on follow it."""
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.ask(1, 3, 1.01)
-    assert host.begun() == [(1, FEEDS.port)]
+    assert host.started() == [(1, FEEDS.port)]
 
 
 def test_a_reset_of_the_caller_cancels_its_waiting_request():
     host = overloaded_host()
-    host.begun()
+    host.started()
     reset = from_caller(RESET, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
     host.frame(FrameKind.CARRY, reset, 1.02)
     assert host.host_packets == [reset]
     host.host_packets.clear()
     host.answer(1, FEEDS, 1.05)
-    assert host.begun() == [(FULL + 2, FEEDS.port)]
+    assert host.started() == [(FULL + 2, FEEDS.port)]
     assert host.agent.counters.requests_left == 1
 
 
 def test_a_request_whose_limit_has_passed_is_not_begun():
     host = overloaded_host()
-    host.begun()
+    host.started()
     after_limit = 1.01 + FEED_TERMS.limit_seconds
     host.answer(1, FEEDS, after_limit)
-    assert host.begun() == []
+    assert host.started() == []
     assert host.agent.counters.requests_expired == 2
     assert "request-expired" in host.agent.log.names()
 
@@ -199,9 +199,9 @@
 def test_requests_wait_for_no_host_that_was_replaced():
     """Its successor hands them back, so that their callers learn it."""
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.agent.on_host_replaced(1.1)
-    assert sorted(host.begun()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
+    assert sorted(host.started()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
     packet = from_caller(
         RETURNED, b"\x02request@h1", caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS
     )
@@ -211,9 +211,9 @@
 
 def test_an_agent_that_stops_forwards_what_waits_to_the_host():
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.agent.release_held(1.1)
-    assert len(host.begun()) == 2
+    assert len(host.started()) == 2
     assert not host.agent.queue
 
 
@@ -222,16 +222,16 @@
     host = Host()
     for port in range(1, FULL + 4):
         host.ask(port, 2, 1.0)
-    assert len(host.begun()) == FULL + 3
+    assert len(host.started()) == FULL + 3
 
 
 def test_a_packet_of_a_flow_that_the_host_may_not_hold_is_not_held_back():
     """After a loss of power callers go on asking on flows that are lost; the host says so."""
     host = overloaded_host()
-    host.begun()
+    host.started()
     for port in range(60, 70):
         host.ask(port, 2, 1.1)
-    assert len(host.begun()) == 10
+    assert len(host.started()) == 10
     assert len(host.agent.queue) == 2
 
 
@@ -240,39 +240,39 @@
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, FEED_TERMS)
     for port in range(1, FULL + 4):
         host.ask(port, 2, 1.0)
-    assert len(host.begun()) == FULL + 3
+    assert len(host.started()) == FULL + 3
 
 
 def test_a_draining_host_still_serves_its_open_flows():
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.say(HostPhase.DRAINING, 2)
     for port in range(1, FULL + 1):
         host.answer(port, FEEDS, 1.05)
-    assert sorted(host.begun()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
+    assert sorted(host.started()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
 
 
 def test_a_host_that_leaves_requests_unanswered_keeps_room_for_others():
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.agent.admit_waiting(1.9)
-    assert host.begun() == []
+    assert host.started() == []
     host.agent.admit_waiting(2.1)
-    assert len(host.begun()) == 2
+    assert len(host.started()) == 2
 
 
 def test_requests_whose_route_names_no_limit_are_passed_on_after_a_while():
     host = overloaded_host()
-    host.begun()
+    host.started()
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
     for port in range(1, 3):
         host.answer(port, FEEDS, 1.01)
     host.ask(1, 3, 1.02)
     host.ask(2, 3, 1.02)
-    host.begun()
+    host.started()
     host.agent.parts.table.in_flight.record_answer(10.0)
     host.agent.admit_waiting(1.03 + MAX_HOLD_SECONDS)
-    assert set(host.begun()) == {(1, FEEDS.port), (2, FEEDS.port)}
+    assert set(host.started()) == {(1, FEEDS.port), (2, FEEDS.port)}
 
 
 def test_a_flow_that_cannot_be_answered_in_time_is_refused_at_once():
@@ -313,7 +313,7 @@
             self.host.feed(port)
         if feed_terms is None:
             self.host.agent.parts.learned.__init__()
-        self.host.begun()
+        self.host.started()
         self.asked_at = {port: 1.0 + drawn.random() for port in URGENT_PORTS}
         self.feeds = sorted((1.0 + drawn.random(), drawn.choice(FEED_PORTS)) for _ in range(60))
         self.running = []
@@ -345,8 +345,8 @@
 
     def _take_in(self, now):
         """Let the host take what has reached it; callers follow their flows' openings up."""
-        while begun := self.host.begun():
-            for port, listener in begun:
+        while started := self.host.started():
+            for port, listener in started:
                 if listener == HOLDS.port and port not in self.answered_at:
                     self.answered_at[port] = float("inf")
                     caller = Endpoint("100.64.0.9", port)
@@ -377,13 +377,13 @@
     calm = CarriedTerms(1, 0.4, 3.0, group=2)
     for port in range(1, FULL + 1):
         host.open_with(port, HOLDS, rushing, 1.0)
-    host.begun()
+    host.started()
     for port in range(10, 13):
         host.open_with(port, HOLDS, rushing, 1.001, waits=True)
     host.open_with(50, HOLDS, calm, 1.01, waits=True)
     host.open_with(13, HOLDS, rushing, 1.02, waits=True)
     host.answer(1, HOLDS, 1.04, ENDING)
-    assert host.begun() == [(50, HOLDS.port)]
+    assert host.started() == [(50, HOLDS.port)]
 
 
 def test_requests_that_did_not_wait_count_against_their_groups_share():
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -83,8 +83,8 @@
     for number in range(200):
         add(waiting, f"u{number}", URGENT)
         hold(waiting, f"o{number}", ORDINARY)
-    begun = [waiting.take_next(True, WORK_SECONDS, 0.0).key[:1] for _ in range(100)]
-    assert begun.count(b"o") == pytest.approx(least, abs=1)
+    started = [waiting.take_next(True, WORK_SECONDS, 0.0).key[:1] for _ in range(100)]
+    assert started.count(b"o") == pytest.approx(least, abs=1)
 
 
 def test_of_several_less_urgent_kinds_none_starves():
@@ -94,8 +94,8 @@
         add(waiting, f"a{number}", URGENT, number / 1000)
         for name, terms in kinds.items():
             hold(waiting, f"{name}{number}", terms, number / 1000)
-    begun = [waiting.take_next(True, WORK_SECONDS, 0.1).key[:1] for _ in range(50)]
-    assert min(begun.count(b"b"), begun.count(b"c")) >= 4
+    started = [waiting.take_next(True, WORK_SECONDS, 0.1).key[:1] for _ in range(50)]
+    assert min(started.count(b"b"), started.count(b"c")) >= 4
 
 
 def test_a_full_queue_sheds_the_least_urgent_and_of_these_the_late_one():
