--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -15,8 +15,8 @@
 )
 from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstGroup, Replay
 
-RUSHING, CALM = 1, (2, 3, 4)
-GROUPS = (RUSHING, *CALM)
+BURSTING, CALM = 1, (2, 3, 4)
+GROUPS = (BURSTING, *CALM)
 ONE_HOST, SEVERAL_HOSTS = (1, 4), (12, 2)
 """How many hosts, and slots of each."""
 CALM_SHARE = 0.2
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 @pytest.mark.parametrize("times", [4.0, 6.0])
 def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
-    burst = {RUSHING: times}
+    burst = {BURSTING: times}
     without = [simulate(FirstGroup, size, burst, seed) for seed in SEEDS]
     fair = [simulate(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_throughput_is_the_same_as_without_shares(size):
-    burst = {RUSHING: 5.0}
+    burst = {BURSTING: 5.0}
     fair = simulate(FairShares, size, burst, 1)
     without = simulate(FirstGroup, size, burst, 1)
     assert fair.started.total() >= 0.98 * without.started.total()
@@ -63,9 +63,9 @@
 
 def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
-    fair = simulate(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
+    fair = simulate(FairShares, ONE_HOST, {BURSTING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
-    assert fair.started[RUSHING] > 0.85 * left * 4.0
+    assert fair.started[BURSTING] > 0.85 * left * 4.0
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
@@ -84,13 +84,13 @@
                 self.__init__()
             super().record_served(group, seconds, now)
 
-    assert served([simulate(RestartingShares, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
+    assert served([simulate(RestartingShares, SEVERAL_HOSTS, {BURSTING: 5.0}, 1)], CALM) > 0.9
 
 
 def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
-    played = simulate(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
-    assert played.started[RUSHING] / played.started.total() == pytest.approx(0.5, abs=0.05)
+    played = simulate(lambda: FairShares({BURSTING: 3.0}), ONE_HOST, burst, 1)
+    assert played.started[BURSTING] / played.started.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
         assert played.started[group] / played.started.total() == pytest.approx(1 / 6, abs=0.04)
 
