--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -158,13 +158,13 @@
     early, late = FairShares(), FairShares()
     late.record_served(9, 1.0, 0.0)
     source = random.Random(1)
-    begun_at = 3.7 * RESCALE_HALF_LIVES * HALF_LIFE_SECONDS
+    started_at = 3.7 * RESCALE_HALF_LIVES * HALF_LIFE_SECONDS
     for step in range(3000):
         group, now = source.randrange(4), 0.1 * step
         early.record_served(group, 0.1, now)
-        late.record_served(group, 0.1, begun_at + now)
+        late.record_served(group, 0.1, started_at + now)
         order = [0, 1, 2, 3]
-        assert early.group_to_serve(order, now) == late.group_to_serve(order, begun_at + now)
+        assert early.group_to_serve(order, now) == late.group_to_serve(order, started_at + now)
 
 
 def test_a_clock_that_steps_back_does_no_harm():
