--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -78,8 +78,8 @@
         if self._flushes:
             return -math.inf
         heartbeat = self._heartbeats[0][0] if self._heartbeats else math.inf
-        wake = self._deferred_flushes[0][0] if self._deferred_flushes else math.inf
-        return min(heartbeat, wake)
+        deferred_flush = self._deferred_flushes[0][0] if self._deferred_flushes else math.inf
+        return min(heartbeat, deferred_flush)
 
     def links(self) -> Collection[SubscriberLink]:
         """Return the records of all subscribers, for reading only."""
