--- a/src/jasperwalk/control/api.py
+++ b/src/jasperwalk/control/api.py
@@ -26,7 +26,7 @@
 from jasperwalk.observability.metrics import MetricsRegistry
 from jasperwalk.transport.tls import LinkTls
 
-MAXIMUM_BODY_BYTES = 512 * 1024
+MAX_BODY_BYTES = 512 * 1024
 """Largest body of a request; a command of the log may not be larger than 1 MiB."""
 SHUTDOWN_SECONDS = 1.0
 """How long a stop waits for requests in progress."""
@@ -87,7 +87,7 @@
     middlewares: list[Middleware] = [_answer_failures]
     if cluster_id is not None:
         middlewares.append(require_operator(cluster_id))
-    application = web.Application(middlewares=middlewares, client_max_size=MAXIMUM_BODY_BYTES)
+    application = web.Application(middlewares=middlewares, client_max_size=MAX_BODY_BYTES)
     changes = ChangeHandlers(replica)
     reads = ReadHandlers(replica)
     add_admin_routes(application, registry, health)
@@ -125,7 +125,7 @@
         allowed = sorted(error.allowed_methods)
         return problem_response(MethodNotAllowed(method=request.method, allowed=allowed))
     except web.HTTPRequestEntityTooLarge:
-        return problem_response(BodyTooLarge(limit_bytes=MAXIMUM_BODY_BYTES))
+        return problem_response(BodyTooLarge(limit_bytes=MAX_BODY_BYTES))
     except web.HTTPException:
         raise
     except Exception:
