--- a/src/jasperwalk/control/api_requests.py
+++ b/src/jasperwalk/control/api_requests.py
@@ -14,7 +14,7 @@
 
 IF_MATCH_PATTERN = re.compile(r'^"([0-9]{1,18})"$')
 CHANGE_ID_HEADER = "Idempotency-Key"
-LARGEST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 """Longest wait that a request may ask for, in milliseconds."""
 
 BodyType = TypeVar("BodyType")
@@ -65,8 +65,8 @@
 def wait_seconds_of(request: web.Request) -> float:
     """Return how long the request wants to wait, in seconds."""
     wait_ms = integer_query_of(request, "wait_ms") or 0
-    if wait_ms > LARGEST_WAIT_MS:
-        raise BadRequest(reason=f"wait_ms may be at most {LARGEST_WAIT_MS}")
+    if wait_ms > MAX_WAIT_MS:
+        raise BadRequest(reason=f"wait_ms may be at most {MAX_WAIT_MS}")
     return wait_ms / 1000
 
 
