--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -41,7 +41,7 @@
 This and the time that a subscriber takes from one replica to the next have to pass within
 `FORGET_AFTER_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
 """
-MOST_LAGGARDS_NAMED = 100
+MAX_LAGGARDS_NAMED = 100
 """Laggards that an answer names; `laggard_count` counts them all."""
 
 
@@ -176,7 +176,7 @@
         missing, late = self._incomplete_replicas(revision, contact_ages, now)
         laggards = [f"replica-{each}" for each in (*missing, *late)]
         laggards.extend(sorted(each.name for each in seen if each.revision < revision))
-        named = laggards[:MOST_LAGGARDS_NAMED]
+        named = laggards[:MAX_LAGGARDS_NAMED]
         if missing:
             return InForce(revision=revision, laggards=named, laggard_count=len(laggards))
         return InForce(
