--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -2,7 +2,7 @@
 
 Each replica reports its subscribers to the leader (see `subscriber_reports`). A subscriber
 that moved between replicas counts by its newest sighting. One that nobody has heard for
-`FORGET_AFTER_SECONDS` no longer counts, so that a machine that is gone for good does not keep
+`SUBSCRIBER_EXPIRY_SECONDS` no longer counts, so that a machine that is gone for good does not keep
 a change from being reported in force.
 
 What "in force" does not say: a balancer that is cut off from control, but alive and reached
@@ -26,8 +26,8 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.control.subscriber_reports import (
-    FORGET_AFTER_SECONDS,
     MILLISECONDS_PER_SECOND,
+    SUBSCRIBER_EXPIRY_SECONDS,
     VOUCHED_SECONDS,
     ReportedSubscriber,
     SubscriberKey,
@@ -39,7 +39,7 @@
 """Silence of a replica after which subscribers may have come to it unseen.
 
 This and the time that a subscriber takes from one replica to the next have to pass within
-`FORGET_AFTER_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
+`SUBSCRIBER_EXPIRY_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
 """
 MAX_LAGGARDS_NAMED = 100
 """Laggards that an answer names; `laggard_count` counts them all."""
@@ -114,7 +114,7 @@
 class InForceLedger:
     """The newest report of every replica, for as long as this replica leads."""
 
-    def __init__(self, now: float, forget_after_seconds: float = FORGET_AFTER_SECONDS) -> None:
+    def __init__(self, now: float, forget_after_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
         self._forget_after_seconds = forget_after_seconds
         self._term = 0
         self._leading_since = now
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -22,7 +22,7 @@
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.messages.distribution import SubscriberRole
 
-FORGET_AFTER_SECONDS = 5.0
+SUBSCRIBER_EXPIRY_SECONDS = 5.0
 """Seconds without a message of a subscriber after which it no longer counts."""
 VOUCHED_SECONDS = 1.25
 """Longest silence of a subscriber that a report does not name; two acknowledgements."""
@@ -115,7 +115,7 @@
         self,
         now: float,
         first_sequence: int,
-        forget_after_seconds: float = FORGET_AFTER_SECONDS,
+        forget_after_seconds: float = SUBSCRIBER_EXPIRY_SECONDS,
     ) -> None:
         self._recorded_since = now
         self._forget_after_seconds = forget_after_seconds
