--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -114,8 +114,8 @@
 class InForceLedger:
     """The newest report of every replica, for as long as this replica leads."""
 
-    def __init__(self, now: float, forget_after_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
-        self._forget_after_seconds = forget_after_seconds
+    def __init__(self, now: float, expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
+        self._forget_after_seconds = expiry_seconds
         self._term = 0
         self._leading_since = now
         self._origins: dict[int, _Origin] = {}
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -115,10 +115,10 @@
         self,
         now: float,
         first_sequence: int,
-        forget_after_seconds: float = SUBSCRIBER_EXPIRY_SECONDS,
+        expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS,
     ) -> None:
         self._recorded_since = now
-        self._forget_after_seconds = forget_after_seconds
+        self._forget_after_seconds = expiry_seconds
         self._records: dict[int, _Record] = {}
         self._destination: tuple[int, int] | None = None
         self._sequence = first_sequence
