--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -115,7 +115,7 @@
     """The newest report of every replica, for as long as this replica leads."""
 
     def __init__(self, now: float, expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
-        self._forget_after_seconds = expiry_seconds
+        self._expiry_seconds = expiry_seconds
         self._term = 0
         self._leading_since = now
         self._origins: dict[int, _Origin] = {}
@@ -160,7 +160,7 @@
 
     def current(self, now: float) -> list[SubscriberSighting]:
         """Return the subscribers that still count."""
-        oldest = now - self._forget_after_seconds
+        oldest = now - self._expiry_seconds
         return [each for each in self._merge().values() if each.seen_at >= oldest]
 
     def in_force(self, revision: int, contact_ages: Mapping[int, float], now: float) -> InForce:
@@ -220,7 +220,7 @@
     def _may_serve(self, origin: _Origin | None, contact_age: float, now: float) -> bool:
         """Tell whether a replica may have subscribers: those of a stale one have left it."""
         heard_at = self._leading_since if origin is None else origin.heard_at
-        return min(now - heard_at, contact_age) < self._forget_after_seconds
+        return min(now - heard_at, contact_age) < self._expiry_seconds
 
     def _may_know_more(self, origin: _Origin, now: float) -> bool:
         """Tell whether a replica may have subscribers that no report tells of.
@@ -229,7 +229,7 @@
         """
         if now - origin.heard_at > REPORT_GAP_SECONDS:
             return True
-        return now - origin.recorded_since < self._forget_after_seconds
+        return now - origin.recorded_since < self._expiry_seconds
 
 
 def _supersedes(seen: SubscriberSighting, known: SubscriberSighting) -> bool:
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -118,7 +118,7 @@
         expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS,
     ) -> None:
         self._recorded_since = now
-        self._forget_after_seconds = expiry_seconds
+        self._expiry_seconds = expiry_seconds
         self._records: dict[int, _Record] = {}
         self._destination: tuple[int, int] | None = None
         self._sequence = first_sequence
@@ -175,7 +175,7 @@
         return forgotten
 
     def _no_longer_counts(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
-        return record.key in present or now - record.link.last_seen > self._forget_after_seconds
+        return record.key in present or now - record.link.last_seen > self._expiry_seconds
 
     def _changed(self) -> list[ReportedSubscriber]:
         changed: list[ReportedSubscriber] = []
