--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -28,7 +28,7 @@
 from jasperwalk.control.subscriber_reports import (
     MILLISECONDS_PER_SECOND,
     SUBSCRIBER_EXPIRY_SECONDS,
-    VOUCHED_SECONDS,
+    UNREPORTED_SILENCE_SECONDS,
     ReportedSubscriber,
     SubscriberKey,
     SubscriberReport,
@@ -65,7 +65,7 @@
 class SubscriberSighting(msgspec.Struct, frozen=True, gc=False):
     """What the leader knows of a subscriber; `revision` is the newest that it acknowledged.
 
-    `seen_at` is when it was last heard, in seconds; it may be up to `VOUCHED_SECONDS` too late
+    `seen_at` is when it was last heard, in seconds; it may be up to `UNREPORTED_SILENCE_SECONDS` too late
     for one that is heard regularly.
     """
 
@@ -235,7 +235,7 @@
 def _supersedes(seen: SubscriberSighting, known: SubscriberSighting) -> bool:
     """Tell whether a sighting is newer; the lower revision counts where that is not certain."""
     difference = seen.seen_at - known.seen_at
-    if abs(difference) > VOUCHED_SECONDS:
+    if abs(difference) > UNREPORTED_SILENCE_SECONDS:
         return difference > 0
     return seen.revision < known.revision
 
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -3,7 +3,7 @@
 A report says what changed since the one before it; the first to a leader says everything.
 Subscribers are introduced once with a number, and named by it from then on. What a report
 does not name is vouched for: it holds the common revision, and was heard within
-`VOUCHED_SECONDS`. So a report of a steady replica is a few dozen bytes.
+`UNREPORTED_SILENCE_SECONDS`. So a report of a steady replica is a few dozen bytes.
 
 A subscriber whose connection ended stays in the reports, as a silent one, until it is back or
 forgotten everywhere. A new leader learns in this way of subscribers that are under way from
@@ -24,7 +24,7 @@
 
 SUBSCRIBER_EXPIRY_SECONDS = 5.0
 """Seconds without a message of a subscriber after which it no longer counts."""
-VOUCHED_SECONDS = 1.25
+UNREPORTED_SILENCE_SECONDS = 1.25
 """Longest silence of a subscriber that a report does not name; two acknowledgements."""
 FLOW_SHARE = 8
 """The number of open flows is reported anew when it moved by more than one part of these."""
@@ -197,7 +197,7 @@
         silent: list[SilentSubscriber] = []
         for number, record in self._records.items():
             silence = max(now - record.link.last_seen, 0.0)
-            if silence > VOUCHED_SECONDS or not record.connected:
+            if silence > UNREPORTED_SILENCE_SECONDS or not record.connected:
                 silence_ms = int(silence * MILLISECONDS_PER_SECOND)
                 silent.append(SilentSubscriber(number, silence_ms))
         return silent
