--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -26,7 +26,7 @@
 """Seconds without a message of a subscriber after which it no longer counts."""
 UNREPORTED_SILENCE_SECONDS = 1.25
 """Longest silence of a subscriber that a report does not name; two acknowledgements."""
-FLOW_SHARE = 8
+FLOW_CHANGE_DIVISOR = 8
 """The number of open flows is reported anew when it moved by more than one part of these."""
 MILLISECONDS_PER_SECOND = 1000
 
@@ -234,4 +234,4 @@
 def _flows_hold(reported: int, open_flows: int) -> bool:
     if not reported or not open_flows:
         return reported == open_flows
-    return abs(open_flows - reported) * FLOW_SHARE <= reported
+    return abs(open_flows - reported) * FLOW_CHANGE_DIVISOR <= reported
