--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -128,7 +128,7 @@
     def _agent_keys(self) -> list[AgentKeys]:
         return [
             AgentKeys(each.address, each.connection_id_generation, each.stateless_reset_generation)
-            for each in self._region.sightings()
+            for each in self._region.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
 
@@ -138,7 +138,7 @@
         if now < self._judge_at:
             return
         self._judge_at = now + JUDGE_INTERVAL_SECONDS
-        for sighting in self._region.sightings():
+        for sighting in self._region.subscribers():
             if sighting.role is SubscriberRole.AGENT:
                 self._liveness.observe(_observation_of(sighting, now), now)
         statuses = self._liveness.evaluate(self._runner.state.members(), now)
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -65,7 +65,7 @@
         self._ledger.lead(self._runner.term, time.monotonic())
         return self._ledger
 
-    def sightings(self) -> list[SubscriberSighting]:
+    def subscribers(self) -> list[SubscriberSighting]:
         """Return the leader's view of all subscribers; nothing on other replicas."""
         ledger = self.ledger()
         return [] if ledger is None else ledger.current(time.monotonic())
@@ -121,7 +121,7 @@
     def _known_agents(self) -> list[AgentFact]:
         return [
             AgentFact(each.address, each.healthy, each.open_flows)
-            for each in self.sightings()
+            for each in self.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
 
