--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -138,9 +138,9 @@
         if now < self._judge_at:
             return
         self._judge_at = now + JUDGE_INTERVAL_SECONDS
-        for sighting in self._region.subscribers():
-            if sighting.role is SubscriberRole.AGENT:
-                self._liveness.observe(_observation_of(sighting, now), now)
+        for subscriber in self._region.subscribers():
+            if subscriber.role is SubscriberRole.AGENT:
+                self._liveness.observe(_observation_of(subscriber, now), now)
         statuses = self._liveness.evaluate(self._runner.state.members(), now)
         if statuses:
             await self._propose(SetMemberStatus(statuses=statuses))
@@ -197,10 +197,10 @@
     return time.time_ns() // NANOSECONDS_PER_MILLISECOND
 
 
-def _observation_of(sighting: SubscriberSighting, now: float) -> AgentObservation:
+def _observation_of(subscriber: SubscriberSighting, now: float) -> AgentObservation:
     return AgentObservation(
-        address=sighting.address,
-        incarnation=sighting.incarnation,
-        healthy=sighting.healthy,
-        silence_seconds=now - sighting.seen_at,
+        address=subscriber.address,
+        incarnation=subscriber.incarnation,
+        healthy=subscriber.healthy,
+        silence_seconds=now - subscriber.seen_at,
     )
