--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -94,7 +94,7 @@
     revisions: dict[int, int] = field(default_factory=dict)
     silent_since: dict[int, float] = field(default_factory=dict)
 
-    def sighting(self, each: ReportedSubscriber) -> SubscriberSighting:
+    def subscriber_of(self, each: ReportedSubscriber) -> SubscriberSighting:
         """Return a subscriber as this replica sees it."""
         key, condition = each.key, each.condition
         return SubscriberSighting(
@@ -195,7 +195,7 @@
             merged: dict[SubscriberKey, SubscriberSighting] = {}
             for origin in self._origins.values():
                 for each in origin.subscribers.values():
-                    seen, known = origin.sighting(each), merged.get(each.key)
+                    seen, known = origin.subscriber_of(each), merged.get(each.key)
                     if known is None or _supersedes(seen, known):
                         merged[each.key] = seen
             self._merged = merged
