--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -87,7 +87,7 @@
 
     sequence: int
     revision: int
-    heard_at: float
+    received_at: float
     recorded_since: float
     common_revision: int
     subscribers: dict[int, ReportedSubscriber] = field(default_factory=dict)
@@ -105,7 +105,7 @@
             revision=self.revisions.get(each.number, self.common_revision),
             healthy=condition.healthy,
             open_flows=condition.open_flows,
-            seen_at=self.silent_since.get(each.number, self.heard_at),
+            seen_at=self.silent_since.get(each.number, self.received_at),
             connection_id_generation=condition.connection_id_generation,
             stateless_reset_generation=condition.stateless_reset_generation,
         )
@@ -140,7 +140,7 @@
         origin = _Origin(
             sequence=report.sequence,
             revision=report.revision,
-            heard_at=now,
+            received_at=now,
             recorded_since=now - recorded_seconds,
             common_revision=report.common_revision,
             subscribers={} if former is None or report.whole else former.subscribers,
@@ -219,15 +219,15 @@
 
     def _may_serve(self, origin: _Origin | None, contact_age: float, now: float) -> bool:
         """Tell whether a replica may have subscribers: those of a stale one have left it."""
-        heard_at = self._leading_since if origin is None else origin.heard_at
-        return min(now - heard_at, contact_age) < self._expiry_seconds
+        received_at = self._leading_since if origin is None else origin.received_at
+        return min(now - received_at, contact_age) < self._expiry_seconds
 
     def _may_know_more(self, origin: _Origin, now: float) -> bool:
         """Tell whether a replica may have subscribers that no report tells of.
 
         One that has just started has not seen yet who comes back to it.
         """
-        if now - origin.heard_at > REPORT_GAP_SECONDS:
+        if now - origin.received_at > REPORT_GAP_SECONDS:
             return True
         return now - origin.recorded_since < self._expiry_seconds
 
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -132,9 +132,9 @@
 ):
     ledger = leading()
     ledger.take(1, report(sighting()), now=100.0)
-    for sequence, (heard_at, revision) in enumerate(reports):
+    for sequence, (received_at, revision) in enumerate(reports):
         told = report(sequence=sequence, revision=revision, recorded_ms=recorded_ms)
-        assert ledger.take(2, told, now=heard_at)
+        assert ledger.take(2, told, now=received_at)
     found = in_force(ledger, 100.0)
     assert (found.laggards, found.complete) == (laggards, complete)
     assert (found.balancers is not None) is known
