--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -211,7 +211,7 @@
             origin = self._origins.get(replica_id)
             if not self._may_serve(origin, contact_ages[replica_id], now):
                 continue
-            if origin is None or self._may_know_more(origin, now):
+            if origin is None or self._may_have_unreported(origin, now):
                 missing.append(replica_id)
             elif origin.revision < revision:
                 late.append(replica_id)
@@ -222,7 +222,7 @@
         received_at = self._leading_since if origin is None else origin.received_at
         return min(now - received_at, contact_age) < self._expiry_seconds
 
-    def _may_know_more(self, origin: _Origin, now: float) -> bool:
+    def _may_have_unreported(self, origin: _Origin, now: float) -> bool:
         """Tell whether a replica may have subscribers that no report tells of.
 
         One that has just started has not seen yet who comes back to it.
