--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -134,7 +134,7 @@
         if report.term != self._term:
             return True
         former = self._origins.get(origin_id)
-        if not report.whole and (former is None or report.sequence != former.sequence + 1):
+        if not report.full and (former is None or report.sequence != former.sequence + 1):
             return False
         recorded_seconds = report.recorded_ms / MILLISECONDS_PER_SECOND
         origin = _Origin(
@@ -143,7 +143,7 @@
             received_at=now,
             recorded_since=now - recorded_seconds,
             common_revision=report.common_revision,
-            subscribers={} if former is None or report.whole else former.subscribers,
+            subscribers={} if former is None or report.full else former.subscribers,
         )
         for number in report.forgotten:
             origin.subscribers.pop(number, None)
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -78,7 +78,7 @@
 class SubscriberReport(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """The subscribers of the sender, for the leader of `term`.
 
-    `sequence` counts the sender's reports. A `whole` one clears what was reported before; any
+    `sequence` counts the sender's reports. A `full` one clears what was reported before; any
     other follows the report of the sequence below, and is worth nothing without it.
     `revision` is that of the sender's table. `recorded_ms` tells for how long the sender has
     kept its record of subscribers. `groups` and `silent` are whole in every report.
@@ -86,7 +86,7 @@
 
     term: int
     sequence: int
-    whole: bool
+    full: bool
     revision: int
     recorded_ms: int
     common_revision: int
@@ -131,8 +131,8 @@
         self, links: Iterable[SubscriberLink], leader_id: int, term: int, revision: int, now: float
     ) -> SubscriberReport:
         """Return the next report to the leader of `term`; it has to be sent, or `restart`."""
-        whole = self._destination != (leader_id, term)
-        if whole:
+        full = self._destination != (leader_id, term)
+        if full:
             self._destination = (leader_id, term)
             for record in self._records.values():
                 record.condition = None
@@ -142,12 +142,12 @@
         report = SubscriberReport(
             term=term,
             sequence=self._sequence,
-            whole=whole,
+            full=full,
             revision=revision,
             recorded_ms=int((now - self._recorded_since) * MILLISECONDS_PER_SECOND),
             common_revision=common,
             changed=self._changed(),
-            forgotten=[] if whole else forgotten,
+            forgotten=[] if full else forgotten,
             groups=self._groups(common),
             silent=self._silent(now),
         )
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -34,7 +34,7 @@
     return SubscriberReport(
         term=term,
         sequence=sequence,
-        whole=sequence == 0,
+        full=sequence == 0,
         revision=revision,
         recorded_ms=recorded_ms,
         common_revision=10,
