--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -145,7 +145,7 @@
             common_revision=report.common_revision,
             subscribers={} if former is None or report.full else former.subscribers,
         )
-        for number in report.forgotten:
+        for number in report.removed:
             origin.subscribers.pop(number, None)
         for each in report.changed:
             origin.subscribers[each.number] = each
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -91,7 +91,7 @@
     recorded_ms: int
     common_revision: int
     changed: list[ReportedSubscriber]
-    forgotten: list[int]
+    removed: list[int]
     groups: list[RevisionGroup]
     silent: list[SilentSubscriber]
 
@@ -136,7 +136,7 @@
             self._destination = (leader_id, term)
             for record in self._records.values():
                 record.condition = None
-        forgotten = self._follow(links, now)
+        removed = self._follow(links, now)
         counts = Counter(each.link.acknowledged_revision for each in self._records.values())
         common = max(counts, key=lambda each: (counts[each], each), default=revision)
         report = SubscriberReport(
@@ -147,7 +147,7 @@
             recorded_ms=int((now - self._recorded_since) * MILLISECONDS_PER_SECOND),
             common_revision=common,
             changed=self._changed(),
-            forgotten=[] if full else forgotten,
+            removed=[] if full else removed,
             groups=self._groups(common),
             silent=self._silent(now),
         )
@@ -165,14 +165,14 @@
             record = self._records[link.subscriber_id]
             record.connected = True
             present.add(record.key)
-        forgotten = [
+        removed = [
             number
             for number, record in self._records.items()
             if not record.connected and self._no_longer_counts(record, present, now)
         ]
-        for number in forgotten:
+        for number in removed:
             del self._records[number]
-        return forgotten
+        return removed
 
     def _no_longer_counts(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
         return record.key in present or now - record.link.last_seen > self._expiry_seconds
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -27,7 +27,7 @@
     return SubscriberKey(role, name, address), revision, age_ms
 
 
-def report(*sightings, sequence=0, revision=10, recorded_ms=60_000, term=TERM, forgotten=()):
+def report(*sightings, sequence=0, revision=10, recorded_ms=60_000, term=TERM, removed=()):
     """A report of these sightings, numbered from 1."""
     numbered = list(enumerate(sightings, start=1))
     condition = SubscriberCondition(incarnation=0, healthy=True, open_flows=0)
@@ -39,7 +39,7 @@
         recorded_ms=recorded_ms,
         common_revision=10,
         changed=[ReportedSubscriber(number, key, condition) for number, (key, _, _) in numbered],
-        forgotten=list(forgotten),
+        removed=list(removed),
         groups=[
             RevisionGroup(acked, [number]) for number, (_, acked, _) in numbered if acked != 10
         ],
@@ -165,8 +165,8 @@
     ledger = leading()
     assert not ledger.take(1, report(sighting(), sequence=1), now=100.0)
     assert ledger.take(1, report(sighting(), sighting("balancer-2")), now=100.0)
-    assert not ledger.take(1, report(sequence=2, forgotten=[1]), now=100.5)
-    assert ledger.take(1, report(sequence=1, forgotten=[2]), now=100.5)
+    assert not ledger.take(1, report(sequence=2, removed=[1]), now=100.5)
+    assert ledger.take(1, report(sequence=1, removed=[2]), now=100.5)
     assert not ledger.take(1, report(sighting("late"), sequence=1), now=100.6)
     assert [each.name for each in ledger.current(100.6)] == ["balancer-1"]
     assert ledger.take(1, report(sighting("balancer-3")), now=100.7)
