--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -136,7 +136,7 @@
             self._destination = (leader_id, term)
             for record in self._records.values():
                 record.condition = None
-        removed = self._follow(links, now)
+        removed = self._update_records(links, now)
         counts = Counter(each.link.acknowledged_revision for each in self._records.values())
         common = max(counts, key=lambda each: (counts[each], each), default=revision)
         report = SubscriberReport(
@@ -154,7 +154,7 @@
         self._sequence += 1
         return report
 
-    def _follow(self, links: Iterable[SubscriberLink], now: float) -> list[int]:
+    def _update_records(self, links: Iterable[SubscriberLink], now: float) -> list[int]:
         """Take in who is connected now; return the numbers of those that no longer count."""
         for record in self._records.values():
             record.connected = False
