--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -180,7 +180,7 @@
     def _changed(self) -> list[ReportedSubscriber]:
         changed: list[ReportedSubscriber] = []
         for number, record in self._records.items():
-            if not _condition_holds(record):
+            if not _is_condition_current(record):
                 record.condition = _condition_of(record.link)
                 changed.append(ReportedSubscriber(number, record.key, record.condition))
         return changed
@@ -218,7 +218,7 @@
     )
 
 
-def _condition_holds(record: _Record) -> bool:
+def _is_condition_current(record: _Record) -> bool:
     """Tell whether what was last reported of a subscriber is still near enough."""
     reported, link = record.condition, record.link
     return (
