--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -227,11 +227,11 @@
         and reported.healthy == link.healthy
         and reported.connection_id_generation == link.connection_id_generation
         and reported.stateless_reset_generation == link.stateless_reset_generation
-        and _flows_hold(reported.open_flows, link.open_flows)
+        and _is_flow_count_current(reported.open_flows, link.open_flows)
     )
 
 
-def _flows_hold(reported: int, open_flows: int) -> bool:
+def _is_flow_count_current(reported: int, open_flows: int) -> bool:
     if not reported or not open_flows:
         return reported == open_flows
     return abs(open_flows - reported) * FLOW_CHANGE_DIVISOR <= reported
