--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -129,7 +129,7 @@
             self._origins = {}
             self._merged = None
 
-    def take(self, origin_id: int, report: SubscriberReport, now: float) -> bool:
+    def record_report(self, origin_id: int, report: SubscriberReport, now: float) -> bool:
         """Take in a report; return False when reports before it are missing."""
         if report.term != self._term:
             return True
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -94,7 +94,7 @@
 def test_in_force_counts(sightings, balancers, agents, laggards, complete):
     ledger = leading()
     for origin, each in enumerate(sightings, start=1):
-        assert ledger.take(origin, report(each), now=100.0)
+        assert ledger.record_report(origin, report(each), now=100.0)
     found = in_force(ledger, 100.0, 1, 2, 3)
     assert (found.in_force, found.balancers) == balancers
     assert (found.agents_in_force, found.agents) == agents
@@ -104,13 +104,13 @@
 
 def test_a_silent_subscriber_is_forgotten():
     ledger = leading()
-    ledger.take(1, report(sighting(), sighting("balancer-2")), now=100.0)
+    ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
     for sequence, (now, silence_ms, balancers) in enumerate(
         [(104.9, 4_900, 2), (105.1, 5_100, 1)], start=1
     ):
         silent = report(sequence=sequence)
         silent.silent.append(SilentSubscriber(2, silence_ms))
-        assert ledger.take(1, silent, now=now)
+        assert ledger.record_report(1, silent, now=now)
         assert in_force(ledger, now, 1).balancers == balancers
 
 
@@ -131,10 +131,10 @@
     reports, recorded_ms, laggards, known, complete
 ):
     ledger = leading()
-    ledger.take(1, report(sighting()), now=100.0)
+    ledger.record_report(1, report(sighting()), now=100.0)
     for sequence, (received_at, revision) in enumerate(reports):
         told = report(sequence=sequence, revision=revision, recorded_ms=recorded_ms)
-        assert ledger.take(2, told, now=received_at)
+        assert ledger.record_report(2, told, now=received_at)
     found = in_force(ledger, 100.0)
     assert (found.laggards, found.complete) == (laggards, complete)
     assert (found.balancers is not None) is known
@@ -142,18 +142,18 @@
 
 def test_counts_are_unknown_until_a_new_leader_has_heard_everyone():
     ledger = leading(since=99.0)
-    ledger.take(1, report(sighting()), now=100.0)
+    ledger.record_report(1, report(sighting()), now=100.0)
     found = in_force(ledger, 100.0)
     assert (found.balancers, found.agents, found.complete) == (None, None, False)
     assert found.laggards == ["replica-2"]
-    ledger.take(2, report(sighting("balancer-2")), now=100.5)
+    ledger.record_report(2, report(sighting("balancer-2")), now=100.5)
     assert in_force(ledger, 100.5).balancers == 2
     ledger.lead(TERM + 1, now=101.0)
     assert in_force(ledger, 101.0).balancers is None
     # What was meant for the former term is no answer.
-    assert ledger.take(1, report(sighting(), sequence=1), now=101.0)
+    assert ledger.record_report(1, report(sighting(), sequence=1), now=101.0)
     assert ledger.current(101.0) == []
-    ledger.take(1, report(sighting(), term=TERM + 1), now=105.5)
+    ledger.record_report(1, report(sighting(), term=TERM + 1), now=105.5)
     assert in_force(ledger, 105.5).balancers is None
     # Replica 2 is there, but its reports do not arrive.
     assert in_force(ledger, 106.0, contact_age=1.0).balancers is None
@@ -163,20 +163,20 @@
 
 def test_a_report_after_a_lost_one_is_refused_and_a_whole_one_starts_anew():
     ledger = leading()
-    assert not ledger.take(1, report(sighting(), sequence=1), now=100.0)
-    assert ledger.take(1, report(sighting(), sighting("balancer-2")), now=100.0)
-    assert not ledger.take(1, report(sequence=2, removed=[1]), now=100.5)
-    assert ledger.take(1, report(sequence=1, removed=[2]), now=100.5)
-    assert not ledger.take(1, report(sighting("late"), sequence=1), now=100.6)
+    assert not ledger.record_report(1, report(sighting(), sequence=1), now=100.0)
+    assert ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
+    assert not ledger.record_report(1, report(sequence=2, removed=[1]), now=100.5)
+    assert ledger.record_report(1, report(sequence=1, removed=[2]), now=100.5)
+    assert not ledger.record_report(1, report(sighting("late"), sequence=1), now=100.6)
     assert [each.name for each in ledger.current(100.6)] == ["balancer-1"]
-    assert ledger.take(1, report(sighting("balancer-3")), now=100.7)
+    assert ledger.record_report(1, report(sighting("balancer-3")), now=100.7)
     assert [each.name for each in ledger.current(100.7)] == ["balancer-3"]
 
 
 def test_an_answer_names_no_more_than_a_hundred_laggards():
     ledger = leading()
     behind = [sighting(f"balancer-{number:03}", revision=9) for number in range(130)]
-    ledger.take(1, report(*behind), now=100.0)
+    ledger.record_report(1, report(*behind), now=100.0)
     found = in_force(ledger, 100.0, 1)
     assert (len(found.laggards), found.laggard_count, found.balancers) == (100, 130, 130)
 
--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -97,7 +97,7 @@
         made = reporter.report(links, 1, self.term, self.revision, self.now)
         if lost:
             return 0
-        if not self.ledger.take(origin, made, self.now):
+        if not self.ledger.record_report(origin, made, self.now):
             reporter.restart()
         return len(codec.encode(made))
 
