--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -121,7 +121,7 @@
         self._origins: dict[int, _Origin] = {}
         self._merged: dict[SubscriberKey, SubscriberSighting] | None = None
 
-    def lead(self, term: int, now: float) -> None:
+    def start_term(self, term: int, now: float) -> None:
         """Start anew with a term that this replica leads; nothing happens within a term."""
         if term != self._term:
             self._term = term
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -62,7 +62,7 @@
         """Return the ledger of this term where this replica leads, None elsewhere."""
         if not self._runner.is_leader:
             return None
-        self._ledger.lead(self._runner.term, time.monotonic())
+        self._ledger.start_term(self._runner.term, time.monotonic())
         return self._ledger
 
     def subscribers(self) -> list[SubscriberSighting]:
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -49,7 +49,7 @@
 
 def leading(since=90.0):
     ledger = InForceLedger(0.0)
-    ledger.lead(TERM, since)
+    ledger.start_term(TERM, since)
     return ledger
 
 
@@ -148,7 +148,7 @@
     assert found.laggards == ["replica-2"]
     ledger.record_report(2, report(sighting("balancer-2")), now=100.5)
     assert in_force(ledger, 100.5).balancers == 2
-    ledger.lead(TERM + 1, now=101.0)
+    ledger.start_term(TERM + 1, now=101.0)
     assert in_force(ledger, 101.0).balancers is None
     # What was meant for the former term is no answer.
     assert ledger.record_report(1, report(sighting(), sequence=1), now=101.0)
--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -42,7 +42,7 @@
         self.nodes = {number: {"revision": 0, "away": 0, "seen": -1e9} for number in range(size)}
         for number in self.nodes:
             self.connect(number)
-        self.ledger.lead(self.term, self.now)
+        self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
             self.report(origin, lost=False)
 
@@ -68,7 +68,7 @@
             self.live(number, node, quiet)
         if not quiet and self.random.random() < 0.05:
             self.term += 1
-            self.ledger.lead(self.term, self.now)
+            self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
             self.report(origin, lost=not quiet and self.random.random() < 0.1)
 
