--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -93,7 +93,7 @@
             facts = [] if answer is None else answer.agents
         return {each.address: each for each in facts}
 
-    def take_report(self, sender: int, report: SubscriberReport) -> None:
+    def handle_report(self, sender: int, report: SubscriberReport) -> None:
         """Take in another replica's report; ask for a whole one where some are missing."""
         ledger = self.ledger()
         if ledger is not None and not ledger.take(sender, report, time.monotonic()):
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -235,7 +235,7 @@
             case ForwardReply():
                 self.proposals.take_reply(message)
             case SubscriberReport():
-                self.region.take_report(sender, message)
+                self.region.handle_report(sender, message)
             case ReportWanted():
                 self.region.take_report_wanted()
             case InForceQuery() | AgentsQuery():
