--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -99,7 +99,7 @@
         if ledger is not None and not ledger.take(sender, report, time.monotonic()):
             self._network.send(sender, ReportWanted())
 
-    def take_report_wanted(self) -> None:
+    def handle_report_request(self) -> None:
         """Let the next report be a whole one."""
         self._reporter.restart()
 
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -237,7 +237,7 @@
             case SubscriberReport():
                 self.region.handle_report(sender, message)
             case ReportWanted():
-                self.region.take_report_wanted()
+                self.region.handle_report_request()
             case InForceQuery() | AgentsQuery():
                 self.region.take_query(sender, message)
             case InForceAnswer() | AgentsAnswer():
