--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -103,7 +103,7 @@
         """Let the next report be a whole one."""
         self._reporter.restart()
 
-    def take_query(self, sender: int, query: LeaderQuery) -> None:
+    def handle_query(self, sender: int, query: LeaderQuery) -> None:
         """Answer a follower's question; a replica that does not lead says that it knows nothing."""
         answer: LeaderAnswer
         match query:
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -239,7 +239,7 @@
             case ReportWanted():
                 self.region.handle_report_request()
             case InForceQuery() | AgentsQuery():
-                self.region.take_query(sender, message)
+                self.region.handle_query(sender, message)
             case InForceAnswer() | AgentsAnswer():
                 self.region.take_answer(message)
             case LinkAlive():
