--- a/src/jasperwalk/control/leader_queries.py
+++ b/src/jasperwalk/control/leader_queries.py
@@ -40,7 +40,7 @@
         answer = await self._ask(AgentsQuery)
         return answer if isinstance(answer, AgentsAnswer) else None
 
-    def take_answer(self, answer: LeaderAnswer) -> None:
+    def handle_answer(self, answer: LeaderAnswer) -> None:
         """Hand an answer to the one that waits for it, if it still does."""
         waiting = self._waiting.get(answer.query_number)
         if waiting is not None and not waiting.done():
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -114,9 +114,9 @@
                 answer = AgentsAnswer(query.query_number, self._known_agents())
         self._network.send(sender, answer)
 
-    def take_answer(self, answer: LeaderAnswer) -> None:
+    def handle_answer(self, answer: LeaderAnswer) -> None:
         """Hand the leader's answer to the one that waits for it."""
-        self._queries.take_answer(answer)
+        self._queries.handle_answer(answer)
 
     def _known_agents(self) -> list[AgentFact]:
         return [
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -241,7 +241,7 @@
             case InForceQuery() | AgentsQuery():
                 self.region.handle_query(sender, message)
             case InForceAnswer() | AgentsAnswer():
-                self.region.take_answer(message)
+                self.region.handle_answer(message)
             case LinkAlive():
                 pass
 
