--- a/src/jasperwalk/control/proposals.py
+++ b/src/jasperwalk/control/proposals.py
@@ -127,7 +127,7 @@
         finally:
             del self._replies[number]
 
-    def take_request(self, sender: int, message: ForwardedMessage) -> None:
+    def handle_request(self, sender: int, message: ForwardedMessage) -> None:
         """Answer a request that another replica forwarded to this one as the leader."""
         outcome: ProposalOutcome | MembershipOutcome
         match message:
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -231,7 +231,7 @@
             case RaftPayload():
                 self.runner.take(sender, message)
             case ForwardProposal() | ForwardReplicaChange():
-                self.proposals.take_request(sender, message)
+                self.proposals.handle_request(sender, message)
             case ForwardReply():
                 self.proposals.take_reply(message)
             case SubscriberReport():
