--- a/src/jasperwalk/control/proposals.py
+++ b/src/jasperwalk/control/proposals.py
@@ -137,7 +137,7 @@
                 outcome = self._runner.propose_replica_change(message.change)
         self._network.send(sender, _reply_to(message.request_number, outcome))
 
-    def take_reply(self, reply: ForwardReply) -> None:
+    def handle_reply(self, reply: ForwardReply) -> None:
         """Hand the leader's reply to the proposal that waits for it, if it still does."""
         waiting = self._replies.get(reply.request_number)
         if waiting is not None and not waiting.done():
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -233,7 +233,7 @@
             case ForwardProposal() | ForwardReplicaChange():
                 self.proposals.handle_request(sender, message)
             case ForwardReply():
-                self.proposals.take_reply(message)
+                self.proposals.handle_reply(message)
             case SubscriberReport():
                 self.region.handle_report(sender, message)
             case ReportWanted():
