--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -112,7 +112,7 @@
         self._config = config
         self.replica_id = config.replica_id
         self.network = PeerNetwork(
-            config.name, config.replica_id, config.cluster_id, self._take_message, config.tls
+            config.name, config.replica_id, config.cluster_id, self._handle_message, config.tls
         )
         self.runner = ControlRunner(config.runner_config(), self.network, self, random)
         self.proposals = Proposals(self.runner, self.network)
@@ -226,7 +226,7 @@
         for record in self.state.agents():
             self.publishing.agent_registered(record)
 
-    def _take_message(self, sender: int, message: PeerMessage) -> None:
+    def _handle_message(self, sender: int, message: PeerMessage) -> None:
         match message:
             case RaftPayload():
                 self.runner.take(sender, message)
