--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -78,7 +78,7 @@
         self.dropped_messages = 0
         self._hello = make_hello(ConnectionKind.PEER, name, cluster_id, replica_id)
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(maxsize=QUEUE_LIMIT_MESSAGES)
-        self._heard = asyncio.Event()
+        self._redial = asyncio.Event()
 
     def peer_connected(self) -> None:
         """Dial at once: the peer has just opened a link of its own, so it is there.
@@ -87,7 +87,7 @@
         though the peer has come back meanwhile.
         """
         if not self.connected:
-            self._heard.set()
+            self._redial.set()
 
     def send(self, payload: bytes) -> bool:
         """Queue one message; False when it was dropped."""
@@ -117,11 +117,11 @@
     async def _connect(self) -> FramedConnection:
         """Open a connection; an attempt under way when the peer is heard is begun anew."""
         while True:
-            self._heard.clear()
+            self._redial.clear()
             dialing = asyncio.create_task(
                 connect(self.endpoint, self._hello, self._times.connect_timeout, self._tls)
             )
-            hearing = asyncio.create_task(self._heard.wait())
+            hearing = asyncio.create_task(self._redial.wait())
             try:
                 await asyncio.wait({dialing, hearing}, return_when=asyncio.FIRST_COMPLETED)
                 if dialing.done():
@@ -135,7 +135,7 @@
         """Wait before the next attempt, but not once the peer was heard."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._heard.wait()
+                await self._redial.wait()
 
     async def _serve(self, connection: FramedConnection) -> None:
         """Send until the link fails; raise the failure."""
