--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -240,7 +240,7 @@
         """Take messages from a link that a peer opened, until it ends."""
         beacon = asyncio.create_task(_send_alive(connection, self._times.alive_interval))
         self._served.add(connection)
-        self._peer_heard(connection)
+        self._redial_peer(connection)
         try:
             while True:
                 payload = await _receive_within(connection, self._times.silence_limit)
@@ -266,7 +266,7 @@
             self._close(replica_id)
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _peer_heard(self, connection: FramedConnection) -> None:
+    def _redial_peer(self, connection: FramedConnection) -> None:
         link = None if connection.peer is None else self._links.get(connection.peer.sender_id)
         if link is not None:
             link.peer_connected()
