--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -121,15 +121,15 @@
             dialing = asyncio.create_task(
                 connect(self.endpoint, self._hello, self._times.connect_timeout, self._tls)
             )
-            hearing = asyncio.create_task(self._redial.wait())
+            redial_requested = asyncio.create_task(self._redial.wait())
             try:
-                await asyncio.wait({dialing, hearing}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({dialing, redial_requested}, return_when=asyncio.FIRST_COMPLETED)
                 if dialing.done():
                     return dialing.result()
             finally:
-                hearing.cancel()
+                redial_requested.cancel()
                 dialing.cancel()
-                await asyncio.gather(dialing, hearing, return_exceptions=True)
+                await asyncio.gather(dialing, redial_requested, return_exceptions=True)
 
     async def _pause(self, seconds: float) -> None:
         """Wait before the next attempt, but not once the peer was heard."""
