--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -238,7 +238,7 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Take messages from a link that a peer opened, until it ends."""
-        beacon = asyncio.create_task(_send_alive(connection, self._times.alive_interval))
+        keepalive = asyncio.create_task(_send_alive(connection, self._times.alive_interval))
         self._served.add(connection)
         self._redial_peer(connection)
         try:
@@ -251,7 +251,7 @@
             raise
         finally:
             self._served.discard(connection)
-            beacon.cancel()
+            keepalive.cancel()
 
     async def close(self) -> None:
         """Close all links, those that peers opened too.
