--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -36,7 +36,7 @@
 """Pause before a lost link is opened again."""
 LONGEST_PAUSE_SECONDS = 5.0
 """Longest pause while TLS fails, which lasts until someone mends files; it doubles."""
-ALIVE_INTERVAL_SECONDS = 0.5
+KEEPALIVE_INTERVAL_SECONDS = 0.5
 SILENCE_LIMIT_SECONDS = 3.0
 """A link on which nothing came for this long is ended; its opener opens it anew."""
 
@@ -50,7 +50,7 @@
 
     connect_timeout: float = CONNECT_TIMEOUT_SECONDS
     reconnect: float = RECONNECT_SECONDS
-    alive_interval: float = ALIVE_INTERVAL_SECONDS
+    alive_interval: float = KEEPALIVE_INTERVAL_SECONDS
     silence_limit: float = SILENCE_LIMIT_SECONDS
 
 
