--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -43,7 +43,7 @@
 from jasperwalk.fleet.messages import CLUSTER_ID
 
 PEER_LINK_TIMES = LinkTimes(
-    connect_timeout=0.5, reconnect=0.15, alive_interval=0.25, silence_limit=0.9
+    connect_timeout=0.5, reconnect=0.15, keepalive_interval=0.25, silence_limit=0.9
 )
 RAFT_HEARTBEAT_SECONDS = 0.12
 ELECTION_TIMEOUT_SECONDS = 0.7
--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -50,7 +50,7 @@
 
     connect_timeout: float = CONNECT_TIMEOUT_SECONDS
     reconnect: float = RECONNECT_SECONDS
-    alive_interval: float = KEEPALIVE_INTERVAL_SECONDS
+    keepalive_interval: float = KEEPALIVE_INTERVAL_SECONDS
     silence_limit: float = SILENCE_LIMIT_SECONDS
 
 
@@ -165,7 +165,7 @@
     async def _next_payload(self) -> bytes:
         """Return the next queued message, or a sign of life where none comes for a while."""
         try:
-            async with asyncio.timeout(self._times.alive_interval):
+            async with asyncio.timeout(self._times.keepalive_interval):
                 return await self._queue.get()
         except TimeoutError:
             return LINK_ALIVE
@@ -238,7 +238,7 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Take messages from a link that a peer opened, until it ends."""
-        keepalive = asyncio.create_task(_send_alive(connection, self._times.alive_interval))
+        keepalive = asyncio.create_task(_send_alive(connection, self._times.keepalive_interval))
         self._served.add(connection)
         self._redial_peer(connection)
         try:
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -149,7 +149,7 @@
         return set(self.networks[2]._served)
 
 
-QUICK = LinkTimes(reconnect=0.01, alive_interval=0.02, silence_limit=0.2)
+QUICK = LinkTimes(reconnect=0.01, keepalive_interval=0.02, silence_limit=0.2)
 
 
 @pytest.mark.parametrize(
