--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -238,7 +238,9 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Take messages from a link that a peer opened, until it ends."""
-        keepalive = asyncio.create_task(_send_alive(connection, self._times.keepalive_interval))
+        keepalive = asyncio.create_task(
+            _send_keepalives(connection, self._times.keepalive_interval)
+        )
         self._served.add(connection)
         self._redial_peer(connection)
         try:
@@ -293,7 +295,7 @@
         self._tasks.pop(replica_id).cancel()
 
 
-async def _send_alive(connection: FramedConnection, interval_seconds: float) -> None:
+async def _send_keepalives(connection: FramedConnection, interval_seconds: float) -> None:
     with contextlib.suppress(JasperwalkError):
         while True:
             await connection.send(LINK_ALIVE)
