--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -142,7 +142,7 @@
         self.connected = True
         jobs = {
             asyncio.create_task(self._send_queued(connection)),
-            asyncio.create_task(_watch_for_silence(connection, self._times.silence_limit)),
+            asyncio.create_task(_receive_until_silent(connection, self._times.silence_limit)),
         }
         try:
             done, _ = await asyncio.wait(jobs, return_when=asyncio.FIRST_COMPLETED)
@@ -171,7 +171,7 @@
             return LINK_ALIVE
 
 
-async def _watch_for_silence(connection: FramedConnection, limit_seconds: float) -> None:
+async def _receive_until_silent(connection: FramedConnection, limit_seconds: float) -> None:
     """Raise `PeerSilent` when the peer has been silent for too long, or why the link is lost."""
     while True:
         await _receive_within(connection, limit_seconds)
