--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -208,7 +208,7 @@
         self.on_message = on_message
         self._links: dict[int, PeerLink] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._served: set[FramedConnection] = set()
+        self._accepted: set[FramedConnection] = set()
         self.malformed_messages = 0
 
     def set_peers(self, peers: Mapping[int, Endpoint]) -> None:
@@ -241,7 +241,7 @@
         keepalive = asyncio.create_task(
             _send_keepalives(connection, self._times.keepalive_interval)
         )
-        self._served.add(connection)
+        self._accepted.add(connection)
         self._redial_peer(connection)
         try:
             while True:
@@ -252,7 +252,7 @@
             connection.abort()
             raise
         finally:
-            self._served.discard(connection)
+            self._accepted.discard(connection)
             keepalive.cancel()
 
     async def close(self) -> None:
@@ -261,7 +261,7 @@
         A peer takes a link that stands for a replica that hears it: left open, it would go to
         a replica that is gone while its successor in the same process hears nothing.
         """
-        for connection in list(self._served):
+        for connection in list(self._accepted):
             connection.abort()
         tasks = list(self._tasks.values())
         for replica_id in list(self._links):
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -146,7 +146,7 @@
         await self.relay.close()
 
     def served(self):
-        return set(self.networks[2]._served)
+        return set(self.networks[2]._accepted)
 
 
 QUICK = LinkTimes(reconnect=0.01, keepalive_interval=0.02, silence_limit=0.2)
