--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -34,7 +34,7 @@
 QUEUE_LIMIT_MESSAGES = 1024
 RECONNECT_SECONDS = 0.2
 """Pause before a lost link is opened again."""
-LONGEST_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 5.0
 """Longest pause while TLS fails, which lasts until someone mends files; it doubles."""
 KEEPALIVE_INTERVAL_SECONDS = 0.5
 SILENCE_LIMIT_SECONDS = 3.0
@@ -108,7 +108,7 @@
             except TlsError as error:
                 peer = str(self.endpoint)
                 logger.warning("peer-refused", peer=peer, kind=error.kind, detail=str(error))
-                pause_seconds = min(2 * pause_seconds, LONGEST_PAUSE_SECONDS)
+                pause_seconds = min(2 * pause_seconds, MAX_PAUSE_SECONDS)
                 await asyncio.sleep(pause_seconds)
             except JasperwalkError as error:
                 logger.debug("peer-link-lost", peer=str(self.endpoint), kind=error.kind)
