--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -32,7 +32,7 @@
 from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection
 from jasperwalk.transport.identity import check_claim
 
-LONGEST_WAIT_SECONDS = 0.25
+MAX_WAIT_SECONDS = 0.25
 """Longest sleep between two ticks, so that heartbeats carry a recent quorum age."""
 MAXIMUM_RECEIVED_BYTES = 4096
 """Longest frame of a subscriber; it sends a Subscribe and then acknowledgements."""
@@ -110,7 +110,7 @@
                 await asyncio.sleep(0)
                 continue
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(wait_seconds, LONGEST_WAIT_SECONDS)):
+                async with asyncio.timeout(min(wait_seconds, MAX_WAIT_SECONDS)):
                     await self._wake.wait()
 
     def _tick(self) -> None:
--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -58,7 +58,7 @@
 delays a process by a few hundred milliseconds, which must not look like a lost leader."""
 SNAPSHOT_INTERVAL_ENTRIES = 1024
 """Applied entries after which the state is written as a snapshot."""
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """Longest sleep between two ticks of the core."""
 TRANSFER_POLL_SECONDS = 0.01
 DISK_ID_BYTES = 16
@@ -269,7 +269,7 @@
             self._warn_when_displaced()
             wait_seconds = self._node.next_deadline() - time.monotonic()
             try:
-                async with asyncio.timeout(min(max(wait_seconds, 0.0), LONGEST_WAIT_SECONDS)):
+                async with asyncio.timeout(min(max(wait_seconds, 0.0), MAX_WAIT_SECONDS)):
                     await self._wake.wait()
             except TimeoutError:
                 continue
