--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -34,7 +34,7 @@
 
 MAX_WAIT_SECONDS = 0.25
 """Longest sleep between two ticks, so that heartbeats carry a recent quorum age."""
-MAXIMUM_RECEIVED_BYTES = 4096
+MAX_RECEIVED_BYTES = 4096
 """Longest frame of a subscriber; it sends a Subscribe and then acknowledgements."""
 
 QuorumAgeSource = Callable[[], float]
@@ -76,7 +76,7 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Serve one subscriber until its connection ends."""
-        connection.limit_frames(MAXIMUM_RECEIVED_BYTES)
+        connection.limit_frames(MAX_RECEIVED_BYTES)
         subscribe = await _receive_subscribe(connection)
         check_claim(connection.identity, subscribe.role, subscribe.name)
         subscriber_id = next(self._subscriber_ids)
