--- a/src/jasperwalk/control/proposals.py
+++ b/src/jasperwalk/control/proposals.py
@@ -45,7 +45,7 @@
 """Time for a proposal to be committed and applied here; elections take one to three."""
 FORWARD_TIMEOUT_SECONDS = 2.0
 """Time for the leader's reply to a forwarded proposal."""
-MAXIMUM_WAITING_PROPOSALS = 512
+MAX_WAITING_PROPOSALS = 512
 """Proposals of this replica that may wait at once; further ones are refused as overload."""
 
 ForwardedMessage = ForwardProposal | ForwardReplicaChange
@@ -99,7 +99,7 @@
         forwarded: Callable[[int], ForwardedMessage],
         timeout_seconds: float,
     ) -> AppliedEntry[Outcome]:
-        if self._waiting >= MAXIMUM_WAITING_PROPOSALS:
+        if self._waiting >= MAX_WAITING_PROPOSALS:
             raise Overloaded()
         self._waiting += 1
         try:
