--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -24,7 +24,7 @@
     PublisherEffect,
     SendTo,
 )
-from jasperwalk.distribution.publisher_events import RegisterAgent as RegistrationWanted
+from jasperwalk.distribution.publisher_events import RegisterAgent as RegistrationRequest
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.errors import JasperwalkError, MalformedMessage
 from jasperwalk.messages.distribution import FROM_SUBSCRIBER_DECODER, Subscribe
@@ -158,7 +158,7 @@
                     self._send(effect)
                 case CloseSubscriber():
                     self._close_connection(effect)
-                case RegistrationWanted():
+                case RegistrationRequest():
                     self._register(effect)
 
     def _send(self, effect: SendTo) -> None:
@@ -178,13 +178,13 @@
             logger.info("subscriber-closed", reason=effect.reason.value)
             self._start(connection.close())
 
-    def _register(self, wanted: RegistrationWanted) -> None:
+    def _register(self, wanted: RegistrationRequest) -> None:
         start = (wanted.address, wanted.boot_id)
         if start not in self._registering:
             self._registering.add(start)
             self._start(self._propose_registration(wanted))
 
-    async def _propose_registration(self, wanted: RegistrationWanted) -> None:
+    async def _propose_registration(self, wanted: RegistrationRequest) -> None:
         command = RegisterAgent(
             address=wanted.address, boot_id=wanted.boot_id, name=wanted.name, zone=wanted.zone
         )
