--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -265,7 +265,7 @@
             if self._failure is not None:
                 raise self._failure
             self._node.tick(time.monotonic())
-            await self._work_off()
+            await self._process_ready()
             self._warn_when_displaced()
             wait_seconds = self._node.next_deadline() - time.monotonic()
             try:
@@ -290,7 +290,7 @@
                 "under a new replica_id",
             )
 
-    async def _work_off(self) -> None:
+    async def _process_ready(self) -> None:
         while not (ready := self._node.ready()).is_empty():
             if ready.persist is not None:
                 await self._persist(ready.persist)
