--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -92,7 +92,7 @@
         while True:
             self._wake.clear()
             while self._waiting:
-                await self._work_off(self._waiting.popleft())
+                await self._process(self._waiting.popleft())
             self._raise_failed_snapshot()
             await self._wake.wait()
 
@@ -106,7 +106,7 @@
         self._waiting.append(work)
         self._wake.set()
 
-    async def _work_off(self, work: SnapshotData | Sequence[LogEntry]) -> None:
+    async def _process(self, work: SnapshotData | Sequence[LogEntry]) -> None:
         if isinstance(work, SnapshotData):
             loop = asyncio.get_running_loop()
             state = await loop.run_in_executor(self._workers, _restore, work.state)
