--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -82,7 +82,7 @@
     async def run(self) -> None:
         """Run the steps at an interval until cancelled."""
         while True:
-            leads = self._note_leadership()
+            leads = self._update_leadership()
             if self._poller is not None:
                 self._poller.wanted = leads
             if leads:
@@ -98,7 +98,7 @@
             # The next round starts from what has been committed by then.
             logger.info("leader-step-failed", kind=error.kind)
 
-    def _note_leadership(self) -> bool:
+    def _update_leadership(self) -> bool:
         """Tell whether this replica leads; start anew with every term that it leads."""
         if not self._runner.is_leader or self._runner.quorum_age() > QUORUM_CONTACT_SECONDS:
             if not self._runner.is_leader:
