--- a/src/jasperwalk/fleet/search_timer.py
+++ b/src/jasperwalk/fleet/search_timer.py
@@ -23,16 +23,16 @@
         self._frames = frames
         self._has_pending = has_pending
         self._tick = tick
-        self._ticking = False
+        self._is_scheduled = False
 
     def ensure_scheduled(self) -> None:
         """Go on ticking where there is reason to; call after whatever may give one."""
-        if not self._ticking and self._has_pending():
-            self._ticking = True
+        if not self._is_scheduled and self._has_pending():
+            self._is_scheduled = True
             asyncio.get_running_loop().call_later(TICK_SECONDS, self._on_time)
 
     def _on_time(self) -> None:
-        self._ticking = False
+        self._is_scheduled = False
         # An answer that was not read yet is not missing.
         if self._frames.read_pending():
             self._tick(time.monotonic())
