--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -91,7 +91,7 @@
 
     async def _run_steps(self) -> None:
         try:
-            await self._keep_keys()
+            await self._maintain_keys()
             await self._judge_members()
             await self._follow_platform_list()
         except ProposalError as error:
@@ -112,7 +112,7 @@
             logger.info("leadership-taken", term=self._runner.term)
         return True
 
-    async def _keep_keys(self) -> None:
+    async def _maintain_keys(self) -> None:
         """Install missing keys, activate those that are in force and retire the free ones."""
         table = self._runner.state.table
         for command in (
