--- a/src/jasperwalk/fleet/search_timer.py
+++ b/src/jasperwalk/fleet/search_timer.py
@@ -29,9 +29,9 @@
         """Go on ticking where there is reason to; call after whatever may give one."""
         if not self._is_scheduled and self._has_pending():
             self._is_scheduled = True
-            asyncio.get_running_loop().call_later(TICK_SECONDS, self._on_time)
+            asyncio.get_running_loop().call_later(TICK_SECONDS, self._on_timer)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._is_scheduled = False
         # An answer that was not read yet is not missing.
         if self._frames.read_pending():
