--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -92,7 +92,7 @@
     async def _run_steps(self) -> None:
         try:
             await self._maintain_keys()
-            await self._judge_members()
+            await self._evaluate_members()
             await self._follow_platform_list()
         except ProposalError as error:
             # The next round starts from what has been committed by then.
@@ -132,7 +132,7 @@
             if each.role is SubscriberRole.AGENT
         ]
 
-    async def _judge_members(self) -> None:
+    async def _evaluate_members(self) -> None:
         """Set the statuses of members that came, went silent or reported their back end down."""
         now = time.monotonic()
         if now < self._judge_at:
