--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -184,8 +184,8 @@
         """Tell whether the directory has not listed the agent for so long that it is gone."""
         if self.unlisted_since is None:
             return False
-        is_leaving = self.record.phase is HostPhase.DRAINING
-        longest = DRAINING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
+        is_draining = self.record.phase is HostPhase.DRAINING
+        longest = DRAINING_LOST_AFTER_SECONDS if is_draining else LOST_AFTER_SECONDS
         return now - self.unlisted_since >= longest
 
     def can_search(self, now: float) -> bool:
