--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -38,7 +38,7 @@
 from jasperwalk.messages.distribution import SubscriberRole
 
 STEP_INTERVAL_SECONDS = 0.2
-JUDGE_INTERVAL_SECONDS = 0.5
+EVALUATION_INTERVAL_SECONDS = 0.5
 """Replicas report as often; judging 24,000 members takes the leader most of 100 ms."""
 QUORUM_CONTACT_SECONDS = 1.0
 """A leader whose quorum contact is older than this decides nothing."""
@@ -137,7 +137,7 @@
         now = time.monotonic()
         if now < self._judge_at:
             return
-        self._judge_at = now + JUDGE_INTERVAL_SECONDS
+        self._judge_at = now + EVALUATION_INTERVAL_SECONDS
         for subscriber in self._region.subscribers():
             if subscriber.role is SubscriberRole.AGENT:
                 self._liveness.observe(_observation_of(subscriber, now), now)
