--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -185,8 +185,8 @@
         if self.unlisted_since is None:
             return False
         is_draining = self.record.phase is HostPhase.DRAINING
-        longest = DRAINING_LOST_AFTER_SECONDS if is_draining else LOST_AFTER_SECONDS
-        return now - self.unlisted_since >= longest
+        time_limit = DRAINING_LOST_AFTER_SECONDS if is_draining else LOST_AFTER_SECONDS
+        return now - self.unlisted_since >= time_limit
 
     def can_search(self, now: float) -> bool:
         """Tell whether the agent may be asked to search."""
