--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -75,7 +75,7 @@
         self._region = region
         self._poller = poller
         self._led_term: int | None = None
-        self._judge_at = 0.0
+        self._next_evaluation_at = 0.0
         self._liveness = LivenessTracker(config.liveness)
         self._reconciler = PlatformReconciler(config.reconciler)
 
@@ -135,9 +135,9 @@
     async def _evaluate_members(self) -> None:
         """Set the statuses of members that came, went silent or reported their back end down."""
         now = time.monotonic()
-        if now < self._judge_at:
+        if now < self._next_evaluation_at:
             return
-        self._judge_at = now + EVALUATION_INTERVAL_SECONDS
+        self._next_evaluation_at = now + EVALUATION_INTERVAL_SECONDS
         for subscriber in self._region.subscribers():
             if subscriber.role is SubscriberRole.AGENT:
                 self._liveness.observe(_observation_of(subscriber, now), now)
