--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -252,8 +252,8 @@
 
 def is_verdict(flags: int, body: bytes) -> bool:
     """Tell whether a `LOCATED` frame is well formed: an end point where a flow was found."""
-    wanted = ENDPOINT_BYTES if flags == LocateVerdict.FOUND else 0
-    return flags in VERDICT_FLAGS and len(body) == wanted
+    expected_bytes = ENDPOINT_BYTES if flags == LocateVerdict.FOUND else 0
+    return flags in VERDICT_FLAGS and len(body) == expected_bytes
 
 
 def split_keys(body: bytes, flow_key_bytes: int) -> list[bytes]:
