--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -93,7 +93,7 @@
         try:
             await self._maintain_keys()
             await self._evaluate_members()
-            await self._follow_platform_list()
+            await self._apply_platform_list()
         except ProposalError as error:
             # The next round starts from what has been committed by then.
             logger.info("leader-step-failed", kind=error.kind)
@@ -146,7 +146,7 @@
             await self._propose(SetMemberStatus(statuses=statuses))
             _log_statuses(statuses)
 
-    async def _follow_platform_list(self) -> None:
+    async def _apply_platform_list(self) -> None:
         """Drain the hosts that the platform takes away, and take back those that stay."""
         platform_list = None if self._poller is None else self._poller.take()
         if platform_list is None:
