--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -195,7 +195,7 @@
     assert harness.resets == []
 
 
-def passed_over():
+def with_unanswered_agents():
     """Return a balancer, an agent that did not answer in time, and the one asked after it."""
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
@@ -211,7 +211,7 @@
 
     Nobody else is asked, and the holder gets the first packet with the question.
     """
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     for name in answers.split():
         harness.answer({"silent": silent, "other": other}[name], FrameKind.ACCEPTED, 1.2)
     harness.core.receive(DATA, 1.3)
@@ -229,7 +229,7 @@
 
 @pytest.mark.parametrize("denied", [True, False], ids=["denied", "unanswered"])
 def test_a_flow_that_none_of_the_agents_asked_confirms_is_searched(denied):
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.core.receive(DATA, 1.3)
     harness.take_sent()
     if denied:
@@ -248,7 +248,7 @@
 
 
 def test_a_late_refusal_leaves_the_flow_to_the_agent_asked_after():
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.refuse(silent, 1.2)
     harness.answer(other, FrameKind.ACCEPTED, 1.2)
     harness.core.receive(DATA, 1.3)
@@ -256,7 +256,7 @@
 
 
 def test_a_late_acceptance_counts_where_the_agent_asked_after_refuses():
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.answer(silent, FrameKind.ACCEPTED, 1.2)
     harness.refuse(other, 1.21)
     assert harness.sent == harness.resets == []
@@ -284,7 +284,7 @@
 
 
 def test_a_flow_that_an_agent_may_have_taken_is_never_reset():
-    harness, _silent, other = passed_over()
+    harness, _silent, other = with_unanswered_agents()
     harness.refuse(other, 1.2)
     number, waits = harness.take_opening()
     assert (number, waits) == (other, True)
