--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -43,7 +43,7 @@
 QUORUM_CONTACT_SECONDS = 1.0
 """A leader whose quorum contact is older than this decides nothing."""
 NANOSECONDS_PER_MILLISECOND = 1_000_000
-MOST_LOGGED = 50
+MAX_LOGGED_CHANGES = 50
 """Lines for the members or hosts of one round; a zone that is lost names thousands."""
 
 logger = structlog.get_logger(__name__)
@@ -178,19 +178,19 @@
 
 
 def _log_statuses(statuses: list[MemberStatus]) -> None:
-    for each in statuses[:MOST_LOGGED]:
+    for each in statuses[:MAX_LOGGED_CHANGES]:
         status = each.operating_status.value
         address = str(each.address)
         logger.info("member-status", address=address, incarnation=each.incarnation, status=status)
-    if len(statuses) > MOST_LOGGED:
-        logger.info("member-statuses-not-logged", count=len(statuses) - MOST_LOGGED)
+    if len(statuses) > MAX_LOGGED_CHANGES:
+        logger.info("member-statuses-not-logged", count=len(statuses) - MAX_LOGGED_CHANGES)
 
 
 def _log_platform_states(states: list[PlatformState]) -> None:
-    for each in states[:MOST_LOGGED]:
+    for each in states[:MAX_LOGGED_CHANGES]:
         logger.info("platform-state", host=each.host, state=each.admin_state.value)
-    if len(states) > MOST_LOGGED:
-        logger.info("platform-states-not-logged", count=len(states) - MOST_LOGGED)
+    if len(states) > MAX_LOGGED_CHANGES:
+        logger.info("platform-states-not-logged", count=len(states) - MAX_LOGGED_CHANGES)
 
 
 def _unix_time_ms() -> int:
