--- a/tests/flows/test_frames.py
+++ b/tests/flows/test_frames.py
@@ -74,11 +74,11 @@
 )
 @pytest.mark.parametrize("waits", [False, True])
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_the_terms_of_an_opening_packet_fit_into_the_flags(age, told, waits, repeatable):
+def test_the_terms_of_an_opening_packet_fit_into_the_flags(age, decoded, waits, repeatable):
     flags = opening_flags(OpeningTerms(waits, repeatable, age))
     assert 0 <= flags <= 0xFF
     terms = opening_terms(flags)
-    assert terms.age_seconds == pytest.approx(told)
+    assert terms.age_seconds == pytest.approx(decoded)
     assert bool(flags & FLAG_WAIT) is terms.waits is waits
     assert terms.repeatable is repeatable
 
