--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -27,7 +27,7 @@
 """Length of every fleet key: AES-128 for connection IDs, 128 bits for the MAC keys."""
 
 MILLISECONDS_PER_SECOND = 1000
-FLOW_KEY_EARLIEST_SECONDS = 60
+FLOW_KEY_MIN_AGE_SECONDS = 60
 """Least age at which a key without flows is retired: packets and reports may be under way."""
 FLOW_KEY_LATEST_SECONDS = 24 * 3600
 """Age at which a key is retired though an agent has flows on it, or was not heard."""
@@ -74,7 +74,7 @@
 
 def _by_flows(generation_of: GenerationOf) -> RetirementRule:
     return RetirementRule(
-        earliest_ms=FLOW_KEY_EARLIEST_SECONDS * MILLISECONDS_PER_SECOND,
+        earliest_ms=FLOW_KEY_MIN_AGE_SECONDS * MILLISECONDS_PER_SECOND,
         latest_ms=FLOW_KEY_LATEST_SECONDS * MILLISECONDS_PER_SECOND,
         generation_of=generation_of,
     )
