--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -106,7 +106,7 @@
     assert harness.resets == [RESET_TO_CALLER]
 
 
-def test_a_silent_agent_is_passed_over_and_avoided():
+def test_the_next_agent_is_tried_after_a_silent_one_which_is_then_avoided():
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
     ((_, silent, _),) = harness.take_sent()
