--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -29,7 +29,7 @@
 MILLISECONDS_PER_SECOND = 1000
 FLOW_KEY_MIN_AGE_SECONDS = 60
 """Least age at which a key without flows is retired: packets and reports may be under way."""
-FLOW_KEY_LATEST_SECONDS = 24 * 3600
+FLOW_KEY_MAX_AGE_SECONDS = 24 * 3600
 """Age at which a key is retired though an agent has flows on it, or was not heard."""
 TICKET_KEY_SECONDS = 2 * 3600
 """Tickets live an hour from their issue; agents may have got the next key somewhat later."""
@@ -75,7 +75,7 @@
 def _by_flows(generation_of: GenerationOf) -> RetirementRule:
     return RetirementRule(
         earliest_ms=FLOW_KEY_MIN_AGE_SECONDS * MILLISECONDS_PER_SECOND,
-        latest_ms=FLOW_KEY_LATEST_SECONDS * MILLISECONDS_PER_SECOND,
+        latest_ms=FLOW_KEY_MAX_AGE_SECONDS * MILLISECONDS_PER_SECOND,
         generation_of=generation_of,
     )
 
