--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -264,7 +264,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, silent, DATA)]
 
 
-def test_a_refusal_of_a_copy_takes_no_acceptance_back():
+def test_a_refusal_of_a_copy_revokes_no_acceptance():
     harness = Harness(record(1), record(2))
     number = opened(harness)
     harness.refuse(number, 1.2, RefusalReason.DRAINING)
