--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -18,7 +18,7 @@
 ROUTABLE = RoutableId(AGENT, 1, 1)
 NONCE = bytes(5)
 START_MS = 1_700_000_000_000
-EARLIEST_MS = key_duties.FLOW_KEY_MIN_AGE_SECONDS * 1000
+MIN_AGE_MS = key_duties.FLOW_KEY_MIN_AGE_SECONDS * 1000
 LATEST_MS = key_duties.FLOW_KEY_MAX_AGE_SECONDS * 1000
 
 
@@ -122,13 +122,13 @@
     leader.generations[AGENT] = 1
     first = leader.codec().encode(ROUTABLE, NONCE)
     for number in range(3):
-        leader.now_ms += EARLIEST_MS
+        leader.now_ms += MIN_AGE_MS
         assert leader.rotate(f"rotation {number}").accepted
         leader.step()
     assert leader.generations_of() == ["1o", "2o", "3o", "4A", "5w"]
     assert leader.codec().decode(first) == ROUTABLE
     leader.generations[AGENT] = 4
-    leader.now_ms += EARLIEST_MS
+    leader.now_ms += MIN_AGE_MS
     leader.step()
     assert leader.generations_of() == ["4A", "5w"]
     assert leader.codec().decode(first) is None
@@ -167,9 +167,9 @@
 
 
 RETIREMENT = {
-    "all moved": (PURPOSE, 2, EARLIEST_MS, True, True),
-    "too young": (PURPOSE, 2, EARLIEST_MS - 1, True, False),
-    "not in force": (PURPOSE, 2, EARLIEST_MS, False, False),
+    "all moved": (PURPOSE, 2, MIN_AGE_MS, True, True),
+    "too young": (PURPOSE, 2, MIN_AGE_MS - 1, True, False),
+    "not in force": (PURPOSE, 2, MIN_AGE_MS, False, False),
     "a flow rests on it": (PURPOSE, 1, LATEST_MS - 1, True, False),
     "not known": (PURPOSE, 0, LATEST_MS - 1, True, False),
     "an agent is cut off": (PURPOSE, None, LATEST_MS - 1, True, False),
@@ -223,6 +223,6 @@
         leader.rotate(f"rotation {number}")
         rotations.append(keys_of(leader.table, PURPOSE)[-1].rotation)
         leader.step()
-        leader.now_ms += EARLIEST_MS
+        leader.now_ms += MIN_AGE_MS
         leader.step()
     assert rotations == [2, 3, 4, 5, 6, 0, 1]
