--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -336,7 +336,7 @@
     assert len(harness.core) == 0
 
 
-def test_every_decision_is_noted_with_its_flow():
+def test_every_decision_is_logged_with_its_flow():
     harness = Harness(record(1))
     opened(harness)
     other = CALLER.__class__("100.64.0.9", 1)
