--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -19,7 +19,7 @@
 NONCE = bytes(5)
 START_MS = 1_700_000_000_000
 MIN_AGE_MS = key_duties.FLOW_KEY_MIN_AGE_SECONDS * 1000
-LATEST_MS = key_duties.FLOW_KEY_MAX_AGE_SECONDS * 1000
+MAX_AGE_MS = key_duties.FLOW_KEY_MAX_AGE_SECONDS * 1000
 
 
 @dataclass
@@ -170,11 +170,11 @@
     "all moved": (PURPOSE, 2, MIN_AGE_MS, True, True),
     "too young": (PURPOSE, 2, MIN_AGE_MS - 1, True, False),
     "not in force": (PURPOSE, 2, MIN_AGE_MS, False, False),
-    "a flow rests on it": (PURPOSE, 1, LATEST_MS - 1, True, False),
-    "not known": (PURPOSE, 0, LATEST_MS - 1, True, False),
-    "an agent is cut off": (PURPOSE, None, LATEST_MS - 1, True, False),
-    "too old": (PURPOSE, 1, LATEST_MS, False, True),
-    "reset key": (KeyPurpose.STATELESS_RESET, 1, LATEST_MS - 1, True, False),
+    "a flow rests on it": (PURPOSE, 1, MAX_AGE_MS - 1, True, False),
+    "not known": (PURPOSE, 0, MAX_AGE_MS - 1, True, False),
+    "an agent is cut off": (PURPOSE, None, MAX_AGE_MS - 1, True, False),
+    "too old": (PURPOSE, 1, MAX_AGE_MS, False, True),
+    "reset key": (KeyPurpose.STATELESS_RESET, 1, MAX_AGE_MS - 1, True, False),
     "tickets live": (
         KeyPurpose.TICKET,
         None,
