--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -362,7 +362,7 @@
     assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
-def test_a_new_flow_waits_while_an_agent_that_restarted_has_not_heard_its_host():
+def test_a_new_flow_waits_while_the_host_of_a_restarted_agent_has_not_announced_itself():
     harness = Harness(record(1))
     harness.update_fleet(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     harness.core.receive(SYN, 1.0)
