--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -382,7 +382,7 @@
     assert not harness.core.has_pending()
 
 
-def test_an_agent_that_never_heard_of_a_host_lets_no_flow_wait():
+def test_an_agent_without_an_announced_host_lets_no_flow_wait():
     harness = Harness(record(1, HostPhase.UNKNOWN))
     harness.core.receive(SYN, 1.0)
     assert harness.resets == [RESET_TO_CALLER]
