--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -63,19 +63,19 @@
     """
 
     min_age_ms: int
-    latest_ms: int
+    max_age_ms: int
     generation_of: GenerationOf | None = None
 
 
 def _after(seconds: int) -> RetirementRule:
     age_ms = seconds * MILLISECONDS_PER_SECOND
-    return RetirementRule(min_age_ms=age_ms, latest_ms=age_ms)
+    return RetirementRule(min_age_ms=age_ms, max_age_ms=age_ms)
 
 
 def _by_flows(generation_of: GenerationOf) -> RetirementRule:
     return RetirementRule(
         min_age_ms=FLOW_KEY_MIN_AGE_SECONDS * MILLISECONDS_PER_SECOND,
-        latest_ms=FLOW_KEY_MAX_AGE_SECONDS * MILLISECONDS_PER_SECOND,
+        max_age_ms=FLOW_KEY_MAX_AGE_SECONDS * MILLISECONDS_PER_SECOND,
         generation_of=generation_of,
     )
 
@@ -136,7 +136,7 @@
                 continue
             age_ms = now_ms() - key.superseded_at_ms
             rule = RETIREMENT_RULES[purpose]
-            is_due = age_ms >= rule.latest_ms
+            is_due = age_ms >= rule.max_age_ms
             if not is_due and age_ms >= rule.min_age_ms:
                 everywhere = in_force(_revision_of(table, active))
                 is_due = everywhere and _nothing_rests_on(key, rule, live_agents(), table)
