--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -412,7 +412,7 @@
     assert not harness.core.has_pending()
 
 
-def test_a_flow_that_its_caller_has_followed_up_is_not_taken_back():
+def test_a_flow_that_its_caller_has_followed_up_is_not_revoked():
     harness = Harness(record(1), record(2))
     number = opened(harness)
     harness.core.receive(DATA, 1.1)
