--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -31,7 +31,7 @@
 """Least age at which a key without flows is retired: packets and reports may be under way."""
 FLOW_KEY_MAX_AGE_SECONDS = 24 * 3600
 """Age at which a key is retired though an agent has flows on it, or was not heard."""
-TICKET_KEY_SECONDS = 2 * 3600
+TICKET_KEY_AGE_SECONDS = 2 * 3600
 """Tickets live an hour from their issue; agents may have got the next key somewhat later."""
 DATAGRAM_KEY_SECONDS = 3600
 """Time for a balancer that was cut off to seal with the former key."""
@@ -83,7 +83,7 @@
 RETIREMENT_RULES = {
     KeyPurpose.CONNECTION_ID: _by_flows(lambda agent: agent.connection_id_generation),
     KeyPurpose.STATELESS_RESET: _by_flows(lambda agent: agent.stateless_reset_generation),
-    KeyPurpose.TICKET: _after(TICKET_KEY_SECONDS),
+    KeyPurpose.TICKET: _after(TICKET_KEY_AGE_SECONDS),
     KeyPurpose.DATAGRAM: _after(DATAGRAM_KEY_SECONDS),
 }
 
--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -178,11 +178,11 @@
     "tickets live": (
         KeyPurpose.TICKET,
         None,
-        key_duties.TICKET_KEY_SECONDS * 1000 - 1,
+        key_duties.TICKET_KEY_AGE_SECONDS * 1000 - 1,
         True,
         False,
     ),
-    "tickets died": (KeyPurpose.TICKET, None, key_duties.TICKET_KEY_SECONDS * 1000, True, True),
+    "tickets died": (KeyPurpose.TICKET, None, key_duties.TICKET_KEY_AGE_SECONDS * 1000, True, True),
     "datagrams": (KeyPurpose.DATAGRAM, None, key_duties.DATAGRAM_KEY_SECONDS * 1000, True, True),
 }
 
