--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -423,7 +423,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
-def test_an_agent_whose_host_fails_is_passed_over_for_a_while_and_then_asked_again():
+def test_an_agent_whose_host_fails_is_avoided_for_a_while_and_then_tried_again():
     harness = Harness(record(1), record(2), record(3))
     asked = opening_to(harness, 1, 1.0)
     key = key_of(caller=Endpoint("100.64.0.9", 1))
