--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -33,7 +33,7 @@
 """Age at which a key is retired though an agent has flows on it, or was not heard."""
 TICKET_KEY_AGE_SECONDS = 2 * 3600
 """Tickets live an hour from their issue; agents may have got the next key somewhat later."""
-DATAGRAM_KEY_SECONDS = 3600
+DATAGRAM_KEY_AGE_SECONDS = 3600
 """Time for a balancer that was cut off to seal with the former key."""
 
 SecretSource = Callable[[int], bytes]
@@ -84,7 +84,7 @@
     KeyPurpose.CONNECTION_ID: _by_flows(lambda agent: agent.connection_id_generation),
     KeyPurpose.STATELESS_RESET: _by_flows(lambda agent: agent.stateless_reset_generation),
     KeyPurpose.TICKET: _after(TICKET_KEY_AGE_SECONDS),
-    KeyPurpose.DATAGRAM: _after(DATAGRAM_KEY_SECONDS),
+    KeyPurpose.DATAGRAM: _after(DATAGRAM_KEY_AGE_SECONDS),
 }
 
 
--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -183,7 +183,13 @@
         False,
     ),
     "tickets died": (KeyPurpose.TICKET, None, key_duties.TICKET_KEY_AGE_SECONDS * 1000, True, True),
-    "datagrams": (KeyPurpose.DATAGRAM, None, key_duties.DATAGRAM_KEY_SECONDS * 1000, True, True),
+    "datagrams": (
+        KeyPurpose.DATAGRAM,
+        None,
+        key_duties.DATAGRAM_KEY_AGE_SECONDS * 1000,
+        True,
+        True,
+    ),
 }
 
 
