--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -301,7 +301,7 @@
     assert harness.take_opening() == (1, True)
 
 
-def test_an_agent_is_told_how_long_ago_the_caller_began():
+def test_an_opening_frame_carries_the_age_of_the_callers_attempt():
     harness = Harness(record(1))
     copy = from_caller(OPENING, bytes((6,)))
     harness.core.receive(copy, 1.0)
