--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -139,13 +139,13 @@
             is_due = age_ms >= rule.max_age_ms
             if not is_due and age_ms >= rule.min_age_ms:
                 everywhere = in_force(_revision_of(table, active))
-                is_due = everywhere and _nothing_rests_on(key, rule, live_agents(), table)
+                is_due = everywhere and _is_unused(key, rule, live_agents(), table)
             if is_due:
                 commands.append(RetireKey(purpose, key.rotation, key.generation))
     return commands
 
 
-def _nothing_rests_on(
+def _is_unused(
     key: KeyEntry,
     rule: RetirementRule,
     agents: Sequence[AgentKeys],
