--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -327,7 +327,7 @@
     assert len(harness.core) == 0
 
 
-def test_flows_without_packets_are_forgotten_in_the_end():
+def test_flows_without_packets_are_removed_after_their_lifetime():
     harness = Harness(record(1))
     opened(harness)
     harness.core.sweep(30.0)
