--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -67,7 +67,7 @@
     generation_of: GenerationOf | None = None
 
 
-def _after(seconds: int) -> RetirementRule:
+def _retire_by_age(seconds: int) -> RetirementRule:
     age_ms = seconds * MILLISECONDS_PER_SECOND
     return RetirementRule(min_age_ms=age_ms, max_age_ms=age_ms)
 
@@ -83,8 +83,8 @@
 RETIREMENT_RULES = {
     KeyPurpose.CONNECTION_ID: _by_flows(lambda agent: agent.connection_id_generation),
     KeyPurpose.STATELESS_RESET: _by_flows(lambda agent: agent.stateless_reset_generation),
-    KeyPurpose.TICKET: _after(TICKET_KEY_AGE_SECONDS),
-    KeyPurpose.DATAGRAM: _after(DATAGRAM_KEY_AGE_SECONDS),
+    KeyPurpose.TICKET: _retire_by_age(TICKET_KEY_AGE_SECONDS),
+    KeyPurpose.DATAGRAM: _retire_by_age(DATAGRAM_KEY_AGE_SECONDS),
 }
 
 
