--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -272,7 +272,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
-def test_a_caller_that_follows_up_stands_for_an_answer_that_is_late():
+def test_a_callers_follow_up_replaces_a_late_answer():
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
     ((_, number, _),) = harness.take_sent()
