--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -72,7 +72,7 @@
     return RetirementRule(min_age_ms=age_ms, max_age_ms=age_ms)
 
 
-def _by_flows(generation_of: GenerationOf) -> RetirementRule:
+def _retire_by_flows(generation_of: GenerationOf) -> RetirementRule:
     return RetirementRule(
         min_age_ms=FLOW_KEY_MIN_AGE_SECONDS * MILLISECONDS_PER_SECOND,
         max_age_ms=FLOW_KEY_MAX_AGE_SECONDS * MILLISECONDS_PER_SECOND,
@@ -81,8 +81,8 @@
 
 
 RETIREMENT_RULES = {
-    KeyPurpose.CONNECTION_ID: _by_flows(lambda agent: agent.connection_id_generation),
-    KeyPurpose.STATELESS_RESET: _by_flows(lambda agent: agent.stateless_reset_generation),
+    KeyPurpose.CONNECTION_ID: _retire_by_flows(lambda agent: agent.connection_id_generation),
+    KeyPurpose.STATELESS_RESET: _retire_by_flows(lambda agent: agent.stateless_reset_generation),
     KeyPurpose.TICKET: _retire_by_age(TICKET_KEY_AGE_SECONDS),
     KeyPurpose.DATAGRAM: _retire_by_age(DATAGRAM_KEY_AGE_SECONDS),
 }
