--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -106,7 +106,7 @@
     assert harness.resets == []
 
 
-def test_an_upload_that_rests_makes_room_though_it_has_not_ended():
+def test_an_idle_upload_frees_capacity_though_it_has_not_ended():
     harness = full(waiting=(3,))
     receive(harness, 1.1, 1, 0, b"data")
     harness.core.tick(1.1 + LOADING_SECONDS)
