--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -159,8 +159,8 @@
     generation_of = rule.generation_of
     if generation_of is None:
         return True
-    heard: set[Endpoint] = {agent.address for agent in agents}
-    if any(each.incarnation and each.address not in heard for each in table.members()):
+    reporting: set[Endpoint] = {agent.address for agent in agents}
+    if any(each.incarnation and each.address not in reporting for each in table.members()):
         return False
     return all(generation_of(agent) > key.generation for agent in agents)
 
