--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -115,7 +115,7 @@
     assert opened(harness) == [3]
 
 
-def test_an_upload_whose_data_waits_for_the_link_makes_no_room():
+def test_an_upload_whose_data_waits_for_the_link_frees_no_capacity():
     harness = full(waiting=(3,))
     keep_the_link_full(harness, 1.1)
     resting = 1.11 + FIRST_DATA_SECONDS
