--- a/src/jasperwalk/control/state/canonical.py
+++ b/src/jasperwalk/control/state/canonical.py
@@ -9,7 +9,7 @@
 import msgspec
 
 ARRAY_MAJOR_TYPE = 4 << 5
-LONGEST_SHORT_ARRAY = 23
+MAX_SHORT_ARRAY_LENGTH = 23
 """Items of an array whose header is one octet."""
 ARRAY_LENGTH_FORMS = ((24, 1), (25, 2), (26, 4), (27, 8))
 """Low bits of a longer header, and the octets of the length that follow it."""
@@ -45,7 +45,7 @@
 
 
 def _array_header(length: int) -> bytes:
-    if length <= LONGEST_SHORT_ARRAY:
+    if length <= MAX_SHORT_ARRAY_LENGTH:
         return bytes([ARRAY_MAJOR_TYPE | length])
     for low_bits, octets in ARRAY_LENGTH_FORMS:
         if length < 1 << (8 * octets):
