--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -162,7 +162,7 @@
     assert opened(harness) == [3]
 
 
-def test_packets_without_data_make_no_room():
+def test_packets_without_data_free_no_capacity():
     harness = full(waiting=(3,))
     for number in (1, 2):
         receive(harness, 1.1, number)
