--- a/src/jasperwalk/control/state/change_register.py
+++ b/src/jasperwalk/control/state/change_register.py
@@ -18,7 +18,7 @@
 DEFAULT_CHANGE_LIMIT = 4_096
 """Outcomes remembered; the oldest is forgotten first."""
 
-LONGEST_CHANGE_ID = 128
+MAX_CHANGE_ID_LENGTH = 128
 """Characters of a change ID."""
 
 FINGERPRINT_LENGTH = 16
--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -16,7 +16,7 @@
 from jasperwalk.config.table_entries import MemberEntry
 from jasperwalk.control.state.change_register import (
     DEFAULT_CHANGE_LIMIT,
-    LONGEST_CHANGE_ID,
+    MAX_CHANGE_ID_LENGTH,
     ChangeRecord,
     ChangeRegister,
     fingerprint_of,
@@ -240,8 +240,8 @@
         self, index: int, command: OperatorCommand, plan: Plan | Outcome | None
     ) -> Outcome:
         """Apply an operator's change, or repeat the first outcome of its change ID."""
-        if not 1 <= len(command.change_id) <= LONGEST_CHANGE_ID:
-            mend = f"use 1 to {LONGEST_CHANGE_ID} characters"
+        if not 1 <= len(command.change_id) <= MAX_CHANGE_ID_LENGTH:
+            mend = f"use 1 to {MAX_CHANGE_ID_LENGTH} characters"
             return InvalidIdentifier(subject="change ID", text=command.change_id[:80], mend=mend)
         fingerprint = fingerprint_of(command)
         known = self._changes.find(command.change_id)
