--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -76,7 +76,7 @@
     assert [to for _, to in harness.resets] == [("100.64.0.9", 1)]
 
 
-def test_a_full_intake_lets_the_oldest_go():
+def test_a_full_intake_resets_the_oldest():
     harness, desk = intake()
     for port in range(MAX_WAITING_OPENINGS + 1):
         desk.receive(syn(port + 1), 1.0)
