--- a/src/jasperwalk/control/state/change_register.py
+++ b/src/jasperwalk/control/state/change_register.py
@@ -24,7 +24,7 @@
 FINGERPRINT_LENGTH = 16
 """Bytes of the hash that tells a resend from another change under the same ID."""
 
-FIELDS_NOT_ASKED_FOR = ("expected_revision", "secret")
+FIELDS_NOT_FINGERPRINTED = ("expected_revision", "secret")
 """Fields in which a resend may differ from the first sending."""
 
 
@@ -60,7 +60,7 @@
     resends the same change. So is a secret, which control draws anew for a resend.
     """
     fields = msgspec.structs.asdict(command)
-    for name in FIELDS_NOT_ASKED_FOR:
+    for name in FIELDS_NOT_FINGERPRINTED:
         fields.pop(name, None)
     content = canonical_bytes([type(command).__name__, fields])
     return hashlib.sha256(content).digest()[:FINGERPRINT_LENGTH]
