--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -83,7 +83,7 @@
     assert [to for _, to in harness.resets] == [("100.64.0.9", 1)]
 
 
-def test_without_routes_new_flows_are_kept_with_the_time_of_their_coming():
+def test_without_routes_new_flows_are_kept_with_their_arrival_time():
     harness, desk = intake(version=0)
     desk.receive(syn(1), 1.0)
     desk.open_waiting(1.0)
