--- a/src/jasperwalk/control/state/commands.py
+++ b/src/jasperwalk/control/state/commands.py
@@ -129,7 +129,7 @@
 _DECODER: codec.Decoder[Command] = codec.Decoder(Command)
 
 
-HIGHEST_VALUE = 2**63 - 1
+MAX_INTEGER = 2**63 - 1
 """Integers beyond this are not taken into the log."""
 
 DEEPEST_VALUE = 8
@@ -167,7 +167,7 @@
     if value is None or isinstance(value, str | float):
         return True
     if isinstance(value, int):
-        return -HIGHEST_VALUE <= value <= HIGHEST_VALUE
+        return -MAX_INTEGER <= value <= MAX_INTEGER
     if depth == 0:
         return False
     if isinstance(value, list):
