--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -125,7 +125,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, 2, DATA)]
 
 
-def test_a_host_that_keeps_a_shown_packet_without_a_word_is_passed_over():
+def test_the_next_host_is_probed_after_one_that_does_not_answer():
     harness = searching(record(1), record(2))
     queried(harness)
     harness.answer(1, FrameKind.UNSURE, 1.01)
