--- a/src/jasperwalk/control/state/commands.py
+++ b/src/jasperwalk/control/state/commands.py
@@ -132,7 +132,7 @@
 MAX_INTEGER = 2**63 - 1
 """Integers beyond this are not taken into the log."""
 
-DEEPEST_VALUE = 8
+MAX_NESTING_LEVELS = 8
 """Levels of lists and tables within a tenant's values."""
 
 
@@ -154,10 +154,10 @@
 
 def _check_plain(command: Command) -> None:
     """Raise `MalformedMessage` for values that another replica could not print or encode."""
-    if isinstance(command, SetTenant) and not _is_plain(command.values, DEEPEST_VALUE):
+    if isinstance(command, SetTenant) and not _is_plain(command.values, MAX_NESTING_LEVELS):
         reason = (
             "values may hold strings, 64-bit integers, numbers, booleans, and lists and tables "
-            f"of them up to {DEEPEST_VALUE} levels deep"
+            f"of them up to {MAX_NESTING_LEVELS} levels deep"
         )
         raise MalformedMessage(reason=reason)
 
