--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("holder", [None, 9], ids=["unknown", "at an agent not known here"])
-def test_without_a_holder_that_is_known_the_next_packet_begins_anew(holder):
+def test_without_a_known_holder_the_next_packet_starts_another_search(holder):
     harness = delegating()
     kind = LocateVerdict.UNKNOWN if holder is None else LocateVerdict.FOUND
     verdict(harness, helper_of(harness), kind, holder)
