--- a/src/jasperwalk/control/state/configuration.py
+++ b/src/jasperwalk/control/state/configuration.py
@@ -31,7 +31,7 @@
 )
 from jasperwalk.control.state.outcomes import LimitReached, Outcome
 
-HIGHEST_TEMPLATE_COUNT = 1_000
+MAX_TEMPLATE_COUNT = 1_000
 HIGHEST_TENANT_COUNT = 20_000
 
 LONGEST_SHOWN_NAME = 80
@@ -91,8 +91,8 @@
         mismatch = _mismatch(f"template {template.name}", command.expected_revision, current)
         if mismatch is not None:
             return mismatch
-        if stored is None and len(self.templates) >= HIGHEST_TEMPLATE_COUNT:
-            return LimitReached(subject="templates", limit=HIGHEST_TEMPLATE_COUNT)
+        if stored is None and len(self.templates) >= MAX_TEMPLATE_COUNT:
+            return LimitReached(subject="templates", limit=MAX_TEMPLATE_COUNT)
         new_template = StoredTemplate(template=template, text=command.text, revision=index)
         return self._plan_rerendering(new_template, claims)
 
