--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -85,7 +85,7 @@
     assert {kind for kind, _, _ in harness.take_sent()} == {FrameKind.FIND}
 
 
-def test_an_agent_that_does_not_answer_is_passed_over():
+def test_an_agent_that_does_not_answer_is_avoided():
     harness = delegating()
     first = helper_of(harness)
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
