--- a/src/jasperwalk/control/state/configuration.py
+++ b/src/jasperwalk/control/state/configuration.py
@@ -32,7 +32,7 @@
 from jasperwalk.control.state.outcomes import LimitReached, Outcome
 
 MAX_TEMPLATE_COUNT = 1_000
-HIGHEST_TENANT_COUNT = 20_000
+MAX_TENANT_COUNT = 20_000
 
 LONGEST_SHOWN_NAME = 80
 """Characters of a wrong name that an outcome repeats."""
@@ -108,8 +108,8 @@
         stored_template = self.templates.get(command.template)
         if stored_template is None:
             return UnknownTemplate(template=command.template[:LONGEST_SHOWN_NAME])
-        if command.name not in self.tenants and len(self.tenants) >= HIGHEST_TENANT_COUNT:
-            return LimitReached(subject="tenants", limit=HIGHEST_TENANT_COUNT)
+        if command.name not in self.tenants and len(self.tenants) >= MAX_TENANT_COUNT:
+            return LimitReached(subject="tenants", limit=MAX_TENANT_COUNT)
         return _plan_values(command, stored_template, index, claims)
 
     def plan_removal(self, command: RemoveTenant) -> Plan | Outcome:
