--- a/tests/balancer/datagrams/test_zones.py
+++ b/tests/balancer/datagrams/test_zones.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("reason", [RefusalReason.WARMING_UP, RefusalReason.ZONE_DRAINED])
-def test_an_agent_that_refuses_for_its_hosts_sake_is_passed_over_for_a_moment(reason):
+def test_an_agent_that_refuses_because_of_its_host_is_avoided_for_a_moment(reason):
     harness = Harness(record(1, zone="a"), record(2, zone="b"))
     assert opened_at(harness) == [1]
     harness.refuse(1, 10.01, reason)
