--- a/src/jasperwalk/control/state/configuration.py
+++ b/src/jasperwalk/control/state/configuration.py
@@ -34,7 +34,7 @@
 MAX_TEMPLATE_COUNT = 1_000
 MAX_TENANT_COUNT = 20_000
 
-LONGEST_SHOWN_NAME = 80
+MAX_SHOWN_NAME_LENGTH = 80
 """Characters of a wrong name that an outcome repeats."""
 
 
@@ -84,7 +84,7 @@
         if command.name and command.name != template.name:
             mend = f"give the name in the text, {template.name!r}"
             return InvalidIdentifier(
-                subject="template name", text=command.name[:LONGEST_SHOWN_NAME], mend=mend
+                subject="template name", text=command.name[:MAX_SHOWN_NAME_LENGTH], mend=mend
             )
         stored = self.templates.get(template.name)
         current = 0 if stored is None else stored.revision
@@ -100,14 +100,14 @@
         """Decide on a tenant: its values must render, and without conflict."""
         if not is_name(command.name):
             return InvalidIdentifier(
-                subject="tenant name", text=command.name[:LONGEST_SHOWN_NAME], mend=NAME_RULE
+                subject="tenant name", text=command.name[:MAX_SHOWN_NAME_LENGTH], mend=NAME_RULE
             )
         mismatch = self._tenant_mismatch(command.name, command.expected_revision)
         if mismatch is not None:
             return mismatch
         stored_template = self.templates.get(command.template)
         if stored_template is None:
-            return UnknownTemplate(template=command.template[:LONGEST_SHOWN_NAME])
+            return UnknownTemplate(template=command.template[:MAX_SHOWN_NAME_LENGTH])
         if command.name not in self.tenants and len(self.tenants) >= MAX_TENANT_COUNT:
             return LimitReached(subject="tenants", limit=MAX_TENANT_COUNT)
         return _plan_values(command, stored_template, index, claims)
@@ -115,7 +115,7 @@
     def plan_removal(self, command: RemoveTenant) -> Plan | Outcome:
         """Decide on a tenant's removal; its rendering becomes empty."""
         if command.name not in self.tenants:
-            return UnknownTenant(tenant=command.name[:LONGEST_SHOWN_NAME])
+            return UnknownTenant(tenant=command.name[:MAX_SHOWN_NAME_LENGTH])
         mismatch = self._tenant_mismatch(command.name, command.expected_revision)
         if mismatch is not None:
             return mismatch
