--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("reads_terms", [False, True])
-def test_where_routes_are_alike_nothing_is_told(reads_terms):
+def test_where_routes_have_equal_terms_none_are_sent(reads_terms):
     harness = Harness(record(1, reads_terms=reads_terms))
     route_two(harness, NORMAL)
     flags, _ = sent_opening(harness, from_caller(OPENING))
