--- a/src/jasperwalk/control/state/host_changes.py
+++ b/src/jasperwalk/control/state/host_changes.py
@@ -14,7 +14,7 @@
 from jasperwalk.control.state.installer import Installer
 from jasperwalk.control.state.outcomes import LimitReached
 
-LONGEST_SHOWN_HOST = 80
+MAX_SHOWN_HOST_LENGTH = 80
 """Characters of an unknown host that an outcome repeats."""
 
 
@@ -33,7 +33,7 @@
     ) -> UnknownHost | LimitReached | None:
         """Drain a host by an operator's wish, or let it take new work."""
         if not self._is_known_host(command.host):
-            return UnknownHost(host=command.host[:LONGEST_SHOWN_HOST])
+            return UnknownHost(host=command.host[:MAX_SHOWN_HOST_LENGTH])
         if not self._host_states.set_by_operator(command.host, command.admin_state):
             return LimitReached(subject="draining hosts", limit=HIGHEST_HOST_COUNT)
         self._refresh_hosts({command.host}, index)
