--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("terms", "asked"), [(URGENT, 2), (NORMAL, 1)])
-def test_where_routes_differ_flows_stay_in_their_zone_while_it_has_room(terms, asked):
+def test_where_routes_differ_flows_stay_in_their_zone_while_it_has_capacity(terms, asked):
     harness = Harness(record(1, zone="b"), record(2, zone="a"))
     route_two(harness, terms)
     endpoint = address_of(2)
