--- a/src/jasperwalk/control/state/fleet_keys.py
+++ b/src/jasperwalk/control/state/fleet_keys.py
@@ -27,7 +27,7 @@
 )
 from jasperwalk.control.state.outcomes import LimitReached
 
-HIGHEST_ROTATION = 6
+MAX_ROTATION = 6
 """Rotation 7 is reserved by the QUIC-LB draft for connection IDs that are not routable."""
 
 CONNECTION_ID_SECRET_LENGTH = 16
@@ -36,7 +36,7 @@
 SHORTEST_SECRET = 16
 LONGEST_SECRET = 64
 
-KEYS_PER_PURPOSE = HIGHEST_ROTATION + 1
+KEYS_PER_PURPOSE = MAX_ROTATION + 1
 
 SPARE_KEYS = 1
 """Keys of a purpose that wait while no rotation is in progress."""
@@ -158,7 +158,7 @@
 
 
 def _is_valid(command: InstallKey) -> bool:
-    if not 0 <= command.rotation <= HIGHEST_ROTATION:
+    if not 0 <= command.rotation <= MAX_ROTATION:
         return False
     if command.purpose is KeyPurpose.CONNECTION_ID:
         return len(command.secret) == CONNECTION_ID_SECRET_LENGTH
