--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -414,7 +414,7 @@
         (OperatingStatus.OFFLINE, False),
     ],
 )
-def test_only_the_flows_of_an_agent_that_is_not_heard_of_go_to_a_witness(status, to_its_agent):
+def test_only_the_flows_of_an_offline_agent_go_to_a_substitute(status, to_its_agent):
     table = make_table()
     own = make_member("127.0.0.2", UREDNIK_ID)
     changed = msgspec.structs.replace(own, operating_status=status)
