--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -64,7 +64,7 @@
         return names
 
 
-def test_a_slow_host_is_not_chosen_while_others_have_room():
+def test_a_slow_host_is_not_chosen_while_others_have_capacity():
     harness = Harness()
     harness.report_typical()
     harness.report(1, 8 * TYPICAL)
