--- a/src/jasperwalk/control/state/fleet_keys.py
+++ b/src/jasperwalk/control/state/fleet_keys.py
@@ -34,7 +34,7 @@
 """Bytes of an AES-128 key."""
 
 MIN_SECRET_LENGTH = 16
-LONGEST_SECRET = 64
+MAX_SECRET_LENGTH = 64
 
 KEYS_PER_PURPOSE = MAX_ROTATION + 1
 
@@ -162,7 +162,7 @@
         return False
     if command.purpose is KeyPurpose.CONNECTION_ID:
         return len(command.secret) == CONNECTION_ID_SECRET_LENGTH
-    return MIN_SECRET_LENGTH <= len(command.secret) <= LONGEST_SECRET
+    return MIN_SECRET_LENGTH <= len(command.secret) <= MAX_SECRET_LENGTH
 
 
 def _deactivate_others(
