--- a/tests/fleet/test_process_metrics.py
+++ b/tests/fleet/test_process_metrics.py
@@ -30,7 +30,7 @@
         "jasperwalk_agent_host_seconds_sum 99.0405",
     ],
 )
-def test_figures_in_the_text_format(line):
+def test_metrics_in_the_text_format(line):
     assert line in process_metrics().render().decode().splitlines()
 
 
