--- a/src/jasperwalk/control/state/host_changes.py
+++ b/src/jasperwalk/control/state/host_changes.py
@@ -9,7 +9,7 @@
     SetPlatformStates,
 )
 from jasperwalk.control.state.fleet_refusals import UnknownHost
-from jasperwalk.control.state.host_states import HIGHEST_HOST_COUNT, HostStates
+from jasperwalk.control.state.host_states import MAX_DRAINING_HOSTS, HostStates
 from jasperwalk.control.state.incarnations import AgentRecord, Incarnations, RegistrationRefusal
 from jasperwalk.control.state.installer import Installer
 from jasperwalk.control.state.outcomes import LimitReached
@@ -35,7 +35,7 @@
         if not self._is_known_host(command.host):
             return UnknownHost(host=command.host[:MAX_SHOWN_HOST_LENGTH])
         if not self._host_states.set_by_operator(command.host, command.admin_state):
-            return LimitReached(subject="draining hosts", limit=HIGHEST_HOST_COUNT)
+            return LimitReached(subject="draining hosts", limit=MAX_DRAINING_HOSTS)
         self._refresh_hosts({command.host}, index)
         return None
 
@@ -47,7 +47,7 @@
             has_room = has_room and stored
         self._refresh_hosts({state.host for state in command.states}, index)
         if not has_room:
-            return LimitReached(subject="leaving hosts", limit=HIGHEST_HOST_COUNT)
+            return LimitReached(subject="leaving hosts", limit=MAX_DRAINING_HOSTS)
         return None
 
     def register_agent(
--- a/src/jasperwalk/control/state/host_states.py
+++ b/src/jasperwalk/control/state/host_states.py
@@ -7,7 +7,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.table_entries import AdminState
 
-HIGHEST_HOST_COUNT = 100_000
+MAX_DRAINING_HOSTS = 100_000
 """Hosts that may be draining at once, for each source; a bound on memory."""
 
 
@@ -74,7 +74,7 @@
     if admin_state is AdminState.ENABLED:
         draining.discard(host)
         return True
-    if host not in draining and len(draining) >= HIGHEST_HOST_COUNT:
+    if host not in draining and len(draining) >= MAX_DRAINING_HOSTS:
         return False
     draining.add(host)
     return True
