--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -182,7 +182,7 @@
     play(scenario, homes=2)
 
 
-def test_every_node_is_told_at_once_that_its_home_became_current(play):
+def test_every_node_is_notified_at_once_that_its_home_became_current(play):
     async def scenario(homes, start):
         (home,) = homes
         home.current = False
