--- a/src/jasperwalk/control/state/incarnations.py
+++ b/src/jasperwalk/control/state/incarnations.py
@@ -15,7 +15,7 @@
 from jasperwalk.control.state.fleet_refusals import IncarnationsExhausted, SupersededBoot
 from jasperwalk.control.state.outcomes import LimitReached
 
-HIGHEST_INCARNATION = 65_535
+MAX_INCARNATION = 65_535
 """An incarnation has two bytes in a connection ID."""
 
 REMEMBERED_BOOTS = 4
@@ -73,7 +73,7 @@
             # Race: a proposal of an earlier start, delayed past the registration of a later
             # one, must not take the address back.
             return SupersededBoot(address=str(command.address), incarnation=record.incarnation)
-        if record.incarnation >= HIGHEST_INCARNATION:
+        if record.incarnation >= MAX_INCARNATION:
             return IncarnationsExhausted(address=str(command.address))
         boot_ids = (*record.boot_ids, command.boot_id)[-REMEMBERED_BOOTS:]
         return self._store(command, incarnation=record.incarnation + 1, boot_ids=boot_ids)
