--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -247,7 +247,7 @@
     play(scenario)
 
 
-def test_a_replica_that_gets_power_during_an_attempt_is_dialled_anew_at_once(play, monkeypatch):
+def test_a_replica_that_gets_power_during_an_attempt_is_dialled_again_at_once(play, monkeypatch):
     """A connection whose first packet was dropped hangs, though the replica is there by now."""
     waited = []
     real_connect = home_link.connect
