--- a/src/jasperwalk/control/state/incarnations.py
+++ b/src/jasperwalk/control/state/incarnations.py
@@ -21,7 +21,7 @@
 REMEMBERED_BOOTS = 4
 """Boot IDs an address remembers, to know a late registration of an earlier start."""
 
-HIGHEST_AGENT_COUNT = 100_000
+MAX_AGENT_COUNT = 100_000
 """Addresses that may ever register; a bound on memory."""
 
 
@@ -64,8 +64,8 @@
         """
         record = self._records.get(command.address)
         if record is None:
-            if len(self._records) >= HIGHEST_AGENT_COUNT:
-                return LimitReached(subject="agent addresses", limit=HIGHEST_AGENT_COUNT)
+            if len(self._records) >= MAX_AGENT_COUNT:
+                return LimitReached(subject="agent addresses", limit=MAX_AGENT_COUNT)
             return self._store(command, incarnation=1, boot_ids=(command.boot_id,))
         if command.boot_id == record.boot_ids[-1]:
             return record
