--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -51,7 +51,7 @@
     assert read(AGENT).policies.fair_shares
 
 
-def test_weights_are_told_by_the_numbers_of_the_groups(read):
+def test_weights_are_keyed_by_the_numbers_of_the_groups(read):
     settings = read(f"{AGENT}[caller_group_weights]\nnorth = 2\nsouth = 0.5\n")
     assert settings.group_weights() == {caller_group("north"): 2.0, caller_group("south"): 0.5}
 
