--- a/src/jasperwalk/control/state/service_ids.py
+++ b/src/jasperwalk/control/state/service_ids.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.config.conflicts import Owner
 
-HIGHEST_SERVICE_ID = 2**24 - 1
+MAX_SERVICE_ID = 2**24 - 1
 """A service ID has three bytes in a connection ID."""
 
 
@@ -38,7 +38,7 @@
 
     def has_room_for(self, count: int) -> bool:
         """Tell whether `count` more IDs can be allotted."""
-        return self._next_service_id + count - 1 <= HIGHEST_SERVICE_ID
+        return self._next_service_id + count - 1 <= MAX_SERVICE_ID
 
     def allot(self, owner: Owner) -> int:
         """Return the service's ID, a new one where it has none.
