--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -58,7 +58,7 @@
     assert {chosen(made) for _ in range(20)} == {"agent-2"}
 
 
-def test_a_busy_agent_of_the_own_zone_is_passed_over():
+def test_a_busy_agent_of_the_own_zone_is_not_chosen():
     made = pool(record(1, zone="b"), record(2, zone="a"))
     load(made, 2, 3.0)
     assert chosen(made) == "agent-1"
