--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -36,7 +36,7 @@
         self._services_by_tenant: dict[str, dict[str, int]] = {}
         self._take_present_entries()
 
-    def has_room_for(self, renderings: list[RenderedTenant]) -> bool:
+    def can_allocate_ids(self, renderings: list[RenderedTenant]) -> bool:
         """Tell whether there are service IDs enough for the renderings."""
         owners = [
             Owner(tenant=rendering.tenant, service=service.name)
@@ -44,7 +44,7 @@
             for service in rendering.services
         ]
         new_owners = [owner for owner in owners if self.service_ids.find(owner) is None]
-        return self.service_ids.has_room_for(len(new_owners))
+        return self.service_ids.can_allocate_ids(len(new_owners))
 
     def install(self, renderings: list[RenderedTenant], revision: int) -> None:
         """Replace what the renderings' tenants had; they are free of conflicts.
--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -285,7 +285,7 @@
         """Store and install a plan; pass a refusal on."""
         if not isinstance(plan, Plan):
             return plan
-        if not self._installer.has_room_for(plan.renderings):
+        if not self._installer.can_allocate_ids(plan.renderings):
             return ServiceIdsExhausted()
         self._configuration.store(plan)
         self._installer.install(plan.renderings, index)
--- a/src/jasperwalk/control/state/service_ids.py
+++ b/src/jasperwalk/control/state/service_ids.py
@@ -36,14 +36,14 @@
         """Return the ID of a present service."""
         return self._ids.get(owner)
 
-    def has_room_for(self, count: int) -> bool:
+    def can_allocate_ids(self, count: int) -> bool:
         """Tell whether `count` more IDs can be allotted."""
         return self._next_service_id + count - 1 <= MAX_SERVICE_ID
 
     def allot(self, owner: Owner) -> int:
         """Return the service's ID, a new one where it has none.
 
-        The caller asks `has_room_for` first.
+        The caller asks `can_allocate_ids` first.
         """
         service_id = self._ids.get(owner)
         if service_id is None:
