--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("capacity", [1, 2, 4])
-def test_a_flow_that_stays_near_does_not_leave_a_zone_with_room(capacity):
+def test_a_flow_that_prefers_its_own_zone_stays_while_it_has_capacity(capacity):
     busy = FREE_LOAD_PER_SLOT * capacity
     made = two_zones(0.99 * busy, capacity)
     assert {chosen(made) for _ in range(20)} == {"agent-1"}
