--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -110,7 +110,7 @@
 
     def _upsert_service(self, tenant: str, service: RenderedService, revision: int) -> None:
         owner = Owner(tenant=tenant, service=service.name)
-        service_id = self.service_ids.allot(owner)
+        service_id = self.service_ids.allocate(owner)
         self._services_by_tenant.setdefault(tenant, {})[service.name] = service_id
         self.claims.claim_listener(service.listener, owner)
         entry = ServiceEntry(
--- a/src/jasperwalk/control/state/service_ids.py
+++ b/src/jasperwalk/control/state/service_ids.py
@@ -40,7 +40,7 @@
         """Tell whether `count` more IDs can be allotted."""
         return self._next_service_id + count - 1 <= MAX_SERVICE_ID
 
-    def allot(self, owner: Owner) -> int:
+    def allocate(self, owner: Owner) -> int:
         """Return the service's ID, a new one where it has none.
 
         The caller asks `can_allocate_ids` first.
