--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -98,7 +98,7 @@
     assert 9 <= drawn.count("agent-1") <= 11
 
 
-def test_a_flow_that_stays_near_leaves_agents_that_refuse_or_do_not_answer():
+def test_a_flow_that_prefers_its_own_zone_avoids_agents_that_refuse_or_do_not_answer():
     for held in ("suspect_until", "refuses_until"):
         made = two_zones(0.0)
         endpoint = address_of(2)
