--- a/src/jasperwalk/control/state/host_changes.py
+++ b/src/jasperwalk/control/state/host_changes.py
@@ -41,12 +41,12 @@
 
     def set_platform_states(self, index: int, command: SetPlatformStates) -> LimitReached | None:
         """Take over what changed in the platform's list."""
-        has_room = True
+        all_stored = True
         for state in command.states:
             stored = self._host_states.set_by_platform(state.host, state.admin_state)
-            has_room = has_room and stored
+            all_stored = all_stored and stored
         self._refresh_hosts({state.host for state in command.states}, index)
-        if not has_room:
+        if not all_stored:
             return LimitReached(subject="leaving hosts", limit=MAX_DRAINING_HOSTS)
         return None
 
