--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize("age", [0.0, LOAD_FRESH_SECONDS])
-def test_a_fresh_figure_counts_whole(age):
+def test_a_fresh_load_counts_fully(age):
     made = pool(record(1, capacity=1), record(2, capacity=1))
     load(made, 1, 0.5, now=5.0 - age)
     load(made, 2, 0.4, now=5.0)
