--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -34,7 +34,7 @@
         self._incarnations = incarnations
         self._host_states = host_states
         self._services_by_tenant: dict[str, dict[str, int]] = {}
-        self._take_present_entries()
+        self._claim_present_entries()
 
     def can_allocate_ids(self, renderings: list[RenderedTenant]) -> bool:
         """Tell whether there are service IDs enough for the renderings."""
@@ -75,7 +75,7 @@
                 revision,
             )
 
-    def _take_present_entries(self) -> None:
+    def _claim_present_entries(self) -> None:
         """Rebuild claims from the table, after a restore."""
         for service in self.table.services():
             owner = Owner(tenant=service.tenant, service=service.name)
