--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -57,7 +57,7 @@
     assert "an open flow is not reset" in violated_invariants()
 
 
-def test_mutant_nobody_heeds_that_a_host_leaves(monkeypatch):
+def test_mutant_draining_hosts_get_new_flows(monkeypatch):
     # Balancers avoid such a host too, so the agent's refusal alone is seldom needed.
     monkeypatch.setattr(flow_admission.FlowAdmission, "_refusal", lambda *_: None)
     monkeypatch.setattr(target.Target, "is_usable", lambda *_: True)
