--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -115,7 +115,7 @@
     def apply(self, index: int, command: Command, plan: Plan | Outcome | None = None) -> Outcome:
         """Apply one command; raise `CommandOutOfOrder` for an index already applied.
 
-        `plan` is what the job of `long_plan` returned, for this command and this very state.
+        `plan` is what the job of `background_plan` returned, for this command and this very state.
         """
         if index <= self.last_index:
             raise CommandOutOfOrder(index=index, last_index=self.last_index)
@@ -143,7 +143,7 @@
             return MalformedCommand(reason=error.reason)
         return self.apply(index, command, plan)
 
-    def long_plan(self, index: int, data: bytes) -> PlanJob | None:
+    def background_plan(self, index: int, data: bytes) -> PlanJob | None:
         """Return the part of a command that may take long, None where there is none.
 
         Its result goes to `apply_encoded` with the same command. It only reads, so that it may
--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -124,7 +124,7 @@
         self._start_snapshot_when_due()
 
     async def _apply(self, entry: LogEntry) -> Outcome:
-        plan_job = self.state.long_plan(entry.index, entry.data)
+        plan_job = self.state.background_plan(entry.index, entry.data)
         if plan_job is None:
             return self.state.apply_encoded(entry.index, entry.data)
         loop = asyncio.get_running_loop()
--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -66,10 +66,10 @@
 
         return waiting
 
-    long_plan = ControlState.long_plan
+    background_plan = ControlState.background_plan
 
     def blocked_plan(state, index, data):
-        job = long_plan(state, index, data)
+        job = background_plan(state, index, data)
         return job and wait_first(job)
 
     monkeypatch.setattr(ControlState, "long_plan", blocked_plan)
--- a/tests/control_state/test_determinism.py
+++ b/tests/control_state/test_determinism.py
@@ -125,7 +125,7 @@
     for index, command in enumerate(log, start=1):
         first = whole.apply(index, command)
         encoded = encode_command(command)
-        job = restored.long_plan(index, encoded)
+        job = restored.background_plan(index, encoded)
         second = restored.apply_encoded(index, encoded, job and job())
         assert first == second
         if index == cut:
