--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -88,7 +88,7 @@
     assert "a packet reaches only hosts of its service" in violated_invariants()
 
 
-def test_mutant_a_late_call_makes_a_leaving_host_ready(monkeypatch):
+def test_mutant_a_late_call_makes_a_draining_host_ready(monkeypatch):
     def trusting(self, announcement, now):
         self.host_id, self.call_number, self.heard_at = (
             announcement.host_id,
