--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -265,13 +265,13 @@
             case ApplyTemplate():
                 if plan is None:
                     plan = self._configuration.plan_template(command, index, claims)
-                return self._carry_out(plan, index, subject_revision=index)
+                return self._execute_plan(plan, index, subject_revision=index)
             case SetTenant():
                 plan = self._configuration.plan_tenant(command, index, claims)
-                return self._carry_out(plan, index, subject_revision=index)
+                return self._execute_plan(plan, index, subject_revision=index)
             case RemoveTenant():
                 plan = self._configuration.plan_removal(command)
-                outcome = self._carry_out(plan, index, subject_revision=0)
+                outcome = self._execute_plan(plan, index, subject_revision=0)
                 if outcome.accepted:
                     del self._configuration.tenants[command.name]
                 return outcome
@@ -281,7 +281,7 @@
                 refusal = rotate_key(self.table, command, index)
                 return self._accepted() if refusal is None else refusal
 
-    def _carry_out(self, plan: Plan | Outcome, index: int, subject_revision: int) -> Outcome:
+    def _execute_plan(self, plan: Plan | Outcome, index: int, subject_revision: int) -> Outcome:
         """Store and install a plan; pass a refusal on."""
         if not isinstance(plan, Plan):
             return plan
