--- a/tests/flows/test_routes.py
+++ b/tests/flows/test_routes.py
@@ -68,7 +68,7 @@
     assert table.find(LISTENER.pack()).past_services == {"a", "b", "c"}
 
 
-def test_a_route_that_came_back_begins_anew():
+def test_a_route_that_came_back_starts_without_history():
     table = RouteTable()
     table.replace(RouteSet(1, [route(("a", 1.0))]))
     table.find(LISTENER.pack())
