--- a/src/jasperwalk/control/applied.py
+++ b/src/jasperwalk/control/applied.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.control.proposal_errors import OutcomeUnknown, ProposalError, ProposalLost
 
-REMEMBERED_ENTRIES = 1024
+RETAINED_ENTRIES = 1024
 """Latest entries whose results are kept: a forwarded entry may be applied here before the
 leader's reply with its index arrives."""
 
@@ -46,7 +46,7 @@
         """Note an applied entry and answer those who wait for its index."""
         self.index = entry.index
         self._latest[entry.index] = entry
-        if len(self._latest) > REMEMBERED_ENTRIES:
+        if len(self._latest) > RETAINED_ENTRIES:
             self._latest.popitem(last=False)
         for waiter in self._waiters.pop(entry.index, []):
             _settle(waiter, entry)
