--- a/tests/flows/test_service_time.py
+++ b/tests/flows/test_service_time.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(("seconds", "code"), [(1e-9, 1), (1e9, MAX_SERVICE_TIME_CODE)])
-def test_times_beyond_the_scale_are_told_as_its_ends(seconds, code):
+def test_times_beyond_the_scale_are_encoded_as_its_ends(seconds, code):
     assert encode_service_time(seconds) == code
 
 
