--- a/src/jasperwalk/control/applied.py
+++ b/src/jasperwalk/control/applied.py
@@ -68,7 +68,7 @@
         """
         waiter = Waiter(term=term, future=asyncio.get_running_loop().create_future())
         if index <= self.index:
-            self._settle_late(index, waiter)
+            self._resolve_if_retained(index, waiter)
         else:
             self._waiters.setdefault(index, []).append(waiter)
         try:
@@ -79,7 +79,7 @@
         finally:
             self._discard(index, waiter)
 
-    def _settle_late(self, index: int, waiter: Waiter[OutcomeType]) -> None:
+    def _resolve_if_retained(self, index: int, waiter: Waiter[OutcomeType]) -> None:
         entry = self._latest.get(index)
         if entry is None:
             _fail(waiter, OutcomeUnknown())
