--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -71,7 +71,7 @@
     assert decode_opening(head[1], b"packet").packet == b"packet"
 
 
-def test_a_limit_of_hours_is_told_as_a_minute():
+def test_a_limit_of_hours_is_encoded_as_a_minute():
     head = encode_open_head(7, OpeningTerms(False, True, 0.0, CarriedTerms(1, 0.4, 7200.0, 0)))
     sent_terms = decode_opening(head[1], head[REQUEST_HEAD.size :]).terms.route
     assert sent_terms.limit_seconds == pytest.approx(65.535)
