--- a/src/jasperwalk/control/applied.py
+++ b/src/jasperwalk/control/applied.py
@@ -49,7 +49,7 @@
         if len(self._latest) > RETAINED_ENTRIES:
             self._latest.popitem(last=False)
         for waiter in self._waiters.pop(entry.index, []):
-            _settle(waiter, entry)
+            _resolve(waiter, entry)
 
     def skip_to(self, index: int) -> None:
         """Note that a snapshot replaced all entries up to `index`, whose results stay unknown."""
@@ -84,7 +84,7 @@
         if entry is None:
             _fail(waiter, OutcomeUnknown())
         else:
-            _settle(waiter, entry)
+            _resolve(waiter, entry)
 
     def _discard(self, index: int, waiter: Waiter[OutcomeType]) -> None:
         """Forget a waiter that gave up, so that a stalled log does not collect them."""
@@ -95,7 +95,7 @@
                 del self._waiters[index]
 
 
-def _settle(waiter: Waiter[OutcomeType], entry: AppliedEntry[OutcomeType]) -> None:
+def _resolve(waiter: Waiter[OutcomeType], entry: AppliedEntry[OutcomeType]) -> None:
     if waiter.term != entry.term:
         _fail(waiter, ProposalLost())
     elif not waiter.future.done():
