--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -91,7 +91,7 @@
     return table.find(Endpoint("198.18.0.1", port).pack()).terms
 
 
-def test_terms_are_told_where_a_services_routes_differ():
+def test_terms_are_sent_where_a_services_routes_differ():
     table = RouteTable(caller_group("a"))
     table.replace(
         RouteSet(
