--- a/src/jasperwalk/control/storage_faults.py
+++ b/src/jasperwalk/control/storage_faults.py
@@ -17,7 +17,7 @@
 from jasperwalk.consensus.disk.failures import WriteFailed
 from jasperwalk.consensus.durable import PersistBatch
 
-LONGEST_SLOW_SECONDS = 10.0
+MAX_DELAY_SECONDS = 10.0
 
 logger = structlog.get_logger(__name__)
 
@@ -54,7 +54,7 @@
         if not words:
             return
         if words[0] == StorageFault.SLOW:
-            time.sleep(min(_seconds(words), LONGEST_SLOW_SECONDS))
+            time.sleep(min(_seconds(words), MAX_DELAY_SECONDS))
         elif words[0] in (StorageFault.FULL, StorageFault.SYNC_FAILS):
             raise WriteFailed(path=self._path, reason=words[0])
         else:
