--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -302,7 +302,7 @@
         loop = asyncio.get_running_loop()
         write: Callable[[PersistBatch], None] = self._storage.persist
         if self._storage_faults is not None:
-            write = self._storage_faults.around(write)
+            write = self._storage_faults.wrap(write)
         await loop.run_in_executor(self._disk, write, batch)
         self._node.persisted()
 
--- a/src/jasperwalk/control/storage_faults.py
+++ b/src/jasperwalk/control/storage_faults.py
@@ -36,7 +36,7 @@
     def __init__(self, path: Path) -> None:
         self._path = path
 
-    def around(self, write: Callable[[PersistBatch], None]) -> Callable[[PersistBatch], None]:
+    def wrap(self, write: Callable[[PersistBatch], None]) -> Callable[[PersistBatch], None]:
         """Return a write that first does as the file says."""
 
         def write_after_fault(batch: PersistBatch) -> None:
