--- a/src/jasperwalk/control/openapi.py
+++ b/src/jasperwalk/control/openapi.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, Place
+from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, ParameterLocation
 from jasperwalk.control.operations import OPERATIONS
 from jasperwalk.control.problem import PROBLEM_CONTENT_TYPE, Problem, status_of
 
@@ -51,7 +51,7 @@
     return {
         "name": parameter.name,
         "in": parameter.place.value,
-        "required": parameter.place is Place.PATH,
+        "required": parameter.place is ParameterLocation.PATH,
         "schema": {"type": parameter.schema_type},
         "description": parameter.description,
     }
--- a/src/jasperwalk/control/operation_types.py
+++ b/src/jasperwalk/control/operation_types.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-class Place(enum.StrEnum):
+class ParameterLocation(enum.StrEnum):
     """Where a parameter travels."""
 
     PATH = "path"
@@ -19,7 +19,7 @@
     """One parameter; `schema_type` is a JSON schema type."""
 
     name: str
-    place: Place
+    place: ParameterLocation
     schema_type: str
     description: str
 
--- a/src/jasperwalk/control/operations.py
+++ b/src/jasperwalk/control/operations.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from jasperwalk.control.in_force import InForce
-from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, Place
+from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, ParameterLocation
 from jasperwalk.control.views import (
     ChangeView,
     HostList,
@@ -23,27 +23,39 @@
     TenantView,
 )
 
-NAME = Parameter("name", Place.PATH, "string", "name of the template or tenant")
-HOST = Parameter("host", Place.PATH, "string", "name of the host, as in the templates")
-CHANGE_ID = Parameter("change_id", Place.PATH, "string", "change ID that the change was sent with")
-REPLICA_ID = Parameter("replica_id", Place.PATH, "integer", "identity of the replica")
+NAME = Parameter("name", ParameterLocation.PATH, "string", "name of the template or tenant")
+HOST = Parameter("host", ParameterLocation.PATH, "string", "name of the host, as in the templates")
+CHANGE_ID = Parameter(
+    "change_id", ParameterLocation.PATH, "string", "change ID that the change was sent with"
+)
+REPLICA_ID = Parameter("replica_id", ParameterLocation.PATH, "integer", "identity of the replica")
 PURPOSE = Parameter(
-    "purpose", Place.PATH, "string", "connection-id, stateless-reset, ticket or datagram"
+    "purpose",
+    ParameterLocation.PATH,
+    "string",
+    "connection-id, stateless-reset, ticket or datagram",
+)
+STALE = Parameter(
+    "stale", ParameterLocation.QUERY, "boolean", "true: accept an answer that may be old"
+)
+WAIT_MS = Parameter(
+    "wait_ms", ParameterLocation.QUERY, "integer", "wait this long (ms) until it is complete"
 )
-STALE = Parameter("stale", Place.QUERY, "boolean", "true: accept an answer that may be old")
-WAIT_MS = Parameter("wait_ms", Place.QUERY, "integer", "wait this long (ms) until it is complete")
 REVISION = Parameter(
-    "revision", Place.QUERY, "integer", "revision to ask for, instead of the change's own"
+    "revision",
+    ParameterLocation.QUERY,
+    "integer",
+    "revision to ask for, instead of the change's own",
 )
 IF_MATCH = Parameter(
     "If-Match",
-    Place.HEADER,
+    ParameterLocation.HEADER,
     "string",
     'expected revision in quotes, such as "17"; "0" expects that it does not exist yet',
 )
 IDEMPOTENCY_KEY = Parameter(
     "Idempotency-Key",
-    Place.HEADER,
+    ParameterLocation.HEADER,
     "string",
     "change ID; a resend with the same ID gets the first outcome (drawn when it is left out)",
 )
