--- a/src/jasperwalk/control/openapi.py
+++ b/src/jasperwalk/control/openapi.py
@@ -50,8 +50,8 @@
 def _describe_parameter(parameter: Parameter) -> dict[str, Any]:
     return {
         "name": parameter.name,
-        "in": parameter.place.value,
-        "required": parameter.place is ParameterLocation.PATH,
+        "in": parameter.location.value,
+        "required": parameter.location is ParameterLocation.PATH,
         "schema": {"type": parameter.schema_type},
         "description": parameter.description,
     }
--- a/src/jasperwalk/control/operation_types.py
+++ b/src/jasperwalk/control/operation_types.py
@@ -19,7 +19,7 @@
     """One parameter; `schema_type` is a JSON schema type."""
 
     name: str
-    place: ParameterLocation
+    location: ParameterLocation
     schema_type: str
     description: str
 
--- a/tests/control/test_openapi.py
+++ b/tests/control/test_openapi.py
@@ -46,7 +46,7 @@
 
 def test_document_declares_every_path_parameter():
     for operation in OPERATIONS:
-        declared = {each.name for each in operation.parameters if each.place.value == "path"}
+        declared = {each.name for each in operation.parameters if each.location.value == "path"}
         assert declared == set(re.findall(r"{(\w+)}", operation.path)), operation.operation_id
 
 
