--- a/src/jasperwalk/control/operations.py
+++ b/src/jasperwalk/control/operations.py
@@ -73,7 +73,7 @@
     "outcome-unknown",
 )
 REPLICA_PROBLEMS = ("bad-request", "membership-refused", "no-leader", "outcome-unknown")
-GUARDED_PROBLEMS = (
+CONFIGURATION_PROBLEMS = (
     *CHANGE_PROBLEMS,
     "revision-mismatch",
     "conflicting-listener",
@@ -89,7 +89,7 @@
         "Create or change a template; the body is its TOML text.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "invalid-template", "tenant-rendering-failed", "body-too-large"),
+        (*CONFIGURATION_PROBLEMS, "invalid-template", "tenant-rendering-failed", "body-too-large"),
         body=str,
         body_kind=BodyKind.TOML,
     ),
@@ -118,7 +118,7 @@
         "Create or change a tenant.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "unknown-template", "invalid-values", "body-too-large"),
+        (*CONFIGURATION_PROBLEMS, "unknown-template", "invalid-values", "body-too-large"),
         body=TenantBody,
     ),
     Operation(
@@ -146,7 +146,7 @@
         "Remove a tenant with its services.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "unknown-tenant"),
+        (*CONFIGURATION_PROBLEMS, "unknown-tenant"),
     ),
     Operation(
         "get_change",
