--- a/src/jasperwalk/control/api_reads.py
+++ b/src/jasperwalk/control/api_reads.py
@@ -15,7 +15,7 @@
 from jasperwalk.control.api_changes import json_response, outcome_response
 from jasperwalk.control.api_requests import accepts_stale, integer_query_of, wait_seconds_of
 from jasperwalk.control.in_force import InForce
-from jasperwalk.control.peer_messages import AgentFact
+from jasperwalk.control.peer_messages import AgentCondition
 from jasperwalk.control.problem import UnknownChange, problem_response
 from jasperwalk.control.replica import ControlReplica
 from jasperwalk.control.state.configuration_refusals import UnknownTemplate, UnknownTenant
@@ -198,7 +198,7 @@
             views.append(view)
         return views
 
-    def _view_member(self, member: MemberEntry, fact: AgentFact | None) -> MemberView:
+    def _view_member(self, member: MemberEntry, fact: AgentCondition | None) -> MemberView:
         service = self._replica.state.table.service(member.service_id)
         return MemberView(
             address=str(member.address),
--- a/src/jasperwalk/control/peer_messages.py
+++ b/src/jasperwalk/control/peer_messages.py
@@ -105,7 +105,7 @@
     in_force: InForce
 
 
-class AgentFact(msgspec.Struct, frozen=True, array_like=True):
+class AgentCondition(msgspec.Struct, frozen=True, array_like=True):
     """What an agent says of itself; zero open flows are exactly none, others nearly so."""
 
     address: Endpoint
@@ -123,7 +123,7 @@
     """The leader's answer: the agents that were heard lately."""
 
     query_number: int
-    agents: list[AgentFact]
+    agents: list[AgentCondition]
 
 
 LeaderQuery = InForceQuery | AgentsQuery
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -16,7 +16,7 @@
 from jasperwalk.control.leader_queries import LeaderQueries
 from jasperwalk.control.peer_links import PeerNetwork
 from jasperwalk.control.peer_messages import (
-    AgentFact,
+    AgentCondition,
     AgentsAnswer,
     AgentsQuery,
     InForceAnswer,
@@ -84,7 +84,7 @@
         answer = await self._queries.in_force(revision)
         return InForce(revision=revision) if answer is None else answer.in_force
 
-    async def agents(self) -> dict[Endpoint, AgentFact]:
+    async def agents(self) -> dict[Endpoint, AgentCondition]:
         """Return what the agents say of themselves, from the leader's view, by address."""
         if self._runner.is_leader:
             facts = self._known_agents()
@@ -118,9 +118,9 @@
         """Hand the leader's answer to the one that waits for it."""
         self._queries.handle_answer(answer)
 
-    def _known_agents(self) -> list[AgentFact]:
+    def _known_agents(self) -> list[AgentCondition]:
         return [
-            AgentFact(each.address, each.healthy, each.open_flows)
+            AgentCondition(each.address, each.healthy, each.open_flows)
             for each in self.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
