--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -51,13 +51,13 @@
     def __init__(
         self,
         listener: AppliedListener,
-        interval_entries: int,
+        snapshot_interval_entries: int,
         take_snapshot: SnapshotTaker | None = None,
     ) -> None:
         self.state = ControlState()
         self.applied: AppliedEntries[Outcome] = AppliedEntries()
         self._listener = listener
-        self._interval_entries = interval_entries
+        self._interval_entries = snapshot_interval_entries
         self._take_snapshot: SnapshotTaker = take_snapshot or _refuse_snapshot
         self._snapshot_index = 0
         self._snapshot_task: asyncio.Task[None] | None = None
--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -32,7 +32,7 @@
 class Running:
     """An applier that runs, and what it told its listener."""
 
-    def __init__(self, interval_entries=1_000_000):
+    def __init__(self, snapshot_interval_entries=1_000_000):
         self.told, self.snapshots = [], []
         listener = SimpleNamespace(
             entry_applied=lambda applied: self.told.append(applied.index),
@@ -40,7 +40,7 @@
             state_replaced=lambda: self.told.append("replaced"),
         )
         self.applier = state_applier.StateApplier(
-            listener, interval_entries, lambda *taken: self.snapshots.append(taken)
+            listener, snapshot_interval_entries, lambda *taken: self.snapshots.append(taken)
         )
 
     async def __aenter__(self):
@@ -110,7 +110,7 @@
 
 def test_entries_are_applied_while_a_snapshot_is_encoded(blocked):
     async def scenario():
-        async with Running(interval_entries=2) as running:
+        async with Running(snapshot_interval_entries=2) as running:
             running.applier.submit([removal(1), removal(2)])
             await until(blocked.begun.is_set)
             running.applier.submit([removal(3), removal(4), removal(5)])
