--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -57,7 +57,7 @@
         self.state = ControlState()
         self.applied: AppliedEntries[Outcome] = AppliedEntries()
         self._listener = listener
-        self._interval_entries = snapshot_interval_entries
+        self._snapshot_interval_entries = snapshot_interval_entries
         self._take_snapshot: SnapshotTaker = take_snapshot or _refuse_snapshot
         self._snapshot_index = 0
         self._snapshot_task: asyncio.Task[None] | None = None
@@ -139,7 +139,7 @@
     def _start_snapshot_when_due(self) -> None:
         index = self.applied.index
         is_running = self._snapshot_task is not None and not self._snapshot_task.done()
-        if is_running or index - self._snapshot_index < self._interval_entries:
+        if is_running or index - self._snapshot_index < self._snapshot_interval_entries:
             return
         self._snapshot_index = index
         self._snapshot_task = asyncio.create_task(self._serialise(index, self.state.freeze()))
