--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -33,11 +33,11 @@
     """An applier that runs, and what it told its listener."""
 
     def __init__(self, snapshot_interval_entries=1_000_000):
-        self.told, self.snapshots = [], []
+        self.notifications, self.snapshots = [], []
         listener = SimpleNamespace(
-            entry_applied=lambda applied: self.told.append(applied.index),
+            entry_applied=lambda applied: self.notifications.append(applied.index),
             batch_applied=lambda: None,
-            state_replaced=lambda: self.told.append("replaced"),
+            state_replaced=lambda: self.notifications.append("replaced"),
         )
         self.applier = state_applier.StateApplier(
             listener, snapshot_interval_entries, lambda *taken: self.snapshots.append(taken)
@@ -99,10 +99,10 @@
             running.applier.submit([removal(5), entry(6, ApplyTemplate("t", None, "broken"))])
             running.applier.submit([removal(7)])
             await until(blocked.begun.is_set)
-            assert running.told == []
+            assert running.notifications == []
             blocked.release.set()
-            await until(lambda: len(running.told) == 4)
-            assert running.told == ["replaced", 5, 6, 7]
+            await until(lambda: len(running.notifications) == 4)
+            assert running.notifications == ["replaced", 5, 6, 7]
             assert running.applier.state.outcome_of("earlier") is not None
 
     asyncio.run(scenario())
@@ -114,7 +114,7 @@
             running.applier.submit([removal(1), removal(2)])
             await until(blocked.begun.is_set)
             running.applier.submit([removal(3), removal(4), removal(5)])
-            await until(lambda: running.told == [1, 2, 3, 4, 5])
+            await until(lambda: running.notifications == [1, 2, 3, 4, 5])
             assert running.snapshots == []
             blocked.release.set()
             await until(lambda: running.snapshots)
