--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -56,11 +56,11 @@
 @pytest.fixture
 def blocked(monkeypatch):
     """Make serialising, restoring and planning wait until `release` is set (from the loop)."""
-    release, begun = threading.Event(), threading.Event()
+    release, started = threading.Event(), threading.Event()
 
     def wait_first(work):
         def waiting(*arguments):
-            begun.set()
+            started.set()
             assert release.wait(LIMIT_SECONDS)
             return work(*arguments)
 
@@ -75,7 +75,7 @@
     monkeypatch.setattr(ControlState, "long_plan", blocked_plan)
     monkeypatch.setattr(FrozenState, "serialise", wait_first(FrozenState.serialise))
     monkeypatch.setattr(state_applier, "_restore", wait_first(state_applier._restore))
-    return SimpleNamespace(release=release, begun=begun)
+    return SimpleNamespace(release=release, started=started)
 
 
 async def until(condition):
@@ -91,14 +91,14 @@
     blocked.release.set()
     data = restored.serialise()
     blocked.release.clear()
-    blocked.begun.clear()
+    blocked.started.clear()
 
     async def scenario():
         async with Running() as running:
             running.applier.submit_snapshot(snapshot(4, data))
             running.applier.submit([removal(5), entry(6, ApplyTemplate("t", None, "broken"))])
             running.applier.submit([removal(7)])
-            await until(blocked.begun.is_set)
+            await until(blocked.started.is_set)
             assert running.notifications == []
             blocked.release.set()
             await until(lambda: len(running.notifications) == 4)
@@ -112,7 +112,7 @@
     async def scenario():
         async with Running(snapshot_interval_entries=2) as running:
             running.applier.submit([removal(1), removal(2)])
-            await until(blocked.begun.is_set)
+            await until(blocked.started.is_set)
             running.applier.submit([removal(3), removal(4), removal(5)])
             await until(lambda: running.notifications == [1, 2, 3, 4, 5])
             assert running.snapshots == []
