--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -181,12 +181,12 @@
         async with cluster() as running:
             await running.configure()
             leader_id = await running.leader()
-            asked, unheard = (each for each in running.processes if each != leader_id)
-            running.cut_link(unheard, asked)
+            queried_id, unheard = (each for each in running.processes if each != leader_id)
+            running.cut_link(unheard, queried_id)
             balancer = running.subscribe_balancer(6001, [unheard])
             await wait_for(balancer.fresh)
             await running.accept("PUT", TENANT, change_id="c", body=new_tenant(weight=1))
-            found = await running.call("GET", "/v1/changes/c/in-force?wait_ms=30000", asked)
+            found = await running.call("GET", "/v1/changes/c/in-force?wait_ms=30000", queried_id)
             assert (found.body["complete"], found.body["balancers"]) == (True, 1)
 
     run(scenario())
@@ -402,21 +402,27 @@
                 new = old + 3
                 await running.start(new)
                 body = {"replica_id": new, "address": str(running.endpoints[new])}
-                await change(running, "POST", body, learner=[new], asked=old)
+                await change(running, "POST", body, learner=[new], queried_id=old)
                 await change(
-                    running, "POST", {"replica_id": new, "promote": True}, learner=[], asked=old
+                    running,
+                    "POST",
+                    {"replica_id": new, "promote": True},
+                    learner=[],
+                    queried_id=old,
                 )
-                await remove(running, old, asked=new)
+                await remove(running, old, queried_id=new)
                 await running.kill(old)
                 await running.leader()
             accepted = await running.accept("PUT", TENANT, replica_id=4, body=new_tenant(weight=17))
             await wait_for(lambda: balancer.table.revision >= accepted.body["revision"])
             await wait_for(balancer.fresh)
 
-    async def remove(running, replica_id, asked):
+    async def remove(running, replica_id, queried_id):
         while True:
-            await running.call("DELETE", f"/v1/replicas/{replica_id}", asked)
-            listed = (await running.call("GET", "/v1/replicas", asked)).body.get("replicas", [])
+            await running.call("DELETE", f"/v1/replicas/{replica_id}", queried_id)
+            listed = (await running.call("GET", "/v1/replicas", queried_id)).body.get(
+                "replicas", []
+            )
             if listed and replica_id not in {each["replica_id"] for each in listed}:
                 return
             await asyncio.sleep(0.1)
@@ -424,11 +430,11 @@
     run(scenario())
 
 
-async def change(running, method, body, learner, asked=1):
+async def change(running, method, body, learner, queried_id=1):
     """Repeat until there are four replicas and these learners: one has to catch up first."""
     while True:
-        await running.call(method, "/v1/replicas", asked, body=body)
-        listed = await running.call("GET", "/v1/replicas", asked)
+        await running.call(method, "/v1/replicas", queried_id, body=body)
+        listed = await running.call("GET", "/v1/replicas", queried_id)
         replicas = listed.body.get("replicas", [])
         learners = [each["replica_id"] for each in replicas if not each["voter"]]
         if len(replicas) == 4 and learners == learner:
