--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -107,7 +107,7 @@
     """Two replicas; the first one reaches the second through a relay."""
 
     def __init__(self, times):
-        self.taken = []
+        self.received = []
         self.signs_of_life = 0
         self.networks = {
             each: PeerNetwork(f"c{each}", each, "zagreb", self.take, times=times) for each in (1, 2)
@@ -125,7 +125,7 @@
         if isinstance(message, LinkAlive):
             self.signs_of_life += 1
         else:
-            self.taken.append((sender, message))
+            self.received.append((sender, message))
 
     async def __aenter__(self):
         for server in self.servers.values():
@@ -164,7 +164,7 @@
             peers.relay.silence_standing(forth, back)
             await until(lambda: peers.served() and not peers.served() & before)
             await until(lambda: peers.networks[1].send(2, ReportWanted()))
-            await until(lambda: peers.taken == [(1, ReportWanted())])
+            await until(lambda: peers.received == [(1, ReportWanted())])
 
     asyncio.run(scenario())
 
