--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -108,7 +108,7 @@
 
     def __init__(self, times):
         self.received = []
-        self.signs_of_life = 0
+        self.keepalives = 0
         self.networks = {
             each: PeerNetwork(f"c{each}", each, "zagreb", self.take, times=times) for each in (1, 2)
         }
@@ -123,7 +123,7 @@
 
     def take(self, sender, message):
         if isinstance(message, LinkAlive):
-            self.signs_of_life += 1
+            self.keepalives += 1
         else:
             self.received.append((sender, message))
 
@@ -172,6 +172,6 @@
 def test_a_link_without_messages_carries_signs_of_life():
     async def scenario():
         async with Peers(QUICK) as peers:
-            await until(lambda: peers.signs_of_life)
+            await until(lambda: peers.keepalives)
 
     asyncio.run(scenario())
