--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -25,7 +25,7 @@
     return Subscribe(f"node-{number}", role, "zone", address, f"boot-{number}", revision)
 
 
-class World:
+class SimulatedRegion:
     """Subscribers that acknowledge, fall silent and move between three reporting replicas."""
 
     def __init__(self, seed, size=12):
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_nothing_false_is_claimed_and_counts_end_exact(seed):
-    world = World(seed)
+    world = SimulatedRegion(seed)
     claims = 0
     for _ in range(200):
         world.step()
@@ -127,7 +127,7 @@
 def test_a_steady_report_does_not_grow_with_the_subscribers():
     sizes = []
     for size in (10, 1000):
-        world = World(1, size)
+        world = SimulatedRegion(1, size)
         for _ in range(3):
             world.step(quiet=True)
         for node in world.nodes.values():
