--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -104,36 +104,36 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_nothing_false_is_claimed_and_counts_end_exact(seed):
-    world = SimulatedRegion(seed)
+    region = SimulatedRegion(seed)
     claims = 0
     for _ in range(200):
-        world.step()
-        for revision in range(world.revision - 6, world.revision + 1):
-            found = world.ledger.in_force(revision, CONTACT_AGES, world.now)
+        region.step()
+        for revision in range(region.revision - 6, region.revision + 1):
+            found = region.ledger.in_force(revision, CONTACT_AGES, region.now)
             claims += found.complete
             if found.complete:
-                heard = [n for n in world.settled() if world.now - n["seen"] < 5.0]
+                heard = [n for n in region.settled() if region.now - n["seen"] < 5.0]
                 assert all(node["revision"] >= revision for node in heard)
             if found.balancers is not None:
-                connected = sum(not node["away"] for node in world.settled())
+                connected = sum(not node["away"] for node in region.settled())
                 assert found.balancers + found.agents >= connected
     assert claims, "the check above has to have had something to check"
     for _ in range(16):
-        world.step(quiet=True)
-    found = world.ledger.in_force(world.revision, CONTACT_AGES, world.now)
+        region.step(quiet=True)
+    found = region.ledger.in_force(region.revision, CONTACT_AGES, region.now)
     assert (found.balancers, found.agents, found.complete) == (6, 6, True)
 
 
 def test_a_steady_report_does_not_grow_with_the_subscribers():
     sizes = []
     for size in (10, 1000):
-        world = SimulatedRegion(1, size)
+        region = SimulatedRegion(1, size)
         for _ in range(3):
-            world.step(quiet=True)
-        for node in world.nodes.values():
-            link = world.links[node["at"]][node["link"]]
-            link.acknowledge(Acknowledge(world.revision, True, 100), world.now)
-        sizes.append([world.report(origin, lost=False) for origin in REPLICAS])
-        sizes[-1] = [world.report(origin, lost=False) for origin in REPLICAS]
+            region.step(quiet=True)
+        for node in region.nodes.values():
+            link = region.links[node["at"]][node["link"]]
+            link.acknowledge(Acknowledge(region.revision, True, 100), region.now)
+        sizes.append([region.report(origin, lost=False) for origin in REPLICAS])
+        sizes[-1] = [region.report(origin, lost=False) for origin in REPLICAS]
     assert sizes[0] == sizes[1]
     assert max(sizes[0]) < 40
