--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -65,14 +65,14 @@
         if not quiet and self.random.random() < 0.3:
             self.revision += 1
         for number, node in self.nodes.items():
-            self.live(number, node, quiet)
+            self.step_node(number, node, quiet)
         if not quiet and self.random.random() < 0.05:
             self.term += 1
             self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
             self.report(origin, lost=not quiet and self.random.random() < 0.1)
 
-    def live(self, number, node, quiet):
+    def step_node(self, number, node, quiet):
         if node["away"]:
             node["away"] -= 1
             if not node["away"]:
