--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -60,31 +60,31 @@
         nodes = self.nodes.values()
         return [node for node in nodes if self.now - node["since"] > REPORT_GAP_SECONDS]
 
-    def step(self, quiet=False):
+    def step(self, steady=False):
         self.now += STEP_SECONDS
-        if not quiet and self.random.random() < 0.3:
+        if not steady and self.random.random() < 0.3:
             self.revision += 1
         for number, node in self.nodes.items():
-            self.step_node(number, node, quiet)
-        if not quiet and self.random.random() < 0.05:
+            self.step_node(number, node, steady)
+        if not steady and self.random.random() < 0.05:
             self.term += 1
             self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
-            self.report(origin, lost=not quiet and self.random.random() < 0.1)
+            self.report(origin, lost=not steady and self.random.random() < 0.1)
 
-    def step_node(self, number, node, quiet):
+    def step_node(self, number, node, steady):
         if node["away"]:
             node["away"] -= 1
             if not node["away"]:
                 self.connect(number)
             return
-        if not quiet and self.random.random() < 0.1:
+        if not steady and self.random.random() < 0.1:
             node["away"] = self.random.randint(1, AWAY_STEPS)
             del self.links[node["at"]][node["link"]]
             return
-        if quiet or self.random.random() < 0.8:
+        if steady or self.random.random() < 0.8:
             node["revision"] = self.random.randint(node["revision"], self.revision)
-            if quiet:
+            if steady:
                 node["revision"] = self.revision
             link = self.links[node["at"]][node["link"]]
             flows = self.random.choice([0, 100, 105, 200])
@@ -119,7 +119,7 @@
                 assert found.balancers + found.agents >= connected
     assert claims, "the check above has to have had something to check"
     for _ in range(16):
-        region.step(quiet=True)
+        region.step(steady=True)
     found = region.ledger.in_force(region.revision, CONTACT_AGES, region.now)
     assert (found.balancers, found.agents, found.complete) == (6, 6, True)
 
@@ -129,7 +129,7 @@
     for size in (10, 1000):
         region = SimulatedRegion(1, size)
         for _ in range(3):
-            region.step(quiet=True)
+            region.step(steady=True)
         for node in region.nodes.values():
             link = region.links[node["at"]][node["link"]]
             link.acknowledge(Acknowledge(region.revision, True, 100), region.now)
