--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -158,10 +158,10 @@
         network.send = lambda *_: False
         network.on_message = lambda *_: None
 
-        def heal():
+        def reconnect():
             network.send, network.on_message = former
 
-        return heal
+        return reconnect
 
     def cut_link(self, sender_id, receiver_id):
         """Lose what one replica sends to another."""
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -127,7 +127,7 @@
             await wait_for(lambda: all(each.fresh() for each in balancers))
             cut_endpoint = running.endpoints[cut_id]
             assert any(each.core.replica == cut_endpoint for each in balancers)
-            heal = running.cut(cut_id)
+            reconnect = running.cut(cut_id)
             replica = running.processes[cut_id].replica
             await wait_for(lambda: replica.runner.quorum_age() > 2.0)
             read = await running.call("GET", TENANT, cut_id)
@@ -142,7 +142,7 @@
             await wait_for(lambda: all(each.table.revision >= revision for each in balancers))
             await wait_for(lambda: all(each.fresh() for each in balancers))
             assert all(each.core.replica != cut_endpoint for each in balancers)
-            heal()
+            reconnect()
             await wait_for(lambda: replica.state.revision >= revision)
             await running.leader()
             again = await running.accept("PUT", TENANT, replica_id=cut_id, **change)
@@ -213,13 +213,13 @@
             await running.configure()
             leader_id = await running.leader()
             others = [each for each in running.processes if each != leader_id]
-            heal = running.cut(leader_id)
+            reconnect = running.cut(leader_id)
             change = {"change_id": "lost", "body": new_tenant(weight=5)}
             unknown = await running.call("PUT", TENANT, leader_id, **change)
             assert (unknown.status, unknown.body["kind"]) == (504, "outcome-unknown")
             assert unknown.body["change_id"] == "lost"
             settled = await running.accept("PUT", TENANT, replica_id=others[0], **change)
-            heal()
+            reconnect()
             await running.leader()
             again = await running.accept("PUT", TENANT, replica_id=leader_id, **change)
             assert again.body == settled.body
