--- a/tests/control/test_peer_port.py
+++ b/tests/control/test_peer_port.py
@@ -80,7 +80,7 @@
     def contents_by_index(replica):
         """Note the whole state, but for its index, now and after every entry from now on."""
         contents = {}
-        tell = replica.entry_applied
+        notify = replica.entry_applied
 
         def note(index):
             state = decode_state(replica.state.serialise())
@@ -88,7 +88,7 @@
 
         def entry_applied(entry):
             note(entry.index)
-            tell(entry)
+            notify(entry)
 
         note(replica.runner.applied.index)
         replica.entry_applied = entry_applied
