--- a/tests/control/test_peer_port.py
+++ b/tests/control/test_peer_port.py
@@ -82,15 +82,15 @@
         contents = {}
         notify = replica.entry_applied
 
-        def note(index):
+        def record(index):
             state = decode_state(replica.state.serialise())
             contents[index] = msgspec.structs.replace(state, last_index=0)
 
         def entry_applied(entry):
-            note(entry.index)
+            record(entry.index)
             notify(entry)
 
-        note(replica.runner.applied.index)
+        record(replica.runner.applied.index)
         replica.entry_applied = entry_applied
         return contents
 
