--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -137,12 +137,12 @@
 def test_another_leader_ends_a_rotation(leader):
     leader.in_force = False
     leader.rotate()
-    late = leader.commands()
+    stale_commands = leader.commands()
     leader.driver.restart()
     successor = Leader(leader.driver)
     successor.step()
     assert successor.generations_of() == ["1o", "2A", "3w"]
-    assert late == []
+    assert stale_commands == []
 
 
 @pytest.mark.parametrize(
