--- a/tests/control_state/test_determinism.py
+++ b/tests/control_state/test_determinism.py
@@ -119,21 +119,21 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(log=LOGS, cut=st.integers(0, 40))
 def test_a_restored_replica_goes_on_as_one_that_never_stopped(log: list[Command], cut: int) -> None:
-    whole = new_state()
+    uninterrupted = new_state()
     restored = new_state()
-    frozen, at_cut = whole.freeze(), whole.serialise()
+    frozen, at_cut = uninterrupted.freeze(), uninterrupted.serialise()
     for index, command in enumerate(log, start=1):
-        first = whole.apply(index, command)
+        first = uninterrupted.apply(index, command)
         encoded = encode_command(command)
         job = restored.background_plan(index, encoded)
         second = restored.apply_encoded(index, encoded, job and job())
         assert first == second
         if index == cut:
             restored = ControlState.restore(restored.serialise())
-            frozen, at_cut = whole.freeze(), whole.serialise()
-    assert whole.serialise() == restored.serialise()
+            frozen, at_cut = uninterrupted.freeze(), uninterrupted.serialise()
+    assert uninterrupted.serialise() == restored.serialise()
     assert frozen.serialise() == at_cut
-    assert ControlState.restore(whole.serialise()).serialise() == whole.serialise()
+    assert ControlState.restore(uninterrupted.serialise()).serialise() == uninterrupted.serialise()
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
