--- a/tests/control_state/test_determinism.py
+++ b/tests/control_state/test_determinism.py
@@ -184,7 +184,7 @@
     return state.serialise()
 
 
-WHOLE = full_state()
+COMPLETE_STATE = full_state()
 
 
 @pytest.mark.parametrize(
@@ -193,26 +193,26 @@
         b"",
         b"\xff",
         b"\xa0",
-        WHOLE[:-1],
-        WHOLE[: len(WHOLE) // 2],
-        WHOLE + b"\x00",
-        WHOLE.replace(b'name = "portal"', b'name = "ortal" '),
-        WHOLE.replace(b"[[services]]", b"[[services]["),
-        WHOLE.replace(b"unknown-tenant", b"unknown-tenent"),
-        WHOLE.replace(b"fboot-1", b"gboot-1"),
+        COMPLETE_STATE[:-1],
+        COMPLETE_STATE[: len(COMPLETE_STATE) // 2],
+        COMPLETE_STATE + b"\x00",
+        COMPLETE_STATE.replace(b'name = "portal"', b'name = "ortal" '),
+        COMPLETE_STATE.replace(b"[[services]]", b"[[services]["),
+        COMPLETE_STATE.replace(b"unknown-tenant", b"unknown-tenent"),
+        COMPLETE_STATE.replace(b"fboot-1", b"gboot-1"),
     ],
 )
 def test_malformed_bytes_are_refused_with_a_typed_error(data: bytes) -> None:
-    assert data != WHOLE
+    assert data != COMPLETE_STATE
     with pytest.raises(MalformedState):
         ControlState.restore(data)
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(position=st.integers(0, len(WHOLE) - 1), byte=st.integers(0, 255))
+@given(position=st.integers(0, len(COMPLETE_STATE) - 1), byte=st.integers(0, 255))
 def test_a_changed_byte_never_raises_an_untyped_error(position: int, byte: int) -> None:
     """A flipped byte that still decodes is the storage's checksum's to find, not ours."""
-    data = WHOLE[:position] + bytes([byte]) + WHOLE[position + 1 :]
+    data = COMPLETE_STATE[:position] + bytes([byte]) + COMPLETE_STATE[position + 1 :]
     try:
         ControlState.restore(data).serialise()
     except MalformedState:
