--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -133,8 +133,8 @@
     ledger = leading()
     ledger.record_report(1, report(sighting()), now=100.0)
     for sequence, (received_at, revision) in enumerate(reports):
-        late_report = report(sequence=sequence, revision=revision, recorded_ms=recorded_ms)
-        assert ledger.record_report(2, late_report, now=received_at)
+        reported = report(sequence=sequence, revision=revision, recorded_ms=recorded_ms)
+        assert ledger.record_report(2, reported, now=received_at)
     found = in_force(ledger, 100.0)
     assert (found.laggards, found.complete) == (laggards, complete)
     assert (found.balancers is not None) is known
