--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -181,9 +181,9 @@
         async with cluster() as running:
             await running.configure()
             leader_id = await running.leader()
-            queried_id, unheard = (each for each in running.processes if each != leader_id)
-            running.cut_link(unheard, queried_id)
-            balancer = running.subscribe_balancer(6001, [unheard])
+            queried_id, cut_off_id = (each for each in running.processes if each != leader_id)
+            running.cut_link(cut_off_id, queried_id)
+            balancer = running.subscribe_balancer(6001, [cut_off_id])
             await wait_for(balancer.fresh)
             await running.accept("PUT", TENANT, change_id="c", body=new_tenant(weight=1))
             found = await running.call("GET", "/v1/changes/c/in-force?wait_ms=30000", queried_id)
