--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -119,7 +119,7 @@
     reported = time.perf_counter()
     times.report_bytes.append(len(codec.encode(report)))
     taking = time.perf_counter()
-    assert ledger.take(REPLICA, report, replica.now)
+    assert ledger.record_report(REPLICA, report, replica.now)
     taken = time.perf_counter()
     answer = ledger.in_force(replica.revision, {REPLICA: 0.0}, replica.now)
     counted = time.perf_counter()
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -96,7 +96,7 @@
     def handle_report(self, sender: int, report: SubscriberReport) -> None:
         """Take in another replica's report; ask for a whole one where some are missing."""
         ledger = self.ledger()
-        if ledger is not None and not ledger.take(sender, report, time.monotonic()):
+        if ledger is not None and not ledger.record_report(sender, report, time.monotonic()):
             self._network.send(sender, ReportWanted())
 
     def handle_report_request(self) -> None:
@@ -135,7 +135,7 @@
         )
         if leader_id == self._replica_id:
             ledger = self.ledger()
-            delivered = ledger is not None and ledger.take(self._replica_id, report, now)
+            delivered = ledger is not None and ledger.record_report(self._replica_id, report, now)
         else:
             delivered = self._network.send(leader_id, report)
         if not delivered:
