--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -86,7 +86,7 @@
     replica = _Replica(balancers)
     times = FlushTimes()
     ledger = InForceLedger(replica.now)
-    ledger.lead(TERM, replica.now)
+    ledger.start_term(TERM, replica.now)
     reporter = SubscriberReporter(replica.now, first_sequence=1)
     for number in range(CHANGES):
         replica.change(number)
