--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -216,7 +216,7 @@
         now = time.monotonic()
         match message:
             case RaftPayload():
-                self.runner.take(sender, message)
+                self.runner.handle_message(sender, message)
             case ReplicaHeartbeat():
                 self._on_heartbeat(sender, message, now)
             case HomedNodes():
--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -240,7 +240,7 @@
         while self.leader_id in (None, own_id) and time.monotonic() < deadline:
             await asyncio.sleep(TRANSFER_POLL_SECONDS)
 
-    def take(self, sender: int, message: RaftPayload) -> None:
+    def handle_message(self, sender: int, message: RaftPayload) -> None:
         """Hand a peer's message to the core; malformed ones are counted and dropped."""
         try:
             decoded = RAFT_DECODER.decode(message.payload)
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -229,7 +229,7 @@
     def _handle_message(self, sender: int, message: PeerMessage) -> None:
         match message:
             case RaftPayload():
-                self.runner.take(sender, message)
+                self.runner.handle_message(sender, message)
             case ForwardProposal() | ForwardReplicaChange():
                 self.proposals.handle_request(sender, message)
             case ForwardReply():
