--- a/src/jasperwalk/control/peer_messages.py
+++ b/src/jasperwalk/control/peer_messages.py
@@ -87,7 +87,7 @@
     """Sent back on an otherwise one-way link, so that its opener notices a silent cut."""
 
 
-class ReportWanted(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class FullReportRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The leader's answer to a report that follows one which it did not get."""
 
 
@@ -136,7 +136,7 @@
     | ForwardReply
     | SubscriberReport
     | LinkAlive
-    | ReportWanted
+    | FullReportRequest
     | LeaderQuery
     | LeaderAnswer
 )
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -19,11 +19,11 @@
     AgentCondition,
     AgentsAnswer,
     AgentsQuery,
+    FullReportRequest,
     InForceAnswer,
     InForceQuery,
     LeaderAnswer,
     LeaderQuery,
-    ReportWanted,
 )
 from jasperwalk.control.publishing import Publishing
 from jasperwalk.control.subscriber_reports import SubscriberReport, SubscriberReporter
@@ -97,7 +97,7 @@
         """Take in another replica's report; ask for a whole one where some are missing."""
         ledger = self.ledger()
         if ledger is not None and not ledger.record_report(sender, report, time.monotonic()):
-            self._network.send(sender, ReportWanted())
+            self._network.send(sender, FullReportRequest())
 
     def handle_report_request(self) -> None:
         """Let the next report be a whole one."""
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -22,13 +22,13 @@
     ForwardProposal,
     ForwardReplicaChange,
     ForwardReply,
+    FullReportRequest,
     InForceAnswer,
     InForceQuery,
     LinkAlive,
     PeerMessage,
     RaftPayload,
     ReplicaChange,
-    ReportWanted,
 )
 from jasperwalk.control.platform_poller import PlatformPoller
 from jasperwalk.control.problem import StaleReplica
@@ -236,7 +236,7 @@
                 self.proposals.handle_reply(message)
             case SubscriberReport():
                 self.region.handle_report(sender, message)
-            case ReportWanted():
+            case FullReportRequest():
                 self.region.handle_report_request()
             case InForceQuery() | AgentsQuery():
                 self.region.handle_query(sender, message)
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -8,7 +8,7 @@
 from jasperwalk.control import peer_links
 from jasperwalk.control.fleet.replica import PEER_LINK_TIMES
 from jasperwalk.control.peer_links import LinkTimes, PeerLink, PeerNetwork
-from jasperwalk.control.peer_messages import LinkAlive, ReportWanted
+from jasperwalk.control.peer_messages import FullReportRequest, LinkAlive
 from jasperwalk.transport.errors import ConnectFailed
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 from jasperwalk.transport.server import FramedServer
@@ -163,8 +163,8 @@
             before = peers.served()
             peers.relay.silence_standing(forth, back)
             await until(lambda: peers.served() and not peers.served() & before)
-            await until(lambda: peers.networks[1].send(2, ReportWanted()))
-            await until(lambda: peers.received == [(1, ReportWanted())])
+            await until(lambda: peers.networks[1].send(2, FullReportRequest()))
+            await until(lambda: peers.received == [(1, FullReportRequest())])
 
     asyncio.run(scenario())
 
