--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -20,10 +20,10 @@
 
 
 class Dialer:
-    """Stands for `connect`: the attempts before the peer's power is back do what `dial_without_power` says."""
+    """Stands for `connect`: the attempts before the peer's power is back do what `dial_unpowered` says."""
 
-    def __init__(self, real, dial_without_power):
-        self.real, self.dial_without_power = real, dial_without_power
+    def __init__(self, real, dial_unpowered):
+        self.real, self.dial_unpowered = real, dial_unpowered
         self.has_power = False
         self.attempts = 0
 
@@ -31,7 +31,7 @@
         self.attempts += 1
         if self.has_power:
             return await self.real(*arguments)
-        return await self.dial_without_power()
+        return await self.dial_unpowered()
 
 
 async def hang():
@@ -49,8 +49,8 @@
 
 
 @pytest.mark.parametrize("dark", [hang, refuse])
-def test_a_peer_that_dials_is_dialled_back_at_once(monkeypatch, dial_without_power):
-    dialer = Dialer(peer_links.connect, dial_without_power)
+def test_a_peer_that_dials_is_dialled_back_at_once(monkeypatch, dial_unpowered):
+    dialer = Dialer(peer_links.connect, dial_unpowered)
     monkeypatch.setattr(peer_links, "connect", dialer)
     times = peer_links.LinkTimes(connect_timeout=NEVER, reconnect=NEVER)
 
