--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -123,7 +123,7 @@
         """Forget a subscriber whose connection ended."""
         link = self._subscribers.find(subscriber_id)
         if link is not None:
-            self._forget(link)
+            self._remove_subscriber(link)
 
     def table_advanced(self, now: float) -> list[PublisherEffect]:
         """Publish what changed in the table, to the first slice now and at `tick` to others."""
@@ -250,17 +250,17 @@
         return self._admission.retry_after_ms(now)
 
     def _close_replaced(self, link: SubscriberLink) -> list[PublisherEffect]:
-        self._forget(link)
+        self._remove_subscriber(link)
         reason = CloseReason.REPLACED
         return self._refuse(link.subscriber_id, reason, self._config.retry_after_ms)
 
-    def _forget(self, link: SubscriberLink) -> None:
+    def _remove_subscriber(self, link: SubscriberLink) -> None:
         self._subscribers.remove(link)
         self._admission.end(link.subscriber_id)
         self._flushes.discard(link)
 
     def _close(self, link: SubscriberLink, reason: CloseReason) -> list[PublisherEffect]:
-        self._forget(link)
+        self._remove_subscriber(link)
         return [CloseSubscriber(subscriber_id=link.subscriber_id, reason=reason)]
 
     def _close_former_connection(self, link: SubscriberLink) -> list[PublisherEffect]:
