--- a/src/jasperwalk/distribution/scope_history.py
+++ b/src/jasperwalk/distribution/scope_history.py
@@ -53,7 +53,7 @@
             if isinstance(key, MemberKey):
                 self._move(key.address, 0)
         if len(self._steps) > STEP_LIMIT:
-            self._forget_oldest_step()
+            self._remove_oldest_step()
 
     def covers(self, revision: int) -> bool:
         """Tell whether moves after `revision` are known.
@@ -86,7 +86,7 @@
             self._departures.setdefault(former, {})[address] = self.revision
         self._steps[self.revision].append((former, address))
 
-    def _forget_oldest_step(self) -> None:
+    def _remove_oldest_step(self) -> None:
         revision, moves = self._steps.popitem(last=False)
         for former, address in moves:
             if self._moved_at.get(address) == revision:
