--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -45,7 +45,7 @@
         route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
         shed = queue.shed_openings(self._max_openings(now), now)
-        self._refuse([each for each in shed if each is not request], now)
+        self._reset_flows([each for each in shed if each is not request], now)
         if request in shed:
             return False
         self.parts.counters.flows_waited += 1
@@ -91,9 +91,9 @@
     def shed_expired(self, now: float) -> None:
         """Let go what waited too long, and all new flows where the host takes none any more."""
         if self.parts.admission.accepts_none():
-            self._refuse(self.parts.queue.take_openings(), now)
+            self._reset_flows(self.parts.queue.take_openings(), now)
         expired = self.parts.queue.take_expired(now)
-        self._refuse([each for each in expired if each.opens_flow], now)
+        self._reset_flows([each for each in expired if each.opens_flow], now)
         for request in expired:
             if not request.opens_flow:
                 self._expire(request, now)
@@ -106,7 +106,7 @@
         self.parts.counters.requests_expired += 1
         self._log("request-expired", request, now)
 
-    def _refuse(self, refused: list[WaitingRequest], now: float) -> None:
+    def _reset_flows(self, refused: list[WaitingRequest], now: float) -> None:
         parts = self.parts
         for request in refused:
             parts.counters.flows_waited_in_vain += 1
