--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -43,7 +43,7 @@
         elif (
             not flow.followed_up
             and flow.answer_numbers
-            and not flow.is_followed(packet, parts.codec)
+            and not flow.is_followed_up_by(packet, parts.codec)
         ):
             self._drop_half_open(key, flow, now)
             parts.answers.reply(FrameKind.RETURNED, 0, key, sender, now, packet)
@@ -63,7 +63,7 @@
         flow = parts.table.get(key)
         if flow is None or flow.followed_up or tag != parts.tag:
             answer = self.answer(key, tag, sender, now)
-        elif flow.is_followed(packet, parts.codec):
+        elif flow.is_followed_up_by(packet, parts.codec):
             answer = FrameKind.HELD
         else:
             self._drop_half_open(key, flow, now)
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -86,7 +86,7 @@
         if number is not None and number not in self.answer_numbers:
             self.answer_numbers = (*self.answer_numbers, number)[-MAX_ANSWERS:]
 
-    def is_followed(self, packet: bytes, codec: PacketCodec) -> bool:
+    def is_followed_up_by(self, packet: bytes, codec: PacketCodec) -> bool:
         """Tell whether a packet shows that the caller of this half-open flow chose this host."""
         return any(codec.follows(packet, number) for number in self.answer_numbers)
 
