--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -235,7 +235,7 @@
     return from_host(0, GREETING + b"h1", caller=caller)
 
 
-def hand_back(harness, count, now=1.0):
+def return_openings(harness, count, now=1.0):
     """Let the host hand back the openings of this many callers."""
     for port in range(1, count + 1):
         caller = Endpoint("100.64.0.8", port)
@@ -246,7 +246,7 @@
 def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
     """It answers at once and looks idle: without this it would draw all new flows."""
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
     assert harness.agent.log.names()[-2] == "host-returns-openings"
     answer = harness.open(1.1, Endpoint("100.64.0.9", 1))
     assert (answer.kind, answer.flags) == (FrameKind.REFUSED, RefusalReason.RETURNED)
@@ -260,11 +260,11 @@
 
 def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
     harness.open(1.1, taken)
     harness.agent.receive_host_packet(greeting(taken), 1.1)
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
     assert harness.open(1.3, Endpoint("100.64.0.9", 2)).kind is FrameKind.ACCEPTED
 
 
@@ -280,7 +280,7 @@
 
 def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
     harness.agent.on_host_replaced(1.1)
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
