--- a/bench/fair_shares.py
+++ b/bench/fair_shares.py
@@ -30,14 +30,14 @@
     waiting[0] *= 2
     shares = _used_shares(groups)
 
-    def next_and_note(now: float) -> int:
+    def next_and_record(now: float) -> int:
         group = shares.group_to_serve(groups, now)
         shares.record_served(group, REQUEST_SECONDS, now)
         return group
 
     bare = _median_time(lambda _now: next(iter(groups)))
     decisions: dict[str, Decision] = {
-        "next": next_and_note,
+        "next": next_and_record,
         "let-go": lambda now: shares.group_to_shed(waiting, now),
     }
     return [
