--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -30,7 +30,7 @@
     plain, weighed = _choice_time(False), _choice_time(True)
     return [
         Figure("host-pace.request.time", _best(_requests), "us"),
-        Figure("host-pace.judgement.time", _judgement_time(), "us"),
+        Figure("host-pace.judgement.time", _evaluation_time(), "us"),
         Figure("host-pace.choice.time", weighed, "us", plain, "by load alone"),
     ]
 
@@ -54,7 +54,7 @@
         service_times.record_answer(number, SLOTS, now + WORK_SECONDS)
 
 
-def _judgement_time() -> float:
+def _evaluation_time() -> float:
     """Time a judgement that is worked out anew; an agent does so each `SLOWDOWN_CACHE_SECONDS`."""
     service_times = HostSlowdowns()
     _requests(service_times)
