--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -61,12 +61,12 @@
     slow_host = SlowHost(service_times)
     start = BETWEEN_SECONDS * COUNT
 
-    def judge() -> None:
+    def evaluate() -> None:
         for number in range(COUNT):
             # Back and forth, so that the same requests stay in the window.
-            slow_host.judge(start + 2 * SLOWDOWN_CACHE_SECONDS * (number % 2))
+            slow_host.evaluate(start + 2 * SLOWDOWN_CACHE_SECONDS * (number % 2))
 
-    return _best(judge)
+    return _best(evaluate)
 
 
 def _choice_time(weighs_slowdown: bool) -> float:
