--- a/bench/request_scheduler.py
+++ b/bench/request_scheduler.py
@@ -25,7 +25,7 @@
 
 def measure() -> list[Figure]:
     """Measure a request's way through the scheduler; takes a few seconds."""
-    bare = _median_time(_pass_on, 0)
+    bare = _median_time(_forward, 0)
     figures = [
         Figure(
             f"request-scheduler.wait.{count}-waiting", _median_time(_wait, count), "us", bare, BARE
@@ -54,7 +54,7 @@
     scheduler.take_next(True, WORK_SECONDS, now)
 
 
-def _pass_on(scheduler: RequestScheduler, number: int, now: float) -> None:
+def _forward(scheduler: RequestScheduler, number: int, now: float) -> None:
     scheduler.record_started(TERMS[number % len(TERMS)], WORK_SECONDS, now)
 
 
