--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -299,7 +299,7 @@
     assert harness.open(4.01 + MIN_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
-def test_the_time_that_callers_take_is_bounded_both_ways():
+def test_the_follow_up_timeout_is_bounded_both_ways():
     times = FollowUpTime()
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
     times.record(0.0001)
