--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -309,7 +309,7 @@
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
-def test_callers_that_take_longer_are_waited_for_longer():
+def test_slower_callers_raise_the_follow_up_timeout():
     times = FollowUpTime()
     for _ in range(100):
         times.record(0.05)
