--- a/tests/agent/datagrams/test_host_response.py
+++ b/tests/agent/datagrams/test_host_response.py
@@ -48,7 +48,7 @@
     assert response.refuses(announced_at, 1.02 + pause)
 
 
-def test_a_host_that_is_heard_again_is_trusted_at_once():
+def test_a_host_that_answers_again_gets_flows_at_once():
     response = opening_sent_at(1.0)
     assert response.refuses(0.0, 2.0)
     assert response.record_packet()
