--- a/tests/scheduling/test_slow_hosts.py
+++ b/tests/scheduling/test_slow_hosts.py
@@ -66,7 +66,7 @@
     assert after < most * before
 
 
-def test_slow_hosts_are_seen_named_and_get_their_share_again():
+def test_slow_hosts_are_detected_logged_and_get_their_share_again():
     slow = range(0, 12, 4)
     world = World(1, kinds(250), 12, slow=slow, slow_from=SLOW_FROM, slow_until=SLOW_UNTIL)
     world.count_from = SLOW_UNTIL + 4.0
