--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -243,7 +243,7 @@
         harness.agent.receive_host_packet(from_caller(OPENING | RETURNED, caller=caller), now)
 
 
-def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
+def test_a_host_that_returns_every_opening_gets_only_trials():
     """It answers at once and looks idle: without this it would draw all new flows."""
     harness = Harness()
     return_openings(harness, MAX_CONSECUTIVE_RETURNS)
