--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -258,7 +258,7 @@
     assert harness.open(1.61, Endpoint("100.64.0.9", 3)).kind is FrameKind.ACCEPTED
 
 
-def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
+def test_a_host_that_returns_some_openings_goes_on_getting_flows():
     harness = Harness()
     return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
