--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -97,7 +97,7 @@
     assert harness.agent.meter.busy == 1
 
 
-def test_an_opening_packet_that_the_host_hands_back_is_a_refusal():
+def test_an_opening_packet_that_the_host_returns_is_a_refusal():
     harness = Harness()
     harness.open()
     harness.agent.receive_host_packet(from_caller(OPENING | RETURNED), 1.1)
