--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -172,7 +172,7 @@
     assert [to for _, to in harness.caller_packets if _[12] == RESET] == [("100.64.0.10", 1)]
 
 
-def test_a_flow_that_waited_and_is_handed_back_by_the_host_is_reset():
+def test_a_flow_that_waited_and_is_returned_by_the_host_is_reset():
     harness = Harness()
     callers = harness.fill()
     waiting = harness.wait(1)
