--- a/tests/agent/datagrams/test_flow_agent.py
+++ b/tests/agent/datagrams/test_flow_agent.py
@@ -79,7 +79,7 @@
     assert harness.agent.meter.busy == 0
 
 
-def test_a_packet_that_the_host_hands_back_returns_as_the_caller_wrote_it():
+def test_a_returned_packet_is_as_the_caller_wrote_it():
     harness = Harness()
     harness.frame(FrameKind.CARRY, from_caller(0, b"data"))
     harness.agent.receive_host_packet(from_caller(RETURNED, b"data"), 1.1)
