--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -32,7 +32,7 @@
     assert harness.find() is FrameKind.HELD
 
 
-def test_a_flow_that_opened_at_another_host_is_handed_back():
+def test_a_flow_that_opened_at_another_host_is_returned():
     harness = Harness()
     harness.open()
     assert harness.find() is FrameKind.UNSURE
