--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -115,7 +115,7 @@
     assert host.agent.counters.requests_held == 0
 
 
-def test_where_no_terms_are_told_requests_of_open_flows_pass_as_before():
+def test_without_terms_requests_of_open_flows_are_forwarded_at_once():
     host = Host()
     callers = [Endpoint("100.64.0.9", port) for port in range(1, FULL + 3)]
     for caller in callers:
