--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -217,7 +217,7 @@
     assert not host.agent.queue
 
 
-def test_an_agent_that_restarted_passes_requests_on_until_terms_are_told():
+def test_a_restarted_agent_forwards_requests_until_it_learns_terms():
     """Nothing is lost by a restart: callers send again what was held."""
     host = Host()
     for port in range(1, FULL + 4):
