--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -261,7 +261,7 @@
     assert len(host.started()) == 2
 
 
-def test_requests_whose_route_names_no_limit_are_passed_on_after_a_while():
+def test_requests_whose_route_names_no_limit_are_forwarded_after_a_while():
     host = overloaded_host()
     host.started()
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
