--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -68,7 +68,7 @@
     return harness
 
 
-def test_an_acceptance_tells_the_pace_once_it_is_known():
+def test_an_acceptance_reports_the_service_time_once_it_is_known():
     harness = SlowHostHarness()
     assert harness.ask(URGENT).flags == UNKNOWN_SERVICE_TIME
     harness.serve(20, WORK)
