--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -75,7 +75,7 @@
     assert decode_service_time(harness.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
 
 
-def test_an_acceptance_tells_that_the_host_is_slow():
+def test_an_acceptance_reports_that_the_host_is_slow():
     harness = slow_host_harness()
     told = decode_service_time(harness.ask(PATIENT).flags)
     assert told == pytest.approx(SLOW_FACTOR * WORK, rel=0.1)
