--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -93,7 +93,7 @@
     assert slow_host_harness().ask(URGENT, waits=True).kind is FrameKind.ACCEPTED
 
 
-def test_a_balancer_that_tells_no_terms_never_meets_the_new_reason():
+def test_a_balancer_that_sends_no_terms_never_gets_the_reason_slow():
     harness = slow_host_harness()
     answers = [harness.ask() for _ in range(2 * CAPACITY)]
     refused = {answer.flags for answer in answers if answer.kind is FrameKind.REFUSED}
