--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -104,7 +104,7 @@
     assert host.started() == [(90, HOLDS.port)]
 
 
-def test_where_the_host_has_room_nothing_waits():
+def test_where_the_host_has_capacity_nothing_waits():
     host = Host()
     for port in range(1, FULL + 1):
         host.feed(port)
