--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -252,7 +252,7 @@
     assert sorted(host.started()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
 
 
-def test_a_host_that_leaves_requests_unanswered_keeps_room_for_others():
+def test_a_host_that_leaves_requests_unanswered_keeps_capacity_for_others():
     host = overloaded_host()
     host.started()
     host.agent.admit_waiting(1.9)
