--- a/tests/agent/datagrams/test_warm_up.py
+++ b/tests/agent/datagrams/test_warm_up.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("pause", [0.001, 0.03, 0.11, 0.124])
-def test_no_second_has_more_flows_than_the_host_bears(pause):
+def test_no_second_has_more_flows_than_the_limit(pause):
     harness = cold_host_harness()
     configure(harness)
     reached = offer(harness, [1.0 + pause * number for number in range(int(6 / pause))])
