--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -235,7 +235,7 @@
     assert len(host.agent.queue) == 2
 
 
-def test_nothing_waits_for_a_host_that_has_not_said_how_much_it_can_do():
+def test_nothing_waits_for_a_host_that_has_not_announced_its_slots():
     host = Host(HostPhase.UNKNOWN)
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, FEED_TERMS)
     for port in range(1, FULL + 4):
