--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("revision", [1, 2])
-def test_what_an_older_home_says_changes_nothing(revision):
+def test_an_update_of_an_older_revision_changes_nothing(revision):
     harness = Harness()
     drain(harness, 2, ZONE)
     drain(harness, revision)
