--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -60,7 +60,7 @@
     assert harness.open().flags == RefusalReason.ZONE_DRAINED
 
 
-def test_another_zone_is_no_concern():
+def test_a_drain_of_another_zone_has_no_effect():
     harness = Harness()
     drain(harness, 1, "elsewhere")
     assert harness.open().kind is FrameKind.ACCEPTED
