--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -66,7 +66,7 @@
     assert harness.open().kind is FrameKind.ACCEPTED
 
 
-def test_the_host_itself_says_in_which_zone_it_is():
+def test_the_zone_that_the_host_announces_counts():
     harness = Harness()
     harness.host.announce(HostAnnouncement("h1", HostPhase.READY, 2, 0.0, 2, "elsewhere"), 0.0)
     drain(harness, 1, ZONE)
