--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -54,7 +54,7 @@
     ],
     ids=["another service", "another address"],
 )
-def test_what_another_host_says_of_itself_changes_nothing(foreign):
+def test_an_announcement_of_another_host_changes_nothing(foreign):
     handler, state, recorder = handler_and_state()
     handler.announce(announcement())
     assert handler.announce(foreign) is AnnouncementOutcome.REFUSED
