--- a/src/jasperwalk/agent/certificate_renewal.py
+++ b/src/jasperwalk/agent/certificate_renewal.py
@@ -11,7 +11,7 @@
 
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.transport.errors import UnusableCertificate
-from jasperwalk.transport.file_watch import POLL_SECONDS, FileWatch
+from jasperwalk.transport.file_monitor import POLL_SECONDS, FileWatch
 from jasperwalk.transport.tls import check_pair
 
 ConfigurationLoader = Callable[[str, str], QuicConfiguration]
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -19,7 +19,7 @@
 
 from jasperwalk.settings.models import ProcessSettings
 from jasperwalk.transport.errors import CertificateRefused, TlsFailed, UnusableCertificate
-from jasperwalk.transport.file_watch import FileWatch
+from jasperwalk.transport.file_monitor import FileWatch
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
 WARNING_TIME = datetime.timedelta(days=7)
--- a/tests/agent/test_certificate_renewal.py
+++ b/tests/agent/test_certificate_renewal.py
@@ -6,7 +6,7 @@
 
 from jasperwalk.agent.certificate_renewal import CertificateRenewal
 from jasperwalk.agent.quic_settings import server_configuration
-from jasperwalk.transport.file_watch import POLL_SECONDS
+from jasperwalk.transport.file_monitor import POLL_SECONDS
 
 
 class Renewal:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
     make_authority,
     write_authority,
 )
-from jasperwalk.transport.file_watch import POLL_SECONDS
+from jasperwalk.transport.file_monitor import POLL_SECONDS
 from jasperwalk.transport.identity import Identity, ProcessRole
 from jasperwalk.transport.tls import LinkTls
 
