--- a/src/jasperwalk/agent/certificate_renewal.py
+++ b/src/jasperwalk/agent/certificate_renewal.py
@@ -11,7 +11,7 @@
 
 from jasperwalk.agent.endpoint import AgentEndpoint
 from jasperwalk.transport.errors import UnusableCertificate
-from jasperwalk.transport.file_monitor import POLL_SECONDS, FileWatch
+from jasperwalk.transport.file_monitor import POLL_SECONDS, FileMonitor
 from jasperwalk.transport.tls import check_pair
 
 ConfigurationLoader = Callable[[str, str], QuicConfiguration]
@@ -33,7 +33,7 @@
         self._certificate_file = certificate_file
         self._private_key_file = private_key_file
         self._load = load
-        self._watch = FileWatch((certificate_file, private_key_file), clock)
+        self._watch = FileMonitor((certificate_file, private_key_file), clock)
 
     async def run(self, endpoint: AgentEndpoint) -> None:
         """Give the endpoint each renewed certificate, until cancelled."""
--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -11,7 +11,7 @@
 """Least time between two looks at the files."""
 
 
-class FileWatch:
+class FileMonitor:
     """Tells when one of the files has changed since it was last found changed."""
 
     def __init__(self, paths: Iterable[Path], clock: Callable[[], float] = time.monotonic) -> None:
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -19,7 +19,7 @@
 
 from jasperwalk.settings.models import ProcessSettings
 from jasperwalk.transport.errors import CertificateRefused, TlsFailed, UnusableCertificate
-from jasperwalk.transport.file_monitor import FileWatch
+from jasperwalk.transport.file_monitor import FileMonitor
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
 WARNING_TIME = datetime.timedelta(days=7)
@@ -49,7 +49,7 @@
         self._files = files
         self._clock = clock
         paths = (files.ca_file, files.certificate_file, files.private_key_file)
-        self._watch = FileWatch(paths, clock)
+        self._watch = FileMonitor(paths, clock)
         self._warned_at: float | None = None
         self._load()
         self._listening = self._server
