--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -49,7 +49,7 @@
         self._files = files
         self._clock = clock
         paths = (files.ca_file, files.certificate_file, files.private_key_file)
-        self._watch = FileMonitor(paths, clock)
+        self._file_monitor = FileMonitor(paths, clock)
         self._warned_at: float | None = None
         self._load()
         self._listening = self._server
@@ -80,7 +80,7 @@
         connection.context = self._server
 
     def _renew(self) -> None:
-        if self._watch.changed():
+        if self._file_monitor.changed():
             try:
                 self._load()
             except UnusableCertificate as error:
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -219,7 +219,9 @@
             certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
             if renewed == "ca":
-                former_tls._watch.changed = lambda: False  # a process that kept its old files
+                former_tls._file_monitor.changed = lambda: (
+                    False
+                )  # a process that kept its old files
                 with pytest.raises(TlsError):
                     await echoed(server, former_tls, name="control-3")
                 await standing.send(b"still here")
