--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -17,15 +17,15 @@
     def __init__(self, paths: Iterable[Path], clock: Callable[[], float] = time.monotonic) -> None:
         self._paths = tuple(paths)
         self._clock = clock
-        self._looked_at = clock()
+        self._checked_at = clock()
         self._stamps = self._read()
 
     def changed(self) -> bool:
         """Look at the files, unless that was done a moment ago."""
         now = self._clock()
-        if now - self._looked_at < POLL_SECONDS:
+        if now - self._checked_at < POLL_SECONDS:
             return False
-        self._looked_at = now
+        self._checked_at = now
         stamps = self._read()
         has_changed = stamps != self._stamps
         self._stamps = stamps
