--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -18,7 +18,7 @@
         self._paths = tuple(paths)
         self._clock = clock
         self._checked_at = clock()
-        self._stamps = self._read()
+        self._file_states = self._read()
 
     def changed(self) -> bool:
         """Look at the files, unless that was done a moment ago."""
@@ -27,8 +27,8 @@
             return False
         self._checked_at = now
         stamps = self._read()
-        has_changed = stamps != self._stamps
-        self._stamps = stamps
+        has_changed = stamps != self._file_states
+        self._file_states = stamps
         return has_changed
 
     def _read(self) -> list[tuple[int, int, int]]:
