--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -26,9 +26,9 @@
         if now - self._checked_at < POLL_SECONDS:
             return False
         self._checked_at = now
-        stamps = self._read()
-        has_changed = stamps != self._file_states
-        self._file_states = stamps
+        file_states = self._read()
+        has_changed = file_states != self._file_states
+        self._file_states = file_states
         return has_changed
 
     def _read(self) -> list[tuple[int, int, int]]:
