--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -32,10 +32,10 @@
         return has_changed
 
     def _read(self) -> list[tuple[int, int, int]]:
-        return [_stamp(path) for path in self._paths]
+        return [_file_state(path) for path in self._paths]
 
 
-def _stamp(path: Path) -> tuple[int, int, int]:
+def _file_state(path: Path) -> tuple[int, int, int]:
     """Return what differs once a file was replaced; zeros while it is missing."""
     try:
         status = os.stat(path)
