--- a/src/jasperwalk/transport/client.py
+++ b/src/jasperwalk/transport/client.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.errors import JasperwalkError
 from jasperwalk.transport.errors import ConnectFailed, ConnectionLost
-from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection, explain_tls
+from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection, convert_ssl_error
 from jasperwalk.transport.hello import Hello
 from jasperwalk.transport.keep_alive import keep_alive
 
@@ -41,7 +41,7 @@
     except TimeoutError as error:
         raise ConnectFailed(endpoint=str(endpoint), reason="timed out") from error
     except ssl.SSLError as error:
-        raise explain_tls(error) from error
+        raise convert_ssl_error(error) from error
     except OSError as error:
         raise ConnectFailed(endpoint=str(endpoint), reason=str(error)) from error
     keep_alive(writer)
--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -124,7 +124,7 @@
                 raise ConnectionLost(reason="closed by the other side") from error
             raise TruncatedFrame(expected=length, received=len(error.partial)) from error
         except ssl.SSLError as error:
-            raise explain_tls(error) from error
+            raise convert_ssl_error(error) from error
         except OSError as error:
             raise ConnectionLost(reason=str(error)) from error
 
@@ -160,7 +160,7 @@
                 self._writer.transport.abort()
 
 
-def explain_tls(error: ssl.SSLError) -> CertificateRefused | TlsFailed:
+def convert_ssl_error(error: ssl.SSLError) -> CertificateRefused | TlsFailed:
     """Turn a failure of OpenSSL into a typed one."""
     if isinstance(error, ssl.SSLCertVerificationError):
         return CertificateRefused(reason=error.verify_message)
