--- a/src/jasperwalk/transport/client.py
+++ b/src/jasperwalk/transport/client.py
@@ -57,7 +57,7 @@
         if tls is None:
             raise
         # asyncio's server ends a handshake that it refuses without sending its alert.
-        raise tls.explain_closing() from error
+        raise tls.explain_close_after_handshake() from error
     except (JasperwalkError, asyncio.CancelledError):
         connection.abort()
         raise
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -65,7 +65,7 @@
         """Return the context to listen with; its connections take renewed files by themselves."""
         return self._listening
 
-    def explain_closing(self) -> CertificateRefused | TlsFailed:
+    def explain_close_after_handshake(self) -> CertificateRefused | TlsFailed:
         """Return why the other side may have closed a connection right after the handshake."""
         if self.expires_at < datetime.datetime.now(datetime.UTC):
             ended = f"this process's own expired at {self.expires_at.isoformat()}"
