--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -28,10 +28,10 @@
     CA_FILE,
     CA_KEY_FILE,
     Authority,
-    files_of,
     issue_process_certificate,
     make_authority,
     read_authority,
+    tls_files_of,
     write_authority,
 )
 from jasperwalk.transport.identity import Identity, ProcessRole
@@ -171,7 +171,7 @@
     lifetime: datetime.timedelta,
     renew: bool,
 ) -> CertificateView:
-    files = files_of(holder, folder)
+    files = tls_files_of(holder, folder)
     made = renew or not files.certificate_file.exists()
     try:
         if made:
--- a/src/jasperwalk/transport/certificates.py
+++ b/src/jasperwalk/transport/certificates.py
@@ -63,7 +63,7 @@
     return Authority(certificate, private_key)
 
 
-def files_of(identity: Identity, folder: Path) -> TlsFiles:
+def tls_files_of(identity: Identity, folder: Path) -> TlsFiles:
     """Return where the certificate of a process stands in `folder`."""
     stem = f"{identity.role}-{identity.name}"
     return TlsFiles(folder / CA_FILE, folder / f"{stem}.pem", folder / f"{stem}.key")
@@ -76,7 +76,7 @@
     names: list[x509.GeneralName] = [x509.UniformResourceIdentifier(str(identity))]
     if identity.role is ProcessRole.CONTROL:
         names.append(x509.DNSName(CONTROL_HOST_NAME))
-    files = files_of(identity, folder)
+    files = tls_files_of(identity, folder)
     issue_certificate(authority, identity.name, names, files, lifetime)
     return files
 
--- a/src/jasperwalk_lab/certificates.py
+++ b/src/jasperwalk_lab/certificates.py
@@ -10,10 +10,10 @@
 
 from jasperwalk.transport.certificates import (
     certificate_pem,
-    files_of,
     issue_certificate,
     issue_process_certificate,
     make_authority,
+    tls_files_of,
     write_authority,
 )
 from jasperwalk.transport.identity import Identity
@@ -57,7 +57,7 @@
 
     def files(self, identity: Identity) -> TlsFiles:
         """Return a process's files; its certificate is made when it is first asked for."""
-        files = files_of(identity, self.folder)
+        files = tls_files_of(identity, self.folder)
         if not files.certificate_file.exists():
             issue_process_certificate(self._authority, identity, self.folder, LIFETIME)
         return files
--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -20,7 +20,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.errors import JasperwalkError
-from jasperwalk.transport.certificates import files_of
+from jasperwalk.transport.certificates import tls_files_of
 from jasperwalk.transport.identity import Identity, identity_of
 from jasperwalk.transport.tls import LinkTls
 
@@ -71,7 +71,7 @@
     def of(self, identity: Identity) -> LinkTls:
         """Return a process's TLS; raises `UnusableCertificate`."""
         if identity not in self._loaded:
-            self._loaded[identity] = LinkTls(files_of(identity, self._folder), identity)
+            self._loaded[identity] = LinkTls(tls_files_of(identity, self._folder), identity)
         return self._loaded[identity]
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,9 +9,9 @@
 import pytest
 
 from jasperwalk.transport.certificates import (
-    files_of,
     issue_process_certificate,
     make_authority,
+    tls_files_of,
     write_authority,
 )
 from jasperwalk.transport.file_monitor import POLL_SECONDS
@@ -49,7 +49,7 @@
 
     def tls(self, role, name, lifetime=DAY, cluster_id="zagreb"):
         identity = self.issue(role, name, lifetime, cluster_id)
-        return LinkTls(files_of(identity, self.folder), identity, clock=lambda: self.now)
+        return LinkTls(tls_files_of(identity, self.folder), identity, clock=lambda: self.now)
 
     def advance_past_poll(self):
         self.now += POLL_SECONDS
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.settings.models import ProcessSettings
-from jasperwalk.transport.certificates import files_of, make_authority
+from jasperwalk.transport.certificates import make_authority, tls_files_of
 from jasperwalk.transport.client import connect
 from jasperwalk.transport.errors import (
     CertificateRefused,
@@ -174,7 +174,8 @@
             )
             with pytest.raises(TlsError):
                 await echoed(
-                    server, LinkTls(files_of(identity, other_cluster_certificates.folder), identity)
+                    server,
+                    LinkTls(tls_files_of(identity, other_cluster_certificates.folder), identity),
                 )
 
     run(scenario())
@@ -235,7 +236,7 @@
     async def scenario():
         server_tls = certificates.tls("control", "control-1")
         client_tls = certificates.tls("control", "control-2")
-        key_file = files_of(client_tls.identity, certificates.folder).private_key_file
+        key_file = tls_files_of(client_tls.identity, certificates.folder).private_key_file
         whole = key_file.read_bytes()
         async with serving(server_tls) as server:
             for content in (b"", certificates.folder.joinpath("ca.key").read_bytes()):
@@ -252,7 +253,7 @@
 @pytest.mark.parametrize("case", ["wrong name", "no key", "no certificate", "garbage"])
 def test_a_process_does_not_start_with_files_that_are_not_its_own(certificates, case):
     identity = certificates.issue("control", "control-1")
-    files = files_of(identity, certificates.folder)
+    files = tls_files_of(identity, certificates.folder)
     if case == "wrong name":
         identity = Identity("zagreb", ProcessRole.CONTROL, "control-2")
     elif case == "no key":
@@ -270,7 +271,7 @@
     plain = ProcessSettings.model_validate(document)
     assert link_tls_of(plain, ProcessRole.BALANCER) is None
     assert "plain TCP" in describe_links(None)
-    files = files_of(certificates.issue("balancer", "b"), certificates.folder)
+    files = tls_files_of(certificates.issue("balancer", "b"), certificates.folder)
     table = {name: str(getattr(files, name)) for name in files.__dataclass_fields__}
     settings = ProcessSettings.model_validate({**document, "tls": table})
     tls = link_tls_of(settings, ProcessRole.BALANCER)
