--- a/src/jasperwalk/transport/certificates.py
+++ b/src/jasperwalk/transport/certificates.py
@@ -49,7 +49,7 @@
 
 def write_authority(authority: Authority, folder: Path) -> None:
     """Write the CA's certificate and private key to `folder`."""
-    write_atomically(folder / CA_KEY_FILE, private_pem(authority.private_key), PRIVATE_MODE)
+    write_atomically(folder / CA_KEY_FILE, private_key_pem(authority.private_key), PRIVATE_MODE)
     write_atomically(folder / CA_FILE, certificate_pem(authority.certificate), PUBLIC_MODE)
 
 
@@ -102,7 +102,7 @@
     )
     builder = builder.add_extension(issuer_key, critical=False)
     certificate = builder.sign(authority.private_key, hashes.SHA256())
-    write_atomically(files.private_key_file, private_pem(private_key), PRIVATE_MODE)
+    write_atomically(files.private_key_file, private_key_pem(private_key), PRIVATE_MODE)
     write_atomically(files.certificate_file, certificate_pem(certificate), PUBLIC_MODE)
 
 
@@ -121,7 +121,7 @@
     return certificate.public_bytes(serialization.Encoding.PEM)
 
 
-def private_pem(private_key: ec.EllipticCurvePrivateKey) -> bytes:
+def private_key_pem(private_key: ec.EllipticCurvePrivateKey) -> bytes:
     """Encode a private key, unencrypted."""
     return private_key.private_bytes(
         serialization.Encoding.PEM,
