--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -76,7 +76,7 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Serve one subscriber until its connection ends."""
-        connection.limit_frames(MAX_RECEIVED_BYTES)
+        connection.limit_received_frames(MAX_RECEIVED_BYTES)
         subscribe = await _receive_subscribe(connection)
         check_claim(connection.identity, subscribe.role, subscribe.name)
         subscriber_id = next(self._subscriber_ids)
--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -67,7 +67,7 @@
         self.peer: Hello | None = None
         self.identity: Identity | None = None
 
-    def limit_frames(self, maximum_frame_bytes: int) -> None:
+    def limit_received_frames(self, maximum_frame_bytes: int) -> None:
         """Lower the limit of received frames, where the other side has only short ones to send."""
         self._maximum_received_bytes = maximum_frame_bytes
 
--- a/tests/transport/test_framed.py
+++ b/tests/transport/test_framed.py
@@ -140,7 +140,7 @@
             assert connection.peer == HELLO
             with pytest.raises(OversizedFrame):
                 connection.write(bytes(MAXIMUM_FRAME_BYTES + 1))
-            connection.limit_frames(100)
+            connection.limit_received_frames(100)
             connection.write(bytes(101))
             with pytest.raises(OversizedFrame):
                 await connection.receive()
