--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -58,18 +58,18 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        maximum_frame_bytes: int = MAXIMUM_FRAME_BYTES,
+        max_frame_bytes: int = MAXIMUM_FRAME_BYTES,
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._maximum_frame_bytes = maximum_frame_bytes
-        self._maximum_received_bytes = maximum_frame_bytes
+        self._maximum_frame_bytes = max_frame_bytes
+        self._maximum_received_bytes = max_frame_bytes
         self.peer: Hello | None = None
         self.identity: Identity | None = None
 
-    def limit_received_frames(self, maximum_frame_bytes: int) -> None:
+    def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Lower the limit of received frames, where the other side has only short ones to send."""
-        self._maximum_received_bytes = maximum_frame_bytes
+        self._maximum_received_bytes = max_frame_bytes
 
     def write(self, payload: bytes) -> None:
         """Queue one frame without waiting.
--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -183,7 +183,7 @@
         self._next_arrival = 0.0
         self._pumping = False
 
-    def limit_received_frames(self, maximum_frame_bytes: int) -> None:
+    def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Take note of a limit; the simulated frames are small."""
 
     def write(self, payload: bytes) -> None:
