--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -62,7 +62,7 @@
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._maximum_frame_bytes = max_frame_bytes
+        self._max_frame_bytes = max_frame_bytes
         self._maximum_received_bytes = max_frame_bytes
         self.peer: Hello | None = None
         self.identity: Identity | None = None
@@ -76,8 +76,8 @@
 
         Raises `OversizedFrame`, `SendBufferFull` or `ConnectionLost`.
         """
-        if len(payload) > self._maximum_frame_bytes:
-            raise OversizedFrame(length=len(payload), limit=self._maximum_frame_bytes)
+        if len(payload) > self._max_frame_bytes:
+            raise OversizedFrame(length=len(payload), limit=self._max_frame_bytes)
         if self._writer.is_closing():
             raise ConnectionLost(reason="closed on this side")
         buffered = self._writer.transport.get_write_buffer_size()
