--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -63,13 +63,13 @@
         self._reader = reader
         self._writer = writer
         self._max_frame_bytes = max_frame_bytes
-        self._maximum_received_bytes = max_frame_bytes
+        self._max_received_bytes = max_frame_bytes
         self.peer: Hello | None = None
         self.identity: Identity | None = None
 
     def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Lower the limit of received frames, where the other side has only short ones to send."""
-        self._maximum_received_bytes = max_frame_bytes
+        self._max_received_bytes = max_frame_bytes
 
     def write(self, payload: bytes) -> None:
         """Queue one frame without waiting.
@@ -99,7 +99,7 @@
         Raises `ConnectionLost` when the other side closed between frames, `TruncatedFrame`
         when within one, and `OversizedFrame`.
         """
-        return await self._receive(self._maximum_received_bytes)
+        return await self._receive(self._max_received_bytes)
 
     async def receive_request(self, timeout_seconds: float) -> bytes:
         """Return the payload of the next frame; raises `RequestTimeout`, or as `receive` does."""
