--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -29,7 +29,7 @@
 
 LENGTH_PREFIX = struct.Struct("!I")
 
-MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 """Longest payload of a frame, both ways."""
 
 MAXIMUM_HELLO_BYTES = 1024
@@ -58,7 +58,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        max_frame_bytes: int = MAXIMUM_FRAME_BYTES,
+        max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
         self._reader = reader
         self._writer = writer
--- a/tests/transport/test_framed.py
+++ b/tests/transport/test_framed.py
@@ -12,7 +12,7 @@
 from jasperwalk.messages import codec
 from jasperwalk.transport.client import connect
 from jasperwalk.transport.errors import ConnectFailed, OversizedFrame, WrongCluster
-from jasperwalk.transport.framed import MAXIMUM_FRAME_BYTES, FramedConnection
+from jasperwalk.transport.framed import MAX_FRAME_BYTES, FramedConnection
 from jasperwalk.transport.hello import ConnectionKind, Hello, make_hello
 from jasperwalk.transport.server import FramedServer
 
@@ -59,7 +59,7 @@
     return answer
 
 
-@pytest.mark.parametrize("length", [0, 1, 70_000, MAXIMUM_FRAME_BYTES])
+@pytest.mark.parametrize("length", [0, 1, 70_000, MAX_FRAME_BYTES])
 def test_round_trip_of_every_length(length: int) -> None:
     async def scenario() -> None:
         async with serving() as server:
@@ -139,7 +139,7 @@
             connection = await connect(server.endpoint, HELLO)
             assert connection.peer == HELLO
             with pytest.raises(OversizedFrame):
-                connection.write(bytes(MAXIMUM_FRAME_BYTES + 1))
+                connection.write(bytes(MAX_FRAME_BYTES + 1))
             connection.limit_received_frames(100)
             connection.write(bytes(101))
             with pytest.raises(OversizedFrame):
