--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -32,7 +32,7 @@
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 """Longest payload of a frame, both ways."""
 
-MAXIMUM_HELLO_BYTES = 1024
+MAX_HELLO_BYTES = 1024
 """Longest payload of a Hello; an unknown sender may not make us hold more."""
 
 MAXIMUM_SEND_BUFFER_BYTES = 8 * 1024 * 1024
@@ -139,7 +139,7 @@
         self.write(codec.encode(hello))
         try:
             async with asyncio.timeout(timeout_seconds):
-                payload = await self._receive(MAXIMUM_HELLO_BYTES)
+                payload = await self._receive(MAX_HELLO_BYTES)
         except TimeoutError as error:
             raise HelloTimeout(timeout_seconds=timeout_seconds) from error
         self.peer = check_hello(HELLO_DECODER.decode(payload), hello.cluster_id)
