--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -35,7 +35,7 @@
 MAX_HELLO_BYTES = 1024
 """Longest payload of a Hello; an unknown sender may not make us hold more."""
 
-MAXIMUM_SEND_BUFFER_BYTES = 8 * 1024 * 1024
+MAX_SEND_BUFFER_BYTES = 8 * 1024 * 1024
 """Bytes that may wait in the send buffer before `write` refuses."""
 
 HELLO_TIMEOUT_SECONDS = 2.0
@@ -81,8 +81,8 @@
         if self._writer.is_closing():
             raise ConnectionLost(reason="closed on this side")
         buffered = self._writer.transport.get_write_buffer_size()
-        if buffered > MAXIMUM_SEND_BUFFER_BYTES:
-            raise SendBufferFull(buffered=buffered, limit=MAXIMUM_SEND_BUFFER_BYTES)
+        if buffered > MAX_SEND_BUFFER_BYTES:
+            raise SendBufferFull(buffered=buffered, limit=MAX_SEND_BUFFER_BYTES)
         self._writer.write(LENGTH_PREFIX.pack(len(payload)) + payload)
 
     async def send(self, payload: bytes) -> None:
