--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.transport.http_messages import HttpHandler, HttpRequest, HttpResponse
 
-MAXIMUM_BODY_BYTES = 2 * 1024 * 1024
+MAX_BODY_BYTES = 2 * 1024 * 1024
 IDLE_SECONDS = 20.0
 """A connection without a request for this long is closed."""
 
@@ -92,7 +92,7 @@
             self._body.clear()
         elif isinstance(event, h11.Data):
             self._body += event.data
-            if len(self._body) > MAXIMUM_BODY_BYTES:
+            if len(self._body) > MAX_BODY_BYTES:
                 self.abort()
         elif isinstance(event, h11.EndOfMessage) and self._request is not None:
             path = self._request.target.decode("ascii").partition("?")[0]
