--- a/src/jasperwalk/transport/server.py
+++ b/src/jasperwalk/transport/server.py
@@ -28,7 +28,7 @@
 ACCEPTED_PER_TURN = 32
 """Connections that one turn of the event loop takes. A fleet that returns at once would hold
 up everything else on the loop for seconds; the others wait in the kernel's queue."""
-MAXIMUM_CONNECTIONS = 16_384
+MAX_CONNECTIONS = 16_384
 """Connections that a server carries at once; further ones are dropped."""
 
 logger = structlog.get_logger(__name__)
@@ -82,7 +82,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._tasks) >= MAXIMUM_CONNECTIONS:
+        if len(self._tasks) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
         keep_alive(writer)
