--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -22,7 +22,7 @@
 from jasperwalk.transport.file_monitor import FileMonitor
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
-WARNING_TIME = datetime.timedelta(days=7)
+EXPIRY_WARNING_TIME = datetime.timedelta(days=7)
 """Remaining life of a certificate below which each look at the files warns of its end."""
 WARNING_INTERVAL_SECONDS = 3600.0
 
@@ -105,7 +105,7 @@
         if self._warned_at is not None and now - self._warned_at < WARNING_INTERVAL_SECONDS:
             return
         remaining = self.expires_at - datetime.datetime.now(datetime.UTC)
-        if remaining < WARNING_TIME:
+        if remaining < EXPIRY_WARNING_TIME:
             self._warned_at = now
             event = (
                 "certificate-expired" if remaining < datetime.timedelta() else "certificate-ends"
