--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -54,7 +54,7 @@
         self._load()
         self._listening = self._server
         self._listening.sni_callback = self._choose_context
-        self._warn_of_end()
+        self._warn_of_expiry()
 
     def client_context(self) -> ssl.SSLContext:
         """Return the context for a connection that opens now."""
@@ -88,7 +88,7 @@
                 return
             self._warned_at = None
             logger.info("certificate-renewed", expires_at=self.expires_at.isoformat())
-        self._warn_of_end()
+        self._warn_of_expiry()
 
     def _load(self) -> None:
         certificate = _read_certificate(self._files.certificate_file)
@@ -100,7 +100,7 @@
         self._server, self._client = server, client
         self.expires_at = certificate.not_valid_after_utc
 
-    def _warn_of_end(self) -> None:
+    def _warn_of_expiry(self) -> None:
         now = self._clock()
         if self._warned_at is not None and now - self._warned_at < WARNING_INTERVAL_SECONDS:
             return
