--- a/src/jasperwalk/transport/keep_alive.py
+++ b/src/jasperwalk/transport/keep_alive.py
@@ -13,7 +13,7 @@
 """Time without a packet after which the kernel asks the other side's kernel."""
 INTERVAL_SECONDS = 5
 """Time between two questions."""
-QUESTIONS = 4
+PROBE_COUNT = 4
 """Unanswered questions after which the connection fails."""
 
 
@@ -25,4 +25,4 @@
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_SECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, INTERVAL_SECONDS)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, QUESTIONS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
