--- a/src/jasperwalk/transport/keep_alive.py
+++ b/src/jasperwalk/transport/keep_alive.py
@@ -11,7 +11,7 @@
 
 IDLE_SECONDS = 10
 """Time without a packet after which the kernel asks the other side's kernel."""
-INTERVAL_SECONDS = 5
+PROBE_INTERVAL_SECONDS = 5
 """Time between two questions."""
 PROBE_COUNT = 4
 """Unanswered questions after which the connection fails."""
@@ -24,5 +24,5 @@
         return
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_SECONDS)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, INTERVAL_SECONDS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
