--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -42,7 +42,7 @@
 """Time within which each side has to introduce itself."""
 
 
-ALERT_MARK = "ALERT"
+ALERT_MARKER = "ALERT"
 """Part of OpenSSL's reasons for what the other side refused."""
 
 CERTIFICATE_ALERTS = ("CERTIFICATE", "UNKNOWN_CA")
@@ -165,6 +165,6 @@
     if isinstance(error, ssl.SSLCertVerificationError):
         return CertificateRefused(reason=error.verify_message)
     reason = error.reason or str(error)
-    if ALERT_MARK in reason and any(each in reason for each in CERTIFICATE_ALERTS):
+    if ALERT_MARKER in reason and any(each in reason for each in CERTIFICATE_ALERTS):
         return CertificateRefused(reason=f"this process's own, by the other side ({reason})")
     return TlsFailed(reason=reason)
