--- a/src/jasperwalk/transport/server.py
+++ b/src/jasperwalk/transport/server.py
@@ -100,7 +100,7 @@
                 from jasperwalk.transport.identity import identity_of  # noqa: PLC0415
 
                 connection.identity = identity_of(certificate)
-            await self._greet_and_handle(connection)
+            await self._exchange_hello_and_handle(connection)
         except JasperwalkError as error:
             self._count_refusal(error)
         except asyncio.CancelledError:
@@ -113,7 +113,7 @@
             return
         await connection.close()
 
-    async def _greet_and_handle(self, connection: FramedConnection) -> None:
+    async def _exchange_hello_and_handle(self, connection: FramedConnection) -> None:
         peer = await connection.exchange_hello(self._hello, self._hello_timeout_seconds)
         if connection.identity is not None:
             from jasperwalk.transport.identity import check_client  # noqa: PLC0415
