--- a/src/jasperwalk/transport/client.py
+++ b/src/jasperwalk/transport/client.py
@@ -51,7 +51,7 @@
             await connection.exchange_hello(hello, hello_timeout_seconds)
         else:
             certificate = writer.get_extra_info("peercert")
-            await _exchange_identified(connection, hello, hello_timeout_seconds, certificate)
+            await _exchange_hello_over_tls(connection, hello, hello_timeout_seconds, certificate)
     except ConnectionLost as error:
         connection.abort()
         if tls is None:
@@ -64,7 +64,7 @@
     return connection
 
 
-async def _exchange_identified(
+async def _exchange_hello_over_tls(
     connection: FramedConnection,
     hello: Hello,
     timeout_seconds: float,
