--- a/src/jasperwalk/transport/http_messages.py
+++ b/src/jasperwalk/transport/http_messages.py
@@ -10,13 +10,13 @@
 class HttpRequest(msgspec.Struct, frozen=True):
     """One request; `path` is the target without its query.
 
-    `caller_waits` tells whether the connection on which it came still stands.
+    `client_connected` tells whether the connection on which it came still stands.
     """
 
     method: str
     path: str
     body: bytes
-    caller_waits: Callable[[], bool] = lambda: True
+    client_connected: Callable[[], bool] = lambda: True
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -83,11 +83,11 @@
         taken = asyncio.Event()
 
         async def handle(request):
-            seen.append(request.caller_waits())
+            seen.append(request.client_connected())
             taken.set()
-            while request.caller_waits():
+            while request.client_connected():
                 await asyncio.sleep(0.001)
-            seen.append(request.caller_waits())
+            seen.append(request.client_connected())
             return HttpResponse(200)
 
         server = HttpServer(Endpoint("127.0.0.1", 0), handle)
