--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -46,7 +46,7 @@
         if self._idle is not None:
             self._idle.cancel()
 
-    def _caller_waits(self) -> bool:
+    def _client_connected(self) -> bool:
         return self._transport is not None and not self._has_ended
 
     def abort(self) -> None:
@@ -97,7 +97,7 @@
         elif isinstance(event, h11.EndOfMessage) and self._request is not None:
             path = self._request.target.decode("ascii").partition("?")[0]
             method = self._request.method.decode("ascii")
-            request = HttpRequest(method, path, bytes(self._body), self._caller_waits)
+            request = HttpRequest(method, path, bytes(self._body), self._client_connected)
             self._task = asyncio.ensure_future(self._answer(request))
 
     async def _answer(self, request: HttpRequest) -> None:
