--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -29,7 +29,7 @@
         self._task: asyncio.Task[None] | None = None
         self._transport: asyncio.Transport | None = None
         self._idle: asyncio.TimerHandle | None = None
-        self._has_ended = False
+        self._client_closed = False
         """True once the caller has closed its side."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -47,7 +47,7 @@
             self._idle.cancel()
 
     def _client_connected(self) -> bool:
-        return self._transport is not None and not self._has_ended
+        return self._transport is not None and not self._client_closed
 
     def abort(self) -> None:
         """Drop the connection."""
@@ -67,7 +67,7 @@
 
     def eof_received(self) -> bool:
         """Note that the caller sends no more."""
-        self._has_ended = True
+        self._client_closed = True
         self._parser.receive_data(b"")
         self._advance()
         return self._task is not None
