--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -28,7 +28,7 @@
         self._body = bytearray()
         self._task: asyncio.Task[None] | None = None
         self._transport: asyncio.Transport | None = None
-        self._idle: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
         self._client_closed = False
         """True once the caller has closed its side."""
 
@@ -43,8 +43,8 @@
         """Forget the connection; a handler at work ends by itself."""
         self._connections.discard(self)
         self._transport = None
-        if self._idle is not None:
-            self._idle.cancel()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
 
     def _client_connected(self) -> bool:
         return self._transport is not None and not self._client_closed
@@ -55,9 +55,9 @@
             self._transport.abort()
 
     def _restart_idle_timer(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        self._idle = asyncio.get_running_loop().call_later(IDLE_SECONDS, self.abort)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = asyncio.get_running_loop().call_later(IDLE_SECONDS, self.abort)
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
