--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -77,7 +77,7 @@
             try:
                 event = self._parser.next_event()
             except h11.RemoteProtocolError:
-                self._refuse()
+                self._send_bad_request()
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
@@ -132,7 +132,7 @@
         self._parser.start_next_cycle()
         self._advance()
 
-    def _refuse(self) -> None:
+    def _send_bad_request(self) -> None:
         if self._transport is not None:
             self._transport.write(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n")
             self._transport.close()
