--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -84,9 +84,9 @@
             if isinstance(event, h11.ConnectionClosed):
                 self._transport.close()
                 return
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
             self._request = event
             self._body.clear()
