--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -63,16 +63,16 @@
         """Parse what came."""
         self._restart_idle_timer()
         self._parser.receive_data(data)
-        self._advance()
+        self._process_events()
 
     def eof_received(self) -> bool:
         """Note that the caller sends no more."""
         self._client_closed = True
         self._parser.receive_data(b"")
-        self._advance()
+        self._process_events()
         return self._task is not None
 
-    def _advance(self) -> None:
+    def _process_events(self) -> None:
         while self._task is None and self._transport is not None:
             try:
                 event = self._parser.next_event()
@@ -130,7 +130,7 @@
             self._transport.close()
             return
         self._parser.start_next_cycle()
-        self._advance()
+        self._process_events()
 
     def _send_bad_request(self) -> None:
         if self._transport is not None:
