--- a/src/jasperwalk/transport/server.py
+++ b/src/jasperwalk/transport/server.py
@@ -45,7 +45,7 @@
         hello_timeout_seconds: float = HELLO_TIMEOUT_SECONDS,
         tls: LinkTls | None = None,
     ) -> None:
-        self._requested = endpoint
+        self._requested_endpoint = endpoint
         self._hello = hello
         self._handlers = dict(handlers)
         self._hello_timeout_seconds = hello_timeout_seconds
@@ -59,7 +59,7 @@
     async def start(self) -> None:
         """Bind and listen; `endpoint` then holds the port in use. Raises `OSError`."""
         tls = self._tls
-        listener = _bind(self._requested)
+        listener = _bind(self._requested_endpoint)
         self._server = await asyncio.start_server(
             self._accept,
             sock=listener,
