--- a/src/jasperwalk/control/state/state_image.py
+++ b/src/jasperwalk/control/state/state_image.py
@@ -19,7 +19,7 @@
 from jasperwalk.control.state.incarnations import AgentRecord
 from jasperwalk.control.state.service_ids import ServiceIdsImage
 from jasperwalk.errors import JasperwalkError, MalformedMessage
-from jasperwalk.messages.codec import decode_whole
+from jasperwalk.messages.codec import decode_single_item
 
 STATE_FORMAT = 1
 """Version of the serialised form; raised when its shape changes."""
@@ -75,7 +75,7 @@
 def decode_state(data: bytes) -> StateImage:
     """Decode an image; raise `MalformedState` for bytes that are none, or do not agree."""
     try:
-        image = msgspec.convert(decode_whole(data), StateImage, strict=True)
+        image = msgspec.convert(decode_single_item(data), StateImage, strict=True)
         ChangeRegister.from_image(image.changes)
         _check_agreement(image)
     except MalformedMessage as error:
--- a/src/jasperwalk/messages/codec.py
+++ b/src/jasperwalk/messages/codec.py
@@ -27,7 +27,7 @@
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-def decode_whole(data: bytes) -> Any:
+def decode_single_item(data: bytes) -> Any:
     """Decode exactly one CBOR item; raise `MalformedMessage` for less, or for more after it."""
     stream = io.BytesIO(data)
     decoder = cbor2.CBORDecoder(stream, allow_indefinite=False, allow_duplicate_keys=False)
@@ -55,7 +55,7 @@
 
     def decode(self, data: bytes) -> MessageType:
         """Decode one message; raise `MalformedMessage` for anything that does not fit."""
-        value = decode_whole(data)
+        value = decode_single_item(data)
         try:
             return msgspec.convert(value, self._family, strict=True)  # type: ignore[no-any-return]
         except (msgspec.ValidationError, ValueError, TypeError) as error:
