--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -19,7 +19,7 @@
 from jasperwalk.messages.datagrams import SealedDatagram
 
 MAC_LENGTH = 8
-LONGEST_SECRET = hashlib.blake2s.MAX_KEY_SIZE
+MAX_SECRET_BYTES = hashlib.blake2s.MAX_KEY_SIZE
 """Bytes of the secret that keyed BLAKE2s takes."""
 PERSONALISATION = b"jw-dgram"
 """Keeps MACs of this use apart from any other use of the key (BLAKE2s `person`, 8 bytes)."""
@@ -73,7 +73,7 @@
 
 def compute_mac(secret: bytes, datagram: bytes) -> bytes:
     """Return the MAC of an encoded datagram; control keeps the secret at 16 to 32 bytes."""
-    key = secret[:LONGEST_SECRET]
+    key = secret[:MAX_SECRET_BYTES]
     mac = hashlib.blake2s(datagram, key=key, digest_size=MAC_LENGTH, person=PERSONALISATION)
     return mac.digest()
 
