--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -42,7 +42,7 @@
             self._secrets[key.rotation] = key.secret
             if key.active:
                 self._active_secret = key.secret
-                self._head = _head_of(key.rotation)
+                self._head = _encode_prefix(key.rotation)
 
     @property
     def has_keys(self) -> bool:
@@ -78,7 +78,7 @@
     return mac.digest()
 
 
-def _head_of(rotation: int) -> bytes:
+def _encode_prefix(rotation: int) -> bytes:
     """Encode all of a sealed datagram that comes before its MAC."""
     empty = encode(SealedDatagram(PROTOCOL_VERSION, rotation, bytes(MAC_LENGTH), b""))
     return empty[: -MAC_LENGTH - 1]
