--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -35,14 +35,14 @@
         """Take the fleet's keys; those of other purposes are ignored."""
         self._secrets: dict[int, bytes] = {}
         self._active_secret = b""
-        self._head = b""
+        self._prefix = b""
         for key in keys:
             if key.purpose is not KeyPurpose.DATAGRAM:
                 continue
             self._secrets[key.rotation] = key.secret
             if key.active:
                 self._active_secret = key.secret
-                self._head = _encode_prefix(key.rotation)
+                self._prefix = _encode_prefix(key.rotation)
 
     @property
     def has_keys(self) -> bool:
@@ -55,7 +55,7 @@
             return datagram
         return b"".join(
             (
-                self._head,
+                self._prefix,
                 compute_mac(self._active_secret, datagram),
                 bytes((LONG_BYTE_STRING_HEAD,)),
                 len(datagram).to_bytes(2, "big"),
