--- a/src/jasperwalk/cli/changes.py
+++ b/src/jasperwalk/cli/changes.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.cli import api_requests
 from jasperwalk.cli.api_client import ApiRequest
-from jasperwalk.cli.changing import (
+from jasperwalk.cli.change_submission import (
     describe_change,
     describe_report,
     send_change,
--- a/src/jasperwalk/cli/hosts.py
+++ b/src/jasperwalk/cli/hosts.py
@@ -5,7 +5,7 @@
 import click
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import send_change
+from jasperwalk.cli.change_submission import send_change
 from jasperwalk.cli.operation import (
     ChangeFlags,
     Operation,
--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -11,7 +11,7 @@
 from cryptography import x509
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import send_change
+from jasperwalk.cli.change_submission import send_change
 from jasperwalk.cli.failures import InvalidInput
 from jasperwalk.cli.operation import (
     ChangeFlags,
--- a/src/jasperwalk/cli/templates.py
+++ b/src/jasperwalk/cli/templates.py
@@ -7,7 +7,7 @@
 import click
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import send_change
+from jasperwalk.cli.change_submission import send_change
 from jasperwalk.cli.documents import read_text, template_name
 from jasperwalk.cli.operation import (
     ChangeFlags,
--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import report_change, send_change
+from jasperwalk.cli.change_submission import report_change, send_change
 from jasperwalk.cli.documents import TenantChange, read_document, read_values
 from jasperwalk.cli.failures import InvalidInput, OperationRefused
 from jasperwalk.cli.operation import (
