--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -40,7 +40,7 @@
     single_values: tuple[str, ...]
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the present tenant need not be read first."""
         return self.template is not None and self.values is not None
 
@@ -119,7 +119,7 @@
 
 
 async def _set_tenant(operation: Operation, given: TenantInput, flags: ChangeFlags) -> None:
-    if given.is_whole:
+    if given.is_complete:
         await _send(operation, given, flags)
         return
     if flags.is_resend and await _report_if_known(operation, flags):
