--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -126,7 +126,7 @@
         # Read again, the present tenant may hold the change already: it would not be the
         # same change any more.
         return
-    present = await _read_present(operation, given.name)
+    present = await _read_current(operation, given.name)
     if present is None and given.template is None:
         raise InvalidInput(
             source=f"tenant set {given.name}",
@@ -165,7 +165,7 @@
     return True
 
 
-async def _read_present(operation: Operation, name: str) -> TenantView | None:
+async def _read_current(operation: Operation, name: str) -> TenantView | None:
     request = api_requests.read("tenants", name)
     try:
         return await operation.client.call(request, TenantView)
