--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -126,18 +126,18 @@
         # Read again, the present tenant may hold the change already: it would not be the
         # same change any more.
         return
-    present = await _read_current(operation, given.name)
-    if present is None and given.template is None:
+    current = await _read_current(operation, given.name)
+    if current is None and given.template is None:
         raise InvalidInput(
             source=f"tenant set {given.name}",
             problem="there is no such tenant yet",
             mend="give --template and --values",
         )
     revision = 0
-    if present is not None:
-        revision = present.revision
-        template = given.template or present.template
-        values = present.values if given.values is None else given.values
+    if current is not None:
+        revision = current.revision
+        template = given.template or current.template
+        values = current.values if given.values is None else given.values
         given = replace(given, template=template, values=values)
     if flags.expected_revision is None:
         flags = replace(flags, expected_revision=revision)
