--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -30,7 +30,7 @@
 FIRST_PAUSE_SECONDS = 0.2
 """Pause after the first round over all replicas; it doubles with each round."""
 
-LONGEST_PAUSE_SECONDS = 2.0
+MAX_PAUSE_SECONDS = 2.0
 RETRY_AFTER = "Retry-After"
 
 AnswerType = TypeVar("AnswerType")
@@ -142,7 +142,7 @@
             if loop.time() + pause >= deadline:
                 raise _give_up(request, failures, may_have_run)
             await asyncio.sleep(pause)
-            pause_seconds = min(2 * pause_seconds, LONGEST_PAUSE_SECONDS)
+            pause_seconds = min(2 * pause_seconds, MAX_PAUSE_SECONDS)
 
     async def _attempt(
         self,
