--- a/src/jasperwalk/cli/change_submission.py
+++ b/src/jasperwalk/cli/change_submission.py
@@ -13,7 +13,7 @@
 from jasperwalk.control.in_force import InForce
 from jasperwalk.control.views import ChangeView
 
-LONGEST_POLL_SECONDS = 5.0
+MAX_POLL_SECONDS = 5.0
 """How long one request asks the replica to wait; longer waits take several."""
 
 MILLISECONDS = 1000
@@ -71,7 +71,7 @@
     """Wait until a change is in force; raise `NotInForce` when `seconds` have passed."""
     remaining = seconds
     while True:
-        poll_seconds = min(remaining, LONGEST_POLL_SECONDS)
+        poll_seconds = min(remaining, MAX_POLL_SECONDS)
         request = ApiRequest(
             method="GET",
             path=f"/v1/changes/{quote(change_id, safe='')}/in-force",
