--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -23,7 +23,7 @@
 from jasperwalk.control.problem import Problem
 from jasperwalk.transport.certificates import CONTROL_HOST_NAME
 
-ATTEMPT_SECONDS = 5.0
+ATTEMPT_TIMEOUT_SECONDS = 5.0
 """How long one replica may take to answer, besides a wait that was asked for."""
 
 CONNECT_SECONDS = 2.0
@@ -152,7 +152,7 @@
         remaining: float,
     ) -> Answered | Failed:
         """Send the request to one replica, within `remaining` seconds."""
-        total = min(ATTEMPT_SECONDS + request.wait_seconds, remaining)
+        total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
         timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_SECONDS)
         try:
             async with session.request(
--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -33,7 +33,7 @@
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 
 REPLICAS_VARIABLE = "JASPERWALK_REPLICAS"
-ATTEMPT_SECONDS = 2.0
+ATTEMPT_TIMEOUT_SECONDS = 2.0
 """How long one replica may take."""
 PAUSE_SECONDS = 0.2
 DEFAULT_TIMEOUT_SECONDS = 10.0
@@ -144,8 +144,8 @@
 ) -> OperatorReply | None:
     hello = make_hello(ConnectionKind.OPERATOR, "operator", CLUSTER_ID)
     try:
-        async with asyncio.timeout(ATTEMPT_SECONDS):
-            connection = await connect(replica, hello, ATTEMPT_SECONDS)
+        async with asyncio.timeout(ATTEMPT_TIMEOUT_SECONDS):
+            connection = await connect(replica, hello, ATTEMPT_TIMEOUT_SECONDS)
             try:
                 await connection.send(codec.encode(request))
                 return OPERATOR_REPLY_DECODER.decode(await connection.receive())
