--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -26,7 +26,7 @@
 ATTEMPT_TIMEOUT_SECONDS = 5.0
 """How long one replica may take to answer, besides a wait that was asked for."""
 
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 FIRST_PAUSE_SECONDS = 0.2
 """Pause after the first round over all replicas; it doubles with each round."""
 
@@ -153,7 +153,7 @@
     ) -> Answered | Failed:
         """Send the request to one replica, within `remaining` seconds."""
         total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
-        timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_TIMEOUT_SECONDS)
         try:
             async with session.request(
                 request.method,
