--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -27,7 +27,7 @@
 """How long one replica may take to answer, besides a wait that was asked for."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-FIRST_PAUSE_SECONDS = 0.2
+INITIAL_PAUSE_SECONDS = 0.2
 """Pause after the first round over all replicas; it doubles with each round."""
 
 MAX_PAUSE_SECONDS = 2.0
@@ -122,7 +122,7 @@
     ) -> Answered:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._timeout_seconds + request.wait_seconds
-        pause_seconds = FIRST_PAUSE_SECONDS
+        pause_seconds = INITIAL_PAUSE_SECONDS
         may_have_run = False
         while True:
             failures: list[Failed] = []
