--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class Answered:
+class DefiniteAnswer:
     """A replica's definite answer."""
 
     status: int
@@ -119,7 +119,7 @@
 
     async def _send_until_answered(
         self, session: aiohttp.ClientSession, request: ApiRequest
-    ) -> Answered:
+    ) -> DefiniteAnswer:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._timeout_seconds + request.wait_seconds
         pause_seconds = INITIAL_PAUSE_SECONDS
@@ -131,7 +131,7 @@
                 if failures and remaining <= 0:
                     break
                 attempt = await self._attempt(session, endpoint, request, remaining)
-                if isinstance(attempt, Answered):
+                if isinstance(attempt, DefiniteAnswer):
                     return attempt
                 failures.append(attempt)
                 may_have_run = may_have_run or attempt.may_have_run
@@ -150,7 +150,7 @@
         endpoint: Endpoint,
         request: ApiRequest,
         remaining: float,
-    ) -> Answered | Failed:
+    ) -> DefiniteAnswer | Failed:
         """Send the request to one replica, within `remaining` seconds."""
         total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
         timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_TIMEOUT_SECONDS)
@@ -175,9 +175,9 @@
 
 def _classify(
     endpoint: Endpoint, response: aiohttp.ClientResponse, body: bytes
-) -> Answered | Failed:
+) -> DefiniteAnswer | Failed:
     """Tell definite answers from those that send the client to another replica."""
-    answered = Answered(status=response.status, body=body)
+    answered = DefiniteAnswer(status=response.status, body=body)
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return answered
     reason = f"{endpoint}: {_decode_problem(answered).detail}"
@@ -196,7 +196,7 @@
     return ChangeOutcomeUnknown(change_id=request.change_id, attempts=attempts)
 
 
-def _decode_problem(answered: Answered) -> Problem:
+def _decode_problem(answered: DefiniteAnswer) -> Problem:
     try:
         return msgspec.json.decode(answered.body, type=Problem)
     except msgspec.DecodeError:
