--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class Failed:
+class FailedAttempt:
     """An attempt without a definite answer."""
 
     reason: str
@@ -114,7 +114,7 @@
         try:
             return msgspec.json.decode(answered.body, type=answer_type)
         except msgspec.DecodeError as error:
-            failed = Failed(f"answer not understood: {error}", may_have_run=True)
+            failed = FailedAttempt(f"answer not understood: {error}", may_have_run=True)
             raise _give_up(request, [failed], may_have_run=True) from error
 
     async def _send_until_answered(
@@ -125,7 +125,7 @@
         pause_seconds = INITIAL_PAUSE_SECONDS
         may_have_run = False
         while True:
-            failures: list[Failed] = []
+            failures: list[FailedAttempt] = []
             for endpoint in self._endpoints:
                 remaining = deadline - loop.time()
                 if failures and remaining <= 0:
@@ -150,7 +150,7 @@
         endpoint: Endpoint,
         request: ApiRequest,
         remaining: float,
-    ) -> DefiniteAnswer | Failed:
+    ) -> DefiniteAnswer | FailedAttempt:
         """Send the request to one replica, within `remaining` seconds."""
         total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
         timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_TIMEOUT_SECONDS)
@@ -168,14 +168,16 @@
                 body = await response.read()
                 return _classify(endpoint, response, body)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Failed(f"{endpoint}: cannot connect ({_reason(error)})", may_have_run=False)
+            return FailedAttempt(
+                f"{endpoint}: cannot connect ({_reason(error)})", may_have_run=False
+            )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Failed(f"{endpoint}: no answer ({_reason(error)})", may_have_run=True)
+            return FailedAttempt(f"{endpoint}: no answer ({_reason(error)})", may_have_run=True)
 
 
 def _classify(
     endpoint: Endpoint, response: aiohttp.ClientResponse, body: bytes
-) -> DefiniteAnswer | Failed:
+) -> DefiniteAnswer | FailedAttempt:
     """Tell definite answers from those that send the client to another replica."""
     answered = DefiniteAnswer(status=response.status, body=body)
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -183,12 +185,12 @@
     reason = f"{endpoint}: {_decode_problem(answered).detail}"
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         retry_after = _parse_seconds(response.headers.get(RETRY_AFTER, "0"))
-        return Failed(reason, may_have_run=False, retry_after_seconds=retry_after)
-    return Failed(reason, may_have_run=True)
+        return FailedAttempt(reason, may_have_run=False, retry_after_seconds=retry_after)
+    return FailedAttempt(reason, may_have_run=True)
 
 
 def _give_up(
-    request: ApiRequest, failures: Sequence[Failed], may_have_run: bool
+    request: ApiRequest, failures: Sequence[FailedAttempt], may_have_run: bool
 ) -> ControlUnreachable | ChangeOutcomeUnknown:
     attempts = tuple(failure.reason for failure in failures)
     if request.method == "GET" or not may_have_run:
