--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -108,11 +108,11 @@
         # Connections are not kept: aiohttp would resend by itself on one that has gone stale.
         connector = aiohttp.TCPConnector(force_close=True, ssl=self._tls or True)
         async with aiohttp.ClientSession(connector=connector) as session:
-            answered = await self._send_until_answered(session, request)
-        if answered.status >= HTTPStatus.BAD_REQUEST:
-            raise OperationRefused(problem=_decode_problem(answered))
+            answer = await self._send_until_answered(session, request)
+        if answer.status >= HTTPStatus.BAD_REQUEST:
+            raise OperationRefused(problem=_decode_problem(answer))
         try:
-            return msgspec.json.decode(answered.body, type=answer_type)
+            return msgspec.json.decode(answer.body, type=answer_type)
         except msgspec.DecodeError as error:
             failed = FailedAttempt(f"answer not understood: {error}", may_have_run=True)
             raise _give_up(request, [failed], may_have_run=True) from error
@@ -179,10 +179,10 @@
     endpoint: Endpoint, response: aiohttp.ClientResponse, body: bytes
 ) -> DefiniteAnswer | FailedAttempt:
     """Tell definite answers from those that send the client to another replica."""
-    answered = DefiniteAnswer(status=response.status, body=body)
+    answer = DefiniteAnswer(status=response.status, body=body)
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-        return answered
-    reason = f"{endpoint}: {_decode_problem(answered).detail}"
+        return answer
+    reason = f"{endpoint}: {_decode_problem(answer).detail}"
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         retry_after = _parse_seconds(response.headers.get(RETRY_AFTER, "0"))
         return FailedAttempt(reason, may_have_run=False, retry_after_seconds=retry_after)
@@ -198,12 +198,12 @@
     return ChangeOutcomeUnknown(change_id=request.change_id, attempts=attempts)
 
 
-def _decode_problem(answered: DefiniteAnswer) -> Problem:
+def _decode_problem(answer: DefiniteAnswer) -> Problem:
     try:
-        return msgspec.json.decode(answered.body, type=Problem)
+        return msgspec.json.decode(answer.body, type=Problem)
     except msgspec.DecodeError:
-        detail = f"HTTP status {answered.status} without a problem body"
-        return Problem("about:blank", "", answered.status, "unexpected-answer", detail)
+        detail = f"HTTP status {answer.status} without a problem body"
+        return Problem("about:blank", "", answer.status, "unexpected-answer", detail)
 
 
 def _parse_seconds(text: str) -> float:
