--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -115,7 +115,7 @@
             return msgspec.json.decode(answer.body, type=answer_type)
         except msgspec.DecodeError as error:
             failed = FailedAttempt(f"answer not understood: {error}", may_have_run=True)
-            raise _give_up(request, [failed], may_have_run=True) from error
+            raise _unanswered_error(request, [failed], may_have_run=True) from error
 
     async def _send_until_answered(
         self, session: aiohttp.ClientSession, request: ApiRequest
@@ -136,11 +136,11 @@
                 failures.append(attempt)
                 may_have_run = may_have_run or attempt.may_have_run
                 if may_have_run and not request.repeatable:
-                    raise _give_up(request, failures, may_have_run)
+                    raise _unanswered_error(request, failures, may_have_run)
             asked = min(failure.retry_after_seconds for failure in failures)
             pause = max(asked, pause_seconds)
             if loop.time() + pause >= deadline:
-                raise _give_up(request, failures, may_have_run)
+                raise _unanswered_error(request, failures, may_have_run)
             await asyncio.sleep(pause)
             pause_seconds = min(2 * pause_seconds, MAX_PAUSE_SECONDS)
 
@@ -189,7 +189,7 @@
     return FailedAttempt(reason, may_have_run=True)
 
 
-def _give_up(
+def _unanswered_error(
     request: ApiRequest, failures: Sequence[FailedAttempt], may_have_run: bool
 ) -> ControlUnreachable | ChangeOutcomeUnknown:
     attempts = tuple(failure.reason for failure in failures)
