--- a/src/jasperwalk/cli/api_tls.py
+++ b/src/jasperwalk/cli/api_tls.py
@@ -14,7 +14,7 @@
 CA_FLAG = "--ca-file"
 CERTIFICATE_FLAG = "--certificate"
 KEY_FLAG = "--key"
-MEND = "make one with `jasperwalk keys init --operator NAME`"
+RENEWAL_HINT = "make one with `jasperwalk keys init --operator NAME`"
 
 
 @dataclass(frozen=True)
@@ -49,9 +49,9 @@
         certificate = x509.load_pem_x509_certificate(certificate_file.read_bytes())
     except (OSError, ValueError) as error:
         source = str(certificate_file)
-        raise InvalidInput(source=source, problem=str(error), mend=MEND) from error
+        raise InvalidInput(source=source, problem=str(error), mend=RENEWAL_HINT) from error
     expires_at = certificate.not_valid_after_utc
     if expires_at < datetime.datetime.now(datetime.UTC):
         problem = f"expired at {expires_at.isoformat()}"
-        raise InvalidInput(source=str(certificate_file), problem=problem, mend=MEND)
+        raise InvalidInput(source=str(certificate_file), problem=problem, mend=RENEWAL_HINT)
     return context
