--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class FlowHistory:
     """A flow's lines, and what its processes believed before the first of them."""
 
     flow: str
@@ -70,14 +70,14 @@
     return LogLine(timestamp, process, name, event, fields)
 
 
-def tell_story(flow: str, lines: Iterable[LogLine]) -> Story:
+def tell_story(flow: str, lines: Iterable[LogLine]) -> FlowHistory:
     """Return the story of a flow from lines in any order."""
     ordered = sorted(lines, key=lambda line: line.timestamp)
     own = [line for line in ordered if line.fields.get("flow") == flow]
     if not own:
-        return Story(flow, [], [])
+        return FlowHistory(flow, [], [])
     names = {line.name for line in own} | {line.fields.get("agent", "") for line in own}
-    return Story(flow, list(_last_beliefs(ordered, names, own[0].timestamp)), own)
+    return FlowHistory(flow, list(_last_beliefs(ordered, names, own[0].timestamp)), own)
 
 
 def _last_beliefs(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
@@ -129,7 +129,7 @@
         raise SystemExit(1)
 
 
-def _print(story: Story) -> None:
+def _print(story: FlowHistory) -> None:
     click.echo("What its processes believed before:")
     for line in story.beliefs:
         click.echo(f"  {line.text()}")
