--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -70,7 +70,7 @@
     return LogLine(timestamp, process, name, event, fields)
 
 
-def tell_story(flow: str, lines: Iterable[LogLine]) -> FlowHistory:
+def build_history(flow: str, lines: Iterable[LogLine]) -> FlowHistory:
     """Return the story of a flow from lines in any order."""
     ordered = sorted(lines, key=lambda line: line.timestamp)
     own = [line for line in ordered if line.fields.get("flow") == flow]
@@ -118,7 +118,7 @@
 
     Exit codes: 0 told; 1 no line names the flow.
     """
-    story = tell_story(flow, _read(logs))
+    story = build_history(flow, _read(logs))
     if as_json:
         click.echo(json.dumps(asdict(story), indent=2))
     elif story.lines:
