--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -118,21 +118,21 @@
 
     Exit codes: 0 told; 1 no line names the flow.
     """
-    story = build_history(flow, _read(logs))
+    history = build_history(flow, _read(logs))
     if as_json:
-        click.echo(json.dumps(asdict(story), indent=2))
-    elif story.lines:
-        _print(story)
-    if not story.lines:
+        click.echo(json.dumps(asdict(history), indent=2))
+    elif history.lines:
+        _print(history)
+    if not history.lines:
         if not as_json:
             click.echo(f"no line names the flow {flow}", err=True)
         raise SystemExit(1)
 
 
-def _print(story: FlowHistory) -> None:
+def _print(history: FlowHistory) -> None:
     click.echo("What its processes believed before:")
-    for line in story.beliefs:
+    for line in history.beliefs:
         click.echo(f"  {line.text()}")
     click.echo("What happened:")
-    for line in story.lines:
+    for line in history.lines:
         click.echo(f"  {line.text()}")
