--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -18,7 +18,7 @@
 from jasperwalk.cli.operation import ExampleCommand
 
 FIELD = re.compile(r'(?P<key>[A-Za-z_]+)=(?P<value>"(?:[^"\\]|\\.)*"|\S*)')
-BELIEF_EVENTS = frozenset(
+STATE_EVENTS = frozenset(
     {
         "agent-changed",
         "agent-started",
@@ -86,7 +86,7 @@
     for line in ordered:
         subject = line.fields.get("agent", "")
         concerns = not subject or subject in names
-        is_belief = line.event in BELIEF_EVENTS and line.name in names and concerns
+        is_belief = line.event in STATE_EVENTS and line.name in names and concerns
         if line.timestamp <= until and is_belief:
             latest[line.name, line.event, subject] = line
     yield from sorted(latest.values(), key=lambda line: line.timestamp)
