--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -86,8 +86,8 @@
     for line in ordered:
         subject = line.fields.get("agent", "")
         concerns = not subject or subject in names
-        is_belief = line.event in STATE_EVENTS and line.name in names and concerns
-        if line.timestamp <= until and is_belief:
+        is_state_event = line.event in STATE_EVENTS and line.name in names and concerns
+        if line.timestamp <= until and is_state_event:
             latest[line.name, line.event, subject] = line
     yield from sorted(latest.values(), key=lambda line: line.timestamp)
 
