--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -77,10 +77,10 @@
     if not own:
         return FlowHistory(flow, [], [])
     names = {line.name for line in own} | {line.fields.get("agent", "") for line in own}
-    return FlowHistory(flow, list(_last_beliefs(ordered, names, own[0].timestamp)), own)
+    return FlowHistory(flow, list(_last_known_state(ordered, names, own[0].timestamp)), own)
 
 
-def _last_beliefs(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
+def _last_known_state(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
     """Yield each process' last line of a kind before a time, for what concerns the flow."""
     latest: dict[tuple[str, str, str], LogLine] = {}
     for line in ordered:
