--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -33,7 +33,7 @@
         "routes-in-force",
     }
 )
-OWN_KEYS = ("timestamp", "level", "process", "name", "event")
+COMMON_KEYS = ("timestamp", "level", "process", "name", "event")
 
 
 @dataclass(frozen=True)
@@ -64,9 +64,9 @@
 def parse_line(text: str) -> LogLine | None:
     """Parse one key=value line; None for a line that is none of the product's."""
     fields = {match["key"]: match["value"].strip('"') for match in FIELD.finditer(text)}
-    if any(key not in fields for key in OWN_KEYS):
+    if any(key not in fields for key in COMMON_KEYS):
         return None
-    timestamp, _level, process, name, event = (fields.pop(key) for key in OWN_KEYS)
+    timestamp, _level, process, name, event = (fields.pop(key) for key in COMMON_KEYS)
     return LogLine(timestamp, process, name, event, fields)
 
 
