--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class ReplicaCalls:
+class ReplicaClient:
     """Asks replicas in turn, following them to the leader, until the time is up."""
 
     replicas: tuple[Endpoint, ...]
@@ -169,7 +169,7 @@
         json_output: bool,
         **options: object,
     ) -> object:
-        calls = ReplicaCalls(replicas, timeout_seconds)
+        calls = ReplicaClient(replicas, timeout_seconds)
         return command(*arguments, calls=calls, printer=Printer(json_output), **options)
 
     for option in (
@@ -208,7 +208,7 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def drain(name: str, wait_seconds: float, calls: ReplicaCalls, printer: Printer) -> None:
+def drain(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
     """Send no new flow to the hosts of the zone NAME; open flows stay.
 
     With --wait the command ends once every linked node goes by the order, or with exit code 5.
@@ -223,7 +223,7 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def restore(name: str, wait_seconds: float, calls: ReplicaCalls, printer: Printer) -> None:
+def restore(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
     """Let the hosts of the zone NAME take new flows again, as fast as cold hosts bear them."""
     _order(name, False, wait_seconds, calls, printer)
 
@@ -232,7 +232,7 @@
     "list", cls=OperatorCommand, examples=("jasperwalk zone list --replica 10.0.0.4:7600",)
 )
 @replica_options
-def list_zones(calls: ReplicaCalls, printer: Printer) -> None:
+def list_zones(calls: ReplicaClient, printer: Printer) -> None:
     """List the zones that are known, and which of them are drained."""
     reply = calls.ask(ZoneListRequest(), ZoneListReply)
     rows = [ZoneRow(each.zone, each.drained) for each in reply.zones]
@@ -242,7 +242,7 @@
 
 
 def _order(
-    name: str, drained: bool, wait_seconds: float, calls: ReplicaCalls, printer: Printer
+    name: str, drained: bool, wait_seconds: float, calls: ReplicaClient, printer: Printer
 ) -> None:
     reply = calls.ask(ZoneOrderRequest(name, drained), ZoneOrderReply)
     in_force = _wait_in_force(reply.revision, wait_seconds, calls)
@@ -254,7 +254,7 @@
         raise ZoneNotInForce(reply.revision, in_force)
 
 
-def _wait_in_force(revision: int, wait_seconds: float, calls: ReplicaCalls) -> int:
+def _wait_in_force(revision: int, wait_seconds: float, calls: ReplicaClient) -> int:
     """Return the revision in force, asked again for a while as long as it is older."""
     deadline = time.monotonic() + wait_seconds
     while True:
