--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -113,7 +113,7 @@
         reasons: dict[Endpoint, str] = {}
         while True:
             for replica in self.replicas:
-                reply = await _ask_following(replica, request, reasons)
+                reply = await _ask_with_redirect(replica, request, reasons)
                 if isinstance(reply, wanted):
                     return reply
             if time.monotonic() > deadline:
@@ -121,7 +121,7 @@
             await asyncio.sleep(PAUSE_SECONDS)
 
 
-async def _ask_following(
+async def _ask_with_redirect(
     replica: Endpoint, request: OperatorRequest, reasons: dict[Endpoint, str]
 ) -> OperatorReply | None:
     """Ask one replica, and the leader that it names; None where neither settles it."""
