--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -104,17 +104,17 @@
     replicas: tuple[Endpoint, ...]
     timeout_seconds: float
 
-    def ask(self, request: OperatorRequest, wanted: type[ReplyType]) -> ReplyType:
+    def ask(self, request: OperatorRequest, reply_type: type[ReplyType]) -> ReplyType:
         """Return a definite reply; raises `ControlUnreachable` or `ZoneRefused`."""
-        return asyncio.run(self._ask(request, wanted))
+        return asyncio.run(self._ask(request, reply_type))
 
-    async def _ask(self, request: OperatorRequest, wanted: type[ReplyType]) -> ReplyType:
+    async def _ask(self, request: OperatorRequest, reply_type: type[ReplyType]) -> ReplyType:
         deadline = time.monotonic() + self.timeout_seconds
         reasons: dict[Endpoint, str] = {}
         while True:
             for replica in self.replicas:
                 reply = await _ask_with_redirect(replica, request, reasons)
-                if isinstance(reply, wanted):
+                if isinstance(reply, reply_type):
                     return reply
             if time.monotonic() > deadline:
                 raise ControlUnreachable(tuple(f"{at}: {why}" for at, why in reasons.items()))
