--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -37,7 +37,7 @@
 """How long one replica may take."""
 PAUSE_SECONDS = 0.2
 DEFAULT_TIMEOUT_SECONDS = 10.0
-DONE = frozenset(("zone-acknowledged", "zones-listed"))
+SUCCESS_OUTCOMES = frozenset(("zone-acknowledged", "zones-listed"))
 UNKNOWN_ZONE = "unknown-zone"
 
 Command = TypeVar("Command", bound=Callable[..., object])
@@ -130,7 +130,7 @@
         if asked is None:
             break
         reply = await _ask_once(asked, request, reasons)
-        if reply is None or reply.outcome in DONE:
+        if reply is None or reply.outcome in SUCCESS_OUTCOMES:
             return reply
         if reply.outcome == UNKNOWN_ZONE and isinstance(request, ZoneOrderRequest):
             raise ZoneRefused(request.zone)
