--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -213,7 +213,7 @@
 
     With --wait the command ends once every linked node goes by the order, or with exit code 5.
     """
-    _order(name, True, wait_seconds, calls, printer)
+    _send_order(name, True, wait_seconds, calls, printer)
 
 
 @zone.command(
@@ -225,7 +225,7 @@
 @replica_options
 def restore(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
     """Let the hosts of the zone NAME take new flows again, as fast as cold hosts bear them."""
-    _order(name, False, wait_seconds, calls, printer)
+    _send_order(name, False, wait_seconds, calls, printer)
 
 
 @zone.command(
@@ -241,7 +241,7 @@
     printer.result(view, table)
 
 
-def _order(
+def _send_order(
     name: str, drained: bool, wait_seconds: float, calls: ReplicaClient, printer: Printer
 ) -> None:
     reply = calls.ask(ZoneOrderRequest(name, drained), ZoneOrderReply)
