--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -35,7 +35,7 @@
 REPLICAS_VARIABLE = "JASPERWALK_REPLICAS"
 ATTEMPT_TIMEOUT_SECONDS = 2.0
 """How long one replica may take."""
-PAUSE_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 DEFAULT_TIMEOUT_SECONDS = 10.0
 SUCCESS_OUTCOMES = frozenset(("zone-acknowledged", "zones-listed"))
 UNKNOWN_ZONE = "unknown-zone"
@@ -118,7 +118,7 @@
                     return reply
             if time.monotonic() > deadline:
                 raise ControlUnreachable(tuple(f"{at}: {why}" for at, why in reasons.items()))
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
 
 async def _ask_with_redirect(
@@ -261,4 +261,4 @@
         in_force = calls.ask(ZoneListRequest(), ZoneListReply).in_force
         if in_force >= revision or time.monotonic() >= deadline:
             return in_force
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RETRY_PAUSE_SECONDS)
