--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -110,7 +110,7 @@
     ]
     authority = _open_authority(folder, cluster_id)
     lifetime = datetime.timedelta(days=days)
-    views = [_provide(authority, holder, folder, lifetime, renew) for holder in holders]
+    views = [_issue_or_load(authority, holder, folder, lifetime, renew) for holder in holders]
     result = CertificateList(ca_file=str(folder / CA_FILE), certificates=views)
     Printer(json_output).result(result, list(_describe(result)))
 
@@ -164,7 +164,7 @@
         raise InvalidInput(source=str(folder), problem=str(error), mend=mend) from error
 
 
-def _provide(
+def _issue_or_load(
     authority: Authority,
     holder: Identity,
     folder: Path,
