--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -104,7 +104,7 @@
     Run it again to add or renew some: the CA stays, and so does what is not to be renewed.
     """
     holders = [
-        Identity(_checked(cluster_id), ProcessRole(role), _checked(name))
+        Identity(_validated_name(cluster_id), ProcessRole(role), _validated_name(name))
         for role, given in names.items()
         for name in given
     ]
@@ -144,7 +144,7 @@
     return (key.purpose, key.generation, key.rotation, key.state, superseded_at)
 
 
-def _checked(name: str) -> str:
+def _validated_name(name: str) -> str:
     if NAME_PATTERN.fullmatch(name) is None:
         mend = "use 1 to 63 letters, digits, dots, dashes and underscores"
         raise InvalidInput(source=name, problem="is not a name", mend=mend)
