--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -108,7 +108,7 @@
         for role, given in names.items()
         for name in given
     ]
-    authority = _open_authority(folder, cluster_id)
+    authority = _load_or_create_authority(folder, cluster_id)
     lifetime = datetime.timedelta(days=days)
     views = [_issue_or_load(authority, holder, folder, lifetime, renew) for holder in holders]
     result = CertificateList(ca_file=str(folder / CA_FILE), certificates=views)
@@ -151,7 +151,7 @@
     return name
 
 
-def _open_authority(folder: Path, cluster_id: str) -> Authority:
+def _load_or_create_authority(folder: Path, cluster_id: str) -> Authority:
     """Read the folder's CA, or make one where there is none."""
     try:
         folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
