--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -21,7 +21,7 @@
     assert task.cancelled(), "went on as if it had not been cancelled"
 
 
-async def survivors(make, most_steps):
+async def lost_cancellations(make, most_steps):
     """Return after how many steps a cancellation was lost: the work went on, or ended normally."""
     alive = []
     for steps in range(most_steps):
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -35,7 +35,7 @@
 from jasperwalk.transport.framed import LENGTH_PREFIX, FramedConnection
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 from jasperwalk.transport.server import FramedServer
-from tests.transport.steps import PATIENCE_SECONDS, cancel_after, survivors
+from tests.transport.steps import PATIENCE_SECONDS, cancel_after, lost_cancellations
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
 CLUSTER_ID = "zagreb"
@@ -119,7 +119,7 @@
     async def scenario():
         server = await served({ConnectionKind.PEER: idle})
         try:
-            alive = await survivors(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
+            alive = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
         finally:
             await server.close()
         assert alive == []
@@ -135,7 +135,9 @@
             return await connect(endpoint, HELLO)
 
         try:
-            alive = await survivors(lambda: dial_first([server.endpoint] * 3, dial), MOST_STEPS)
+            alive = await lost_cancellations(
+                lambda: dial_first([server.endpoint] * 3, dial), MOST_STEPS
+            )
         finally:
             await server.close()
         assert alive == []
@@ -156,7 +158,7 @@
                 await request_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
 
         try:
-            alive = await survivors(join_again_and_again, 2 * MOST_STEPS)
+            alive = await lost_cancellations(join_again_and_again, 2 * MOST_STEPS)
         finally:
             await server.close()
         assert alive == []
@@ -173,7 +175,7 @@
             return PeerLink(server.endpoint, "tester", 3, CLUSTER_ID, times=times).run()
 
         try:
-            alive = await survivors(link, MOST_STEPS)
+            alive = await lost_cancellations(link, MOST_STEPS)
         finally:
             await server.close()
         assert alive == []
@@ -196,7 +198,7 @@
 
         server = await served({ConnectionKind.PEER: note})
         try:
-            await survivors(
+            await lost_cancellations(
                 lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MOST_STEPS
             )
             async with asyncio.timeout(PATIENCE_SECONDS):
