--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -23,7 +23,7 @@
 
 async def lost_cancellations(make, most_steps):
     """Return after how many steps a cancellation was lost: the work went on, or ended normally."""
-    alive = []
+    lost = []
     for steps in range(most_steps):
         task = asyncio.ensure_future(make())
         for _ in range(steps):
@@ -33,13 +33,13 @@
             continue
         done, _ = await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
         if not done or not task.cancelled():
-            alive.append(steps)
+            lost.append(steps)
         while not task.done():
             task.cancel()
             await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
         if not task.cancelled():
             _drop(task)
-    return alive
+    return lost
 
 
 def _drop(task):
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -119,10 +119,10 @@
     async def scenario():
         server = await served({ConnectionKind.PEER: idle})
         try:
-            alive = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
+            lost = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
@@ -135,12 +135,12 @@
             return await connect(endpoint, HELLO)
 
         try:
-            alive = await lost_cancellations(
+            lost = await lost_cancellations(
                 lambda: dial_first([server.endpoint] * 3, dial), MOST_STEPS
             )
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
@@ -158,10 +158,10 @@
                 await request_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
 
         try:
-            alive = await lost_cancellations(join_again_and_again, 2 * MOST_STEPS)
+            lost = await lost_cancellations(join_again_and_again, 2 * MOST_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
@@ -175,10 +175,10 @@
             return PeerLink(server.endpoint, "tester", 3, CLUSTER_ID, times=times).run()
 
         try:
-            alive = await lost_cancellations(link, MOST_STEPS)
+            lost = await lost_cancellations(link, MOST_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
