--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -6,7 +6,7 @@
 
 PATIENCE_SECONDS = 10.0
 """Bound of every wait; a cancelled task here ends within a few steps."""
-SURVIVAL_SECONDS = 0.5
+CANCELLATION_GRACE_SECONDS = 0.5
 """A task that runs this long after a cancellation that it took has lost it."""
 
 
@@ -31,12 +31,12 @@
         if not task.cancel():
             _drop(task)
             continue
-        done, _ = await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
+        done, _ = await asyncio.wait({task}, timeout=CANCELLATION_GRACE_SECONDS)
         if not done or not task.cancelled():
             lost.append(steps)
         while not task.done():
             task.cancel()
-            await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
+            await asyncio.wait({task}, timeout=CANCELLATION_GRACE_SECONDS)
         if not task.cancelled():
             _drop(task)
     return lost
