--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -20,7 +20,7 @@
 from jasperwalk_lab.ports import common_ports
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_SECONDS = 60.0
+WAIT_LIMIT_SECONDS = 60.0
 """Bound of every wait; nothing is asserted about how long things take."""
 CODEC = PlatformCodec()
 CONTROL_HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
@@ -112,7 +112,7 @@
 
     def until(self, *call):
         """Repeat a call until it succeeds; return its body."""
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_LIMIT_SECONDS
         while time.monotonic() < deadline:
             status, body = self.call(*call)
             if status == 200:
@@ -123,7 +123,7 @@
     def end(self):
         for process in self.processes:
             process.terminate()
-        statuses = [process.wait(timeout=PATIENCE_SECONDS) for process in self.processes]
+        statuses = [process.wait(timeout=WAIT_LIMIT_SECONDS) for process in self.processes]
         self.processes.clear()
         return statuses
 
@@ -143,7 +143,7 @@
 def bound(host, port):
     made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     made.bind((host, port))
-    made.settimeout(PATIENCE_SECONDS)
+    made.settimeout(WAIT_LIMIT_SECONDS)
     return made
 
 
@@ -154,7 +154,7 @@
     the end each opening has been answered by a reset of its own or is with the host.
     """
     openings = {}
-    for attempt in range(int(PATIENCE_SECONDS / POLL_SECONDS)):
+    for attempt in range(int(WAIT_LIMIT_SECONDS / POLL_SECONDS)):
         opening = packet((CALLER_HOST, FIRST_TURNED_AWAY_PORT + attempt), listener, SYN)
         openings[CODEC.reset_for(opening)] = opening
         fabric.sendto(opening, ingress)
@@ -162,7 +162,7 @@
         if reset is not None:
             break
     del openings[reset]
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_LIMIT_SECONDS
     while openings and time.monotonic() < deadline:
         reset, admitted = received_soon(client), received_soon(host)
         if reset is not None:
@@ -180,7 +180,7 @@
     except TimeoutError:
         return None
     finally:
-        receiver.settimeout(PATIENCE_SECONDS)
+        receiver.settimeout(WAIT_LIMIT_SECONDS)
 
 
 def heartbeat(fleet, state, number):
--- a/tests/platform_adapter/test_reload_at_start.py
+++ b/tests/platform_adapter/test_reload_at_start.py
@@ -19,13 +19,13 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_SECONDS = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 START_FAILED = 1
 
 
 def open_when_read(path):
     """Open a pipe for writing once its reader waits for the first byte."""
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_LIMIT_SECONDS
     while time.monotonic() < deadline:
         try:
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -52,7 +52,7 @@
         process.send_signal(signal.SIGHUP)
         os.write(writer, b"these are no settings")
         os.close(writer)
-        output, _ = process.communicate(timeout=PATIENCE_SECONDS)
+        output, _ = process.communicate(timeout=WAIT_LIMIT_SECONDS)
     finally:
         process.kill()
         process.wait()
--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-PATIENCE_SECONDS = 10.0
+WAIT_LIMIT_SECONDS = 10.0
 """Bound of every wait; a cancelled task here ends within a few steps."""
 CANCELLATION_GRACE_SECONDS = 0.5
 """A task that runs this long after a cancellation that it took has lost it."""
@@ -16,7 +16,7 @@
         await asyncio.sleep(0)
     if not task.cancel():
         return
-    done, _ = await asyncio.wait({task}, timeout=PATIENCE_SECONDS)
+    done, _ = await asyncio.wait({task}, timeout=WAIT_LIMIT_SECONDS)
     assert done, "still running after its cancellation"
     assert task.cancelled(), "went on as if it had not been cancelled"
 
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -35,7 +35,7 @@
 from jasperwalk.transport.framed import LENGTH_PREFIX, FramedConnection
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 from jasperwalk.transport.server import FramedServer
-from tests.transport.steps import PATIENCE_SECONDS, cancel_after, lost_cancellations
+from tests.transport.steps import WAIT_LIMIT_SECONDS, cancel_after, lost_cancellations
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
 CLUSTER_ID = "zagreb"
@@ -86,7 +86,7 @@
     async def scenario():
         reader = asyncio.StreamReader()
         connection = FramedConnection(reader, FakeWriter())
-        greeting = asyncio.ensure_future(connection.exchange_hello(HELLO, PATIENCE_SECONDS))
+        greeting = asyncio.ensure_future(connection.exchange_hello(HELLO, WAIT_LIMIT_SECONDS))
         for _ in range(5):
             await asyncio.sleep(0)
         reader.feed_data(hello_frame())
@@ -99,7 +99,7 @@
 def test_a_cancellation_in_the_step_in_which_a_connection_closes_is_kept(steps):
     async def scenario():
         connection = FramedConnection(asyncio.StreamReader(), FakeWriter())
-        closing = asyncio.ensure_future(connection.close(PATIENCE_SECONDS))
+        closing = asyncio.ensure_future(connection.close(WAIT_LIMIT_SECONDS))
         await cancel_after(closing, steps)
 
     asyncio.run(scenario())
@@ -201,7 +201,7 @@
             await lost_cancellations(
                 lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MOST_STEPS
             )
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(WAIT_LIMIT_SECONDS):
                 while standing:
                     await asyncio.sleep(0.01)
         finally:
@@ -220,7 +220,7 @@
         loop = asyncio.get_running_loop()
         just_in_time = loop.time() + joining.ANSWER_TIMEOUT_SECONDS - 0.0001
         loop.call_at(just_in_time, reader.feed_data, hello_frame())
-        await connection.exchange_hello(HELLO, PATIENCE_SECONDS)
+        await connection.exchange_hello(HELLO, WAIT_LIMIT_SECONDS)
         return connection
 
     monkeypatch.setattr(joining, "connect", greet_at_the_end)
@@ -228,7 +228,7 @@
     async def scenario():
         request = JoinRequest(7, ANY_PORT, False)
         asked = asyncio.ensure_future(request_to_join(request, "tester", CLUSTER_ID, [ANY_PORT]))
-        done, _ = await asyncio.wait({asked}, timeout=PATIENCE_SECONDS)
+        done, _ = await asyncio.wait({asked}, timeout=WAIT_LIMIT_SECONDS)
         assert done, "the request has no bound left"
 
     for _ in range(20):
@@ -241,7 +241,7 @@
 
         async def slow_to_end():
             try:
-                await asyncio.sleep(PATIENCE_SECONDS)
+                await asyncio.sleep(WAIT_LIMIT_SECONDS)
             finally:
                 await released.wait()
 
