--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -41,7 +41,7 @@
 CLUSTER_ID = "zagreb"
 HELLO = make_hello(ConnectionKind.PEER, "tester", CLUSTER_ID, sender_id=3)
 PROJECT_FILE = Path(__file__).resolve().parents[2] / "pyproject.toml"
-MOST_STEPS = 80
+MAX_STEPS = 80
 """More steps of the loop than any of the work here takes on loopback."""
 
 
@@ -119,7 +119,7 @@
     async def scenario():
         server = await served({ConnectionKind.PEER: idle})
         try:
-            lost = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
+            lost = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MAX_STEPS)
         finally:
             await server.close()
         assert lost == []
@@ -136,7 +136,7 @@
 
         try:
             lost = await lost_cancellations(
-                lambda: dial_first([server.endpoint] * 3, dial), MOST_STEPS
+                lambda: dial_first([server.endpoint] * 3, dial), MAX_STEPS
             )
         finally:
             await server.close()
@@ -158,7 +158,7 @@
                 await request_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
 
         try:
-            lost = await lost_cancellations(join_again_and_again, 2 * MOST_STEPS)
+            lost = await lost_cancellations(join_again_and_again, 2 * MAX_STEPS)
         finally:
             await server.close()
         assert lost == []
@@ -175,7 +175,7 @@
             return PeerLink(server.endpoint, "tester", 3, CLUSTER_ID, times=times).run()
 
         try:
-            lost = await lost_cancellations(link, MOST_STEPS)
+            lost = await lost_cancellations(link, MAX_STEPS)
         finally:
             await server.close()
         assert lost == []
@@ -199,7 +199,7 @@
         server = await served({ConnectionKind.PEER: note})
         try:
             await lost_cancellations(
-                lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MOST_STEPS
+                lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MAX_STEPS
             )
             async with asyncio.timeout(WAIT_LIMIT_SECONDS):
                 while standing:
