--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -21,10 +21,10 @@
     assert task.cancelled(), "went on as if it had not been cancelled"
 
 
-async def lost_cancellations(make, most_steps):
+async def lost_cancellations(make, max_steps):
     """Return after how many steps a cancellation was lost: the work went on, or ended normally."""
     lost = []
-    for steps in range(most_steps):
+    for steps in range(max_steps):
         task = asyncio.ensure_future(make())
         for _ in range(steps):
             await asyncio.sleep(0)
