--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -187,14 +187,14 @@
     """A peer takes a link that stands for a replica that hears it."""
 
     async def scenario():
-        standing = set()
+        open_connections = set()
 
         async def note(connection):
-            standing.add(connection)
+            open_connections.add(connection)
             try:
                 await connection.receive()
             finally:
-                standing.discard(connection)
+                open_connections.discard(connection)
 
         server = await served({ConnectionKind.PEER: note})
         try:
@@ -202,7 +202,7 @@
                 lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MAX_STEPS
             )
             async with asyncio.timeout(WAIT_LIMIT_SECONDS):
-                while standing:
+                while open_connections:
                     await asyncio.sleep(0.01)
         finally:
             await server.close()
