--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -189,14 +189,14 @@
     async def scenario():
         open_connections = set()
 
-        async def note(connection):
+        async def record_connection(connection):
             open_connections.add(connection)
             try:
                 await connection.receive()
             finally:
                 open_connections.discard(connection)
 
-        server = await served({ConnectionKind.PEER: note})
+        server = await served({ConnectionKind.PEER: record_connection})
         try:
             await lost_cancellations(
                 lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MAX_STEPS
