--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -109,7 +109,7 @@
     await connection.receive()
 
 
-async def served(kinds):
+async def start_server(kinds):
     server = FramedServer(ANY_PORT, HELLO, kinds)
     await server.start()
     return server
@@ -117,7 +117,7 @@
 
 def test_connecting_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
         try:
             lost = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MAX_STEPS)
         finally:
@@ -129,7 +129,7 @@
 
 def test_dialling_several_replicas_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
 
         async def dial(endpoint):
             return await connect(endpoint, HELLO)
@@ -148,7 +148,7 @@
 def test_asking_to_join_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
         not_leader = JoinReply(JoinStatus.NOT_LEADER, None, [])
-        server = await served(
+        server = await start_server(
             {ConnectionKind.REPORTER: JoinRequestHandler(lambda _: not_leader).serve}
         )
         request = JoinRequest(7, server.endpoint, False)
@@ -168,7 +168,7 @@
 
 def test_a_link_to_a_peer_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
         times = LinkTimes(reconnect=0.0)
 
         def link():
@@ -196,7 +196,7 @@
             finally:
                 open_connections.discard(connection)
 
-        server = await served({ConnectionKind.PEER: record_connection})
+        server = await start_server({ConnectionKind.PEER: record_connection})
         try:
             await lost_cancellations(
                 lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MAX_STEPS
