--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -149,13 +149,13 @@
     asked = []
     real = keep_alive.keep_alive
 
-    def note(writer):
+    def record_option(writer):
         real(writer)
         connection = writer.get_extra_info("socket")
         asked.append(connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
 
-    monkeypatch.setattr(client, "keep_alive", note)
-    monkeypatch.setattr(framed_server, "keep_alive", note)
+    monkeypatch.setattr(client, "keep_alive", record_option)
+    monkeypatch.setattr(framed_server, "keep_alive", record_option)
 
     async def scenario():
         hello = make_hello(ConnectionKind.PEER, "c", "zagreb")
