--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -28,7 +28,7 @@
 from jasperwalk.transport.server import FramedServer
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
-DESKS = {
+HANDLERS = {
     ConnectionKind.REPORTER: JoinRequestHandler(lambda _request: None).serve,
     ConnectionKind.OPERATOR: OperatorRequestHandler(None).serve,
 }
@@ -38,17 +38,17 @@
     await relay_server.serve_relay(connection, lambda *_: never())
 
 
-DESKS[ConnectionKind.RELAY] = serve_no_relay
+HANDLERS[ConnectionKind.RELAY] = serve_no_relay
 
 
-@pytest.mark.parametrize("kind", list(DESKS))
+@pytest.mark.parametrize("kind", list(HANDLERS))
 def test_a_request_that_does_not_come_is_a_typed_refusal(monkeypatch, kind):
     monkeypatch.setattr(relay_server, "REQUEST_SECONDS", 0.05)
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(operator_requests, "REQUEST_SECONDS", 0.05)
 
     async def scenario():
-        server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), DESKS)
+        server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), HANDLERS)
         await server.start()
         connection = await connect(server.endpoint, make_hello(kind, "caller", "zagreb"))
         async with asyncio.timeout(10):
