--- a/tests/transport/test_server_backlog.py
+++ b/tests/transport/test_server_backlog.py
@@ -13,7 +13,7 @@
 AT_ONCE = 300
 
 
-def connections_that_stand(endpoint: Endpoint) -> int:
+def count_established(endpoint: Endpoint) -> int:
     """Dial while the server's loop stands still; loopback completes a handshake at once."""
     with contextlib.ExitStack() as stack:
         poll = select.poll()
@@ -31,7 +31,7 @@
         server = FramedServer(Endpoint(host="127.0.0.1", port=0), hello, {})
         await server.start()
         try:
-            return connections_that_stand(server.endpoint)
+            return count_established(server.endpoint)
         finally:
             await server.close()
 
