--- a/tests/transport/test_server_backlog.py
+++ b/tests/transport/test_server_backlog.py
@@ -10,14 +10,14 @@
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 from jasperwalk.transport.server import ACCEPTED_PER_TURN, FramedServer
 
-AT_ONCE = 300
+SIMULTANEOUS_CONNECTIONS = 300
 
 
 def count_established(endpoint: Endpoint) -> int:
     """Dial while the server's loop stands still; loopback completes a handshake at once."""
     with contextlib.ExitStack() as stack:
         poll = select.poll()
-        for _ in range(AT_ONCE):
+        for _ in range(SIMULTANEOUS_CONNECTIONS):
             dialling = stack.enter_context(socket.socket())
             dialling.setblocking(False)
             dialling.connect_ex((endpoint.host, endpoint.port))
@@ -35,7 +35,7 @@
         finally:
             await server.close()
 
-    assert asyncio.run(run()) == AT_ONCE
+    assert asyncio.run(run()) == SIMULTANEOUS_CONNECTIONS
 
 
 def test_one_turn_of_the_loop_takes_few_of_the_connections_that_wait() -> None:
@@ -44,12 +44,12 @@
         server = FramedServer(Endpoint(host="127.0.0.1", port=0), hello, {})
         await server.start()
         with contextlib.ExitStack() as stack:
-            for _ in range(AT_ONCE):
+            for _ in range(SIMULTANEOUS_CONNECTIONS):
                 dialling = stack.enter_context(socket.socket())
                 dialling.setblocking(False)
                 dialling.connect_ex((server.endpoint.host, server.endpoint.port))
             taken = [0]
-            while taken[-1] < AT_ONCE:
+            while taken[-1] < SIMULTANEOUS_CONNECTIONS:
                 await asyncio.sleep(0)
                 taken.append(len(server._tasks))
             await server.close()
