--- a/tests/transport/test_server_backlog.py
+++ b/tests/transport/test_server_backlog.py
@@ -18,10 +18,10 @@
     with contextlib.ExitStack() as stack:
         poll = select.poll()
         for _ in range(SIMULTANEOUS_CONNECTIONS):
-            dialling = stack.enter_context(socket.socket())
-            dialling.setblocking(False)
-            dialling.connect_ex((endpoint.host, endpoint.port))
-            poll.register(dialling, select.POLLOUT)
+            connecting = stack.enter_context(socket.socket())
+            connecting.setblocking(False)
+            connecting.connect_ex((endpoint.host, endpoint.port))
+            poll.register(connecting, select.POLLOUT)
         return sum(1 for _, event in poll.poll(0) if event == select.POLLOUT)
 
 
@@ -45,9 +45,9 @@
         await server.start()
         with contextlib.ExitStack() as stack:
             for _ in range(SIMULTANEOUS_CONNECTIONS):
-                dialling = stack.enter_context(socket.socket())
-                dialling.setblocking(False)
-                dialling.connect_ex((server.endpoint.host, server.endpoint.port))
+                connecting = stack.enter_context(socket.socket())
+                connecting.setblocking(False)
+                connecting.connect_ex((server.endpoint.host, server.endpoint.port))
             taken = [0]
             while taken[-1] < SIMULTANEOUS_CONNECTIONS:
                 await asyncio.sleep(0)
