--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -31,7 +31,7 @@
     return asyncio.run(handler(HttpRequest(method, path, body)))
 
 
-class Desk:
+class FakeAnnouncementHandler:
     def __init__(self):
         self.heard = []
         self.refused = []
@@ -57,7 +57,7 @@
 
 
 def test_a_heartbeat():
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     response = ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode())
     (news,) = desk.heard
     assert response.status == 200
@@ -66,7 +66,7 @@
 
 
 def test_a_draining_heartbeat_and_a_goodbye():
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     handler = host_calls(desk)
     draining = json.dumps({**HEARTBEAT, "state": "draining"}).encode()
     assert ask(handler, "PUT", "/instances/i-1", draining).status == 200
@@ -79,21 +79,21 @@
     [(AnnouncementOutcome.STALE, 200), (AnnouncementOutcome.REFUSED, 400)],
 )
 def test_only_a_heartbeat_of_the_host_beside_the_agent_is_acknowledged(outcome, status):
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     desk.outcome = outcome
     body = json.dumps(HEARTBEAT).encode()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == status
 
 
 def test_a_heartbeat_tells_when_the_host_started():
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     beat = json.dumps({**HEARTBEAT, "born": 1_700_000_000_123}).encode()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", beat).status == 200
     assert desk.heard[0].started_unix_ms == 1_700_000_000_123
 
 
 def test_a_heartbeat_without_what_may_be_left_out():
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
     assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
     (news,) = desk.heard
@@ -151,7 +151,7 @@
     "body", [*(json.dumps(each).encode() for each in OTHER_WRITERS), *UNREADABLE]
 )
 def test_a_heartbeat_of_another_writer_names_no_host(body):
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == 400
     assert desk.heard == []
     assert len(desk.refused) == 1
@@ -173,14 +173,14 @@
     ],
 )
 def test_a_bad_call_of_a_host_changes_nothing(method, path, body, status):
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     assert ask(host_calls(desk), method, path, body).status == status
     assert desk.heard == []
 
 
 @pytest.mark.parametrize("name", ["x" * 300, "%ff", "a b", "i-1/state"])
 def test_an_odd_name_is_no_hosts(name):
-    desk = Desk()
+    desk = FakeAnnouncementHandler()
     body = json.dumps(HEARTBEAT).encode()
     assert ask(host_calls(desk), "PUT", f"/instances/{name}", body).status == 404
     assert ask(host_calls(desk), "DELETE", f"/instances/{name}").status == 404
