--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -33,7 +33,7 @@
 
 class FakeAnnouncementHandler:
     def __init__(self):
-        self.heard = []
+        self.received = []
         self.refused = []
         self.outcome = AnnouncementOutcome.ACCEPTED
 
@@ -41,11 +41,11 @@
         self.refused.append((host_id, reason))
 
     def announce(self, news):
-        self.heard.append(news)
+        self.received.append(news)
         return self.outcome
 
     def leave(self, host_id):
-        self.heard.append(host_id)
+        self.received.append(host_id)
         return True
 
 
@@ -59,7 +59,7 @@
 def test_a_heartbeat():
     desk = FakeAnnouncementHandler()
     response = ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode())
-    (news,) = desk.heard
+    (news,) = desk.received
     assert response.status == 200
     assert (news.host_id, news.phase, news.capacity) == ("i-1", HostPhase.READY, 3)
     assert (news.slow_start_seconds, news.call_number, news.zone) == (1.5, 4, "a")
@@ -71,7 +71,7 @@
     draining = json.dumps({**HEARTBEAT, "state": "draining"}).encode()
     assert ask(handler, "PUT", "/instances/i-1", draining).status == 200
     assert ask(handler, "DELETE", "/instances/i-1").status == 200
-    assert (desk.heard[0].phase, desk.heard[1]) == (HostPhase.DRAINING, "i-1")
+    assert (desk.received[0].phase, desk.received[1]) == (HostPhase.DRAINING, "i-1")
 
 
 @pytest.mark.parametrize(
@@ -89,14 +89,14 @@
     desk = FakeAnnouncementHandler()
     beat = json.dumps({**HEARTBEAT, "born": 1_700_000_000_123}).encode()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", beat).status == 200
-    assert desk.heard[0].started_unix_ms == 1_700_000_000_123
+    assert desk.received[0].started_unix_ms == 1_700_000_000_123
 
 
 def test_a_heartbeat_without_what_may_be_left_out():
     desk = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
     assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
-    (news,) = desk.heard
+    (news,) = desk.received
     assert (news.started_unix_ms, news.slow_start_seconds, news.zone) == (0, 0.0, "")
 
 
@@ -153,7 +153,7 @@
 def test_a_heartbeat_of_another_writer_names_no_host(body):
     desk = FakeAnnouncementHandler()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == 400
-    assert desk.heard == []
+    assert desk.received == []
     assert len(desk.refused) == 1
 
 
@@ -175,7 +175,7 @@
 def test_a_bad_call_of_a_host_changes_nothing(method, path, body, status):
     desk = FakeAnnouncementHandler()
     assert ask(host_calls(desk), method, path, body).status == status
-    assert desk.heard == []
+    assert desk.received == []
 
 
 @pytest.mark.parametrize("name", ["x" * 300, "%ff", "a b", "i-1/state"])
@@ -184,7 +184,7 @@
     body = json.dumps(HEARTBEAT).encode()
     assert ask(host_calls(desk), "PUT", f"/instances/{name}", body).status == 404
     assert ask(host_calls(desk), "DELETE", f"/instances/{name}").status == 404
-    assert desk.heard == []
+    assert desk.received == []
 
 
 class Service:
