--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -40,8 +40,8 @@
     def refuse(self, host_id, reason):
         self.refused.append((host_id, reason))
 
-    def announce(self, news):
-        self.received.append(news)
+    def announce(self, announcement):
+        self.received.append(announcement)
         return self.outcome
 
     def leave(self, host_id):
@@ -59,10 +59,18 @@
 def test_a_heartbeat():
     desk = FakeAnnouncementHandler()
     response = ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode())
-    (news,) = desk.received
+    (announcement,) = desk.received
     assert response.status == 200
-    assert (news.host_id, news.phase, news.capacity) == ("i-1", HostPhase.READY, 3)
-    assert (news.slow_start_seconds, news.call_number, news.zone) == (1.5, 4, "a")
+    assert (announcement.host_id, announcement.phase, announcement.capacity) == (
+        "i-1",
+        HostPhase.READY,
+        3,
+    )
+    assert (announcement.slow_start_seconds, announcement.call_number, announcement.zone) == (
+        1.5,
+        4,
+        "a",
+    )
 
 
 def test_a_draining_heartbeat_and_a_goodbye():
@@ -96,8 +104,12 @@
     desk = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
     assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
-    (news,) = desk.received
-    assert (news.started_unix_ms, news.slow_start_seconds, news.zone) == (0, 0.0, "")
+    (announcement,) = desk.received
+    assert (announcement.started_unix_ms, announcement.slow_start_seconds, announcement.zone) == (
+        0,
+        0.0,
+        "",
+    )
 
 
 OTHER_WRITERS = [
