--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -112,7 +112,7 @@
     )
 
 
-OTHER_WRITERS = [
+INVALID_HEARTBEATS = [
     *[
         {k: v for k, v in HEARTBEAT.items() if k != missing}
         for missing in ("service", "address", "capacity", "state", "callSeq")
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    "body", [*(json.dumps(each).encode() for each in OTHER_WRITERS), *UNREADABLE]
+    "body", [*(json.dumps(each).encode() for each in INVALID_HEARTBEATS), *UNREADABLE]
 )
 def test_a_heartbeat_of_another_writer_names_no_host(body):
     desk = FakeAnnouncementHandler()
