--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -199,7 +199,7 @@
     assert desk.received == []
 
 
-class Service:
+class FakeConfigurationService:
     def __init__(self, result):
         self.result = result
         self.taken = []
@@ -213,20 +213,22 @@
 
 
 def test_an_acknowledged_configuration():
-    service = Service(Acknowledged(1, 1))
+    service = FakeConfigurationService(Acknowledged(1, 1))
     assert ask(operator_calls(service, None, 8166), "PUT", "/config", VALID).status == 200
     assert service.taken[0].source == VALID
 
 
 def test_an_invalid_configuration_goes_no_further():
-    service = Service(Acknowledged(1, 1))
+    service = FakeConfigurationService(Acknowledged(1, 1))
     assert ask(operator_calls(service, None, 8166), "PUT", "/config", b"{}").status == 400
     assert service.taken == []
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT"])
 def test_a_replica_that_does_not_lead_sends_the_operator_to_the_leader(method):
-    handler = operator_calls(Service(AskLeader(Endpoint("10.0.0.4", 7600))), None, 8166)
+    handler = operator_calls(
+        FakeConfigurationService(AskLeader(Endpoint("10.0.0.4", 7600))), None, 8166
+    )
     response = ask(handler, method, "/config", VALID)
     assert response.status == 307
     assert response.headers["Location"] == "http://10.0.0.4:8166/config"
@@ -235,14 +237,17 @@
 @pytest.mark.parametrize("method", ["GET", "PUT"])
 def test_a_replica_that_is_not_sure_says_when_to_come_back(method):
     response = ask(
-        operator_calls(Service(Unavailable("no quorum")), None, 8166), method, "/config", VALID
+        operator_calls(FakeConfigurationService(Unavailable("no quorum")), None, 8166),
+        method,
+        "/config",
+        VALID,
     )
     assert response.status == 503
     assert response.headers["Retry-After"] == "1"
 
 
 def test_a_read_returns_what_the_operator_sent():
-    service = Service(HeldConfiguration(1, VALID, []))
+    service = FakeConfigurationService(HeldConfiguration(1, VALID, []))
     assert ask(operator_calls(service, None, 8166), "GET", "/config").body == VALID
 
 
