--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -251,7 +251,7 @@
     assert ask(operator_calls(service, None, 8166), "GET", "/config").body == VALID
 
 
-class Orders:
+class FakeZoneOrders:
     def __init__(self, result):
         self.result = result
         self.taken = []
@@ -262,7 +262,7 @@
 
 
 def evacuate(result, method, path):
-    orders = Orders(result)
+    orders = FakeZoneOrders(result)
     return ask(operator_calls(None, orders, 8166), method, path), orders.taken
 
 
