--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -24,7 +24,7 @@
 """Bound of every wait; nothing is asserted about how long things take."""
 CODEC = PlatformCodec()
 CONTROL_HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
-FIRST_TURNED_AWAY_PORT = 41000
+FIRST_REFUSED_PORT = 41000
 POLL_SECONDS = 0.1
 BALANCER_HOST, AGENT_HOST, CALLER_HOST = "127.0.2.1", "127.0.3.1", "127.0.4.1"
 HOSTS = (*CONTROL_HOSTS, BALANCER_HOST, AGENT_HOST, CALLER_HOST)
@@ -155,7 +155,7 @@
     """
     openings = {}
     for attempt in range(int(WAIT_LIMIT_SECONDS / POLL_SECONDS)):
-        opening = packet((CALLER_HOST, FIRST_TURNED_AWAY_PORT + attempt), listener, SYN)
+        opening = packet((CALLER_HOST, FIRST_REFUSED_PORT + attempt), listener, SYN)
         openings[CODEC.reset_for(opening)] = opening
         fabric.sendto(opening, ingress)
         reset = received_soon(client)
