--- a/tests/platform_adapter/test_early_sockets.py
+++ b/tests/platform_adapter/test_early_sockets.py
@@ -7,7 +7,7 @@
 import pytest
 
 PLATFORM = Path(__file__).resolve().parents[2] / "platform"
-LONGEST_SECONDS = 60
+START_LIMIT_SECONDS = 60
 
 PROBE = """
 import os, sys
@@ -61,7 +61,7 @@
         env={"JASPERWALK_NODE_FILE": str(path)},
         capture_output=True,
         text=True,
-        timeout=LONGEST_SECONDS,
+        timeout=START_LIMIT_SECONDS,
         check=False,
     )
     assert ended.stdout == "bound\n", ended.stderr
