--- a/tests/messages/test_datagram_seal.py
+++ b/tests/messages/test_datagram_seal.py
@@ -58,25 +58,25 @@
 
 @pytest.mark.parametrize("forge", FORGERIES.values(), ids=FORGERIES)
 def test_a_forged_seal_is_not_accepted(forge):
-    holder = DatagramSeal(HOLDERS["activated"])
-    rotation, mac, datagram = forge(open_sealed(holder.seal(INNER)))
-    assert not holder.accepts(SealedDatagram(1, rotation, mac, datagram))
+    sealer = DatagramSeal(HOLDERS["activated"])
+    rotation, mac, datagram = forge(open_sealed(sealer.seal(INNER)))
+    assert not sealer.accepts(SealedDatagram(1, rotation, mac, datagram))
 
 
 @pytest.mark.parametrize("keys", [[], [KeyEntry(KeyPurpose.TICKET, 0, OLD, True)]])
 def test_without_a_datagram_key_nothing_is_sealed(keys):
-    holder = DatagramSeal(keys)
-    assert not holder.has_keys
-    assert holder.seal(INNER) == INNER
+    sealer = DatagramSeal(keys)
+    assert not sealer.has_keys
+    assert sealer.seal(INNER) == INNER
 
 
 @settings(max_examples=200, derandomize=True)
 @given(st.binary(max_size=2048), st.integers(0, 6), st.binary(min_size=16, max_size=64))
 def test_any_datagram_survives_sealing(datagram, rotation, secret):
-    holder = DatagramSeal([key(rotation, secret, True)])
-    sealed = open_sealed(holder.seal(datagram))
+    sealer = DatagramSeal([key(rotation, secret, True)])
+    sealed = open_sealed(sealer.seal(datagram))
     assert (sealed.rotation, sealed.datagram) == (rotation, datagram)
-    assert holder.accepts(sealed)
+    assert sealer.accepts(sealed)
 
 
 def test_a_plain_datagram_is_still_told_apart():
