--- a/tests/messages/test_datagram_seal.py
+++ b/tests/messages/test_datagram_seal.py
@@ -24,7 +24,7 @@
     return message
 
 
-HOLDERS = {
+KEYS_BY_STAGE = {
     "before": [key(0, OLD, True)],
     "installed": [key(0, OLD, True), key(1, NEW, False)],
     "activated": [key(0, OLD, False), key(1, NEW, True)],
@@ -41,9 +41,9 @@
 @pytest.mark.parametrize("reverse", [False, True])
 def test_processes_one_step_of_a_rotation_apart_accept_each_other(earlier, later, reverse):
     sender, receiver = (later, earlier) if reverse else (earlier, later)
-    sealed = open_sealed(DatagramSeal(HOLDERS[sender]).seal(INNER))
+    sealed = open_sealed(DatagramSeal(KEYS_BY_STAGE[sender]).seal(INNER))
     assert sealed.datagram == INNER
-    assert DatagramSeal(HOLDERS[receiver]).accepts(sealed)
+    assert DatagramSeal(KEYS_BY_STAGE[receiver]).accepts(sealed)
 
 
 FORGERIES = {
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("forge", FORGERIES.values(), ids=FORGERIES)
 def test_a_forged_seal_is_not_accepted(forge):
-    sealer = DatagramSeal(HOLDERS["activated"])
+    sealer = DatagramSeal(KEYS_BY_STAGE["activated"])
     rotation, mac, datagram = forge(open_sealed(sealer.seal(INNER)))
     assert not sealer.accepts(SealedDatagram(1, rotation, mac, datagram))
 
