--- a/tests/platform_adapter/test_datagram_codec.py
+++ b/tests/platform_adapter/test_datagram_codec.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("cut", [b"", SYN[:31], SYN + b"x", packet(16, b"data")[:-1]])
-def test_packets_that_are_not_whole(cut):
+def test_truncated_or_overlong_packets_are_incomplete(cut):
     assert not CODEC.is_complete(cut)
 
 
