--- a/tests/platform_adapter/test_datagram_codec.py
+++ b/tests/platform_adapter/test_datagram_codec.py
@@ -79,7 +79,7 @@
     assert not CODEC.is_complete(cut)
 
 
-def test_whole_packets():
+def test_complete_packets():
     assert CODEC.is_complete(SYN)
     assert CODEC.is_complete(packet(16, b"data"))
     assert CODEC.payload_bytes(packet(16, b"data")) == 4
