--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("slowly", [False, True])
-def test_a_request_reaches_the_handler_whole(slowly):
+def test_the_handler_gets_the_complete_request(slowly):
     assert exchange(PUT, slowly=slowly).endswith(b"PUT /path 4")
 
 
