--- a/tests/platform_adapter/test_configuration_document.py
+++ b/tests/platform_adapter/test_configuration_document.py
@@ -125,7 +125,7 @@
         changed(lambda each: each["routes"].append("text")),
     ],
 )
-def test_an_invalid_configuration_is_refused_whole(body):
+def test_an_invalid_configuration_is_refused_completely(body):
     with pytest.raises(InvalidDocument):
         parse_configuration(body)
 
