--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -73,7 +73,7 @@
     )
 
 
-def test_a_draining_heartbeat_and_a_goodbye():
+def test_a_draining_heartbeat_and_a_removal():
     desk = FakeAnnouncementHandler()
     handler = host_calls(desk)
     draining = json.dumps({**HEARTBEAT, "state": "draining"}).encode()
