--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("name", ["x" * 300, "%ff", "a b", "i-1/state"])
-def test_an_odd_name_is_no_hosts(name):
+def test_an_invalid_host_id_is_not_found(name):
     desk = FakeAnnouncementHandler()
     body = json.dumps(HEARTBEAT).encode()
     assert ask(host_calls(desk), "PUT", f"/instances/{name}", body).status == 404
