--- a/tests/platform_adapter/test_configuration_document.py
+++ b/tests/platform_adapter/test_configuration_document.py
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("figure", ["20", True, -1, None, [], 1e400])
-def test_a_figure_that_is_none_limits_nothing(figure):
+def test_an_invalid_number_sets_no_limit(figure):
     services = [{"name": "web", "coldS": figure, "warmupPerS": figure}, {"name": "export"}]
     body = changed(lambda each: each.update(services=services))
     assert parse_configuration(body).warm_ups == {}
