--- a/tests/platform_adapter/test_configuration_document.py
+++ b/tests/platform_adapter/test_configuration_document.py
@@ -130,7 +130,7 @@
         parse_configuration(body)
 
 
-def test_what_cold_hosts_bear_is_taken_from_the_services_that_say_so():
+def test_warm_up_limits_are_taken_from_the_services_that_set_them():
     services = [
         {"name": "web", "coldS": 2.0, "warmupPerS": 20},
         {"name": "export", "coldS": 2.0, "warmupPerS": 0.0},
