--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -196,7 +196,7 @@
     ).encode()
 
 
-def test_a_flow_is_served_and_a_leaving_host_gets_no_more(fleet):
+def test_a_flow_is_served_and_a_draining_host_gets_no_more(fleet):
     listener = ("198.18.0.1", 443)
     body = json.dumps(
         {
