--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -100,7 +100,7 @@
     assert desk.received[0].started_unix_ms == 1_700_000_000_123
 
 
-def test_a_heartbeat_without_what_may_be_left_out():
+def test_a_heartbeat_without_its_optional_fields():
     desk = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
     assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
