--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize(
     "body", [*(json.dumps(each).encode() for each in INVALID_HEARTBEATS), *UNREADABLE]
 )
-def test_a_heartbeat_of_another_writer_names_no_host(body):
+def test_an_invalid_heartbeat_announces_no_host(body):
     desk = FakeAnnouncementHandler()
     assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == 400
     assert desk.received == []
