--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -40,7 +40,7 @@
     return [str(path) for path in paths]
 
 
-def test_the_story_of_one_flow_in_the_order_of_time(logs):
+def test_the_lines_of_one_flow_are_in_order_of_time(logs):
     result = CliRunner().invoke(main, ["explain", FLOW, *logs, "--json"])
     story = json.loads(result.output)
     assert [each["event"] for each in story["lines"]] == [
