--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -50,7 +50,7 @@
     ]
 
 
-def test_the_last_beliefs_before_it_and_only_those_that_concern_it(logs):
+def test_the_last_state_before_it_that_concerns_the_flow(logs):
     result = CliRunner().invoke(main, ["explain", FLOW, *logs, "--json"])
     beliefs = json.loads(result.output)["beliefs"]
     assert [(each["name"], each["event"]) for each in beliefs] == [
