--- a/tests/cli/test_keys.py
+++ b/tests/cli/test_keys.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("missing", ["ca.pem", "ca.key"])
-def test_half_an_authority_is_not_replaced(tmp_path, missing):
+def test_an_incomplete_authority_is_not_replaced(tmp_path, missing):
     init(tmp_path)
     (tmp_path / missing).unlink()
     code, failure = init(tmp_path, "--agent", "a")
