--- a/tests/platform_adapter/test_configuration_document.py
+++ b/tests/platform_adapter/test_configuration_document.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("absurd", [-1, 8, "high", 1.5, None])
-def test_an_unknown_priority_is_passed_over_and_the_configuration_taken(absurd):
+def test_an_unknown_priority_is_ignored_and_the_configuration_accepted(absurd):
     body = changed(lambda each: each["routes"][0].update(priority=absurd, targetLatencyMs=-3))
     assert parse_configuration(body).routes[0].terms == RouteTerms(limit_ms=1500)
 
