--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("says_hello", [False, True])
-def test_a_replica_that_joins_passes_over_one_that_went_silent(monkeypatch, says_hello):
+def test_a_joining_replica_skips_one_that_went_silent(monkeypatch, says_hello):
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.2)
     reply = JoinReply(JoinStatus.PENDING, None, [])
     hello = make_hello(ConnectionKind.PEER, "c", "zagreb")
