--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -72,5 +72,5 @@
 
 
 @pytest.mark.parametrize("arguments", [("drain",), ("drain", "a", "--wait", "-1")])
-def test_wrong_flags_are_said(replicas, arguments):
+def test_wrong_flags_are_usage_errors(replicas, arguments):
     assert zone(replicas, *arguments).exit_code == 2
