--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -100,7 +100,7 @@
     asyncio.run(scenario())
 
 
-def test_a_handler_that_is_held_up_does_not_keep_its_connection_for_ever(monkeypatch):
+def test_a_blocked_handler_does_not_keep_its_connection_open(monkeypatch):
     monkeypatch.setattr(http_connection, "IDLE_SECONDS", 0.1)
 
     async def scenario():
