--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -232,7 +232,7 @@
     run(scenario())
 
 
-def test_files_that_do_not_fit_leave_the_former_ones_in_use(certificates):
+def test_mismatched_files_leave_the_former_ones_in_use(certificates):
     async def scenario():
         server_tls = certificates.tls("control", "control-1")
         client_tls = certificates.tls("control", "control-2")
