--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -147,7 +147,7 @@
     assert make_core(table).handle(wrap(payload), NOW).data == codec.encode(wanted)
 
 
-def test_the_short_path_serves_an_agent_that_was_met_before(monkeypatch):
+def test_the_fast_path_serves_an_agent_that_was_seen_before(monkeypatch):
     core = make_core()
     first = core.handle(GOOD, NOW)
     monkeypatch.setattr(core, "_decide", lambda datagram, now: pytest.fail("long path taken"))
