--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -388,7 +388,7 @@
     assert harness.resets == [RESET_TO_CALLER]
 
 
-def test_a_flow_that_its_host_hands_back_after_the_agent_accepted_it_goes_to_another():
+def test_a_flow_that_its_host_returns_after_the_agent_accepted_it_goes_to_another():
     """Seen on lsl-hanoi-edge-large, fresh-8c70: such hosts drew new flows, and none opened."""
     harness = Harness(record(1), record(2))
     first = opened(harness)
