--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -402,7 +402,7 @@
     assert harness.core.counters.openings_returned == 1
 
 
-def test_a_flow_that_the_only_host_hands_back_is_reset_at_once():
+def test_a_flow_that_the_only_host_returns_is_reset_at_once():
     harness = Harness(record(1))
     opened(harness)
     harness.refuse(1, 1.01, RefusalReason.RETURNED)
