--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -159,7 +159,7 @@
 
 
 def replica_options(command: Command) -> Command:
-    """Add --replica, --timeout and --json; they arrive as `calls` and `printer`."""
+    """Add --replica, --timeout and --json; they arrive as `replica_client` and `printer`."""
 
     @functools.wraps(command)
     def run(
@@ -169,8 +169,10 @@
         json_output: bool,
         **options: object,
     ) -> object:
-        calls = ReplicaClient(replicas, timeout_seconds)
-        return command(*arguments, calls=calls, printer=Printer(json_output), **options)
+        replica_client = ReplicaClient(replicas, timeout_seconds)
+        return command(
+            *arguments, replica_client=replica_client, printer=Printer(json_output), **options
+        )
 
     for option in (
         click.option("--json", "json_output", is_flag=True, help="Print one JSON object."),
@@ -208,12 +210,12 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def drain(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
+def drain(name: str, wait_seconds: float, replica_client: ReplicaClient, printer: Printer) -> None:
     """Send no new flow to the hosts of the zone NAME; open flows stay.
 
     With --wait the command ends once every linked node goes by the order, or with exit code 5.
     """
-    _send_order(name, True, wait_seconds, calls, printer)
+    _send_order(name, True, wait_seconds, replica_client, printer)
 
 
 @zone.command(
@@ -223,18 +225,20 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def restore(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
+def restore(
+    name: str, wait_seconds: float, replica_client: ReplicaClient, printer: Printer
+) -> None:
     """Let the hosts of the zone NAME take new flows again, as fast as cold hosts bear them."""
-    _send_order(name, False, wait_seconds, calls, printer)
+    _send_order(name, False, wait_seconds, replica_client, printer)
 
 
 @zone.command(
     "list", cls=OperatorCommand, examples=("jasperwalk zone list --replica 10.0.0.4:7600",)
 )
 @replica_options
-def list_zones(calls: ReplicaClient, printer: Printer) -> None:
+def list_zones(replica_client: ReplicaClient, printer: Printer) -> None:
     """List the zones that are known, and which of them are drained."""
-    reply = calls.ask(ZoneListRequest(), ZoneListReply)
+    reply = replica_client.ask(ZoneListRequest(), ZoneListReply)
     rows = [ZoneRow(each.zone, each.drained) for each in reply.zones]
     view = ZoneListView(reply.revision, reply.in_force >= reply.revision, rows)
     table = format_table(("ZONE", "DRAINED"), [(row.zone, row.drained) for row in rows])
@@ -242,10 +246,10 @@
 
 
 def _send_order(
-    name: str, drained: bool, wait_seconds: float, calls: ReplicaClient, printer: Printer
+    name: str, drained: bool, wait_seconds: float, replica_client: ReplicaClient, printer: Printer
 ) -> None:
-    reply = calls.ask(ZoneOrderRequest(name, drained), ZoneOrderReply)
-    in_force = _wait_in_force(reply.revision, wait_seconds, calls)
+    reply = replica_client.ask(ZoneOrderRequest(name, drained), ZoneOrderReply)
+    in_force = _wait_in_force(reply.revision, wait_seconds, replica_client)
     view = ZoneView(name, drained, reply.revision, in_force >= reply.revision)
     state = "drained" if drained else "restored"
     where = "in force" if view.in_force else "acknowledged"
@@ -254,11 +258,11 @@
         raise ZoneNotInForce(reply.revision, in_force)
 
 
-def _wait_in_force(revision: int, wait_seconds: float, calls: ReplicaClient) -> int:
+def _wait_in_force(revision: int, wait_seconds: float, replica_client: ReplicaClient) -> int:
     """Return the revision in force, asked again for a while as long as it is older."""
     deadline = time.monotonic() + wait_seconds
     while True:
-        in_force = calls.ask(ZoneListRequest(), ZoneListReply).in_force
+        in_force = replica_client.ask(ZoneListRequest(), ZoneListReply).in_force
         if in_force >= revision or time.monotonic() >= deadline:
             return in_force
         time.sleep(RETRY_PAUSE_SECONDS)
