--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -57,9 +57,11 @@
 
 
 def test_a_heartbeat():
-    desk = FakeAnnouncementHandler()
-    response = ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode())
-    (announcement,) = desk.received
+    announcements = FakeAnnouncementHandler()
+    response = ask(
+        host_calls(announcements), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode()
+    )
+    (announcement,) = announcements.received
     assert response.status == 200
     assert (announcement.host_id, announcement.phase, announcement.capacity) == (
         "i-1",
@@ -74,12 +76,15 @@
 
 
 def test_a_draining_heartbeat_and_a_removal():
-    desk = FakeAnnouncementHandler()
-    handler = host_calls(desk)
+    announcements = FakeAnnouncementHandler()
+    handler = host_calls(announcements)
     draining = json.dumps({**HEARTBEAT, "state": "draining"}).encode()
     assert ask(handler, "PUT", "/instances/i-1", draining).status == 200
     assert ask(handler, "DELETE", "/instances/i-1").status == 200
-    assert (desk.received[0].phase, desk.received[1]) == (HostPhase.DRAINING, "i-1")
+    assert (announcements.received[0].phase, announcements.received[1]) == (
+        HostPhase.DRAINING,
+        "i-1",
+    )
 
 
 @pytest.mark.parametrize(
@@ -87,24 +92,27 @@
     [(AnnouncementOutcome.STALE, 200), (AnnouncementOutcome.REFUSED, 400)],
 )
 def test_only_a_heartbeat_of_the_host_beside_the_agent_is_acknowledged(outcome, status):
-    desk = FakeAnnouncementHandler()
-    desk.outcome = outcome
+    announcements = FakeAnnouncementHandler()
+    announcements.outcome = outcome
     body = json.dumps(HEARTBEAT).encode()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == status
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", body).status == status
 
 
 def test_a_heartbeat_tells_when_the_host_started():
-    desk = FakeAnnouncementHandler()
+    announcements = FakeAnnouncementHandler()
     beat = json.dumps({**HEARTBEAT, "born": 1_700_000_000_123}).encode()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", beat).status == 200
-    assert desk.received[0].started_unix_ms == 1_700_000_000_123
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", beat).status == 200
+    assert announcements.received[0].started_unix_ms == 1_700_000_000_123
 
 
 def test_a_heartbeat_without_its_optional_fields():
-    desk = FakeAnnouncementHandler()
+    announcements = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
-    (announcement,) = desk.received
+    assert (
+        ask(host_calls(announcements), "PUT", "/instances/i-1", json.dumps(lean).encode()).status
+        == 200
+    )
+    (announcement,) = announcements.received
     assert (announcement.started_unix_ms, announcement.slow_start_seconds, announcement.zone) == (
         0,
         0.0,
@@ -163,10 +171,10 @@
     "body", [*(json.dumps(each).encode() for each in INVALID_HEARTBEATS), *UNREADABLE]
 )
 def test_an_invalid_heartbeat_announces_no_host(body):
-    desk = FakeAnnouncementHandler()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == 400
-    assert desk.received == []
-    assert len(desk.refused) == 1
+    announcements = FakeAnnouncementHandler()
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", body).status == 400
+    assert announcements.received == []
+    assert len(announcements.refused) == 1
 
 
 @pytest.mark.parametrize(
@@ -185,18 +193,18 @@
     ],
 )
 def test_a_bad_call_of_a_host_changes_nothing(method, path, body, status):
-    desk = FakeAnnouncementHandler()
-    assert ask(host_calls(desk), method, path, body).status == status
-    assert desk.received == []
+    announcements = FakeAnnouncementHandler()
+    assert ask(host_calls(announcements), method, path, body).status == status
+    assert announcements.received == []
 
 
 @pytest.mark.parametrize("name", ["x" * 300, "%ff", "a b", "i-1/state"])
 def test_an_invalid_host_id_is_not_found(name):
-    desk = FakeAnnouncementHandler()
+    announcements = FakeAnnouncementHandler()
     body = json.dumps(HEARTBEAT).encode()
-    assert ask(host_calls(desk), "PUT", f"/instances/{name}", body).status == 404
-    assert ask(host_calls(desk), "DELETE", f"/instances/{name}").status == 404
-    assert desk.received == []
+    assert ask(host_calls(announcements), "PUT", f"/instances/{name}", body).status == 404
+    assert ask(host_calls(announcements), "DELETE", f"/instances/{name}").status == 404
+    assert announcements.received == []
 
 
 class FakeConfigurationService:
