--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -168,13 +168,13 @@
         removed = [
             number
             for number, record in self._records.items()
-            if not record.connected and self._is_expired(record, present, now)
+            if not record.connected and self._is_obsolete(record, present, now)
         ]
         for number in removed:
             del self._records[number]
         return removed
 
-    def _is_expired(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
+    def _is_obsolete(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
         return record.key in present or now - record.link.last_seen > self._expiry_seconds
 
     def _changed(self) -> list[ReportedSubscriber]:
