--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -84,7 +84,7 @@
         while True:
             leads = self._update_leadership()
             if self._poller is not None:
-                self._poller.wanted = leads
+                self._poller.enabled = leads
             if leads:
                 await self._run_steps()
             await asyncio.sleep(self._config.step_interval_seconds)
--- a/src/jasperwalk/control/platform_poller.py
+++ b/src/jasperwalk/control/platform_poller.py
@@ -16,7 +16,7 @@
 
 
 class PlatformPoller:
-    """Polls while `wanted` is set; `take` returns each fetched list once.
+    """Polls while `enabled` is set; `take` returns each fetched list once.
 
     Lists fetched before a pause are never returned: a replica that leads again would take a
     host back into service that has been leaving since.
@@ -30,15 +30,15 @@
         self.failures = 0
 
     @property
-    def wanted(self) -> bool:
+    def enabled(self) -> bool:
         """Whether the list is wanted now, that is, while this replica leads."""
         return self._wanted
 
-    @wanted.setter
-    def wanted(self, wanted: bool) -> None:
-        if not wanted:
+    @enabled.setter
+    def enabled(self, enabled: bool) -> None:
+        if not enabled:
             self._latest = None
-        self._wanted = wanted
+        self._wanted = enabled
 
     def take(self) -> PlatformList | None:
         """Return the list fetched since the last call, None where there is none."""
@@ -51,7 +51,7 @@
         timeout = aiohttp.ClientTimeout(total=FETCH_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                if self.wanted:
+                if self.enabled:
                     await self._fetch(session)
                 await asyncio.sleep(self._interval_seconds)
 
--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -25,7 +25,7 @@
     port = runner.addresses[0][1]
     poller = PlatformPoller(f"http://127.0.0.1:{port}/machines", interval_seconds=0.01)
     polling = asyncio.create_task(poller.run())
-    poller.wanted = True
+    poller.enabled = True
     async with asyncio.timeout(10):
         await served.wait()
         outcome = await then(poller)
@@ -49,8 +49,8 @@
     async def pause(poller):
         while poller._latest is None:
             await asyncio.sleep(0.01)
-        poller.wanted = False
-        poller.wanted = True
+        poller.enabled = False
+        poller.enabled = True
         return poller.take()
 
     assert asyncio.run(poll(pause)) is None
