--- a/src/jasperwalk/control/platform_poller.py
+++ b/src/jasperwalk/control/platform_poller.py
@@ -26,19 +26,19 @@
         self._url = url
         self._interval_seconds = interval_seconds
         self._latest: PlatformList | None = None
-        self._wanted = False
+        self._enabled = False
         self.failures = 0
 
     @property
     def enabled(self) -> bool:
         """Whether the list is wanted now, that is, while this replica leads."""
-        return self._wanted
+        return self._enabled
 
     @enabled.setter
     def enabled(self, enabled: bool) -> None:
         if not enabled:
             self._latest = None
-        self._wanted = enabled
+        self._enabled = enabled
 
     def take(self) -> PlatformList | None:
         """Return the list fetched since the last call, None where there is none."""
@@ -69,7 +69,7 @@
                     of=fetched.unreadable_entries + len(fetched.machines),
                     reason=fetched.first_reason,
                 )
-            self._latest = fetched if self._wanted else None
+            self._latest = fetched if self._enabled else None
         except (aiohttp.ClientError, TimeoutError, OSError, JasperwalkError) as error:
             # The list may be away for a while; what was set before stays in force.
             self.failures += 1
