--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -178,28 +178,28 @@
             logger.info("subscriber-closed", reason=effect.reason.value)
             self._start(connection.close())
 
-    def _register(self, wanted: RegistrationRequest) -> None:
-        start = (wanted.address, wanted.boot_id)
+    def _register(self, request: RegistrationRequest) -> None:
+        start = (request.address, request.boot_id)
         if start not in self._registering:
             self._registering.add(start)
-            self._start(self._propose_registration(wanted))
+            self._start(self._propose_registration(request))
 
-    async def _propose_registration(self, wanted: RegistrationRequest) -> None:
+    async def _propose_registration(self, request: RegistrationRequest) -> None:
         command = RegisterAgent(
-            address=wanted.address, boot_id=wanted.boot_id, name=wanted.name, zone=wanted.zone
+            address=request.address, boot_id=request.boot_id, name=request.name, zone=request.zone
         )
         try:
             outcome = await self._proposals.propose(command)
         except ProposalError as error:
             # The core asks again while the agent stays; its boot ID makes that harmless.
-            logger.info("registration-delayed", agent=wanted.name, kind=error.kind)
+            logger.info("registration-delayed", agent=request.name, kind=error.kind)
             return
         finally:
-            self._registering.discard((wanted.address, wanted.boot_id))
+            self._registering.discard((request.address, request.boot_id))
         if isinstance(outcome, SupersededBoot):
-            self._perform(self._core.agent_refused(wanted.address, wanted.boot_id))
+            self._perform(self._core.agent_refused(request.address, request.boot_id))
         elif not outcome.accepted:
-            logger.warning("registration-refused", agent=wanted.name, kind=outcome.kind)
+            logger.warning("registration-refused", agent=request.name, kind=outcome.kind)
 
     def _start(self, job: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(job)
