--- a/src/jasperwalk/control/state/canonical.py
+++ b/src/jasperwalk/control/state/canonical.py
@@ -21,7 +21,7 @@
     return cbor2.dumps(builtins, canonical=True)
 
 
-def canonical_pieces(content: Any) -> Iterator[bytes]:
+def canonical_chunks(content: Any) -> Iterator[bytes]:
     """Yield the bytes of `canonical_bytes` in many small pieces.
 
     No single call into the encoder takes long, so that a thread which joins the pieces lets
@@ -39,7 +39,7 @@
             values.insert(0, config.tag)
         yield _array_header(len(values))
         for value in values:
-            yield from canonical_pieces(value)
+            yield from canonical_chunks(value)
     else:
         yield canonical_bytes(content)
 
--- a/src/jasperwalk/control/state/state_image.py
+++ b/src/jasperwalk/control/state/state_image.py
@@ -12,7 +12,7 @@
 from jasperwalk.config.table_entries import KeyEntry
 from jasperwalk.config.templates import parse_template
 from jasperwalk.config.tenants import Tenant
-from jasperwalk.control.state.canonical import canonical_pieces
+from jasperwalk.control.state.canonical import canonical_chunks
 from jasperwalk.control.state.change_register import ChangeRegister, ChangeRegisterImage
 from jasperwalk.control.state.configuration import Configuration, StoredTemplate, StoredTenant
 from jasperwalk.control.state.host_states import HostStatesImage
@@ -69,7 +69,7 @@
 
 def encode_state(image: StateImage) -> bytes:
     """Encode an image; equal images give equal bytes, whatever the order of their maps."""
-    return b"".join(canonical_pieces(image))
+    return b"".join(canonical_chunks(image))
 
 
 def decode_state(data: bytes) -> StateImage:
--- a/tests/control_state/test_canonical.py
+++ b/tests/control_state/test_canonical.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from jasperwalk.control.state.canonical import canonical_bytes, canonical_pieces
+from jasperwalk.control.state.canonical import canonical_bytes, canonical_chunks
 
 VALUES: st.SearchStrategy[Any] = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**63), 2**63) | st.text() | st.binary(),
@@ -32,10 +32,10 @@
 @given(values=st.lists(VALUES), number=st.integers(0, 2**40))
 def test_pieces_join_to_the_whole(values: list[Any], number: int) -> None:
     tree = Tree([Leaf(number, value) for value in values], "tree", values)
-    assert b"".join(canonical_pieces(tree)) == canonical_bytes(tree)
+    assert b"".join(canonical_chunks(tree)) == canonical_bytes(tree)
 
 
 @pytest.mark.parametrize("length", [0, 23, 24, 255, 256, 65_535, 65_536])
 def test_headers_of_long_lists(length: int) -> None:
     items = [0] * length
-    assert b"".join(canonical_pieces(items)) == canonical_bytes(items)
+    assert b"".join(canonical_chunks(items)) == canonical_bytes(items)
