--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -29,7 +29,7 @@
     return SnapshotData(index=index, term=1, membership=EMPTY_MEMBERSHIP, state=state)
 
 
-class Running:
+class RunningApplier:
     """An applier that runs, and what it told its listener."""
 
     def __init__(self, snapshot_interval_entries=1_000_000):
@@ -94,7 +94,7 @@
     blocked.started.clear()
 
     async def scenario():
-        async with Running() as running:
+        async with RunningApplier() as running:
             running.applier.submit_snapshot(snapshot(4, data))
             running.applier.submit([removal(5), entry(6, ApplyTemplate("t", None, "broken"))])
             running.applier.submit([removal(7)])
@@ -110,7 +110,7 @@
 
 def test_entries_are_applied_while_a_snapshot_is_encoded(blocked):
     async def scenario():
-        async with Running(snapshot_interval_entries=2) as running:
+        async with RunningApplier(snapshot_interval_entries=2) as running:
             running.applier.submit([removal(1), removal(2)])
             await until(blocked.started.is_set)
             running.applier.submit([removal(3), removal(4), removal(5)])
@@ -128,7 +128,7 @@
 
 def test_a_snapshot_that_is_none_ends_the_run():
     async def scenario():
-        async with Running() as running:
+        async with RunningApplier() as running:
             running.applier.submit_snapshot(snapshot(4, b"no state"))
             with pytest.raises(MalformedState):
                 async with asyncio.timeout(LIMIT_SECONDS):
