--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -35,14 +35,14 @@
     return outcome
 
 
-async def take_when_there(poller):
+async def take_when_available(poller):
     while (taken := poller.take()) is None:
         await asyncio.sleep(0.01)
     return taken
 
 
 def test_a_list_is_taken_while_this_replica_leads():
-    assert asyncio.run(poll(take_when_there)).version == LIST["version"]
+    assert asyncio.run(poll(take_when_available)).version == LIST["version"]
 
 
 def test_a_list_from_before_a_pause_is_let_go():
