--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -102,7 +102,7 @@
     assert found.complete is complete
 
 
-def test_a_silent_subscriber_is_forgotten():
+def test_a_silent_subscriber_expires():
     ledger = leading()
     ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
     for sequence, (now, silence_ms, balancers) in enumerate(
