--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -127,7 +127,7 @@
     ],
     ids=["never heard", "up to date", "behind", "just started", "silent", "gone"],
 )
-def test_nothing_is_claimed_for_replicas_that_may_know_more(
+def test_counts_are_unknown_while_a_replica_may_have_unreported_subscribers(
     reports, recorded_ms, laggards, known, complete
 ):
     ledger = leading()
