--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -140,7 +140,7 @@
     assert (found.balancers is not None) is known
 
 
-def test_counts_are_unknown_until_a_new_leader_has_heard_everyone():
+def test_counts_are_unknown_until_every_replica_has_reported_to_a_new_leader():
     ledger = leading(since=99.0)
     ledger.record_report(1, report(sighting()), now=100.0)
     found = in_force(ledger, 100.0)
