--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -161,7 +161,7 @@
     assert in_force(ledger, 106.0).complete
 
 
-def test_a_report_after_a_lost_one_is_refused_and_a_whole_one_starts_anew():
+def test_a_report_after_a_lost_one_is_refused_and_a_full_one_starts_again():
     ledger = leading()
     assert not ledger.record_report(1, report(sighting(), sequence=1), now=100.0)
     assert ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
