--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -45,7 +45,7 @@
     assert asyncio.run(poll(take_when_available)).version == LIST["version"]
 
 
-def test_a_list_from_before_a_pause_is_let_go():
+def test_a_list_from_before_a_pause_is_discarded():
     async def pause(poller):
         while poller._latest is None:
             await asyncio.sleep(0.01)
