--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -294,7 +294,7 @@
     run(scenario())
 
 
-def test_agents_register_and_are_judged(cluster, run, wait_for):
+def test_agents_register_and_their_statuses_follow(cluster, run, wait_for):
     async def scenario():
         async with cluster() as running:
             await running.configure()
