--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -84,7 +84,7 @@
             await asyncio.sleep(0.001)
 
 
-def test_the_loop_goes_on_and_the_order_stays(blocked):
+def test_slow_work_keeps_the_order_and_does_not_block_the_loop(blocked):
     source = ControlState()
     source.apply(3, RemoveTenant("earlier", None, "nobody"))
     restored = source.freeze()
