--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -126,7 +126,7 @@
     asyncio.run(scenario())
 
 
-def test_a_snapshot_that_is_none_ends_the_run():
+def test_a_malformed_snapshot_ends_the_run():
     async def scenario():
         async with RunningApplier() as running:
             running.applier.submit_snapshot(snapshot(4, b"no state"))
