--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_nothing_false_is_claimed_and_counts_end_exact(seed):
+def test_in_force_is_never_reported_too_early_and_counts_converge(seed):
     region = SimulatedRegion(seed)
     claims = 0
     for _ in range(200):
