--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -169,7 +169,7 @@
     asyncio.run(scenario())
 
 
-def test_a_link_without_messages_carries_signs_of_life():
+def test_an_idle_link_sends_keepalives():
     async def scenario():
         async with Peers(QUICK) as peers:
             await until(lambda: peers.keepalives)
