--- a/tests/control/test_storage_faults.py
+++ b/tests/control/test_storage_faults.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("line", ["", "slow", "slow x", "slow 0", "odd words"])
-def test_what_says_nothing_changes_nothing(tmp_path, line):
+def test_an_unreadable_fault_is_ignored(tmp_path, line):
     path = tmp_path / "fault"
     path.write_text(line)
     StorageFaults(path).before_write()
