--- a/tests/control/test_storage_faults.py
+++ b/tests/control/test_storage_faults.py
@@ -19,5 +19,5 @@
     StorageFaults(path).before_write()
 
 
-def test_without_the_file_nothing_is_in_the_way(tmp_path):
+def test_without_the_file_nothing_fails(tmp_path):
     StorageFaults(tmp_path / "none").before_write()
