--- a/tests/control_state/test_canonical.py
+++ b/tests/control_state/test_canonical.py
@@ -30,7 +30,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(values=st.lists(VALUES), number=st.integers(0, 2**40))
-def test_pieces_join_to_the_whole(values: list[Any], number: int) -> None:
+def test_joined_chunks_equal_the_single_encoding(values: list[Any], number: int) -> None:
     tree = Tree([Leaf(number, value) for value in values], "tree", values)
     assert b"".join(canonical_chunks(tree)) == canonical_bytes(tree)
 
