--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -212,7 +212,7 @@
     assert leader.generations_of(purpose) == (["2A", "3w"] if retired else ["1o", "2A", "3w"])
 
 
-def test_rotations_end_where_no_place_is_left(leader):
+def test_a_rotation_without_a_free_key_slot_is_refused(leader):
     leader.generations[AGENT] = 1
     kinds = []
     for number in range(KEYS_PER_PURPOSE):
