--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -159,7 +159,7 @@
     ],
     ids=str,
 )
-def test_a_deposed_leaders_late_step_changes_nothing(leader, command):
+def test_a_stale_command_of_a_deposed_leader_changes_nothing(leader, command):
     leader.rotate()
     leader.step()
     assert not leader.driver.apply(command).accepted
