--- a/tests/control/test_openapi.py
+++ b/tests/control/test_openapi.py
@@ -66,5 +66,5 @@
     assert failure.kind in STATUS_BY_KIND or failure.kind in INTERNAL_KINDS
 
 
-def test_unknown_failure_is_a_fault_of_ours():
+def test_an_unknown_failure_is_an_internal_error():
     assert problem_of(JasperwalkError()).status == HTTPStatus.INTERNAL_SERVER_ERROR
