--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -108,7 +108,7 @@
     assert leader.generations_of() == ["1A", "2w", "3w"]
 
 
-def test_a_balancer_behind_by_one_rotation_reaches_every_flow(leader):
+def test_a_balancer_one_rotation_behind_can_decode_every_flow(leader):
     """A balancer that was cut off, so that nobody waited for it."""
     balancer = leader.codec()
     leader.rotate()
