--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -80,7 +80,7 @@
     assert driver.state.outcome_of("change") == first
 
 
-def test_the_memory_of_changes_is_bounded_and_kept_over_restarts(make_driver: Any) -> None:
+def test_the_change_register_is_bounded_and_survives_restarts(make_driver: Any) -> None:
     driver = make_driver(ControlState(change_limit=2))
     driver.apply_template("template")
     driver.set_tenant("one")
