--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("host", ["h1", "127.0.0.1:7000"])
-def test_operator_and_platform_drain_apart(driver: Any, host: str) -> None:
+def test_operator_and_platform_drain_independently(driver: Any, host: str) -> None:
     driver.set_tenant("alpha")
 
     def by_operator(change_id: str, state: AdminState) -> AdminState:
