--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -283,7 +283,7 @@
         b"\x86\x02\x61c\xf6\x61a\x61p\xa1\x61v" + b"\x81" * 50 + b"\x01",
     ],
 )
-def test_bytes_that_are_no_command_change_nothing(driver: Any, data: bytes) -> None:
+def test_a_malformed_command_changes_nothing(driver: Any, data: bytes) -> None:
     before = driver.state.table.image()
     assert isinstance(driver.state.apply_encoded(2, data), MalformedCommand)
     assert driver.state.table.image() == before
