--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -207,7 +207,7 @@
     run(scenario())
 
 
-def test_unknown_outcome_is_settled_by_a_resend(cluster, run, new_tenant):
+def test_a_resend_resolves_an_unknown_outcome(cluster, run, new_tenant):
     async def scenario():
         async with cluster() as running:
             await running.configure()
