--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -105,19 +105,19 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_in_force_is_never_reported_too_early_and_counts_converge(seed):
     region = SimulatedRegion(seed)
-    claims = 0
+    reports_in_force = 0
     for _ in range(200):
         region.step()
         for revision in range(region.revision - 6, region.revision + 1):
             found = region.ledger.in_force(revision, CONTACT_AGES, region.now)
-            claims += found.complete
+            reports_in_force += found.complete
             if found.complete:
                 heard = [n for n in region.settled() if region.now - n["seen"] < 5.0]
                 assert all(node["revision"] >= revision for node in heard)
             if found.balancers is not None:
                 connected = sum(not node["away"] for node in region.settled())
                 assert found.balancers + found.agents >= connected
-    assert claims, "the check above has to have had something to check"
+    assert reports_in_force, "the check above has to have had something to check"
     for _ in range(16):
         region.step(steady=True)
     found = region.ledger.in_force(region.revision, CONTACT_AGES, region.now)
