--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -94,12 +94,12 @@
     def report(self, origin, lost):
         reporter = self.reporters[origin]
         links = self.links[origin].values()
-        made = reporter.report(links, 1, self.term, self.revision, self.now)
+        message = reporter.report(links, 1, self.term, self.revision, self.now)
         if lost:
             return 0
-        if not self.ledger.record_report(origin, made, self.now):
+        if not self.ledger.record_report(origin, message, self.now):
             reporter.restart()
-        return len(codec.encode(made))
+        return len(codec.encode(message))
 
 
 @pytest.mark.parametrize("seed", range(30))
