--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -112,8 +112,8 @@
             found = region.ledger.in_force(revision, CONTACT_AGES, region.now)
             reports_in_force += found.complete
             if found.complete:
-                heard = [n for n in region.settled() if region.now - n["seen"] < 5.0]
-                assert all(node["revision"] >= revision for node in heard)
+                counted = [n for n in region.settled() if region.now - n["seen"] < 5.0]
+                assert all(node["revision"] >= revision for node in counted)
             if found.balancers is not None:
                 connected = sum(not node["away"] for node in region.settled())
                 assert found.balancers + found.agents >= connected
