--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -58,7 +58,7 @@
 
     def client_context(self) -> ssl.SSLContext:
         """Return the context for a connection that opens now."""
-        self._renew()
+        self._reload_if_changed()
         return self._client
 
     def server_context(self) -> ssl.SSLContext:
@@ -76,10 +76,10 @@
         self, connection: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
     ) -> None:
         """Give a connection that opens now the newest files (called by OpenSSL)."""
-        self._renew()
+        self._reload_if_changed()
         connection.context = self._server
 
-    def _renew(self) -> None:
+    def _reload_if_changed(self) -> None:
         if self._file_monitor.changed():
             try:
                 self._load()
