--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -52,8 +52,8 @@
         self._file_monitor = FileMonitor(paths, clock)
         self._warned_at: float | None = None
         self._load()
-        self._listening = self._server
-        self._listening.sni_callback = self._choose_context
+        self._listening_context = self._server
+        self._listening_context.sni_callback = self._choose_context
         self._warn_of_expiry()
 
     def client_context(self) -> ssl.SSLContext:
@@ -63,7 +63,7 @@
 
     def server_context(self) -> ssl.SSLContext:
         """Return the context to listen with; its connections take renewed files by themselves."""
-        return self._listening
+        return self._listening_context
 
     def explain_close_after_handshake(self) -> CertificateRefused | TlsFailed:
         """Return why the other side may have closed a connection right after the handshake."""
