--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -137,8 +137,8 @@
                 may_have_run = may_have_run or attempt.may_have_run
                 if may_have_run and not request.repeatable:
                     raise _unanswered_error(request, failures, may_have_run)
-            asked = min(failure.retry_after_seconds for failure in failures)
-            pause = max(asked, pause_seconds)
+            requested_pause = min(failure.retry_after_seconds for failure in failures)
+            pause = max(requested_pause, pause_seconds)
             if loop.time() + pause >= deadline:
                 raise _unanswered_error(request, failures, may_have_run)
             await asyncio.sleep(pause)
