--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -125,17 +125,17 @@
     replica: Endpoint, request: OperatorRequest, reasons: dict[Endpoint, str]
 ) -> OperatorReply | None:
     """Ask one replica, and the leader that it names; None where neither settles it."""
-    asked: Endpoint | None = replica
+    target: Endpoint | None = replica
     for _ in range(2):
-        if asked is None:
+        if target is None:
             break
-        reply = await _ask_once(asked, request, reasons)
+        reply = await _ask_once(target, request, reasons)
         if reply is None or reply.outcome in SUCCESS_OUTCOMES:
             return reply
         if reply.outcome == UNKNOWN_ZONE and isinstance(request, ZoneOrderRequest):
             raise ZoneRefused(request.zone)
-        reasons[asked] = reply.reason or reply.outcome
-        asked = reply.leader
+        reasons[target] = reply.reason or reply.outcome
+        target = reply.leader
     return None
 
 
