--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -11,7 +11,7 @@
 from jasperwalk.fleet.messages import FleetUpdate, HostPhase, NodeRecord, NodeRole
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.service_time import encode_service_time
-from jasperwalk.scheduling.host_service_times import SLOWDOWN_CACHE_SECONDS, HostSlowdowns
+from jasperwalk.scheduling.host_service_times import SLOWDOWN_CACHE_SECONDS, HostServiceTimes
 from jasperwalk.scheduling.slow_host import SlowHost
 
 SEED = 20261202
@@ -45,9 +45,9 @@
     return MICROSECONDS * min(times) / COUNT
 
 
-def _requests(service_times: HostSlowdowns | None = None) -> None:
+def _requests(service_times: HostServiceTimes | None = None) -> None:
     """Take requests and their answers."""
-    service_times = service_times or HostSlowdowns()
+    service_times = service_times or HostServiceTimes()
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
         service_times.record_request(number, LISTENER, SLOTS, now)
@@ -56,7 +56,7 @@
 
 def _evaluation_time() -> float:
     """Time a judgement that is worked out anew; an agent does so each `SLOWDOWN_CACHE_SECONDS`."""
-    service_times = HostSlowdowns()
+    service_times = HostServiceTimes()
     _requests(service_times)
     slow_host = SlowHost(service_times)
     start = BETWEEN_SECONDS * COUNT
