--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -207,7 +207,7 @@
         client_tls = certificates.tls("control", "control-2", client_life)
         async with serving(server_tls) as server:
             if renewed == "ca":
-                standing = await connect(
+                open_connection = await connect(
                     server.endpoint, make_hello(KIND.PEER, "control-2", "zagreb"), tls=client_tls
                 )
                 former_tls = certificates.tls("control", "control-3")
@@ -225,9 +225,9 @@
                 )  # a process that kept its old files
                 with pytest.raises(TlsError):
                     await echoed(server, former_tls, name="control-3")
-                await standing.send(b"still here")
-                assert await standing.receive() == b"still here"
-                standing.abort()
+                await open_connection.send(b"still here")
+                assert await open_connection.receive() == b"still here"
+                open_connection.abort()
 
     run(scenario())
 
