--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -237,13 +237,13 @@
         server_tls = certificates.tls("control", "control-1")
         client_tls = certificates.tls("control", "control-2")
         key_file = tls_files_of(client_tls.identity, certificates.folder).private_key_file
-        whole = key_file.read_bytes()
+        valid_key = key_file.read_bytes()
         async with serving(server_tls) as server:
             for content in (b"", certificates.folder.joinpath("ca.key").read_bytes()):
                 key_file.write_bytes(content)
                 certificates.advance_past_poll()
                 assert await echoed(server, client_tls) == b"hello"
-            key_file.write_bytes(whole)
+            key_file.write_bytes(valid_key)
             certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
 
