--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -134,11 +134,11 @@
         silent = FramedServer(ANY_PORT, hello, {ConnectionKind.REPORTER: say_nothing})
         await silent.start()
         silent_listener = await asyncio.start_server(lambda *_: never(), "127.0.0.1", 0)
-        held = (
+        silent_endpoint = (
             silent.endpoint if says_hello else Endpoint(*silent_listener.sockets[0].getsockname())
         )
         request = JoinRequest(3, living.endpoint, founding=False)
-        answer = await request_to_join(request, "c3", "zagreb", [held, living.endpoint])
+        answer = await request_to_join(request, "c3", "zagreb", [silent_endpoint, living.endpoint])
         silent_listener.close()
         await silent.close()
         await living.close()
