--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -129,19 +129,21 @@
 
     async def scenario():
         answering = {ConnectionKind.REPORTER: JoinRequestHandler(lambda _request: reply).serve}
-        living = FramedServer(ANY_PORT, hello, answering)
-        await living.start()
+        answering_server = FramedServer(ANY_PORT, hello, answering)
+        await answering_server.start()
         silent = FramedServer(ANY_PORT, hello, {ConnectionKind.REPORTER: say_nothing})
         await silent.start()
         silent_listener = await asyncio.start_server(lambda *_: never(), "127.0.0.1", 0)
         silent_endpoint = (
             silent.endpoint if says_hello else Endpoint(*silent_listener.sockets[0].getsockname())
         )
-        request = JoinRequest(3, living.endpoint, founding=False)
-        answer = await request_to_join(request, "c3", "zagreb", [silent_endpoint, living.endpoint])
+        request = JoinRequest(3, answering_server.endpoint, founding=False)
+        answer = await request_to_join(
+            request, "c3", "zagreb", [silent_endpoint, answering_server.endpoint]
+        )
         silent_listener.close()
         await silent.close()
-        await living.close()
+        await answering_server.close()
         return answer
 
     assert asyncio.run(scenario()) == reply
