--- a/tests/messages/test_datagram_seal.py
+++ b/tests/messages/test_datagram_seal.py
@@ -79,6 +79,6 @@
     assert sealer.accepts(sealed)
 
 
-def test_a_plain_datagram_is_still_told_apart():
+def test_a_plain_datagram_is_decoded_as_such():
     plain = ForwardedDatagram(1, 2, 3, 0, b"a" * 12, [], b"payload")
     assert DECODER.decode(encode(plain)) == plain
