--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -132,7 +132,7 @@
     asyncio.run(scenario())
 
 
-def test_a_subscribers_claim_is_held_against_its_certificate():
+def test_a_subscribers_claim_is_checked_against_its_certificate():
     identity = Identity("zagreb", ProcessRole.BALANCER, "b")
     check_claim(identity, "balancer", "b")
     check_claim(None, "agent", "anyone")
