--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -143,9 +143,7 @@
 
 @LOOPS
 @pytest.mark.parametrize("case", ["wrong CA", "expired", "wrong CA of server", "expired server"])
-def test_certificates_that_do_not_hold_are_refused(
-    certificates, other_cluster_certificates, run, case
-):
+def test_invalid_certificates_are_refused(certificates, other_cluster_certificates, run, case):
     async def scenario():
         server_side = other_cluster_certificates if case == "wrong CA of server" else certificates
         client_side = other_cluster_certificates if case == "wrong CA" else certificates
