--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -73,7 +73,7 @@
         ("agent", "agent", KIND.LENDING),
     ],
 )
-def test_both_sides_prove_who_they_are(certificates, run, server_role, role, kind):
+def test_both_sides_prove_their_identity(certificates, run, server_role, role, kind):
     async def scenario():
         async with serving(certificates.tls(server_role, "one"), "one") as server:
             tls = certificates.tls(role, "two")
