--- a/src/jasperwalk_lab/simulator/seams.py
+++ b/src/jasperwalk_lab/simulator/seams.py
@@ -150,7 +150,7 @@
     def __init__(self, url: str, interval_seconds: float) -> None:
         self._interval_seconds = interval_seconds
         self._latest: PlatformList | None = None
-        self.wanted = False
+        self.enabled = False
 
     def take(self) -> PlatformList | None:
         """Return the list fetched since the last call."""
@@ -160,7 +160,7 @@
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            if self.wanted:
+            if self.enabled:
                 self._latest = current_process().world.platform.fetch()
             await asyncio.sleep(self._interval_seconds)
 
