--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -93,10 +93,10 @@
 
     async def __aenter__(self):
         self.endpoints = dict(enumerate(free_endpoints(2 * self.size), start=1))
-        self.founders = {each: self.endpoints[each] for each in range(1, self.size + 1)}
+        self.initial_endpoints = {each: self.endpoints[each] for each in range(1, self.size + 1)}
         self.session = aiohttp.ClientSession()
         self.followers = []
-        for replica_id in self.founders:
+        for replica_id in self.initial_endpoints:
             await self.start(replica_id)
         await self.leader()
         return self
@@ -117,7 +117,7 @@
             replica_id=replica_id,
             data_folder=self.folder / str(replica_id),
             peer_listen=self.endpoints[replica_id],
-            peers=self.founders,
+            peers=self.initial_endpoints,
             duties=DutiesConfig(liveness=liveness),
             **self.options,
         )
@@ -205,7 +205,7 @@
         facts = SubscriberFacts(
             name, role, "dvorana-a", Endpoint("127.0.1.1", port), uuid.uuid4().hex
         )
-        endpoints = [self.endpoints[each] for each in replicas or self.founders]
+        endpoints = [self.endpoints[each] for each in replicas or self.initial_endpoints]
         core = FollowerCore(FollowerConfig(), facts, endpoints, random.Random(port))
         runner = FollowerRunner(core, "test", on_table_change=lambda _table: None)
         self.followers.append((runner, asyncio.create_task(runner.run())))
