--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -135,7 +135,7 @@
     assert (node.last_index, node.commit_index) == (5, 3)
 
 
-@pytest.mark.parametrize(("flaw", "installed"), [(0, 3), (1, 0)])
+@pytest.mark.parametrize(("checksum_error", "installed"), [(0, 3), (1, 0)])
 def test_a_snapshot_is_installed_only_with_the_right_checksum(checksum_error, installed):
     node = make_node()
     checksum = SnapshotData(3, 1, FOUNDING, b"state").checksum()
