--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -16,8 +16,8 @@
 SMOOTHING = 0.2
 """Weight of the newest service time in the moving average."""
 INITIAL_SERVICE_SECONDS = 0.05
-SHORTEST_RETRY_AFTER_MS = 100
-LONGEST_RETRY_AFTER_MS = 30_000
+MIN_RETRY_AFTER_MS = 100
+MAX_RETRY_AFTER_MS = 30_000
 SHED_SECONDS = 1.0
 """Time for which new requests are refused after the back end shed one."""
 
@@ -57,10 +57,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued request: when it gives up, and whether its deadline is the reason."""
 
-    gives_up_at: float
+    expires_at: float
     by_deadline: bool
 
 
@@ -70,7 +70,7 @@
     def __init__(self, limits: AdmissionLimits) -> None:
         self._limits = limits
         self._running: dict[str, float] = {}
-        self._queue: OrderedDict[str, Waiting] = OrderedDict()
+        self._queue: OrderedDict[str, QueuedRequest] = OrderedDict()
         self._service_seconds = INITIAL_SERVICE_SECONDS
         self._shedding_until = float("-inf")
 
@@ -110,7 +110,7 @@
             self._running[request_id] = now
             return Admitted(request_id)
         longest = now + self._limits.queue_wait_ms / 1000
-        self._queue[request_id] = Waiting(min(longest, deadline_at), deadline_at < longest)
+        self._queue[request_id] = QueuedRequest(min(longest, deadline_at), deadline_at < longest)
         return Queued(request_id)
 
     def finished(self, request_id: str, now: float) -> list[Decision]:
@@ -144,7 +144,7 @@
         """Return when the next queued request gives up."""
         if not self._queue:
             return None
-        return min(waiting.gives_up_at for waiting in self._queue.values())
+        return min(waiting.expires_at for waiting in self._queue.values())
 
     def _has_free_slot(self) -> bool:
         return len(self._running) < self._limits.slots and not self._queue
@@ -175,7 +175,7 @@
         expired = [
             (request_id, waiting)
             for request_id, waiting in self._queue.items()
-            if waiting.gives_up_at <= now
+            if waiting.expires_at <= now
         ]
         decisions: list[Decision] = []
         for request_id, waiting in expired:
@@ -195,5 +195,5 @@
 
     def _refuse(self, request_id: str, reason: NotRunReason, wait_seconds: float) -> Refused:
         wait_ms = int(wait_seconds * 1000)
-        retry_after_ms = max(SHORTEST_RETRY_AFTER_MS, min(wait_ms, LONGEST_RETRY_AFTER_MS))
+        retry_after_ms = max(MIN_RETRY_AFTER_MS, min(wait_ms, MAX_RETRY_AFTER_MS))
         return Refused(request_id, NotRun(reason, retry_after_ms))
--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -15,13 +15,13 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admitted, Queued, Refused
-from jasperwalk.agent.gate import SlotGate
-from jasperwalk.agent.lending import SlotAsk, SlotRefusal
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.allocator import SlotAllocator
+from jasperwalk.agent.lending import SlotRefusal, SlotRequest
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
-from jasperwalk.agent.slot_search import AskBudget, Pause, SlotSearch
+from jasperwalk.agent.slot_asker import BorrowedSlot, LendingClient
+from jasperwalk.agent.slot_search import Pause, SlotRequestBudget, SlotSearch
 from jasperwalk.config.table_entries import Objective
 
 BORROWING_REASONS = frozenset(
@@ -49,27 +49,27 @@
 
     def __init__(
         self,
-        gate: SlotGate,
-        asker: SlotAsker,
-        neighbours: Neighbours,
+        allocator: SlotAllocator,
+        lending_client: LendingClient,
+        peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = gate
-        self._asker = asker
-        self._neighbours = neighbours
+        self._allocator = allocator
+        self._lending_client = lending_client
+        self._peers = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
-        self._budget = AskBudget()
+        self._budget = SlotRequestBudget()
         self.asked = 0
         self.borrowed = 0
 
     async def acquire(self, request_id: str, deadline_at: float) -> Slot | NotRun:
         """Return the first slot that comes, or why there is none."""
         self._budget.earn()
-        match self._gate.request(request_id, deadline_at):
+        match self._allocator.request(request_id, deadline_at):
             case Admitted():
                 return OwnSlot(request_id)
             case Queued():
@@ -80,20 +80,20 @@
     async def _wait(self, request_id: str) -> Slot | NotRun:
         """Wait for the own slot and look for another one."""
         if not self._enabled:
-            return _own(request_id, await self._gate.wait(request_id))
-        waiter = self._gate.waiter(request_id)
+            return _own(request_id, await self._allocator.wait(request_id))
+        waiter = self._allocator.waiter(request_id)
         searching = asyncio.ensure_future(self._search())
         try:
             await asyncio.wait((waiter, searching), return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
-            self._gate.leave(request_id)
+            self._allocator.withdraw(request_id)
             _give_up(searching)
             raise
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
             _give_up(searching)
             return _own(request_id, waiter.result())
-        self._gate.leave(request_id)
+        self._allocator.withdraw(request_id)
         return searching.result()
 
     async def _instead(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
@@ -124,7 +124,7 @@
         return PATIENCE_SECONDS
 
     def _new_search(self) -> SlotSearch:
-        return SlotSearch(self._neighbours, self._budget)
+        return SlotSearch(self._peers, self._budget)
 
     async def _ask_in_a_row(self, search: SlotSearch) -> BorrowedSlot | Pause:
         while True:
@@ -140,16 +140,16 @@
         if view.service is None:
             return None
         self.asked += 1
-        ask = SlotAsk(view.service.service_id, view.address.pack())
-        answer = await self._asker.ask(member, ask)
+        ask = SlotRequest(view.service.service_id, view.address.pack())
+        answer = await self._lending_client.ask(member, ask)
         now = self._clock()
         match answer:
             case None:
-                self._neighbours.unreachable(member, now)
+                self._peers.record_unreachable(member, now)
             case SlotRefusal():
-                self._neighbours.learned(member, 0, now)
+                self._peers.record_free_slots(member, 0, now)
             case BorrowedSlot():
-                self._neighbours.learned(member, answer.free_slots, now)
+                self._peers.record_free_slots(member, answer.free_slots, now)
                 self.borrowed += 1
                 return answer
         return None
--- a/src/jasperwalk/agent/connection.py
+++ b/src/jasperwalk/agent/connection.py
@@ -22,7 +22,7 @@
 from aioquic.quic.packet import QuicFrameType
 from aioquic.quic.packet_builder import QuicPacketBuilder
 
-MOST_CONNECTION_IDS = 8
+MAX_CONNECTION_IDS = 8
 """Most unretired connection IDs that a connection hands out, as in aioquic."""
 
 ConnectionIdSource = Callable[[], bytes]
@@ -101,7 +101,7 @@
         if self._renewal_waits:
             return
         self._retire_prior_to = self._host_cid_seq
-        for _ in range(self._most_connection_ids()):
+        for _ in range(self._connection_id_limit()):
             self._issue_connection_id()
 
     def _replenish_connection_ids(self) -> None:
@@ -113,11 +113,11 @@
         present = sum(
             1 for each in self._host_cids if each.sequence_number >= self._retire_prior_to
         )
-        for _ in range(self._most_connection_ids() - present):
+        for _ in range(self._connection_id_limit() - present):
             self._issue_connection_id()
 
-    def _most_connection_ids(self) -> int:
-        return min(MOST_CONNECTION_IDS, int(self._remote_active_connection_id_limit))
+    def _connection_id_limit(self) -> int:
+        return min(MAX_CONNECTION_IDS, int(self._remote_active_connection_id_limit))
 
     def _issue_connection_id(self) -> None:
         issued = self._routable_connection_id(sequence_number=self._host_cid_seq, was_sent=False)
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -9,10 +9,10 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import AdmissionLimits
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.distribution.follower_table import FollowerTable
 
@@ -26,18 +26,18 @@
         self,
         view: ServiceView,
         endpoint: AgentEndpoint,
-        gate: SlotGate,
+        allocator: SlotAllocator,
         health: BackendHealth,
-        neighbours: Neighbours,
+        peers: PeerSlots,
         clock: Callable[[], float],
     ) -> None:
         self._view = view
         self._newest = view
         """As the newest table has it; `_view` lags behind while a move waits."""
         self._endpoint = endpoint
-        self._gate = gate
+        self._allocator = allocator
         self._health = health
-        self._neighbours = neighbours
+        self._peers = peers
         self._clock = clock
         self._online_incarnation = 0
         """The incarnation that was last seen online."""
@@ -81,7 +81,7 @@
     def _replace(self, view: ServiceView) -> None:
         before, self._view = self._view, view
         self._endpoint.set_view(view)
-        self._neighbours.forget_others(view.members)
+        self._peers.keep_only(view.members)
         self._apply_limits()
         self._begin_slow_start()
         _log_changes(before, view)
@@ -93,7 +93,7 @@
         limits = AdmissionLimits(
             member.slots, service.limits.queue_length, service.limits.queue_wait_ms
         )
-        self._gate.apply(self._gate.admission.set_limits(limits, self._clock()))
+        self._allocator.apply(self._allocator.admission.set_limits(limits, self._clock()))
         self._health.failures_to_offline = service.health_monitor.failures_to_offline
 
     def _begin_slow_start(self) -> None:
--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -77,7 +77,7 @@
         except MalformedMessage:
             self.counters.locate_frames_malformed += 1
             return
-        if not self.codec.is_whole(request.packet):
+        if not self.codec.is_complete(request.packet):
             self.counters.locate_frames_malformed += 1
             return
         self._locate(request, balancer, now)
@@ -119,17 +119,17 @@
 
     # Verdicts
 
-    def search_found(self, search: Search, holder: Target, _now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, _now: float) -> None:
         """Pass the packets on, and tell the balancer where the flow's later ones belong."""
-        for packet in search.packets[search.first_is_passed_on :]:
+        for packet in search.packets[search.first_is_forwarded :]:
             self.send(holder.carry_head + packet, holder.address)
         self._end(search.key, LocateVerdict.FOUND, holder.record.endpoint.pack())
 
-    def search_nowhere(self, search: Search, _now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the balancer that the flow is held nowhere."""
         self._end(search.key, LocateVerdict.NOWHERE)
 
-    def search_unknown(self, search: Search, _now: float) -> None:
+    def on_search_inconclusive(self, search: Search, _now: float) -> None:
         """Tell the balancer that some agents did not answer."""
         self._end(search.key, LocateVerdict.UNKNOWN)
 
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -27,7 +27,7 @@
 from jasperwalk.agent.flow_table import FlowTable
 from jasperwalk.agent.flow_upkeep import FlowUpkeep
 from jasperwalk.agent.handover import (
-    MOST_HOPS,
+    MAX_HOPS,
     AgentState,
     HandOn,
     Handover,
@@ -37,7 +37,7 @@
 from jasperwalk.agent.http3 import HeaderList, Http3Flow, RequestEvent, StreamReference
 from jasperwalk.agent.key_renewal import OldestKeys, oldest_keys
 from jasperwalk.agent.outgoing import Outgoing, ToAgent, ToFabric
-from jasperwalk.agent.packets import SHORTEST_INITIAL_DATAGRAM, PacketHead
+from jasperwalk.agent.packets import MIN_INITIAL_DATAGRAM_BYTES, PacketHead
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import SlowStart
@@ -49,7 +49,7 @@
 from jasperwalk.messages.proxy_protocol import destination_of, source_of
 from jasperwalk.routing.connection_ids import RoutableId
 
-MOST_FLOWS = 8_192
+MAX_FLOWS = 8_192
 VERSION_NEGOTIATIONS_PER_SECOND = 200
 
 
@@ -61,10 +61,10 @@
         configuration: QuicConfiguration,
         view: ServiceView,
         source: random.Random,
-        most_flows: int = MOST_FLOWS,
+        max_flows: int = MAX_FLOWS,
     ) -> None:
         self._configuration = configuration
-        self._most_flows = most_flows
+        self._max_flows = max_flows
         self.slow_start = SlowStart()
         self.table_fresh = False
         """Set by the adapter: the view was the newest of a quorum just now."""
@@ -211,7 +211,7 @@
             raise DatagramDropped(DropReason.UNKNOWN_FLOW)
 
     def _negotiate_version(self, admitted: AdmittedDatagram, now: float) -> None:
-        large_enough = len(admitted.datagram.payload) >= SHORTEST_INITIAL_DATAGRAM
+        large_enough = len(admitted.datagram.payload) >= MIN_INITIAL_DATAGRAM_BYTES
         if large_enough and self._negotiations.allows(now):
             negotiation = encode_quic_version_negotiation(
                 source_cid=admitted.head.destination,
@@ -224,10 +224,10 @@
     def _new_flow(self, admitted: AdmittedDatagram, now: float) -> None:
         head, datagram = admitted.head, admitted.datagram
         remembered = self._handover.remembered(head.destination, now)
-        if remembered is not None and datagram.hops < MOST_HOPS:
+        if remembered is not None and datagram.hops < MAX_HOPS:
             self._hand_on(remembered, datagram)
             return
-        if not head.initial or len(datagram.payload) < SHORTEST_INITIAL_DATAGRAM:
+        if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
         state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
@@ -238,7 +238,7 @@
                 removed = self._view.removed
                 raise DatagramDropped(DropReason.REMOVED if removed else DropReason.NO_TARGET)
             case Take():
-                if len(self._flows) >= self._most_flows:
+                if len(self._flows) >= self._max_flows:
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
 
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -17,7 +17,7 @@
 it takes no new work, tries the other candidate. If the silent target comes back to life, the
 caller keeps to whichever answered first (RFC 9000, section 7.2).
 
-Loops: each hand-over raises `hops`, which ends at `MOST_HOPS`. The second hand-over is made
+Loops: each hand-over raises `hops`, which ends at `MAX_HOPS`. The second hand-over is made
 only by an agent whose table is newer than the first one's, or that remembers its choice.
 """
 
@@ -41,8 +41,8 @@
 
 Callers repeat it sooner too, and their first flight may be more than one datagram.
 """
-MOST_REMEMBERED = 20_000
-MOST_HOPS = 2
+MAX_REMEMBERED = 20_000
+MAX_HOPS = 2
 """Hand-overs between agents that one datagram may take."""
 
 
@@ -119,7 +119,7 @@
         earlier = self._remembered.pop(connection_id, None)
         silent = None if earlier is None else earlier.chosen.target
         wanted = state.can_accept and self._is_wanted(connection_id, datagram, state)
-        if wanted and (silent or not self._passes_on(connection_id, datagram, state, now)):
+        if wanted and (silent or not self._prefers_other(connection_id, datagram, state, now)):
             return Take()
         chosen = self._other(connection_id, datagram, view, silent)
         if chosen is not None and _may_hand_on(datagram, view):
@@ -144,14 +144,14 @@
             return view.address in self._candidates(connection_id, view)
         return True
 
-    def _passes_on(
+    def _prefers_other(
         self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
     ) -> bool:
         # A flow that was handed over stays: two cold or busy agents would only swap their flows.
         if datagram.hops > 0 or state.view.service is None:
             return False
         seconds = state.view.service.limits.slow_start_ms / 1000
-        if self._slow_start.passes_on(connection_id, seconds, now):
+        if self._slow_start.diverts(connection_id, seconds, now):
             return True
         other = self._other(connection_id, datagram, state.view)
         return other is not None and state.prefers(other.target)
@@ -188,7 +188,7 @@
         while self._remembered:
             connection_id, handed = next(iter(self._remembered.items()))
             expired = now - handed.at >= REMEMBERED_SECONDS
-            if not expired and len(self._remembered) <= MOST_REMEMBERED:
+            if not expired and len(self._remembered) <= MAX_REMEMBERED:
                 return
             del self._remembered[connection_id]
 
@@ -196,7 +196,7 @@
 def _may_hand_on(datagram: ForwardedDatagram, view: ServiceView) -> bool:
     if datagram.hops == 0:
         return True
-    return datagram.hops < MOST_HOPS and view.revision > datagram.revision
+    return datagram.hops < MAX_HOPS and view.revision > datagram.revision
 
 
 def _first_other(
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.gate import SlotGate
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.lending import HeldSlot, SlotAsk
+from jasperwalk.agent.lending import HeldSlot, SlotRequest
 from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.config.table_entries import accepts_new_work
@@ -20,18 +20,18 @@
 
     def __init__(
         self,
-        gate: SlotGate,
+        allocator: SlotAllocator,
         health: BackendHealth,
         local_run: LocalRun,
-        neighbours: Neighbours,
+        peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
-        self._gate = gate
+        self._allocator = allocator
         self._health = health
         self._local_run = local_run
-        self._neighbours = neighbours
+        self._peers = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
@@ -40,18 +40,18 @@
         """Lent slots and requests in them that have not ended."""
         self.lent = 0
 
-    def reserve(self, ask: SlotAsk) -> HeldSlot | None:
+    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
-        self._neighbours.learned(Endpoint.unpack(ask.asker), 0, now)
+        self._peers.record_free_slots(Endpoint.unpack(ask.requester), 0, now)
         if not self._enabled or not self._may_lend(ask.service_id, now):
             return None
         self._count += 1
         slot_id = f"lent-{self._count}"
-        if not self._gate.reserve(slot_id):
+        if not self._allocator.reserve(slot_id):
             return None
         self.open_slots += 1
-        return HeldSlot(slot_id, self._gate.admission.free_slots)
+        return HeldSlot(slot_id, self._allocator.admission.free_slots)
 
     async def run_lent(self, slot: HeldSlot, request: Request, sink: ResponseSink) -> Outcome:
         """Run a request in a held slot, and free the slot."""
@@ -65,7 +65,7 @@
     def give_back(self, slot: HeldSlot) -> None:
         """Free a held slot that was not used."""
         self.open_slots -= 1
-        self._gate.leave(slot.slot_id)
+        self._allocator.withdraw(slot.slot_id)
 
     def _may_lend(self, service_id: int, now: float) -> bool:
         view = self._view()
--- a/src/jasperwalk/agent/neighbours.py
+++ b/src/jasperwalk/agent/neighbours.py
@@ -19,18 +19,18 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.config.table_entries import MemberEntry
 
-KNOWN_SECONDS = 0.25
+KNOWLEDGE_TTL_SECONDS = 0.25
 """Time for which a count of free slots is taken for true."""
-FULL_SECONDS = 0.02
+FULL_BACKOFF_SECONDS = 0.02
 """Time for which a member that refused for want of a free slot is not asked again."""
-UNREACHABLE_SECONDS = 2.0
+UNREACHABLE_BACKOFF_SECONDS = 2.0
 """Time for which a member that gave no answer is not asked again."""
-CHOICES = 2
+MEMBERS_DRAWN = 2
 """Members drawn for one ask."""
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class PeerState:
     """What was last learned of a member: free slots, when, and until when not to ask it."""
 
     free_slots: int
@@ -38,30 +38,30 @@
     avoid_until: float
 
 
-class Neighbours:
+class PeerSlots:
     """Knowledge of the other members, by their address."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
-        self._known: dict[Endpoint, Knowledge] = {}
+        self._known: dict[Endpoint, PeerState] = {}
 
-    def learned(self, member: Endpoint, free_slots: int, now: float) -> None:
+    def record_free_slots(self, member: Endpoint, free_slots: int, now: float) -> None:
         """Note a member's free slots, as its answer or its own ask told."""
-        avoid_until = now if free_slots else now + FULL_SECONDS
-        self._known[member] = Knowledge(free_slots, now, avoid_until)
+        avoid_until = now if free_slots else now + FULL_BACKOFF_SECONDS
+        self._known[member] = PeerState(free_slots, now, avoid_until)
 
-    def unreachable(self, member: Endpoint, now: float) -> None:
+    def record_unreachable(self, member: Endpoint, now: float) -> None:
         """Note that a member gave no answer."""
-        self._known[member] = Knowledge(0, now, now + UNREACHABLE_SECONDS)
+        self._known[member] = PeerState(0, now, now + UNREACHABLE_BACKOFF_SECONDS)
 
-    def forget_others(self, members: Collection[Endpoint]) -> None:
+    def keep_only(self, members: Collection[Endpoint]) -> None:
         """Forget what is known of all but `members`."""
         self._known = {each: known for each, known in self._known.items() if each in members}
 
     def take_known_slot(self, member: Endpoint, now: float) -> bool:
         """Count one of a member's known free slots as taken; False if none is known."""
         known = self._known.get(member)
-        if known is None or now - known.learned_at >= KNOWN_SECONDS or not known.free_slots:
+        if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS or not known.free_slots:
             return False
         self._known[member] = replace(known, free_slots=known.free_slots - 1)
         return True
@@ -71,21 +71,21 @@
     ) -> Endpoint | None:
         """Return the member to ask for a slot, None when none is worth it now."""
         eligible = [
-            each for each in members if each.address not in asked and self._askable(each, now)
+            each for each in members if each.address not in asked and self._may_ask(each, now)
         ]
         if not eligible:
             return None
         weights = [each.weight for each in eligible]
-        drawn = self._random.choices(eligible, weights=weights, k=CHOICES)
+        drawn = self._random.choices(eligible, weights=weights, k=MEMBERS_DRAWN)
         return max(drawn, key=lambda each: self._expected_slots(each, now)).address
 
-    def _askable(self, member: MemberEntry, now: float) -> bool:
+    def _may_ask(self, member: MemberEntry, now: float) -> bool:
         known = self._known.get(member.address)
         return known is None or now >= known.avoid_until
 
     def _expected_slots(self, member: MemberEntry, now: float) -> float:
         """Return the free slots to expect: what is known, else half of all."""
         known = self._known.get(member.address)
-        if known is None or now - known.learned_at >= KNOWN_SECONDS:
+        if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS:
             return member.slots / 2
         return known.free_slots
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -13,6 +13,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admission, AdmissionLimits
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
@@ -27,20 +28,19 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.dispatcher import Dispatcher
 from jasperwalk.agent.endpoint import AgentEndpoint
-from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.planned_end import PlannedEnd
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import SlotAsker
+from jasperwalk.agent.slot_asker import LendingClient
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
@@ -78,10 +78,10 @@
         self._certificate = CertificateRenewal(*certificate, server_configuration, self._clock)
         self.health = BackendHealth(FAILURES_TO_OFFLINE)
         self._backend = Backend(settings.backend, settings.name, self._clock)
-        self._gate = SlotGate(Admission(NO_SLOTS))
-        self._neighbours = Neighbours(self._random)
+        self._allocator = SlotAllocator(Admission(NO_SLOTS))
+        self._peers = PeerSlots(self._random)
         self._current = CurrentView(
-            view, self.endpoint, self._gate, self.health, self._neighbours, self._clock
+            view, self.endpoint, self._allocator, self.health, self._peers, self._clock
         )
         self._make_runner()
 
@@ -101,27 +101,27 @@
         return endpoint
 
     def _make_runner(self) -> None:
-        settings, gate, clock = self._settings, self._gate, self._clock
-        neighbours, view, lend = self._neighbours, self._current.get, settings.lend_slots
-        local_run = LocalRun(self._backend, gate, self.health, clock)
+        settings, allocator, clock = self._settings, self._allocator, self._clock
+        peers, view, lend = self._peers, self._current.get, settings.lend_slots
+        local_run = LocalRun(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
-        self._asker = SlotAsker(self._relay, clock)
-        self.lender = SlotLender(gate, self.health, local_run, neighbours, view, clock, lend)
-        self.borrower = SlotBorrower(gate, self._asker, neighbours, view, clock, lend)
+        self._lending_client = LendingClient(self._relay, clock)
+        self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
+        self.borrower = SlotBorrower(allocator, self._lending_client, peers, view, clock, lend)
         self.runner = RequestRunner(
-            local_run, gate, self.borrower, self._relay, view, clock, self._random
+            local_run, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
     def _prefers(self, member: Endpoint) -> bool:
         """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
-        busy = not self._gate.admission.free_slots
-        return busy and self._neighbours.take_known_slot(member, self._clock())
+        busy = not self._allocator.admission.free_slots
+        return busy and self._peers.take_known_slot(member, self._clock())
 
     async def run(self) -> None:
         """Run until a stop signal, or until a newer process has this agent's address."""
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._backend.close)
-            stack.callback(self._asker.close)
+            stack.callback(self._lending_client.close)
             ports = await self._open_ports()
             stack.push_async_callback(ports.close)
             self._current.bind(ports.address)
@@ -198,7 +198,7 @@
             self.endpoint,
             dispatcher,
             self.runner,
-            self._gate.admission,
+            self._allocator.admission,
             self.borrower,
             self.lender,
         )
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
+from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.gate import SlotGate
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
@@ -23,10 +23,10 @@
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slot_asker import BorrowedSlot
-from jasperwalk.agent.ticket_desk import TicketDesk
+from jasperwalk.agent.ticket_desk import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
-MOST_RELAY_TARGETS = 2
+MAX_RELAY_TARGETS = 2
 """Members that are asked for one request of a draining agent."""
 RETRIED_REASONS = frozenset(
     {NotRunReason.BACKEND_UNREACHABLE, NotRunReason.SHEDDING, NotRunReason.QUEUE_FULL}
@@ -41,7 +41,7 @@
     def __init__(
         self,
         local_run: LocalRun,
-        gate: SlotGate,
+        allocator: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
         view: Callable[[], ServiceView],
@@ -49,14 +49,14 @@
         source: random.Random,
     ) -> None:
         self._local_run = local_run
-        self._gate = gate
+        self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
         self._view = view
         self._clock = clock
         self._random = source
         self._budget = RetryBudget()
-        self._desk = TicketDesk(view, clock, source, self._run_here, self._relay_to)
+        self._ticket_service = TicketService(view, clock, source, self._run_here, self._relay_to)
         self.relayed = 0
         self.retried = 0
         self.open_relayed = 0
@@ -70,9 +70,9 @@
             if self._view().draining:
                 # A ticket's home has to stay: let a member that does issue it.
                 return await self._relay_elsewhere(request, deadline_at, sink)
-            return await self._desk.issue(request, sink)
+            return await self._ticket_service.issue(request, sink)
         if request.ticket is not None:
-            return await self._desk.run(request, deadline_at, sink, relayed=False)
+            return await self._ticket_service.run(request, deadline_at, sink, relayed=False)
         if self._view().draining:
             return await self._relay_elsewhere(request, deadline_at, sink)
         outcome = await self._run_here(request, deadline_at, sink)
@@ -95,9 +95,9 @@
         if not view.names_service(relayed.service_id):
             return NotRun(NotRunReason.NO_SERVICE)
         if request.path == TICKET_PATH and not view.draining:
-            return await self._desk.issue(request, sink)
+            return await self._ticket_service.issue(request, sink)
         if request.path != TICKET_PATH and request.ticket is not None:
-            return await self._desk.run(request, deadline_at, sink, relayed=True)
+            return await self._ticket_service.run(request, deadline_at, sink, relayed=True)
         if view.draining:
             return NotRun(NotRunReason.DRAINING)
         return await self._run_here(request, deadline_at, sink)
@@ -120,7 +120,7 @@
             return outcome
         self.retried += 1
         slot_id = request.request_id
-        if await self._gate.acquire(slot_id, deadline_at) is not None:
+        if await self._allocator.acquire(slot_id, deadline_at) is not None:
             return outcome
         return await self._local_run.run(slot_id, request, deadline_at, sink)
 
@@ -140,7 +140,7 @@
     ) -> Outcome:
         """Run a request of a draining agent's flow at another member."""
         outcome: Outcome = NotRun(NotRunReason.DRAINING)
-        for target in self._targets()[:MOST_RELAY_TARGETS]:
+        for target in self._targets()[:MAX_RELAY_TARGETS]:
             outcome = await self._relay_to(target, request, deadline_at, sink)
             if not isinstance(outcome, NotRun):
                 return outcome
--- a/src/jasperwalk/agent/slot_asker.py
+++ b/src/jasperwalk/agent/slot_asker.py
@@ -16,8 +16,8 @@
     SLOT_ANSWER_DECODER,
     LentRequest,
     SlotAnswer,
-    SlotAsk,
     SlotRefusal,
+    SlotRequest,
 )
 from jasperwalk.agent.relay import RelayClient, pass_on
 from jasperwalk.agent.requests import (
@@ -38,9 +38,9 @@
 """Time within which an asked agent has to answer; it decides at once."""
 IDLE_SECONDS = 10.0
 """Time for which a connection is kept; shorter than the lender's."""
-OLDEST_SECONDS = 60.0
+MAX_LINK_AGE_SECONDS = 60.0
 """Age up to which a connection is used again: certificates and keys may be renewed."""
-MOST_IDLE_LINKS = 4
+MAX_IDLE_LINKS = 4
 """Connections that are kept to one member."""
 
 
@@ -72,7 +72,7 @@
         kept = LendingLink(link.member, link.connection, link.opened_at, self._clock())
         links = self._links.setdefault(link.member, [])
         links.append(kept)
-        if len(links) > MOST_IDLE_LINKS:
+        if len(links) > MAX_IDLE_LINKS:
             links.pop(0).connection.abort()
         self._drop_old()
 
@@ -96,7 +96,7 @@
 
 
 def _is_fresh(link: LendingLink, now: float) -> bool:
-    return now - link.kept_at < IDLE_SECONDS and now - link.opened_at < OLDEST_SECONDS
+    return now - link.kept_at < IDLE_SECONDS and now - link.opened_at < MAX_LINK_AGE_SECONDS
 
 
 @dataclass(frozen=True)
@@ -127,7 +127,7 @@
         self.link.connection.abort()
 
 
-class SlotAsker:
+class LendingClient:
     """Asks other agents for slots."""
 
     def __init__(self, client: RelayClient, clock: Callable[[], float]) -> None:
@@ -135,7 +135,7 @@
         self._clock = clock
         self._idle = IdleLinks(clock)
 
-    async def ask(self, member: Endpoint, ask: SlotAsk) -> BorrowedSlot | SlotRefusal | None:
+    async def ask(self, member: Endpoint, ask: SlotRequest) -> BorrowedSlot | SlotRefusal | None:
         """Ask `member`; return its answer, None when it gave none in time."""
         kept = self._idle.take(member)
         if kept is not None:
@@ -154,7 +154,9 @@
         """Drop the connections that are kept."""
         self._idle.close()
 
-    async def _exchange(self, link: LendingLink, ask: SlotAsk) -> BorrowedSlot | SlotRefusal | None:
+    async def _exchange(
+        self, link: LendingLink, ask: SlotRequest
+    ) -> BorrowedSlot | SlotRefusal | None:
         answer: SlotAnswer | None = None
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -1,6 +1,6 @@
 """When a waiting request asks a neighbour for a slot, and when it pauses (sans-IO).
 
-A request asks one member after the other. After `ASKS_IN_A_ROW` refusals it pauses, longer
+A request asks one member after the other. After `MAX_CONSECUTIVE_REQUESTS` refusals it pauses, longer
 each time, since a service without free slots gains nothing from being asked. All requests of
 an agent share one budget, so that asking stays a bounded part of its work when everything
 is full.
@@ -12,26 +12,26 @@
 from dataclasses import dataclass
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.neighbours import Neighbours
+from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.config.table_entries import MemberEntry
 
-ASKS_IN_A_ROW = 3
-FIRST_PAUSE_SECONDS = 0.01
-LONGEST_PAUSE_SECONDS = 0.02
-ASKS_PER_REQUEST = 2.0
+MAX_CONSECUTIVE_REQUESTS = 3
+INITIAL_PAUSE_SECONDS = 0.01
+MAX_PAUSE_SECONDS = 0.02
+SLOT_REQUESTS_PER_ARRIVAL = 2.0
 """Asks that each arrival at the agent earns for the shared budget."""
-MOST_SAVED_ASKS = 40.0
+MAX_SAVED_REQUESTS = 40.0
 
 
-class AskBudget:
+class SlotRequestBudget:
     """Token bucket that is filled by arrivals, not by time."""
 
     def __init__(self) -> None:
-        self._tokens = MOST_SAVED_ASKS
+        self._tokens = MAX_SAVED_REQUESTS
 
     def earn(self) -> None:
         """Note an arrival."""
-        self._tokens = min(MOST_SAVED_ASKS, self._tokens + ASKS_PER_REQUEST)
+        self._tokens = min(MAX_SAVED_REQUESTS, self._tokens + SLOT_REQUESTS_PER_ARRIVAL)
 
     def spend(self) -> bool:
         """Take a token for one ask; False when there is none."""
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestSlot:
     """Ask this member now."""
 
     member: Endpoint
@@ -58,20 +58,20 @@
 class SlotSearch:
     """The search of one waiting request."""
 
-    def __init__(self, neighbours: Neighbours, budget: AskBudget) -> None:
-        self._neighbours = neighbours
+    def __init__(self, peers: PeerSlots, budget: SlotRequestBudget) -> None:
+        self._peers = peers
         self._budget = budget
         self._asked: set[Endpoint] = set()
-        self._pause_seconds = FIRST_PAUSE_SECONDS
+        self._pause_seconds = INITIAL_PAUSE_SECONDS
 
-    def next(self, members: Sequence[MemberEntry], now: float) -> Ask | Pause:
+    def next(self, members: Sequence[MemberEntry], now: float) -> RequestSlot | Pause:
         """Return the next step; `members` are those that accept new work."""
-        if len(self._asked) < ASKS_IN_A_ROW:
-            member = self._neighbours.choose(members, self._asked, now)
+        if len(self._asked) < MAX_CONSECUTIVE_REQUESTS:
+            member = self._peers.choose(members, self._asked, now)
             if member is not None and self._budget.spend():
                 self._asked.add(member)
-                return Ask(member)
+                return RequestSlot(member)
         self._asked.clear()
         pause = Pause(self._pause_seconds)
-        self._pause_seconds = min(2 * self._pause_seconds, LONGEST_PAUSE_SECONDS)
+        self._pause_seconds = min(2 * self._pause_seconds, MAX_PAUSE_SECONDS)
         return pause
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -29,11 +29,11 @@
 TICKET_PATH = "/.well-known/jasperwalk/tickets"
 TICKET_LIFETIME_SECONDS = 3600.0
 MAC_LENGTH = 16
-LONGEST_TICKET = 512
+MAX_TICKET_LENGTH = 512
 NONCE_LENGTH = 12
-MOST_TICKETS = 20_000
-MOST_STORED_BYTES = 64 * 1024 * 1024
-MOST_ANSWER_BYTES = 256 * 1024
+MAX_TICKETS = 20_000
+MAX_STORED_BYTES = 64 * 1024 * 1024
+MAX_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
 KEPT_AFTER_EXPIRY_SECONDS = 60.0
 
@@ -80,7 +80,7 @@
 
     def open(self, text: str) -> Ticket:
         """Check and decode a ticket; raise `InvalidTicket`."""
-        if len(text) > LONGEST_TICKET or not text.isascii():
+        if len(text) > MAX_TICKET_LENGTH or not text.isascii():
             raise InvalidTicket
         try:
             sealed = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class StoredAnswer:
-    """An answer as kept for resends; `body` is cut at `MOST_ANSWER_BYTES`."""
+    """An answer as kept for resends; `body` is cut at `MAX_ANSWER_BYTES`."""
 
     status: int
     headers: HeaderFields
@@ -119,7 +119,7 @@
 
     def append(self, data: bytes) -> None:
         """Keep a piece of the body unless the answer grows too long."""
-        if self.cut or len(self.body) + len(data) > MOST_ANSWER_BYTES:
+        if self.cut or len(self.body) + len(data) > MAX_ANSWER_BYTES:
             self.cut = True
             self.body.clear()
             return
@@ -179,8 +179,8 @@
 class TicketStore:
     """What the home remembers of used tickets. Nothing is forgotten before its expiry."""
 
-    def __init__(self, most_tickets: int = MOST_TICKETS) -> None:
-        self._most_tickets = most_tickets
+    def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
+        self._max_tickets = max_tickets
         self._uses: OrderedDict[bytes, Use] = OrderedDict()
         self._stored_bytes = 0
 
@@ -197,7 +197,7 @@
         expires_at = ticket.expires_at_ms / 1000
         if expires_at <= now:
             return Expired()
-        if len(self._uses) >= self._most_tickets or self._stored_bytes >= MOST_STORED_BYTES:
+        if len(self._uses) >= self._max_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
         self._uses[ticket.nonce] = Use(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
         return RunNow()
@@ -233,7 +233,7 @@
 
     def _forget(self, now: float) -> None:
         # Uses are in order of arrival and forget times differ by a lifetime at most, so an
-        # early entry may hold later ones back for that long: bounded by `most_tickets`.
+        # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
             nonce, use = next(iter(self._uses.items()))
             if use.forget_at > now or not use.finished:
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -79,7 +79,7 @@
             send=self.send,
             counters=self.counters,
             latency=self.search_latency,
-            is_wanted=self.delegates_searches,
+            is_enabled=self.delegates_searches,
         )
         self.opener = FlowOpener(
             codec=self.codec,
@@ -108,11 +108,11 @@
         """Take a caller's packet."""
         key = self.key_of(packet)
         if key is not None:
-            self.receive_whole(key, packet, now)
+            self.receive_with_key(key, packet, now)
 
     def key_of(self, packet: bytes) -> bytes | None:
         """Return the key of a packet's flow; count a malformed packet and return None."""
-        if self.codec.is_whole(packet):
+        if self.codec.is_complete(packet):
             return self.codec.flow_key(packet)
         self.counters.packets_malformed += 1
         return None
@@ -121,7 +121,7 @@
         """Tell whether a flow is in the table."""
         return key in self._flows
 
-    def receive_whole(self, key: bytes, packet: bytes, now: float) -> None:
+    def receive_with_key(self, key: bytes, packet: bytes, now: float) -> None:
         """Take a caller's packet that `key_of` has looked at."""
         self._receive(key, packet, now)
         self.searches.flush()
@@ -145,13 +145,13 @@
             return
         opening = flow.opening
         if opening is not None:
-            possible = self.opener.follow_up(key, flow, now)
-            if possible:
-                self._search(key, packet, opening.route, now, possible)
+            possible_holders = self.opener.follow_up(key, flow, now)
+            if possible_holders:
+                self._search(key, packet, opening.route, now, possible_holders)
                 return
-        self._carry(key, flow, packet)
+        self._forward(key, flow, packet)
 
-    def _carry(self, key: bytes, flow: Flow, packet: bytes) -> None:
+    def _forward(self, key: bytes, flow: Flow, packet: bytes) -> None:
         """Send a packet to its flow's agent; data of an upload in its turn."""
         frame = flow.target.carry_head + packet
         if flow.is_bulk and self.send_bulk is not None and self.codec.payload_bytes(packet):
@@ -187,7 +187,7 @@
             return
         self.opener.open(key, packet, route, arrived_at, now)
 
-    def _work_off_uploads(self, now: float) -> None:
+    def _process_waiting_uploads(self, now: float) -> None:
         """Open uploads that have waited for room, and reset those that came too late."""
         for key, upload in self.uploads.take_late(now):
             self.reject(key, upload.packet, "link-full")
@@ -254,40 +254,38 @@
         packet: bytes,
         route: RouteEntry,
         now: float,
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
     ) -> None:
-        """Look for the holder of a flow; `possible` are the agents that may have taken it."""
+        """Look for the holder of a flow; `possible_holders` are the agents that may have taken it."""
         if key in self.searches:
             self.searches.hold(key, packet)
         elif not self.delegated.hold(key, packet):
             services = sorted(route.past_services)
             regions = route.allowed_regions
             # A helper shows the packet to hosts wherever they are.
-            is_delegated = not possible and not regions
+            is_delegated = not possible_holders and not regions
             if not is_delegated or not self.delegated.start(key, packet, services, now):
-                self.searches.start(key, packet, services, now, possible, regions)
+                self.searches.start(key, packet, services, now, possible_holders, regions)
 
-    def search_found(self, search: Search, holder: Target, now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
-        self._take_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
+        self._set_holder(search.key, holder, search.packets[search.first_is_forwarded :], now)
 
-    def search_nowhere(self, search: Search, _now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the caller to begin anew."""
         self.reject(search.key, search.packets[-1], "held-nowhere")
 
-    def search_unknown(self, search: Search, now: float) -> None:
+    def on_search_inconclusive(self, search: Search, now: float) -> None:
         """Let the flow be: its caller's next packet begins another search."""
 
-    def _take_holder(
-        self, key: bytes, holder: Target, packets: Sequence[bytes], now: float
-    ) -> None:
+    def _set_holder(self, key: bytes, holder: Target, packets: Sequence[bytes], now: float) -> None:
         route = self.routes.find(self.codec.listener_of(key))
         is_bulk = route is not None and route.route.is_bulk
         flow = self._flows[key] = Flow(holder, now, is_bulk=is_bulk)
         for packet in packets:
-            self._carry(key, flow, packet)
+            self._forward(key, flow, packet)
 
-    def _take_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
+    def _handle_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
         """Take what an agent found that has searched on this balancer's behalf."""
         delegation = self.delegated.take(reply.flow_key, helper, now)
         if delegation is None:
@@ -296,7 +294,7 @@
         holder = self._target_at(reply.packet)
         if verdict is LocateVerdict.FOUND and holder is not None:
             # The helper has passed the first packet on.
-            self._take_holder(reply.flow_key, holder, delegation.packets[1:], now)
+            self._set_holder(reply.flow_key, holder, delegation.packets[1:], now)
         elif verdict is LocateVerdict.NOWHERE:
             self.reject(reply.flow_key, delegation.packets[-1], "held-nowhere")
         elif verdict is LocateVerdict.UNABLE:
@@ -326,23 +324,23 @@
         if target is None:
             return
         for reply in replies:
-            self._take_reply(target, reply, now)
+            self._handle_reply(target, reply, now)
         self.searches.flush()
 
-    def _take_reply(self, target: Target, reply: AgentReply, now: float) -> None:
+    def _handle_reply(self, target: Target, reply: AgentReply, now: float) -> None:
         key = reply.flow_key
         if reply.kind is not FrameKind.LOCATED:
             target.record_load(reply.load, now)
         if reply.kind in (FrameKind.ACCEPTED, FrameKind.REFUSED):
             self.opener.receive_answer(key, target, reply, now)
         elif reply.kind is FrameKind.LOCATED:
-            self._take_verdict(target, reply, now)
+            self._handle_verdict(target, reply, now)
         elif self.searches.record_answer(key, target, reply.kind, now):
             return
         elif reply.kind is FrameKind.RETURNED:
-            self._returned(key, self._flows.get(key), target, reply.packet, now)
+            self._handle_returned(key, self._flows.get(key), target, reply.packet, now)
 
-    def _returned(
+    def _handle_returned(
         self, key: bytes, flow: Flow | None, target: Target, packet: bytes, now: float
     ) -> None:
         """Look for the holder of a flow that the agent's host does not hold."""
@@ -362,7 +360,7 @@
     def tick(self, now: float) -> None:
         """Give up waiting for agents that do not answer."""
         self.opener.tick(now)
-        self._work_off_uploads(now)
+        self._process_waiting_uploads(now)
         self.searches.tick(now)
         self.delegated.tick(now)
         self.searches.flush()
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -35,16 +35,16 @@
 
 OPEN_TIMEOUT_SECONDS = 0.1
 """An agent answers a new flow within a few milliseconds; after this the next one is tried."""
-MAXIMUM_TRIES = 4
+MAX_TRIES = 4
 """Agents that are tried for one new flow before one is asked to let it wait."""
-FRESH_LOAD_SECONDS = 0.05
+MAX_LOAD_AGE_SECONDS = 0.05
 """A figure of load older than about one request's work says little of the room there is now."""
-LONGEST_PARKING_SECONDS = 0.9
+MAX_PARKING_SECONDS = 0.9
 """A new flow without any ready host waits this long for one that is expected; its caller
 waits 1.4 s for an answer."""
-MAXIMUM_PARKED = 4096
+MAX_PARKED = 4096
 
-REFUSES_FOR_SECONDS = {
+REFUSAL_SECONDS_BY_REASON = {
     RefusalReason.ZONE_DRAINED: REFUSING_SECONDS,
     RefusalReason.WARMING_UP: REFUSING_SECONDS,
     RefusalReason.FAILING: FAILING_SECONDS,
@@ -114,13 +114,13 @@
         """
         opening = flow.opening
         assert opening is not None
-        possible = opening.may_be_open_at()
-        if len(possible) > 1:
+        possible_holders = opening.possible_holders()
+        if len(possible_holders) > 1:
             self.forget(key)
-            return possible
+            return possible_holders
         if not opening.is_accepted():
             # The answer is late or lost; the packet says as much.
-            self._opened(key, flow, opening, now)
+            self._on_opened(key, flow, opening, now)
         flow.opening = None
         return []
 
@@ -136,18 +136,20 @@
         if not opening.answers and self._park(key, opening, now):
             return
         self.counters.flows_not_opened += 1
-        if opening.may_be_open_at():
+        if opening.possible_holders():
             # Its caller may have an answer already; if not, its next copy begins anew.
-            self.log.note("flow-unanswered", flow=self.codec.describe(key), **_tried(opening))
+            self.log.note(
+                "flow-unanswered", flow=self.codec.describe(key), **_attempt_fields(opening)
+            )
             return
         self.reject(key, opening.packet, f"no-host-after-{len(opening.answers)}-agents")
 
     def _next_target(self, key: bytes, opening: Opening, now: float) -> Target | None:
         """Choose the next agent to ask, and whether the flow may wait there."""
         opening.waits = False
-        if opening.is_last:
+        if opening.is_final_attempt:
             return None
-        if len(opening.answers) < MAXIMUM_TRIES:
+        if len(opening.answers) < MAX_TRIES:
             target = self._choose(key, opening, tuple(opening.answers), now)
             if target is not None:
                 # Asking an agent that is known to be full, and then the next one, costs a
@@ -158,8 +160,8 @@
                 return target
         if not opening.answers:
             return None
-        opening.waits = opening.is_last = True
-        return self._choose(key, opening, tuple(opening.may_be_open_at()), now)
+        opening.waits = opening.is_final_attempt = True
+        return self._choose(key, opening, tuple(opening.possible_holders()), now)
 
     def _is_known_full(self, target: Target, opening: Opening, now: float) -> bool:
         """Tell whether an agent need not be asked whether its host has room at once.
@@ -167,7 +169,7 @@
         Where requests are ordered by their terms an old figure does not say so: a flow that waits
         at one host while another has room comes late, or makes others late.
         """
-        is_old = now - target.load_at > FRESH_LOAD_SECONDS
+        is_old = now - target.load_at > MAX_LOAD_AGE_SECONDS
         if opening.route.terms is not None and is_old:
             return False
         return target.relative_load(now) >= FULL_LOAD_PER_SLOT
@@ -207,8 +209,8 @@
         if flow is None or opening is None:
             return
         answer = opening.answers.get(target)
-        is_taken_back = _takes_acceptance_back(answer, reply)
-        if answer is not OpeningAnswer.MISSING and not is_taken_back:
+        is_revoked = _revokes_acceptance(answer, reply)
+        if answer is not OpeningAnswer.MISSING and not is_revoked:
             # Not asked, or an answer to a copy: the first one counts.
             return
         was_accepted = opening.is_accepted()
@@ -217,16 +219,16 @@
             self.pool.record_service_time(target, self.codec.listener_of(key), reply.flags, now)
             if not was_accepted:
                 flow.target = target
-                self._opened(key, flow, opening, now)
+                self._on_opened(key, flow, opening, now)
             return
         opening.answers[target] = OpeningAnswer.REFUSED
-        self.counters.openings_returned += is_taken_back
+        self.counters.openings_returned += is_revoked
         self._record_refusal(key, target, reply, now)
-        if flow.target is target and (is_taken_back or not was_accepted):
+        if flow.target is target and (is_revoked or not was_accepted):
             self._try_next(key, opening, now)
 
     def _record_refusal(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
-        refuses_seconds = REFUSES_FOR_SECONDS.get(RefusalReason(reply.flags), 0.0)
+        refuses_seconds = REFUSAL_SECONDS_BY_REASON.get(RefusalReason(reply.flags), 0.0)
         target.refuses_until = max(target.refuses_until, now + refuses_seconds)
         if reply.flags == RefusalReason.SLOW and self.pool.uses_service_times:
             target.record_slow_refusal()
@@ -239,7 +241,7 @@
             load=round(reply.load, 2),
         )
 
-    def _opened(self, key: bytes, flow: Flow, opening: Opening, now: float) -> None:
+    def _on_opened(self, key: bytes, flow: Flow, opening: Opening, now: float) -> None:
         self._waiting_for_answers.pop(key, None)
         self.counters.flows_opened += 1
         self.latency.observe(now - opening.arrived_at)
@@ -250,20 +252,20 @@
             agent=flow.target.record.name,
             waited_ms=round(1000 * (now - opening.arrived_at), 1),
             load=round(flow.target.load, 2),
-            **_tried(opening),
+            **_attempt_fields(opening),
         )
 
     # Time
 
     def _park(self, key: bytes, opening: Opening, now: float) -> bool:
         """Let a flow wait for the first ready host, if one is expected in a moment."""
-        if len(self._parked) >= MAXIMUM_PARKED or not self._may_wait_for_host(opening, now):
+        if len(self._parked) >= MAX_PARKED or not self._may_wait_for_host(opening, now):
             return False
         self._parked[key] = opening
         return True
 
     def _may_wait_for_host(self, opening: Opening, now: float) -> bool:
-        is_late = now - opening.arrived_at >= LONGEST_PARKING_SECONDS
+        is_late = now - opening.arrived_at >= MAX_PARKING_SECONDS
         route = opening.route
         return not is_late and self.pool.expects_hosts(
             route.route.services(), now, route.allowed_regions
@@ -290,7 +292,7 @@
                 self._try_next(key, opening, now)
 
 
-def _takes_acceptance_back(answer: OpeningAnswer | None, reply: AgentReply) -> bool:
+def _revokes_acceptance(answer: OpeningAnswer | None, reply: AgentReply) -> bool:
     """Tell whether an agent that accepted a flow now says that its host handed the packet back.
 
     An agent answers before its host does. Other refusals after an acceptance are answers to
@@ -300,7 +302,7 @@
     return is_returned and answer is OpeningAnswer.ACCEPTED
 
 
-def _tried(opening: Opening) -> dict[str, object]:
+def _attempt_fields(opening: Opening) -> dict[str, object]:
     """Return what a log line tells of the agents that were asked."""
     unanswered = [
         target.record.name
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -23,11 +23,11 @@
 from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.token_bucket import TokenBucket
 
-MAXIMUM_SEARCHES = 4096
-QUESTIONS_PER_SECOND = 600.0
-QUESTIONS_AT_ONCE = 1200.0
+MAX_SEARCHES = 4096
+BROADCAST_FRAMES_PER_SECOND = 600.0
+BROADCAST_FRAMES_BURST = 1200.0
 """Budget of one process's frames that ask everyone."""
-RETURNED_MEMORY_SECONDS = 5.0
+RETURNED_RETENTION_SECONDS = 5.0
 """How long it is remembered which hosts do not hold a flow that was not found."""
 
 
@@ -48,13 +48,13 @@
 class SearchHandler(Protocol):
     """What is called when searches end."""
 
-    def search_found(self, search: Search, holder: Target, now: float) -> None:
+    def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Take the holder; the search's packets wait for it."""
 
-    def search_nowhere(self, search: Search, now: float) -> None:
+    def on_search_held_nowhere(self, search: Search, now: float) -> None:
         """Take note that every agent has denied the flow."""
 
-    def search_unknown(self, search: Search, now: float) -> None:
+    def on_search_inconclusive(self, search: Search, now: float) -> None:
         """Take note that some agents did not answer."""
 
 
@@ -80,8 +80,10 @@
     counters: SearchCounters
     handler: SearchHandler
     latency: LatencyHistogram = field(default_factory=LatencyHistogram)
-    _questions: TokenBucket = field(
-        default_factory=lambda: TokenBucket(QUESTIONS_PER_SECOND, QUESTIONS_AT_ONCE, 0.0)
+    _broadcast_budget: TokenBucket = field(
+        default_factory=lambda: TokenBucket(
+            BROADCAST_FRAMES_PER_SECOND, BROADCAST_FRAMES_BURST, 0.0
+        )
     )
     _searches: dict[bytes, Search] = field(default_factory=dict)
     _returned_by: dict[bytes, ReturnedBy] = field(default_factory=dict)
@@ -108,20 +110,20 @@
         packet: bytes,
         services: list[str],
         now: float,
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> Search | None:
         """Begin a search among the agents of these services; None where too many are open.
 
         `regions` are those that the flow's hosts may be in, empty where every region may.
         """
-        if len(self._searches) >= MAXIMUM_SEARCHES:
+        if len(self._searches) >= MAX_SEARCHES:
             return None
         self.counters.searches += 1
-        self.counters.searches_confirming += bool(possible)
+        self.counters.searches_confirming += bool(possible_holders)
         known = self._returned_by.get(key)
         returned = frozenset[Target]() if known is None else known.targets
-        search = Search(key, packet, services, now, returned, possible, regions)
+        search = Search(key, packet, services, now, returned, possible_holders, regions)
         self._searches[key] = search
         self._advance(search, now)
         return search
@@ -150,7 +152,7 @@
 
     def tick(self, now: float) -> None:
         """Go on with searches whose agents did not answer."""
-        self._begin_second_rounds(now)
+        self._start_second_rounds(now)
         for search in list(self._searches.values()):
             if now >= search.deadline and search.key in self._searches:
                 self._advance(search, now)
@@ -158,23 +160,23 @@
     def sweep(self, now: float) -> None:
         """Forget what was remembered for too long; call every few seconds."""
         for key, known in list(self._returned_by.items()):
-            if now - known.recorded_at > RETURNED_MEMORY_SECONDS:
+            if now - known.recorded_at > RETURNED_RETENTION_SECONDS:
                 del self._returned_by[key]
 
     def _advance(self, search: Search, now: float) -> None:
         """Send what the search wants sent, and end it once it has a verdict."""
-        self._take_steps(search, search.advance(self.pool, now), now)
+        self._send_steps(search, search.advance(self.pool, now), now)
         if search.verdict is SearchVerdict.OPEN:
             return
         del self._searches[search.key]
         if search.verdict is SearchVerdict.FOUND:
-            self._found(search, now)
+            self._on_found(search, now)
         elif search.verdict is SearchVerdict.NOWHERE:
-            self.handler.search_nowhere(search, now)
+            self.handler.on_search_held_nowhere(search, now)
         else:
-            self._not_found(search, now)
+            self._on_inconclusive(search, now)
 
-    def _take_steps(self, search: Search, steps: list[SearchStep], now: float) -> None:
+    def _send_steps(self, search: Search, steps: list[SearchStep], now: float) -> None:
         self.counters.search_questions += len(steps)
         for step in steps:
             target = step.target
@@ -185,19 +187,19 @@
             head = target.confirm_head if isinstance(step, Confirm) else target.carry_head
             self.send(head + step.packet, target.address)
 
-    def _begin_second_rounds(self, now: float) -> None:
+    def _start_second_rounds(self, now: float) -> None:
         """Let the searches that are due ask everyone together."""
         due = [each for each in self._searches.values() if each.is_second_round_due(now)]
         if not due:
             return
         frames = len(self.pool) * -(-len(due) // KEYS_PER_FRAME)
-        asks_everyone = self._questions.take(now, frames)
+        queries_all = self._broadcast_budget.take(now, frames)
         for search in due:
-            steps = search.begin_second_round(self.pool, asks_everyone, now)
-            self._take_steps(search, steps, now)
+            steps = search.start_second_round(self.pool, queries_all, now)
+            self._send_steps(search, steps, now)
             self._advance(search, now)
 
-    def _found(self, search: Search, now: float) -> None:
+    def _on_found(self, search: Search, now: float) -> None:
         holder = search.holder
         assert holder is not None
         self.counters.searches_found += 1
@@ -206,20 +208,20 @@
             "flow-found",
             flow=self.codec.describe(search.key),
             agent=holder.record.name,
-            asked=len(search.asked),
+            asked=len(search.queried),
             waited_ms=round(1000 * (now - search.started_at), 1),
         )
-        self.handler.search_found(search, holder, now)
+        self.handler.on_search_found(search, holder, now)
 
-    def _not_found(self, search: Search, now: float) -> None:
+    def _on_inconclusive(self, search: Search, now: float) -> None:
         if search.returned:
             self._returned_by[search.key] = ReturnedBy(search.returned, now)
         self.counters.searches_given_up += 1
         self.log.note(
             "flow-not-found",
             flow=self.codec.describe(search.key),
-            asked=len(search.asked),
+            asked=len(search.queried),
             unanswered=",".join(search.unanswered()),
             rounds=search.rounds,
         )
-        self.handler.search_unknown(search, now)
+        self.handler.on_search_inconclusive(search, now)
--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -109,16 +109,16 @@
 AGE_SHIFT = 4
 """On `OPEN`: the upper four bits tell how long ago the caller began, in `AGE_UNIT_SECONDS`."""
 AGE_UNIT_SECONDS = 0.1
-HIGHEST_AGE = 0xF
+MAX_AGE_UNITS = 0xF
 
 CARRIED_TERMS = struct.Struct("!BHHH")
 """Priority, objective, limit in milliseconds, group of callers."""
-HIGHEST_CARRIED_MS = 0xFFFF
+MAX_CARRIED_MS = 0xFFFF
 """Longer times are told as this one: nothing waits for a minute."""
 
 LOAD_UNIT = 0.01
 """Requests under way that one unit of the load field stands for."""
-HIGHEST_LOAD = 0xFFFF
+MAX_LOAD_UNITS = 0xFFFF
 FULL_LOAD_PER_SLOT = 1.4
 """Requests under way for each of a host's slots at which its agent refuses new flows, and a
 balancer expects it to. A host with a few slots has its next request at hand then; with one more
@@ -147,7 +147,7 @@
 
 def opening_flags(terms: OpeningTerms) -> int:
     """Return the flags of an `OPEN` frame."""
-    age = min(max(round(terms.age_seconds / AGE_UNIT_SECONDS), 0), HIGHEST_AGE)
+    age = min(max(round(terms.age_seconds / AGE_UNIT_SECONDS), 0), MAX_AGE_UNITS)
     waits = FLAG_WAIT if terms.waits else 0
     repeatable = FLAG_REPEATABLE if terms.repeatable else 0
     has_terms = FLAG_TERMS if terms.route is not None else 0
@@ -178,7 +178,7 @@
 
 
 def _carried_ms(seconds: float) -> int:
-    return min(round(seconds * 1000), HIGHEST_CARRIED_MS)
+    return min(round(seconds * 1000), MAX_CARRIED_MS)
 
 
 class OpeningRequest(msgspec.Struct, frozen=True):
@@ -223,7 +223,7 @@
 
 
 def _encode_reply_head(kind: FrameKind, reply: AgentReply) -> bytes:
-    load = min(int(reply.load / LOAD_UNIT), HIGHEST_LOAD)
+    load = min(int(reply.load / LOAD_UNIT), MAX_LOAD_UNITS)
     return REPLY_HEAD.pack(kind, reply.flags, reply.tag, load, reply.capacity)
 
 
--- a/src/jasperwalk/flows/routes.py
+++ b/src/jasperwalk/flows/routes.py
@@ -44,7 +44,7 @@
     routes: list[FlowRoute]
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over a route's services.
 
     Every service's credit grows by its weight at each turn; the one with the most credit is
@@ -85,12 +85,12 @@
         """What agents are told, None where the routes of its services are alike in their terms."""
         self.terms_version = 0
         """Version of the configuration that `terms` holds for."""
-        self.turns = WeightedTurns(route.backends)
+        self.turns = WeightedRoundRobin(route.backends)
         self.past_services = past_services | frozenset(route.services())
         self.allowed_regions = frozenset(route.allowed_regions)
 
 
-def _leads_alike(one: FlowRoute, other: FlowRoute) -> bool:
+def _has_same_destinations(one: FlowRoute, other: FlowRoute) -> bool:
     """Tell whether two routes send flows to the same places."""
     is_same = one.backends == other.backends and one.allowed_regions == other.allowed_regions
     is_alike = one.is_bulk == other.is_bulk and one.is_repeatable == other.is_repeatable
@@ -149,7 +149,7 @@
             entry = entries.get(listener)
             if old is None:
                 continue
-            if _leads_alike(old, route):
+            if _has_same_destinations(old, route):
                 if entry is not None:
                     entry.route = route
                     self._entries[listener] = entry
--- a/src/jasperwalk/routing/connection_ids.py
+++ b/src/jasperwalk/routing/connection_ids.py
@@ -42,11 +42,11 @@
 
 SERVICE_ID_START = PACKED_ENDPOINT_LENGTH
 SERVICE_ID_END = SERVICE_ID_START + 3
-HIGHEST_SERVICE_ID = 2**24 - 1
-HIGHEST_INCARNATION = 2**16 - 1
+MAX_SERVICE_ID = 2**24 - 1
+MAX_INCARNATION = 2**16 - 1
 
 ROTATION_SHIFT = 5
-HIGHEST_ROTATION = 6
+MAX_ROTATION = 6
 """Rotation 7 marks an unroutable connection ID in the draft and is never issued."""
 
 LENGTH_BITS = CONNECTION_ID_LENGTH - 1
@@ -65,7 +65,7 @@
         """Name the rotation and the length of the secret, never the secret."""
         return (
             f"connection ID key of rotation {self.rotation} has {self.secret_length} bytes; "
-            f"expected {SECRET_LENGTH} bytes and a rotation from 0 to {HIGHEST_ROTATION}"
+            f"expected {SECRET_LENGTH} bytes and a rotation from 0 to {MAX_ROTATION}"
         )
 
 
@@ -105,8 +105,8 @@
 def pack_server_id(routable: RoutableId) -> bytes:
     """Encode the 11 bytes of a server ID; raise `UnencodableConnectionId`."""
     _require("port", routable.address.port, 2**16 - 1)
-    _require("service_id", routable.service_id, HIGHEST_SERVICE_ID)
-    _require("incarnation", routable.incarnation, HIGHEST_INCARNATION)
+    _require("service_id", routable.service_id, MAX_SERVICE_ID)
+    _require("incarnation", routable.incarnation, MAX_INCARNATION)
     return (
         routable.address.pack()
         + pack_service_id(routable.service_id)
@@ -147,7 +147,7 @@
                 self._add(key)
 
     def _add(self, key: KeyEntry) -> None:
-        if len(key.secret) != SECRET_LENGTH or not 0 <= key.rotation <= HIGHEST_ROTATION:
+        if len(key.secret) != SECRET_LENGTH or not 0 <= key.rotation <= MAX_ROTATION:
             raise UnusableConnectionIdKey(rotation=key.rotation, secret_length=len(key.secret))
         cipher = Cipher(algorithms.AES128(key.secret), modes.ECB())
         first_octet = key.rotation << ROTATION_SHIFT | LENGTH_BITS
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from jasperwalk.balancer.datagrams.delegated_searches import ANSWER_SECONDS
-from jasperwalk.fleet.search import MAXIMUM_HELD_PACKETS
+from jasperwalk.balancer.datagrams.delegated_searches import ANSWER_TIMEOUT_SECONDS
+from jasperwalk.fleet.search import MAX_HELD_PACKETS
 from jasperwalk.flows.frames import (
     FrameKind,
     LocateVerdict,
@@ -21,7 +21,7 @@
 def delegating(count=3, **options):
     """Return a balancer that lets agents search, and has got a packet of an unknown flow."""
     bench = Bench(*(record(number) for number in range(1, count + 1)), **options)
-    bench.core.delegated.is_wanted = True
+    bench.core.delegated.is_enabled = True
     bench.core.receive(DATA, 1.0)
     return bench
 
@@ -88,10 +88,10 @@
 def test_an_agent_that_does_not_answer_is_passed_over():
     bench = delegating()
     first = helper_of(bench)
-    bench.core.tick(1.0 + ANSWER_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     assert not bench.core.has_pending()
     assert bench.core.counters.searches_unanswered == 1
-    bench.core.receive(DATA, 1.05 + ANSWER_SECONDS)
+    bench.core.receive(DATA, 1.05 + ANSWER_TIMEOUT_SECONDS)
     assert helper_of(bench) != first
 
 
@@ -123,12 +123,12 @@
     for _ in range(100):
         bench.core.receive(MORE, 1.005)
     verdict(bench, helper, LocateVerdict.FOUND, holder=2)
-    assert len(bench.take_sent()) == MAXIMUM_HELD_PACKETS - 1
+    assert len(bench.take_sent()) == MAX_HELD_PACKETS - 1
 
 
 def test_a_helper_is_sought_in_the_own_zone_first_and_never_among_lost_agents():
     bench = Bench(record(1, zone="b"), record(2), record(3))
-    bench.core.delegated.is_wanted = True
+    bench.core.delegated.is_enabled = True
     bench.learn(removed=[address_of(3)], now=0.5)
     bench.core.receive(DATA, 1.0)
     assert helper_of(bench) == 2
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -2,12 +2,12 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.flow_opener import (
-    LONGEST_PARKING_SECONDS,
-    MAXIMUM_TRIES,
+    MAX_PARKING_SECONDS,
+    MAX_TRIES,
     OPEN_TIMEOUT_SECONDS,
 )
 from jasperwalk.fleet.messages import HostPhase
-from jasperwalk.fleet.search import CONFIRM_SECONDS
+from jasperwalk.fleet.search import CONFIRM_TIMEOUT_SECONDS
 from jasperwalk.fleet.target import FAILING_SECONDS
 from jasperwalk.flows.frames import (
     REQUEST_HEAD,
@@ -86,7 +86,7 @@
 def test_no_more_agents_are_tried_than_the_limit():
     bench = Bench(*(record(number) for number in range(1, 10)))
     bench.core.receive(SYN, 1.0)
-    for _ in range(MAXIMUM_TRIES):
+    for _ in range(MAX_TRIES):
         number, waits = bench.take_opening()
         assert not waits
         bench.refuse(number, 1.01)
@@ -236,12 +236,12 @@
         bench.answer(other, FrameKind.NOT_HELD, 1.31)
         bench.answer(silent, FrameKind.NOT_HELD, 1.31)
     else:
-        bench.core.tick(1.3 + CONFIRM_SECONDS)
+        bench.core.tick(1.3 + CONFIRM_TIMEOUT_SECONDS)
     assert {(kind, number) for kind, number, _ in bench.take_sent()} == {
         (FrameKind.FIND, silent),
         (FrameKind.FIND, other),
     }
-    now = 1.32 if denied else 1.31 + CONFIRM_SECONDS
+    now = 1.32 if denied else 1.31 + CONFIRM_TIMEOUT_SECONDS
     bench.answer(other, FrameKind.NOT_HELD, now)
     bench.answer(silent, FrameKind.UNSURE, now)
     assert bench.take_sent() == [(FrameKind.CARRY, silent, DATA)]
@@ -375,9 +375,9 @@
     bench = Bench(record(1))
     bench.learn(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     bench.core.receive(SYN, 1.0)
-    bench.core.tick(1.0 + LONGEST_PARKING_SECONDS - 0.01)
+    bench.core.tick(1.0 + MAX_PARKING_SECONDS - 0.01)
     assert bench.resets == []
-    bench.core.tick(1.01 + LONGEST_PARKING_SECONDS)
+    bench.core.tick(1.01 + MAX_PARKING_SECONDS)
     assert bench.resets == [RESET_TO_CALLER]
     assert not bench.core.has_pending()
 
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -3,8 +3,8 @@
 from jasperwalk.fleet.messages import HostPhase
 from jasperwalk.fleet.question_batch import KEYS_PER_FRAME
 from jasperwalk.fleet.search import (
-    ANSWER_SECONDS,
-    MAXIMUM_HELD_PACKETS,
+    ANSWER_TIMEOUT_SECONDS,
+    MAX_HELD_PACKETS,
     PROBE_SECONDS,
     ROUND_GRID_SECONDS,
     ROUND_PAUSE_SECONDS,
@@ -91,8 +91,8 @@
     bench = searching(record(1), record(2))
     asked(bench)
     deny(bench, [1], 1.01)
-    bench.core.tick(1.0 + ANSWER_SECONDS)
-    bench.core.tick(1.1 + ANSWER_SECONDS + SECOND_ROUND_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
+    bench.core.tick(1.1 + ANSWER_TIMEOUT_SECONDS + SECOND_ROUND_SECONDS)
     assert asked(bench) == {1, 2}
     deny(bench, [1], 1.4)
     bench.core.tick(2.0)
@@ -147,7 +147,7 @@
     for _ in range(100):
         bench.core.receive(MORE, 1.01)
     bench.answer(1, FrameKind.HELD, 1.02)
-    assert len(bench.take_sent()) == MAXIMUM_HELD_PACKETS
+    assert len(bench.take_sent()) == MAX_HELD_PACKETS
 
 
 @pytest.mark.parametrize("count", [0, 1])
@@ -240,7 +240,7 @@
 
 def test_questions_to_everyone_are_bounded_and_no_flow_is_reset_without_them():
     bench = Bench(*many())
-    bench.core.searches._questions = TokenBucket(0.0, 59.0, 1.0)
+    bench.core.searches._broadcast_budget = TokenBucket(0.0, 59.0, 1.0)
     callers = search_many(bench, 5)
     for _, number, body in bench.take_sent():
         for key in keys_in(body):
@@ -324,9 +324,9 @@
 def test_an_agent_that_was_learnt_during_the_search_is_shown_the_packet():
     """A balancer that has just started knows no agent; agents that restarted do not know."""
     bench = searching()
-    bench.core.tick(1.0 + ANSWER_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     bench.learn(record(1), whole=True, now=1.1)
-    bench.core.tick(1.0 + ANSWER_SECONDS + SETTLING_SECONDS)
+    bench.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS + SETTLING_SECONDS)
     assert asked(bench) == {1}
     bench.answer(1, FrameKind.UNSURE, 1.35)
     assert bench.take_sent() == [(FrameKind.CARRY, 1, DATA)]
