--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -47,7 +47,7 @@
         return self._view
 
     @property
-    def move_waits(self) -> bool:
+    def move_pending(self) -> bool:
         """Tell whether this member was moved to a service that it does not serve yet."""
         moved = self._view.removed and self._newest.service is not None
         return moved and not self._view.stopping
@@ -68,11 +68,11 @@
         if incarnation != self._view.incarnation:
             self._replace(dataclasses.replace(self._view, incarnation=incarnation))
 
-    def begin_stop(self) -> None:
+    def set_stopping(self) -> None:
         """Take no new work from here on."""
         self._replace(dataclasses.replace(self._view, stopping=True))
 
-    def take_up_move(self) -> None:
+    def apply_move(self) -> None:
         """Serve the service that this member was moved to."""
         incarnation = self._view.incarnation
         self._replace(dataclasses.replace(self._newest, incarnation=incarnation))
@@ -101,7 +101,7 @@
         view = self._view
         if view.online and view.incarnation != self._online_incarnation:
             self._online_incarnation = view.incarnation
-            self._endpoint.slow_start.begin(self._clock())
+            self._endpoint.slow_start.start(self._clock())
 
 
 def _log_changes(before: ServiceView, after: ServiceView) -> None:
--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -25,7 +25,7 @@
     knowledge: FlowKnowledge
     idle_seconds: Callable[[], float]
 
-    def carry(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
+    def forward(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
         """Take a packet of a flow that a balancer believes to be at this host."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
@@ -45,7 +45,7 @@
             and flow.answer_numbers
             and not flow.is_followed(packet, parts.codec)
         ):
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             parts.answers.reply(FrameKind.RETURNED, 0, key, sender, now, packet)
             return
         flow.balancer = sender
@@ -66,7 +66,7 @@
         elif flow.is_followed(packet, parts.codec):
             answer = FrameKind.HELD
         else:
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             answer = FrameKind.NOT_HELD
         if tag == parts.tag and self._forgets_waiting_opening(key):
             answer = FrameKind.NOT_HELD
@@ -78,7 +78,7 @@
         )
         parts.answers.reply(answer, 0, key, sender, now)
         if answer is FrameKind.HELD:
-            self.carry(packet, tag, sender, now)
+            self.forward(packet, tag, sender, now)
 
     def _forgets_waiting_opening(self, key: bytes) -> bool:
         """Let a flow go that waits to be opened: its caller has an answer, of another host."""
@@ -101,7 +101,7 @@
         flow.balancer = sender
         return FrameKind.HELD if flow.confirmed else FrameKind.UNSURE
 
-    def pass_on(self, request: WaitingRequest, now: float) -> None:
+    def forward_waiting(self, request: WaitingRequest, now: float) -> None:
         """Give a request that waited to the host, its packets in order."""
         parts = self.parts
         flow = parts.table.get(request.key)
@@ -133,7 +133,7 @@
         terms = self.parts.learned.find(listener, flow.balancer)
         if terms is None:
             return False
-        if not self.parts.queue and self.parts.has_room(now):
+        if not self.parts.queue and self.parts.has_capacity(now):
             self.parts.record_started(terms, now)
             return False
         number = self.parts.codec.data_number(packet)
@@ -155,7 +155,7 @@
             return False
         if not codec.payload_bytes(packet) and not codec.is_ending(packet):
             return False
-        if not waiting.take_packet(packet, codec.data_number(packet)):
+        if not waiting.add_packet(packet, codec.data_number(packet)):
             self.parts.counters.request_copies_absorbed += 1
         return True
 
@@ -184,7 +184,7 @@
             self.parts.table.set_busy(flow, False, now)
         self.parts.to_host(packet)
 
-    def _let_go(self, key: bytes, flow: HeldFlow, now: float) -> None:
+    def _drop_half_open(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a half-open flow whose caller chose another host."""
         self.parts.counters.flows_opened_elsewhere += 1
         self.parts.table.drop(key, flow, now)
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -61,8 +61,8 @@
         self._expire_half_open(now)
         if not parts.queue:
             return
-        self.waiting.clear(now)
-        while parts.queue and parts.has_room(now):
+        self.waiting.shed_expired(now)
+        while parts.queue and parts.has_capacity(now):
             takes_flows = self._refusal(parts.tag, QUEUED_FLOW_TERMS, now) is None
             seconds = parts.table.in_flight.mean_seconds
             request = parts.queue.take_next(takes_flows, seconds, now)
@@ -73,11 +73,11 @@
     def release_held(self, now: float) -> None:
         """Give every request of an open flow to the host: it, or its successor, is to decide."""
         for request in self.parts.queue.take_held():
-            self.waiting.pass_on(request, now)
+            self.waiting.forward_waiting(request, now)
 
     def _begin(self, request: WaitingRequest, now: float) -> None:
         if not request.opens_flow:
-            self.waiting.pass_on(request, now)
+            self.waiting.forward_waiting(request, now)
             return
         waited_seconds = now - request.arrived_at
         self.parts.wait_latency.observe(waited_seconds)
@@ -98,7 +98,7 @@
     ) -> None:
         parts = self.parts
         parts.table.admit(key, sender, now)
-        parts.watch.record_admission(now)
+        parts.monitor.record_admission(now)
         parts.counters.flows_accepted += 1
         parts.log.note(
             "flow-admitted",
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -87,12 +87,12 @@
         self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
         self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.record_end)
         self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
-        self.watch = HostMonitor(self.host, self.log, self.pace)
+        self.monitor = HostMonitor(self.host, self.log, self.pace)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
             self.host,
-            self.watch.response,
-            self.watch.requests,
+            self.monitor.response,
+            self.monitor.requests,
             self.warm_up,
             self.zone,
             self.pace,
@@ -111,7 +111,7 @@
             meter=self.meter,
             table=self.table,
             queue=self.queue,
-            watch=self.watch,
+            monitor=self.monitor,
             pace=self.pace,
             warm_up=self.warm_up,
             admission=self.admission,
@@ -120,7 +120,7 @@
             wait_latency=self.wait_latency,
         )
         self._callers = CallerPackets(self.parts, self.knowledge, lambda: self.flow_idle_seconds)
-        self._waiting = WaitingRequests(self.parts, self._callers.pass_on)
+        self._waiting = WaitingRequests(self.parts, self._callers.forward_waiting)
         self._flow_admission = FlowAdmission(self.parts, self._waiting)
         self._host_packets = HostPackets(self.parts, self._flow_admission)
 
@@ -147,7 +147,7 @@
         elif not self.codec.is_complete(body):
             self.counters.frames_malformed += 1
         elif kind == FrameKind.CARRY:
-            self._callers.carry(body, tag, sender, now)
+            self._callers.forward(body, tag, sender, now)
         elif kind == FrameKind.CONFIRM:
             self._callers.confirm(body, tag, sender, now)
         else:
@@ -194,9 +194,9 @@
         what it does not hold, so that their callers learn that the host is gone.
         """
         self.knowledge.host_started_here = True
-        self.watch.on_host_replaced()
+        self.monitor.on_host_replaced()
         self.table.in_flight.reset_times()
-        self.table.doubt_all(now)
+        self.table.unconfirm_all(now)
         self.release_held(now)
 
     # The turn of what waits
@@ -215,7 +215,7 @@
         The hosts of a zone that is restored may have gone cold meanwhile, and not have said so.
         """
         was_drained = self.admission.is_zone_drained()
-        if not self.admission.take_zones(zones):
+        if not self.admission.update_zones(zones):
             return
         is_drained = self.admission.is_zone_drained()
         if is_drained != was_drained:
@@ -229,11 +229,11 @@
 
     def sweep(self, now: float) -> None:
         """Forget flows that ended or cannot be alive any longer; call every second."""
-        self.watch.check(now)
+        self.monitor.check(now)
         self.admit_waiting(now)
         for key, flow in self.table.take_unanswered(now):
             self.counters.requests_unanswered += 1
-            self.watch.record_failure(now)
+            self.monitor.record_failure(now)
             self.log.note(
                 "request-unanswered",
                 flow=self.codec.describe(key),
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -17,10 +17,10 @@
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
+    apply_moves,
     exchange_state,
     monitor_backend,
     renew_flows,
-    take_up_moves,
 )
 from jasperwalk.agent.borrower import SlotBorrower
 from jasperwalk.agent.certificate_renewal import CertificateRenewal
@@ -28,13 +28,13 @@
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.dispatcher import Dispatcher
 from jasperwalk.agent.endpoint import AgentEndpoint
+from jasperwalk.agent.graceful_close import GracefulClose
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.local_run import LocalRun
 from jasperwalk.agent.metrics import AgentCollector
 from jasperwalk.agent.peers import PeerSlots
-from jasperwalk.agent.planned_end import PlannedEnd
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
@@ -97,7 +97,7 @@
         )
         endpoint = AgentEndpoint(configuration, view, self._random)
         if settings.hand_over_when_busy:
-            endpoint.prefers = self._prefers
+            endpoint.prefers_peer = self._prefers_peer
         return endpoint
 
     def _make_runner(self) -> None:
@@ -112,7 +112,7 @@
             local_run, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
-    def _prefers(self, member: Endpoint) -> bool:
+    def _prefers_peer(self, member: Endpoint) -> bool:
         """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
         busy = not self._allocator.admission.free_slots
         return busy and self._peers.take_known_slot(member, self._clock())
@@ -129,8 +129,8 @@
             follower = self._follower(ports.address)
             admin = self._admin(follower, dispatcher)
             await stack.enter_async_context(admin)
-            planned_end = self._planned_end(dispatcher, ports.datagrams)
-            for loop in self._loops(follower, planned_end, ports.datagrams):
+            graceful_close = self._graceful_close(dispatcher, ports.datagrams)
+            for loop in self._loops(follower, graceful_close, ports.datagrams):
                 stack.push_async_callback(cancel, asyncio.ensure_future(loop))
             logger.info(
                 "agent-started",
@@ -138,7 +138,7 @@
                 admin=str(admin.endpoint),
                 links=describe_links(self._tls),
             )
-            await self._until_stopped(dispatcher, follower, planned_end)
+            await self._until_stopped(dispatcher, follower, graceful_close)
 
     def stop(self) -> None:
         """Stop as on a signal: end the requests in progress first."""
@@ -167,7 +167,7 @@
             port.schedule,
         )
         port.dispatch = dispatcher.dispatch
-        port.answers = self._relay.answers
+        port.is_alive = self._relay.is_alive
         return dispatcher
 
     def _follower(self, address: Endpoint) -> FollowerRunner:
@@ -208,36 +208,36 @@
         )
         return AdminServer(self._settings.admin_listen, registry, health.report)
 
-    def _planned_end(self, dispatcher: Dispatcher, port: DatagramPort) -> PlannedEnd:
-        return PlannedEnd(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
+    def _graceful_close(self, dispatcher: Dispatcher, port: DatagramPort) -> GracefulClose:
+        return GracefulClose(self.endpoint, dispatcher, self.runner, self.lender, port, self._clock)
 
     def _loops(
-        self, follower: FollowerRunner, planned_end: PlannedEnd, port: DatagramPort
+        self, follower: FollowerRunner, graceful_close: GracefulClose, port: DatagramPort
     ) -> tuple[Coroutine[None, None, None], ...]:
         """Return what runs beside the requests, in the order of its start."""
         return (
             follower.run(),
             monitor_backend(self._backend, self.health, self._current),
             exchange_state(follower, self.endpoint, self.health, self._current, self._clock),
-            take_up_moves(self._current, planned_end),
+            apply_moves(self._current, graceful_close),
             renew_flows(follower, self.endpoint, port),
             self._certificate.run(self.endpoint),
         )
 
     async def _until_stopped(
-        self, dispatcher: Dispatcher, follower: FollowerRunner, planned_end: PlannedEnd
+        self, dispatcher: Dispatcher, follower: FollowerRunner, graceful_close: GracefulClose
     ) -> None:
         signalled = stop_event()
         await first_of(signalled.wait(), self._stopped.wait())
-        self._current.begin_stop()
+        self._current.set_stopping()
         follower.healthy = False
         logger.info("agent-stopping", open_requests=dispatcher.open_requests)
         # Within its grace a planned stop cuts no request; a second signal ends the wait.
         signalled.clear()
-        await first_of(signalled.wait(), planned_end.wait_until_idle(self._stop_grace_seconds()))
+        await first_of(signalled.wait(), graceful_close.wait_until_idle(self._stop_grace_seconds()))
         cut = dispatcher.open_requests
-        planned_end.cut_requests()
-        planned_end.close_flows()
+        graceful_close.cancel_requests()
+        graceful_close.close_flows()
         logger.info("agent-stopped", requests_cut=cut)
 
     def _stop_grace_seconds(self) -> float:
--- a/src/jasperwalk/agent/relay.py
+++ b/src/jasperwalk/agent/relay.py
@@ -64,11 +64,11 @@
         except JasperwalkError:
             return NotRun(NotRunReason.RELAY_UNREACHABLE)
         try:
-            return await pass_on(connection, RelayRequest(service_id, request), request, sink)
+            return await run_exchange(connection, RelayRequest(service_id, request), request, sink)
         finally:
             connection.abort()
 
-    async def answers(self, target: Endpoint) -> bool:
+    async def is_alive(self, target: Endpoint) -> bool:
         """Tell whether the agent at `target` is there: whether its port takes a connection.
 
         An agent that stands still is there. It may go on at any time, and its flows with it.
@@ -86,7 +86,7 @@
         return await connect(target, hello, timeout_seconds, self._tls)
 
 
-async def pass_on(
+async def run_exchange(
     connection: FramedConnection, first: msgspec.Struct, request: Request, sink: ResponseSink
 ) -> Outcome:
     """Send `first`, the frame that carries `request`, and pass the answer on to `sink`."""
@@ -95,7 +95,7 @@
     try:
         async with asyncio.timeout(seconds) as timeout:
             await connection.send(encode(first))
-            return await _pass_answer_on(connection, request, sink, timeout, progress)
+            return await _forward_answer(connection, request, sink, timeout, progress)
     except TimeoutError:
         return Unknown(UnknownReason.DEADLINE, head_sent=progress.head_sent)
     except CallerGone:
@@ -104,7 +104,7 @@
         return Unknown(UnknownReason.RELAY_FAILED, head_sent=progress.head_sent)
 
 
-async def _pass_answer_on(
+async def _forward_answer(
     connection: FramedConnection,
     request: Request,
     sink: ResponseSink,
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -163,7 +163,7 @@
     """The store can't promise to remember one more use, so nothing was run."""
 
 
-Verdict = RunNow | WaitForFirst | Repeat | OutcomeUnknown | Expired | Conflict | StoreFull
+UseDecision = RunNow | WaitForFirst | Repeat | OutcomeUnknown | Expired | Conflict | StoreFull
 
 
 @dataclass(slots=True)
@@ -188,12 +188,12 @@
         """Count the remembered uses."""
         return len(self._uses)
 
-    def use(self, ticket: Ticket, digest: bytes, now: float) -> Verdict:
+    def use(self, ticket: Ticket, digest: bytes, now: float) -> UseDecision:
         """Decide on one arrival; after `RunNow` the use counts as begun."""
-        self._forget(now)
+        self._discard_expired(now)
         known = self._uses.get(ticket.nonce)
         if known is not None:
-            return self._verdict_on(known, digest)
+            return self._decide_repeat(known, digest)
         expires_at = ticket.expires_at_ms / 1000
         if expires_at <= now:
             return Expired()
@@ -222,7 +222,7 @@
         return None if use is None else use.answer
 
     @staticmethod
-    def _verdict_on(use: Use, digest: bytes) -> Verdict:
+    def _decide_repeat(use: Use, digest: bytes) -> UseDecision:
         if use.digest != digest:
             return Conflict()
         if not use.finished:
@@ -231,7 +231,7 @@
             return OutcomeUnknown()
         return Repeat(use.answer)
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         # Uses are in order of arrival and forget times differ by a lifetime at most, so an
         # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -23,7 +23,7 @@
 from jasperwalk.addresses import PACKED_ENDPOINT_LENGTH, Endpoint
 from jasperwalk.balancer.forwarding import (
     ESTABLISHED_HEADS,
-    LARGEST_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     PAYLOAD_HEADS,
     encode_candidates,
 )
@@ -61,7 +61,7 @@
 )
 from jasperwalk.routing.rendezvous import CandidatePair
 
-LARGEST_DATAGRAM: Final = HEADER_LENGTH + LARGEST_PAYLOAD
+MAX_DATAGRAM_BYTES: Final = HEADER_LENGTH + MAX_PAYLOAD_BYTES
 """Largest datagram from the fabric, in bytes."""
 
 unpack_short: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
@@ -106,7 +106,7 @@
 
     @property
     def accepts_new_flows(self) -> bool:
-        """Whether new flows are taken; see `follower_was_fresh`."""
+        """Whether new flows are taken; see `accept_new_flows`."""
         return self._new_flows.accepted
 
     def table_changed(self, table: RoutingTable) -> None:
@@ -124,7 +124,7 @@
             self._decryptors = self._codec.decryptors
             self._keys = keys
 
-    def follower_was_fresh(self) -> None:
+    def accept_new_flows(self) -> None:
         """Begin to accept new flows; it holds until the process ends."""
         self._new_flows.accepted = True
 
@@ -177,7 +177,7 @@
 
     def _decide(self, datagram: bytes, now: float) -> Forward | DropReason:
         """Decide for any datagram."""
-        if len(datagram) > LARGEST_DATAGRAM:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._drop(DropReason.OVERSIZED)
         if not datagram.startswith(HEADER_PREFIX) or len(datagram) <= HEADER_LENGTH:
             return self._drop(DropReason.BAD_PROXY_HEADER)
@@ -209,16 +209,16 @@
         destination = self._networks.resolve(packed_address)
         if destination is None:
             return self._drop(DropReason.BAD_AGENT_ADDRESS)
-        witness = self._witness(packed_address, route, header)
-        if witness is not None:
+        substitute = self._substitute_agent(packed_address, route, header)
+        if substitute is not None:
             # Not kept among the route's agents: each flow's packets have their own witness.
             self.counters.witnessed += 1
-            return Forward(witness, _encode(datagram, route, ()))
-        route.remember(server_id, destination)
+            return Forward(substitute, _encode(datagram, route, ()))
+        route.add_destination(server_id, destination)
         self.counters.established += 1
         return Forward(destination, _encode(datagram, route, ()))
 
-    def _witness(
+    def _substitute_agent(
         self, packed_address: bytes, route: ServiceRoute, header: PacketHeader
     ) -> SocketAddress | None:
         """Return another agent for a flow whose own agent is offline, None if it is not.
@@ -230,7 +230,7 @@
             return None
         if member.operating_status is not OperatingStatus.OFFLINE:
             return None
-        pair = self._new_flows.witness(route.service_id, header.connection_id)
+        pair = self._new_flows.substitute(route.service_id, header.connection_id)
         return None if pair is None else self._networks.resolve(pair.first.packed_address)
 
     def _open_flow(
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -189,7 +189,7 @@
 
     def _process_waiting_uploads(self, now: float) -> None:
         """Open uploads that have waited for room, and reset those that came too late."""
-        for key, upload in self.uploads.take_late(now):
+        for key, upload in self.uploads.take_shed(now):
             self.reject(key, upload.packet, "link-full")
         for key, upload in self.uploads.take_due(now):
             loading, waiting = self.uploads.counts()
@@ -371,4 +371,4 @@
         for key in [key for key, flow in self._flows.items() if flow.seen_at < oldest]:
             self.opener.forget(key)
         self.searches.sweep(now)
-        self.pool.forget_old(now, FLOW_LIFETIME_SECONDS)
+        self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -88,8 +88,8 @@
         if service is None:
             self.reject(key, packet, "no-service")
             return
-        began_at = arrived_at - self.codec.opening_age_seconds(packet)
-        opening = Opening(packet, route, service, began_at, arrived_at, now)
+        caller_started_at = arrived_at - self.codec.opening_age_seconds(packet)
+        opening = Opening(packet, route, service, caller_started_at, arrived_at, now)
         self._try_next(key, opening, now)
 
     def forget(self, key: bytes) -> None:
@@ -101,7 +101,7 @@
         """Pass a copy of a flow's first packet on."""
         age_seconds = self.codec.opening_age_seconds(packet)
         if flow.opening is not None:
-            age_seconds = max(age_seconds, now - flow.opening.began_at)
+            age_seconds = max(age_seconds, now - flow.opening.caller_started_at)
         terms = OpeningTerms(False, flow.is_repeatable, age_seconds, flow.terms)
         self.send(flow.target.open_head(terms) + packet, flow.target.address)
 
@@ -130,7 +130,7 @@
         """Ask the next agent; after the last one, ask the least busy to let the flow wait."""
         target = self._next_target(key, opening, now)
         if target is not None:
-            self._ask(key, opening, target, now)
+            self._send_opening(key, opening, target, now)
             return
         self.forget(key)
         if not opening.answers and self._park(key, opening, now):
@@ -181,13 +181,15 @@
         for service in dict.fromkeys([opening.service, *opening.route.route.services()]):
             is_bulk = opening.route.route.is_bulk
             regions = opening.route.allowed_regions
-            stays_near = opening.route.terms is not None
-            target = self.pool.choose(service, key, excluded, now, is_bulk, regions, stays_near)
+            prefers_own_zone = opening.route.terms is not None
+            target = self.pool.choose(
+                service, key, excluded, now, is_bulk, regions, prefers_own_zone
+            )
             if target is not None:
                 return target
         return None
 
-    def _ask(self, key: bytes, opening: Opening, target: Target, now: float) -> None:
+    def _send_opening(self, key: bytes, opening: Opening, target: Target, now: float) -> None:
         opening.answers[target] = OpeningAnswer.MISSING
         opening.deadline = now + OPEN_TIMEOUT_SECONDS
         target.record_sent(now)
@@ -196,7 +198,7 @@
         self.flows[key] = flow
         self._waiting_for_answers[key] = flow
         terms = OpeningTerms(
-            opening.waits, route.is_repeatable, now - opening.began_at, opening.route.terms
+            opening.waits, route.is_repeatable, now - opening.caller_started_at, opening.route.terms
         )
         self.send(target.open_head(terms) + opening.packet, target.address)
 
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -26,7 +26,7 @@
 
     def __init__(self, table: RoutingTable, flows_per_second: float, now: float) -> None:
         self.accepted = False
-        """Whether new flows are taken at all; see `BalancerCore.follower_was_fresh`."""
+        """Whether new flows are taken at all; see `BalancerCore.accept_new_flows`."""
         burst = max(1.0, flows_per_second * NEW_FLOW_BURST_SECONDS)
         self._limit = TokenBucket(flows_per_second, burst, now)
         self.index = CandidateIndex(table)
@@ -39,7 +39,7 @@
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
         """Take the hint that nothing listened at an agent's address a moment ago."""
-        self._refusals.note(agent, now)
+        self._refusals.record(agent, now)
 
     def refuse(self, payload_length: int, header: PacketHeader, now: float) -> DropReason | None:
         """Return why a packet of this length, in bytes, may not open a flow; None if it may."""
@@ -69,6 +69,6 @@
                 return pair
         return self.index.candidates(service_id, flow_key)
 
-    def witness(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
+    def substitute(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return members that may stand in for a flow's own agent, which is offline."""
         return self.index.candidates(service_id, flow_key)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -17,10 +17,10 @@
 from jasperwalk.flows.frames import service_tag
 from jasperwalk.routing.rendezvous import choose_best
 
-CANDIDATES = 8
+CANDIDATE_COUNT = 8
 """A new flow goes to one of this many agents of its service, by rendezvous hash of its key:
 enough for the least busy of them to be nearly the least busy of all, and few enough to ask."""
-SEARCHED_CANDIDATES = 12
+SEARCHED_CANDIDATE_COUNT = 12
 """Agents of a service that may hold a flow by its key: the candidates when it was opened, and
 room for agents that came since."""
 FLOW_LIFETIME_SECONDS = 70.0
@@ -28,14 +28,14 @@
 EXPECTED_PHASES = frozenset((HostPhase.UNKNOWN, HostPhase.ABSENT))
 EXPECTED_SECONDS = 2.0
 """A host is expected to speak to its agent within this time of the agent's start."""
-SUSPECT_COST = 1000.0
+AVOIDED_COST = 1000.0
 """More than any load: a suspect is chosen only if no other is left."""
 OTHER_ZONE_COST = 0.12
 """What crossing zones adds to an agent's relative load: bytes between zones are paid for."""
 BULK_OTHER_ZONE_COST = 1.0
 """The same for uploads, whose every packet crosses: another zone only where this one is busier
 by a request for each slot."""
-NEAR_LOAD_PER_SLOT = 0.7
+FREE_LOAD_PER_SLOT = 0.7
 """Requests for each slot below which a host of this zone is as good for a caller as any other: it
 most likely has a slot free, so the flow need not cross zones."""
 JITTER = 0.05
@@ -111,7 +111,7 @@
             self._by_service.setdefault(target.record.service, []).append(target)
             self._by_address[target.address] = target
 
-    def forget_old(self, now: float, lifetime_seconds: float) -> None:
+    def remove_old(self, now: float, lifetime_seconds: float) -> None:
         """Forget agents that left longer ago than any flow may last."""
         old = [
             target
@@ -136,17 +136,19 @@
         now: float,
         is_bulk: bool = False,
         regions: Collection[str] = (),
-        stays_near: bool = False,
+        prefers_own_zone: bool = False,
     ) -> Target | None:
         """Return the least loaded usable candidate for a flow key, None where there is none.
 
         `regions` are those that the flow's hosts may be in, empty where every region may. A flow
-        that `stays_near` leaves this zone only if none of its candidates here has room.
+        that `prefers_own_zone` leaves this zone only if none of its candidates here has room.
         """
         usable = [each for each in self._of_service(service, regions) if each.is_usable(now)]
-        candidates = [each for each in _ranked(usable, key, CANDIDATES) if each not in excluded]
-        if stays_near:
-            candidates = self._with_room_near(candidates, now) or candidates
+        candidates = [
+            each for each in _ranked(usable, key, CANDIDATE_COUNT) if each not in excluded
+        ]
+        if prefers_own_zone:
+            candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
         by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
             service, usable, now
@@ -157,14 +159,14 @@
             default=None,
         )
 
-    def _with_room_near(self, candidates: Sequence[Target], now: float) -> list[Target]:
+    def _free_in_own_zone(self, candidates: Sequence[Target], now: float) -> list[Target]:
         """Return the candidates of this zone whose hosts most likely have a slot free."""
         return [
             target
             for target in candidates
             if target.record.zone == self.zone
-            and not target.is_passed_over(now)
-            and target.relative_load(now) < NEAR_LOAD_PER_SLOT
+            and not target.is_avoided(now)
+            and target.relative_load(now) < FREE_LOAD_PER_SLOT
         ]
 
     def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
@@ -183,8 +185,8 @@
         cost = load + self.source.random() * JITTER
         if target.record.zone != self.zone:
             cost += other_zone_cost
-        if target.is_passed_over(now):
-            cost += SUSPECT_COST
+        if target.is_avoided(now):
+            cost += AVOIDED_COST
         return cost
 
     def _of_service(self, service: str, regions: Collection[str]) -> Sequence[Target]:
@@ -227,7 +229,7 @@
         found: list[Target] = []
         for service in services:
             alive = [each for each in self._of_service(service, regions) if not each.departed]
-            found += _ranked(alive, key, SEARCHED_CANDIDATES)
+            found += _ranked(alive, key, SEARCHED_CANDIDATE_COUNT)
         return found
 
     def helper(self, key: bytes, now: float) -> Target | None:
@@ -236,7 +238,7 @@
         One in this zone where there is any that answers, always the same for a key, so that
         what a caller sends again joins the search that is under way.
         """
-        answering = [each for each in self._targets.values() if each.may_help(now)]
+        answering = [each for each in self._targets.values() if each.can_search(now)]
         near = [each for each in answering if each.record.zone == self.zone]
         return next(iter(_ranked(near or answering, key, 1)), None)
 
--- a/src/jasperwalk/flows/sockets.py
+++ b/src/jasperwalk/flows/sockets.py
@@ -11,9 +11,9 @@
 from jasperwalk.flows.codec import SocketAddress
 
 DATAGRAMS_PER_WAKE_UP = 32
-LONGEST_DATAGRAM = 2048
-DATAGRAMS_TO_CATCH_UP = 512
-"""Most datagrams that `catch_up` reads."""
+MAX_DATAGRAM_BYTES = 2048
+MAX_PENDING_DATAGRAMS = 512
+"""Most datagrams that `read_pending` reads."""
 
 DatagramHandler = Callable[[bytes, SocketAddress], None]
 
@@ -48,13 +48,13 @@
         """Receive on the running loop."""
         asyncio.get_running_loop().add_reader(self._socket.fileno(), self._receive)
 
-    def catch_up(self) -> bool:
+    def read_pending(self) -> bool:
         """Hand out what waits already; return True if nothing waits any longer.
 
         What depends on an answer that is missing asks here first: on a busy process the answer
         may have come and not been read.
         """
-        return self._receive_some(DATAGRAMS_TO_CATCH_UP)
+        return self._receive_some(MAX_PENDING_DATAGRAMS)
 
     def _receive(self) -> None:
         self._receive_some(DATAGRAMS_PER_WAKE_UP)
@@ -65,7 +65,7 @@
         handler = self._handler
         for _ in range(count):
             try:
-                data, sender = receive(LONGEST_DATAGRAM)
+                data, sender = receive(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return True
             except OSError:
--- a/src/jasperwalk/scheduling/link_pacer.py
+++ b/src/jasperwalk/scheduling/link_pacer.py
@@ -28,11 +28,11 @@
 BURST_SECONDS = 0.02
 """Datagrams for this long a time of the link leave at once. A link's own buffer held 40 ms of
 them (10 kB at 2 Mbit/s, measured); half of it stays free for what is not paced."""
-LEAST_BURST_BYTES = 1500
+MIN_BURST_BYTES = 1500
 """However thin the link, one whole datagram leaves at once."""
-LONGEST_URGENT_SECONDS = 0.2
+MAX_URGENT_SECONDS = 0.2
 """Datagrams outside bulk flows wait no longer than this: their callers send again then."""
-LONGEST_BULK_SECONDS = 1.0
+MAX_BULK_SECONDS = 1.0
 """Bulk datagrams that the link could not send within this time are not kept: they bound memory."""
 HEADER_BYTES = 28
 """IPv4 and UDP heads, which the link carries as well."""
@@ -79,7 +79,7 @@
 
     def __post_init__(self) -> None:
         """Begin with the whole burst at hand."""
-        self._burst = max(self.rate * BURST_SECONDS, LEAST_BURST_BYTES)
+        self._burst = max(self.rate * BURST_SECONDS, MIN_BURST_BYTES)
         self._credit = self._burst
 
     def backlog_bytes(self) -> int:
@@ -103,7 +103,7 @@
         self.counters.datagrams_delayed += 1
         self._urgent.append((datagram, address))
         self._urgent_bytes += len(datagram) + HEADER_BYTES
-        while self._urgent_bytes > self.rate * LONGEST_URGENT_SECONDS and len(self._urgent) > 1:
+        while self._urgent_bytes > self.rate * MAX_URGENT_SECONDS and len(self._urgent) > 1:
             self._take_urgent()
             self.counters.datagrams_dropped += 1
 
@@ -119,7 +119,7 @@
         if waiting is not None and number in waiting:
             self.counters.datagrams_copies += 1
             return
-        if self._bulk_bytes > self.rate * LONGEST_BULK_SECONDS:
+        if self._bulk_bytes > self.rate * MAX_BULK_SECONDS:
             self.counters.datagrams_dropped += 1
             return
         if waiting is None:
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -61,48 +61,48 @@
     Where no objective is named, time left tells nothing, and the newest goes first.
     """
 
-    timely: list[WaitingRequest] = field(default_factory=list)
+    on_time: list[WaitingRequest] = field(default_factory=list)
     """The one with least time left first."""
     late: list[WaitingRequest] = field(default_factory=list)
     """Those that cannot be in time any more, or have no objective, the oldest first."""
 
     def __len__(self) -> int:
         """Return how many requests stand in line."""
-        return len(self.timely) + len(self.late)
+        return len(self.on_time) + len(self.late)
 
     def __bool__(self) -> bool:
         """Tell whether any request stands in line."""
-        return bool(self.timely or self.late)
+        return bool(self.on_time or self.late)
 
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
         if request.terms.objective_seconds:
-            insort(self.timely, request, key=WaitingRequest.wants_answer_by)
+            insort(self.on_time, request, key=WaitingRequest.answer_deadline)
         else:
             self.late.append(request)
 
     def remove(self, request: WaitingRequest) -> None:
         """Let a request go."""
-        (self.timely if request in self.timely else self.late).remove(request)
+        (self.on_time if request in self.on_time else self.late).remove(request)
 
-    def sort_out_late(self, answer_at: float) -> None:
+    def move_late(self, answer_at: float) -> None:
         """Put those behind that would be late with an answer at this time."""
-        while self.timely and self.timely[0].wants_answer_by() < answer_at:
-            self.late.append(self.timely.pop(0))
+        while self.on_time and self.on_time[0].answer_deadline() < answer_at:
+            self.late.append(self.on_time.pop(0))
 
     def rank(self) -> tuple[bool, float]:
         """Return what puts this line or another one first: the lower rank."""
-        if self.timely:
-            return False, self.timely[0].wants_answer_by()
+        if self.on_time:
+            return False, self.on_time[0].answer_deadline()
         return True, -self.late[-1].arrived_at
 
     def take(self) -> WaitingRequest:
         """Take the request whose turn it is."""
-        return self.timely.pop(0) if self.timely else self.late.pop()
+        return self.on_time.pop(0) if self.on_time else self.late.pop()
 
     def first_to_shed(self) -> WaitingRequest:
         """Return the request that is least likely to be served in time."""
-        return self.late[0] if self.late else self.timely[0]
+        return self.late[0] if self.late else self.on_time[0]
 
 
 @dataclass(eq=False, repr=False)
@@ -116,7 +116,7 @@
         """Return how many requests wait."""
         return len(self.openings) + len(self.requests)
 
-    def of(self, request: WaitingRequest) -> DeadlineQueue:
+    def queue_for(self, request: WaitingRequest) -> DeadlineQueue:
         """Return where a request stands."""
         return self.openings if request.opens_flow else self.requests
 
@@ -131,7 +131,7 @@
         """Take the request whose turn it is, for an answer at this time."""
         nonempty_queues = self.nonempty_queues(with_openings)
         for queue in nonempty_queues:
-            queue.sort_out_late(answer_at)
+            queue.move_late(answer_at)
         return min(nonempty_queues, key=DeadlineQueue.rank).take()
 
 
@@ -141,21 +141,21 @@
 
     shares: GroupShares
     least_share: float = DEFAULT_LEAST_SHARE
-    _lanes: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
+    _group_queues: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
     """By priority, then by group; none is empty."""
-    _owed: float = 0.0
+    _share_credit: float = 0.0
     """Requests that are due to the less urgent ones."""
 
     def add(self, request: WaitingRequest) -> None:
         """Take a request in."""
-        groups = self._lanes.setdefault(request.terms.priority, {})
-        lane = groups.setdefault(request.terms.group, GroupQueue())
-        lane.of(request).add(request)
+        groups = self._group_queues.setdefault(request.terms.priority, {})
+        group_queue = groups.setdefault(request.terms.group, GroupQueue())
+        group_queue.queue_for(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
         """Let a request go."""
-        lane = self._lanes[request.terms.priority][request.terms.group]
-        lane.of(request).remove(request)
+        group_queue = self._group_queues[request.terms.priority][request.terms.group]
+        group_queue.queue_for(request).remove(request)
         self._drop_if_empty(request)
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
@@ -167,43 +167,43 @@
         priorities = self._priorities(with_openings)
         if not priorities:
             return None
-        priority = self._priority_in_turn(priorities)
+        priority = self._next_priority(priorities)
         groups = self._groups(priority, with_openings)
         group = groups[0] if len(groups) == 1 else self.shares.group_to_serve(groups, now)
-        request = self._lanes[priority][group].take_next(with_openings, now + seconds)
+        request = self._group_queues[priority][group].take_next(with_openings, now + seconds)
         self._drop_if_empty(request)
         self.shares.record_served(group, seconds, now)
         return request
 
     def _priorities(self, with_openings: bool) -> list[int]:
         """Return the priorities that have something to begin, the most urgent first."""
-        priorities = sorted(self._lanes)
+        priorities = sorted(self._group_queues)
         if with_openings:
             return priorities
         return [each for each in priorities if self._groups(each, with_openings)]
 
     def _groups(self, priority: int, with_openings: bool) -> list[int]:
-        lanes = self._lanes[priority]
+        lanes = self._group_queues[priority]
         if with_openings:
             return list(lanes)
-        return [group for group, lane in lanes.items() if lane.requests]
+        return [group for group, group_queue in lanes.items() if group_queue.requests]
 
-    def _priority_in_turn(self, priorities: list[int]) -> int:
+    def _next_priority(self, priorities: list[int]) -> int:
         """Return the most urgent priority, or now and then the one whose oldest waits longest."""
         most_urgent, *others = priorities
         if not others:
             return most_urgent
-        self._owed += self.least_share
-        if self._owed < 1.0:
+        self._share_credit += self.least_share
+        if self._share_credit < 1.0:
             return most_urgent
-        self._owed -= 1.0
+        self._share_credit -= 1.0
         return min(others, key=self._oldest_arrived_at)
 
     def _oldest_arrived_at(self, priority: int) -> float:
         return min(
             queue.first_to_shed().arrived_at
-            for lane in self._lanes[priority].values()
-            for queue in lane.nonempty_queues(with_openings=True)
+            for group_queue in self._group_queues[priority].values()
+            for queue in group_queue.nonempty_queues(with_openings=True)
         )
 
     def opening_to_shed(self, now: float) -> WaitingRequest | None:
@@ -212,38 +212,38 @@
         It is the oldest of the least urgent, of the group that is furthest over its share. Its
         caller has waited longest, so that an answer in time is least likely.
         """
-        for priority in sorted(self._lanes, reverse=True):
+        for priority in sorted(self._group_queues, reverse=True):
             waiting = {
-                group: len(lane.openings)
-                for group, lane in self._lanes[priority].items()
-                if lane.openings
+                group: len(group_queue.openings)
+                for group, group_queue in self._group_queues[priority].items()
+                if group_queue.openings
             }
             if waiting:
                 group = self.shares.group_to_shed(waiting, now)
-                return self._lanes[priority][group].openings.first_to_shed()
+                return self._group_queues[priority][group].openings.first_to_shed()
         return None
 
     def count_ahead(self, priority: int) -> int:
         """Return how many waiting requests are at least as urgent as this priority."""
         return sum(
-            len(lane)
-            for other, groups in self._lanes.items()
+            len(group_queue)
+            for other, groups in self._group_queues.items()
             if other <= priority
-            for lane in groups.values()
+            for group_queue in groups.values()
         )
 
     def has_less_urgent_opening(self, priority: int) -> bool:
         """Tell whether a new flow waits that is less urgent than this priority."""
         return any(
-            lane.openings
-            for other, groups in self._lanes.items()
+            group_queue.openings
+            for other, groups in self._group_queues.items()
             if other > priority
-            for lane in groups.values()
+            for group_queue in groups.values()
         )
 
     def _drop_if_empty(self, request: WaitingRequest) -> None:
-        groups = self._lanes[request.terms.priority]
+        groups = self._group_queues[request.terms.priority]
         if not groups[request.terms.group]:
             del groups[request.terms.group]
         if not groups:
-            del self._lanes[request.terms.priority]
+            del self._group_queues[request.terms.priority]
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -21,19 +21,19 @@
 from jasperwalk.scheduling.request_order import PriorityOrder
 from jasperwalk.scheduling.waiting_request import WaitingRequest
 
-LONGEST_WAIT_SECONDS = 0.9
+MAX_WAIT_SECONDS = 0.9
 """A caller waits 1.4 s for an answer to its opening packet; its flow is answered before."""
-LONGEST_AGE_SECONDS = 1.2
+MAX_AGE_SECONDS = 1.2
 """The same, from when the caller began: its packet may have been on the way for long. A host
 that works for a caller who has left works for nobody."""
-LONGEST_HOLD_SECONDS = 2.0
+MAX_HOLD_SECONDS = 2.0
 """A request of an open flow whose route names no limit is passed on after this time."""
 WAITING_PER_SLOT = 7.2
 """New flows that wait for each of a host's slots at most: what a host with requests of some ten
 milliseconds works off before their callers leave."""
 COLD_WAIT_SECONDS = 0.6
 """The queue of a cold host takes the new flows that it bears in this time, where that is less."""
-MAXIMUM_HELD = 1024
+MAX_HELD_REQUESTS = 1024
 """Requests of open flows that wait at most, a bound of memory; more are passed on."""
 
 
@@ -62,14 +62,14 @@
         """Return the flow's request that waits, None where there is none."""
         return self._waiting.get(key)
 
-    def opening_room(self, capacity: int, most_per_second: float | None) -> int:
+    def max_openings(self, capacity: int, max_per_second: float | None) -> int:
         """Return how many new flows may wait for a host with this many slots.
 
-        `most_per_second` bounds what the host takes while it is cold, None where nothing does.
+        `max_per_second` bounds what the host takes while it is cold, None where nothing does.
         """
         most = WAITING_PER_SLOT * capacity
-        if most_per_second is not None:
-            most = min(most, most_per_second * COLD_WAIT_SECONDS)
+        if max_per_second is not None:
+            most = min(most, max_per_second * COLD_WAIT_SECONDS)
         return max(1, math.ceil(most))
 
     def add_opening(
@@ -84,7 +84,7 @@
 
     def opening_expires_at(self, terms: CarriedTerms, age_seconds: float, now: float) -> float:
         """Return until when a new flow may wait."""
-        longest_seconds = min(LONGEST_WAIT_SECONDS, LONGEST_AGE_SECONDS - age_seconds)
+        longest_seconds = min(MAX_WAIT_SECONDS, MAX_AGE_SECONDS - age_seconds)
         if terms.limit_seconds:
             longest_seconds = min(longest_seconds, terms.limit_seconds - age_seconds)
         return now + longest_seconds
@@ -93,9 +93,9 @@
         self, key: bytes, packet: bytes, number: int, terms: CarriedTerms, now: float
     ) -> WaitingRequest | None:
         """Let the next request of an open flow wait; None where too many do."""
-        if len(self._waiting) - self._openings >= MAXIMUM_HELD:
+        if len(self._waiting) - self._openings >= MAX_HELD_REQUESTS:
             return None
-        expires_at = now + (terms.limit_seconds or LONGEST_HOLD_SECONDS)
+        expires_at = now + (terms.limit_seconds or MAX_HOLD_SECONDS)
         request = WaitingRequest(key, [packet], [number], terms, False, now, now, expires_at)
         self._add(request)
         return request
--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -25,18 +25,18 @@
 from jasperwalk.flows.routes import RouteEntry
 from jasperwalk.scheduling.link_pacer import LinkPacer
 
-AHEAD_SHARE = 0.85
+MAX_QUEUEING_SHARE = 0.85
 """Part of the callers' time before they send again that a window may wait for the link; the rest
 is the way to the host and back."""
-EXPECTED_SECONDS = 0.25
+FIRST_DATA_SECONDS = 0.25
 """An upload that has sent nothing for this long after it was opened is not expected to any more:
 its caller has left, or its host lets it wait."""
 LOADING_SECONDS = 0.05
 """An upload loads the link for this long after its last data: the next ones come within a round
 trip to the caller, 10 ms as measured where zones are 0.5 ms and callers 3 ms away."""
-LONGEST_WAIT_SECONDS = 0.8
+MAX_WAIT_SECONDS = 0.8
 """A caller waits 1.4 s for an answer to its opening packet."""
-MAXIMUM_WAITING = 256
+MAX_WAITING_UPLOADS = 256
 
 
 class WaitingUpload(msgspec.Struct, frozen=True):
@@ -75,16 +75,16 @@
         """Return how many uploads load the link, and how many wait."""
         return len(self._loading_until), len(self._waiting)
 
-    def take(
+    def admit_or_queue(
         self, key: bytes, packet: bytes, route: RouteEntry, arrived_at: float, now: float
     ) -> bool:
         """Take a new upload; True if it may be opened now, False if it waits here."""
         if self.link is None:
             return True
-        if self._waiting or not self._has_room(self.link, now):
+        if self._waiting or not self._has_capacity(self.link, now):
             self._waiting[key] = WaitingUpload(packet, route, arrived_at)
             return False
-        self._loading_until[key] = now + EXPECTED_SECONDS
+        self._loading_until[key] = now + FIRST_DATA_SECONDS
         return True
 
     def record_packet(self, key: bytes, packet: bytes, now: float) -> None:
@@ -99,34 +99,34 @@
     def take_due(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
         """Take the uploads that may be opened now, the oldest first."""
         due = []
-        while self._waiting and self.link is not None and self._has_room(self.link, now):
+        while self._waiting and self.link is not None and self._has_capacity(self.link, now):
             key, upload = self._waiting.popitem(last=False)
-            self._loading_until[key] = now + EXPECTED_SECONDS
+            self._loading_until[key] = now + FIRST_DATA_SECONDS
             due.append((key, upload))
         return due
 
-    def take_late(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
+    def take_shed(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
         """Take the uploads that have waited for too long, or are too many."""
         late = []
         while self._waiting:
             oldest = next(iter(self._waiting.values()))
-            is_late = now - oldest.arrived_at > LONGEST_WAIT_SECONDS
-            if not is_late and len(self._waiting) <= MAXIMUM_WAITING:
+            is_late = now - oldest.arrived_at > MAX_WAIT_SECONDS
+            if not is_late and len(self._waiting) <= MAX_WAITING_UPLOADS:
                 break
             late.append(self._waiting.popitem(last=False))
         return late
 
-    def _has_room(self, link: LinkPacer, now: float) -> bool:
+    def _has_capacity(self, link: LinkPacer, now: float) -> bool:
         """Tell whether one more window fits in; one always does where nothing is ahead of it."""
-        self._forget_resting(link, now)
+        self._remove_idle(link, now)
         windows_bytes = len(self._loading_until) * self.window_bytes
         ahead_bytes = max(link.backlog_bytes(), windows_bytes)
         if not ahead_bytes:
             return True
-        longest_seconds = AHEAD_SHARE * self.resend_seconds
+        longest_seconds = MAX_QUEUEING_SHARE * self.resend_seconds
         return (ahead_bytes + self.window_bytes) / link.rate <= longest_seconds
 
-    def _forget_resting(self, link: LinkPacer, now: float) -> None:
+    def _remove_idle(self, link: LinkPacer, now: float) -> None:
         resting = [
             key for key, until in self._loading_until.items() if now > until and not link.waits(key)
         ]
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -4,11 +4,11 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.half_open import (
-    LONGEST_EXPECTED_SECONDS,
-    SHORTEST_EXPECTED_SECONDS,
+    MAX_FOLLOW_UP_SECONDS,
+    MIN_FOLLOW_UP_SECONDS,
     FollowUpTime,
 )
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.agent.datagrams.host_response import (
     HOST_SILENCE_SECONDS,
     MAX_CONSECUTIVE_RETURNS,
@@ -22,7 +22,7 @@
     RefusalReason,
     opening_flags,
 )
-from jasperwalk.scheduling.request_scheduler import LONGEST_WAIT_SECONDS
+from jasperwalk.scheduling.request_scheduler import MAX_WAIT_SECONDS
 from tests.agent.datagrams.support import BALANCER, Bench
 from tests.flows.support import (
     CALLER,
@@ -155,9 +155,9 @@
     bench = Bench()
     bench.follow_up(bench.fill())
     bench.wait(1)
-    bench.agent.admit_waiting(1.0 + LONGEST_WAIT_SECONDS)
+    bench.agent.admit_waiting(1.0 + MAX_WAIT_SECONDS)
     assert bench.caller_packets == []
-    bench.agent.admit_waiting(1.01 + LONGEST_WAIT_SECONDS)
+    bench.agent.admit_waiting(1.01 + MAX_WAIT_SECONDS)
     assert [packet[12] for packet, _ in bench.caller_packets] == [RESET]
     assert bench.host_packets == []
 
@@ -184,8 +184,8 @@
 def test_a_flow_whose_caller_had_given_up_does_not_keep_a_place():
     bench = Bench()
     bench.fill()
-    assert bench.open(1.0 + LONGEST_EXPECTED_SECONDS).flags == RefusalReason.FULL
-    assert bench.open(1.01 + LONGEST_EXPECTED_SECONDS).kind is FrameKind.ACCEPTED
+    assert bench.open(1.0 + MAX_FOLLOW_UP_SECONDS).flags == RefusalReason.FULL
+    assert bench.open(1.01 + MAX_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
 def test_a_flow_whose_caller_followed_up_keeps_its_place():
@@ -198,11 +198,11 @@
     bench = Bench()
     bench.fill()
     bench.wait(1)
-    bench.agent.admit_waiting(1.01 + LONGEST_EXPECTED_SECONDS)
+    bench.agent.admit_waiting(1.01 + MAX_FOLLOW_UP_SECONDS)
     assert len(bench.host_packets) == 1
 
 
-@pytest.mark.parametrize(("age", "waits_for"), [(0.0, LONGEST_WAIT_SECONDS), (0.6, 0.6)])
+@pytest.mark.parametrize(("age", "waits_for"), [(0.0, MAX_WAIT_SECONDS), (0.6, 0.6)])
 def test_a_flow_waits_only_as_long_as_its_caller(age, waits_for):
     bench = Bench()
     bench.follow_up(bench.fill())
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize(("slots", "requests"), [(1, 2), (2, 3), (3, 5), (4, 6), (10, 14)])
 def test_a_host_has_its_next_requests_at_hand_and_no_more(slots, requests):
-    assert most_requests(slots) == requests
+    assert max_requests(slots) == requests
 
 
 def greeting(caller=CALLER):
@@ -295,25 +295,25 @@
         bench.follow_up([caller], at + 0.008)
         bench.agent.receive_host_packet(from_host(0, b"answer", caller=caller), at + 0.02)
     bench.fill_at(4.0)
-    assert bench.open(3.99 + SHORTEST_EXPECTED_SECONDS).flags == RefusalReason.FULL
-    assert bench.open(4.01 + SHORTEST_EXPECTED_SECONDS).kind is FrameKind.ACCEPTED
+    assert bench.open(3.99 + MIN_FOLLOW_UP_SECONDS).flags == RefusalReason.FULL
+    assert bench.open(4.01 + MIN_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
 def test_the_time_that_callers_take_is_bounded_both_ways():
     times = FollowUpTime()
-    assert times.longest_expected() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
     times.note(0.0001)
-    assert times.longest_expected() == SHORTEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MIN_FOLLOW_UP_SECONDS
     for _ in range(50):
         times.note(2.0)
-    assert times.longest_expected() == LONGEST_EXPECTED_SECONDS
+    assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
 def test_callers_that_take_longer_are_waited_for_longer():
     times = FollowUpTime()
     for _ in range(100):
         times.note(0.05)
-    steady = times.longest_expected()
+    steady = times.timeout_seconds()
     for number in range(100):
         times.note(0.05 + 0.03 * (number % 2))
-    assert SHORTEST_EXPECTED_SECONDS < steady < times.longest_expected()
+    assert MIN_FOLLOW_UP_SECONDS < steady < times.timeout_seconds()
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -66,7 +66,7 @@
     table = FollowerTable()
     table.replace(REVISION, [kit.service_entry(), *members, *kit.KEYS])
     balancer = BalancerCore(table, [IPv4Network("127.0.0.0/8")], 1e6, 0.0)
-    balancer.follower_was_fresh()
+    balancer.accept_new_flows()
     header = encode_header(kit.CALLER, kit.VIP)
     endpoints = [_endpoint(kit, certificate, members, own) for own in range(len(members))]
     for connection_id in _connection_ids():
@@ -190,7 +190,7 @@
 def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(kit, certificate):
     members = _members(kit, 3)
     endpoint = _endpoint(kit, certificate, members, slow_start_ms=10_000)
-    endpoint.slow_start.begin(100.0)
+    endpoint.slow_start.start(100.0)
     named = (members[0].address, members[1].address)
     fields = {"candidates": named, "revision": REVISION}
     passed_on = []
@@ -208,7 +208,7 @@
     # A flow that was handed over stays, and so does every flow of an agent that is alone.
     assert _open(kit, endpoint, b"12345678", 100.0, hops=1, **fields) == (None, True)
     alone = _endpoint(kit, certificate, members[:1], slow_start_ms=10_000)
-    alone.slow_start.begin(100.0)
+    alone.slow_start.start(100.0)
     for connection_id in _connection_ids():
         assert _open(kit, alone, connection_id, 100.0, **fields) == (None, True)
 
@@ -217,7 +217,7 @@
     kit, certificate
 ):
     endpoint = _endpoint(kit, certificate, _members(kit, 3), slow_start_ms=10_000)
-    endpoint.slow_start.begin(0.0)
+    endpoint.slow_start.start(0.0)
     handed_on = 0
     for connection_id in _connection_ids():
         datagram = kit.forwarded(kit.initial_packet(connection_id), (kit.AGENT, kit.OTHER_AGENT))
@@ -257,15 +257,15 @@
     members = _members(kit, 2)
     endpoint = _endpoint(kit, certificate, members)
     other = members[1].address
-    for prefers, hops, expected in ((False, 0, None), (True, 0, other.port), (True, 1, None)):
+    for prefers_peer, hops, expected in ((False, 0, None), (True, 0, other.port), (True, 1, None)):
         asked = []
-        endpoint.prefers = lambda member, asked=asked, answer=prefers: (
+        endpoint.prefers_peer = lambda member, asked=asked, answer=prefers_peer: (
             asked.append(member) or answer
         )
-        connection_id = bytes([prefers, hops]) * 4
+        connection_id = bytes([prefers_peer, hops]) * 4
         fields = {"candidates": (members[0].address, other), "hops": hops}
         assert _open(kit, endpoint, connection_id, **fields)[0] == expected
         assert asked == ([] if hops else [other])
         if expected is not None:  # the rest of the caller's first flight follows
-            endpoint.prefers = lambda _: False
+            endpoint.prefers_peer = lambda _: False
             assert _open(kit, endpoint, connection_id, **fields)[0] == expected
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -5,12 +5,12 @@
 from jasperwalk.fleet.search import (
     ANSWER_TIMEOUT_SECONDS,
     MAX_HELD_PACKETS,
-    PROBE_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
     ROUND_GRID_SECONDS,
     ROUND_PAUSE_SECONDS,
     SETTLING_SECONDS,
 )
-from jasperwalk.fleet.targets import SEARCHED_CANDIDATES
+from jasperwalk.fleet.targets import SEARCHED_CANDIDATE_COUNT
 from jasperwalk.flows.frames import AgentReply, FrameKind, encode_answers, service_tag
 from jasperwalk.token_bucket import TokenBucket
 from tests.balancer.datagrams.support import Bench, address_of, record
@@ -131,7 +131,7 @@
     bench.answer(1, FrameKind.UNSURE, 1.01)
     bench.answer(2, FrameKind.UNSURE, 1.01)
     ((_, first, _),) = bench.take_sent()
-    bench.core.tick(1.02 + PROBE_SECONDS)
+    bench.core.tick(1.02 + PROBE_TIMEOUT_SECONDS)
     ((_, second, _),) = bench.take_sent()
     assert first != second
     bench.core.tick(1.5)
@@ -166,7 +166,7 @@
 def test_only_candidates_are_asked_first_and_everyone_in_the_second_round():
     bench = searching(*many())
     first = asked(bench)
-    assert len(first) == SEARCHED_CANDIDATES
+    assert len(first) == SEARCHED_CANDIDATE_COUNT
     deny(bench, first, 1.01)
     bench.core.tick(1.01 + SECOND_ROUND_SECONDS)
     assert asked(bench) == set(range(1, 61))
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -7,13 +7,13 @@
 from jasperwalk.flows.terms import CarriedTerms
 from jasperwalk.scheduling.request_order import NoShares, PriorityOrder
 from jasperwalk.scheduling.request_scheduler import (
-    LONGEST_AGE_SECONDS,
-    LONGEST_HOLD_SECONDS,
-    LONGEST_WAIT_SECONDS,
-    MAXIMUM_HELD,
+    MAX_AGE_SECONDS,
+    MAX_HELD_REQUESTS,
+    MAX_HOLD_SECONDS,
+    MAX_WAIT_SECONDS,
     RequestScheduler,
 )
-from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAXIMUM_PACKETS
+from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, MAX_PACKETS
 
 URGENT = CarriedTerms(1, 0.4, 3.0, 7)
 ORDINARY = CarriedTerms(2, 0.3, 2.5, 7)
@@ -119,8 +119,8 @@
 @pytest.mark.parametrize(
     ("terms", "age", "wait"),
     [
-        (URGENT, 0.0, LONGEST_WAIT_SECONDS),
-        (URGENT, 0.6, LONGEST_AGE_SECONDS - 0.6),
+        (URGENT, 0.0, MAX_WAIT_SECONDS),
+        (URGENT, 0.6, MAX_AGE_SECONDS - 0.6),
         (CarriedTerms(1, 0.1, 0.5, 0), 0.2, 0.3),
     ],
 )
@@ -136,13 +136,13 @@
     waiting = scheduler()
     hold(waiting, "open", ORDINARY, 1.0)
     hold(waiting, "unnamed", DEFAULT_TERMS, 1.0)
-    assert [each.key for each in waiting.take_expired(1.001 + LONGEST_HOLD_SECONDS)] == [b"unnamed"]
+    assert [each.key for each in waiting.take_expired(1.001 + MAX_HOLD_SECONDS)] == [b"unnamed"]
     assert [each.key for each in waiting.take_expired(3.501)] == [b"open"]
 
 
 def test_what_is_held_is_bounded():
     waiting = scheduler()
-    for number in range(MAXIMUM_HELD):
+    for number in range(MAX_HELD_REQUESTS):
         assert hold(waiting, f"{number}", ORDINARY) is not None
     assert hold(waiting, "one-more", ORDINARY) is None
 
@@ -150,13 +150,13 @@
 def test_packets_of_a_request_stay_in_order_and_copies_are_absorbed():
     waiting = scheduler()
     request = hold(waiting, "open", ORDINARY)
-    assert request.take_packet(b"second", 2)
-    assert not request.take_packet(b"copy", 1)
-    assert not request.take_packet(b"copy", 2)
+    assert request.add_packet(b"second", 2)
+    assert not request.add_packet(b"copy", 1)
+    assert not request.add_packet(b"copy", 2)
     assert request.packets == [b"packet", b"second"]
-    for number in range(3, MAXIMUM_PACKETS + 1):
-        assert request.take_packet(b"more", number)
-    assert not request.take_packet(b"too many", 99)
+    for number in range(3, MAX_PACKETS + 1):
+        assert request.add_packet(b"more", number)
+    assert not request.add_packet(b"too many", 99)
 
 
 def test_where_nothing_waits_nothing_is_decided():
