--- a/src/jasperwalk/consensus/core.py
+++ b/src/jasperwalk/consensus/core.py
@@ -1,10 +1,14 @@
-"""The Raft core of one replica: typed messages and time in, messages and effects out.
+"""The Raft core of one replica, without input or output of its own.
+
+It takes typed messages and the current time, and returns messages to send, state to persist and
+entries to apply.
 
 The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with its
 pre-vote, check quorum, learners and changes of one member at a time.
 
-Host protocol. After each call of `tick`, `receive`, `propose`, `propose_membership`,
-`take_snapshot` or `persisted`, the host runs this loop until `ready()` is empty:
+The code that drives the core is called the runner here. After each call of `tick`, `receive`,
+`propose`, `propose_membership`, `take_snapshot` or `persisted`, it runs this loop until
+`ready()` is empty:
 
     ready = node.ready()
     if ready.persist is not None:
@@ -12,8 +16,8 @@
         node.persisted()
     send ready.messages; restore ready.install_snapshot; apply ready.committed
 
-Between `ready()` and `persisted()` the host may go on calling `tick`, `receive` and
-`propose`; `ready()` is empty until then. On start the host restores its state machine from
+Between `ready()` and `persisted()` the runner may continue to call `tick`, `receive` and
+`propose`; `ready()` is empty until then. On start the runner restores its state machine from
 `durable.snapshot` (if any); committed entries after it are delivered again.
 """
 
@@ -58,7 +62,7 @@
 
 
 class RaftNode:
-    """One replica's Raft core; times are seconds of the host's monotonic clock."""
+    """One replica's Raft core; times are seconds of the runner's monotonic clock."""
 
     def __init__(
         self, config: RaftConfig, durable: DurableState, random: Random, now: float
@@ -70,7 +74,7 @@
         self._leadership: Leadership | None = None
         self._output = ReadyBuilder(self._state)
 
-    # Facts
+    # State
 
     @property
     def replica_id(self) -> int:
@@ -93,7 +97,7 @@
 
     @property
     def is_transferring(self) -> bool:
-        """Whether this leader hands its leadership over and takes no proposals."""
+        """Whether this leader is transferring its leadership and refuses proposals."""
         leadership = self._active_leadership()
         return leadership is not None and leadership.transfer.is_active
 
@@ -134,7 +138,7 @@
 
     @property
     def is_displaced(self) -> bool:
-        """Whether the cluster knows this replica by another disk: it must be replaced."""
+        """Whether the cluster lists another disk for this replica, which must then be replaced."""
         member = self._state.membership.find(self._state.replica_id)
         other_disk = member is not None and member.disk_id not in ("", self._state.disk_id)
         return self._founding.displaced or other_disk
@@ -183,7 +187,7 @@
             self._start_leading()
 
     def receive(self, sender: int, message: RaftMessage, now: float) -> None:
-        """Take a message of another replica in."""
+        """Handle a message from another replica."""
         self._state.now = now
         if isinstance(message, FoundingProbe):
             self._founding.on_probe(sender, message)
@@ -227,7 +231,7 @@
         self._after_commit()
 
     def propose(self, command: bytes, now: float) -> ProposalOutcome:
-        """Put a command into the leader's log; it holds once committed under that term."""
+        """Append a command to the leader's log; it takes effect once committed in that term."""
         self._state.now = now
         if not self.is_leader:
             return NotLeader(leader_id=self._state.leader_id)
@@ -254,19 +258,20 @@
         return leadership.propose(change)
 
     def transfer_leadership(self, now: float) -> bool:
-        """Begin to hand leadership to another voter; return False where there is none to take it.
+        """Start to transfer leadership to another voter; return False where none can take it.
 
-        Proposals are refused until it is done, or given up after an election timeout.
+        Proposals are refused until the transfer completes, or is aborted after an election
+        timeout.
         """
         self._state.now = now
         leadership = self._active_leadership()
         return leadership is not None and leadership.transfer.start(now)
 
     def take_snapshot(self, index: int, state: bytes) -> None:
-        """Keep the host's state machine as it is after applying entry `index`.
+        """Store `state` as the snapshot of the state machine after entry `index`.
 
-        The entries below are dropped, but for `trailing_entries`. An index that is not newer
-        than the current snapshot is ignored.
+        Entries up to `index` are discarded, except for the last `trailing_entries`. An index
+        that is not newer than the current snapshot is ignored.
         """
         own = self._state
         current = 0 if own.snapshot is None else own.snapshot.index
@@ -284,14 +289,14 @@
     # Outputs
 
     def ready(self) -> Ready:
-        """Return what the host does next; empty while a batch is being persisted."""
+        """Return what the runner does next; empty while a batch is being persisted."""
         leadership = self._active_leadership()
         if leadership is not None and not self._output.is_persisting:
             leadership.send_to_all()
         return self._output.take()
 
     def persisted(self) -> None:
-        """Note that the batch of the last `ready()` is synced to disk."""
+        """Record that the batch of the last `ready()` is synced to disk."""
         self._output.persisted()
         leadership = self._active_leadership()
         if leadership is not None:
--- a/src/jasperwalk/consensus/disk/failures.py
+++ b/src/jasperwalk/consensus/disk/failures.py
@@ -1,4 +1,4 @@
-"""Typed failures of the storage. None of them is mended silently."""
+"""Typed failures of the storage. None of them is repaired silently."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(eq=False)
 class StorageError(JasperwalkError):
-    """Root of the storage's failures; `path` is the file or folder concerned."""
+    """Base of the storage's failures; `path` is the file or folder concerned."""
 
     kind: ClassVar[str] = "storage-error"
     path: Path
@@ -19,14 +19,14 @@
 
 @dataclass(eq=False)
 class CorruptFile(StorageError):
-    """Bytes that were synced once do not read back; `offset` is where in the file."""
+    """Synced bytes do not read back as written; `offset` is the position in the file."""
 
     kind: ClassVar[str] = "storage-damaged"
     offset: int
     reason: str
 
     def describe(self) -> str:
-        """Name the place and the mend."""
+        """Name the position and the remedy."""
         return (
             f"{self.path} is damaged at byte {self.offset}: {self.reason}; "
             "remove this replica and add a new one with a new replica ID"
@@ -35,12 +35,12 @@
 
 @dataclass(eq=False)
 class MissingFile(StorageError):
-    """A file that the others refer to is gone."""
+    """A file that other files refer to is missing."""
 
     kind: ClassVar[str] = "storage-file-missing"
 
     def describe(self) -> str:
-        """Name the file and the mend."""
+        """Name the file and the remedy."""
         return f"{self.path} is missing; remove this replica and add one with a new replica ID"
 
 
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class FolderInUse(StorageError):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
     kind: ClassVar[str] = "storage-in-use"
 
@@ -79,5 +79,5 @@
     reason: str
 
     def describe(self) -> str:
-        """Give the system's reason."""
+        """Give the reason of the operating system."""
         return f"writing {self.path} failed: {self.reason}; restart the process"
--- a/src/jasperwalk/consensus/disk/files.py
+++ b/src/jasperwalk/consensus/disk/files.py
@@ -1,4 +1,4 @@
-"""Durable file operations: a file or a name counts only after it and its folder are synced."""
+"""Durable file operations: a file or a name is durable once it and its folder are synced."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def read_framed_file(path: Path) -> bytes:
-    """Return the payload of a file of one frame; raise `StorageError` if it isn't whole."""
+    """Return the payload of a file of one frame; raise `StorageError` if missing or corrupt."""
     try:
         data = path.read_bytes()
     except FileNotFoundError as error:
--- a/src/jasperwalk/consensus/disk/frames.py
+++ b/src/jasperwalk/consensus/disk/frames.py
@@ -2,7 +2,7 @@
 
 A frame is a 16-byte header (magic, payload length, CRC32C of the payload, CRC32C of the
 header so far), the payload, and a trailer without zeros. The header's own checksum makes the
-length trustworthy, which tells a write that a crash cut short from damage to synced bytes.
+length trustworthy, which distinguishes a write torn by a crash from corruption of synced bytes.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
 def read_frames(path: Path, data: bytes, may_be_torn: bool) -> Iterator[Frame]:
     """Yield the frames of a file.
 
-    With `may_be_torn`, iteration ends before a last frame that a crash cut short. All other
-    bytes that don't fit raise `CorruptFile`.
+    With `may_be_torn`, iteration ends before a last frame torn by a crash. Any other invalid
+    bytes raise `CorruptFile`.
     """
     offset = 0
     while offset < len(data):
@@ -85,7 +85,7 @@
 
 
 def _is_torn_header(data: bytes, offset: int, header: bytes) -> bool:
-    """Tell whether a short or zero header is the start of a write that never finished."""
+    """Tell whether a short or zero header is the start of an unfinished write."""
     if not any(header):
         return not any(data[offset:])
     return MAGIC.startswith(header[: len(MAGIC)])
--- a/src/jasperwalk/consensus/disk/records.py
+++ b/src/jasperwalk/consensus/disk/records.py
@@ -1,4 +1,4 @@
-"""What the files contain, inside their frames (MessagePack, checked by msgspec)."""
+"""The records inside the frames of a replica's files (MessagePack, checked by msgspec)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Whose data folder this is; written once, last of all when the folder is created."""
+    """The replica and disk of a data folder; written once, as the last step of its creation."""
 
     cluster_id: str
     replica_id: int
@@ -23,9 +23,9 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, array_like=True):
-    """The range of segment numbers that must be there.
+    """The range of segment numbers that must exist.
 
-    A segment numbered `newest + 1` may exist too: a crash came before the manifest.
+    A segment numbered `newest + 1` may exist too, after a crash before the manifest was written.
     """
 
     oldest: int
@@ -52,7 +52,7 @@
 
 
 def decode_record(path: Path, payload: bytes, record_type: type[RecordType]) -> RecordType:
-    """Decode a frame's payload; a wrong shape under a right checksum is damage too."""
+    """Decode a frame's payload; a malformed one with a valid checksum is corrupt too."""
     try:
         return msgspec.msgpack.decode(payload, type=record_type)
     except (msgspec.DecodeError, ValueError) as error:
--- a/src/jasperwalk/consensus/disk/segments.py
+++ b/src/jasperwalk/consensus/disk/segments.py
@@ -1,4 +1,4 @@
-"""The log's segment files: append and sync, start a new one when full, drop old ones."""
+"""The log's segment files: append and sync, start a new one when full, remove old ones."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MANIFEST_NAME = "manifest"
 SEGMENT_BYTES = 4 * 1024 * 1024
-"""A segment that has grown to this size is followed by a new one."""
+"""Size of a segment from which a new one is started."""
 
 
 class SegmentedLog:
@@ -33,7 +33,7 @@
         self._descriptor: int | None = None
         self._size = 0
         self.torn_bytes = 0
-        """Bytes of an unfinished last write that were cut off on opening."""
+        """Bytes of a torn last write that were truncated on reading."""
 
     def path_of(self, number: int) -> Path:
         """Return the file of a segment."""
@@ -46,7 +46,7 @@
         self._highest_index = {1: 0}
 
     def read(self) -> Iterator[LogRecord]:
-        """Yield all records in order, and cut a torn last write off."""
+        """Yield all records in order, and truncate a torn last write."""
         self._load_manifest()
         for number in range(self._manifest.oldest, self._manifest.newest + 1):
             self._highest_index[number] = 0
@@ -75,7 +75,7 @@
             end = frame.end
             yield record
         if end == 0:
-            # A segment is created whole, with its first record, before it gets its name.
+            # A segment gets its name only once it is complete with its first record.
             raise MissingFile(path=path)
         if end < len(data):
             self._truncate_file(path, end)
@@ -114,7 +114,7 @@
         return self._size >= self._segment_bytes
 
     def roll(self, first: LogRecord) -> None:
-        """Start a new segment; its first record repeats what older segments may take along."""
+        """Start a new segment; `first` repeats what is lost when older segments are removed."""
         number = self._manifest.newest + 1
         replace_file(self.path_of(number), encode_frame(encode_record(first)))
         self._write_manifest(Manifest(oldest=self._manifest.oldest, newest=number))
@@ -126,7 +126,7 @@
         """Remove the oldest segments that hold no entry above `through`."""
         oldest = self._manifest.oldest
         while oldest < self._manifest.newest and self._highest_index[oldest] <= through:
-            # The manifest goes first: a crash in between leaves a file too many, not too few.
+            # Written before the removal: a crash in between leaves an extra file, not a missing one.
             self._write_manifest(Manifest(oldest=oldest + 1, newest=self._manifest.newest))
             self._remove(self.path_of(oldest))
             del self._highest_index[oldest]
--- a/src/jasperwalk/consensus/durable.py
+++ b/src/jasperwalk/consensus/durable.py
@@ -23,7 +23,7 @@
 
 
 class SnapshotData(msgspec.Struct, frozen=True, array_like=True):
-    """The host's serialised state machine after entry `index`, and the members then."""
+    """The serialised state machine after entry `index`, and the member list at that index."""
 
     index: int
     term: int
@@ -39,7 +39,7 @@
 class PersistBatch:
     """Changes that go to disk together, in the order of the fields.
 
-    `reset_index` means: forget all entries, the next one follows this index. An entry
+    `reset_index` discards all stored entries; the next one follows this index. An entry
     replaces any stored entry with the same or a higher index. Entries up to
     `discard_through` are no longer needed.
     """
@@ -55,8 +55,8 @@
 class DurableState:
     """What was loaded from disk.
 
-    `disk_id` is drawn once when the data folder is created. `fresh` tells that the folder
-    was created by this load. Entries are contiguous and may start at or below the snapshot.
+    `disk_id` is generated once, when the data folder is created. `fresh` tells that this load
+    created the folder. Entries are contiguous and may start at or below the snapshot.
     """
 
     replica_id: int
@@ -67,7 +67,7 @@
     entries: list[LogEntry] = field(default_factory=list)
 
     def apply(self, batch: PersistBatch) -> None:
-        """Take a batch in, as a disk would; the simulator's disk uses this."""
+        """Apply a batch as a disk would; for replaying the log and for simulated disks."""
         if batch.hard_state is not None:
             self.hard_state = batch.hard_state
         if batch.snapshot is not None:
@@ -78,7 +78,7 @@
         self.discard(batch.discard_through)
 
     def reconcile(self) -> bool:
-        """Drop entries that the snapshot replaced; return True if any were dropped.
+        """Discard entries that the snapshot replaced; return True if there were any.
 
         A crash between the writing of a leader's snapshot and of the log leaves entries that
         end before the snapshot or contradict it. Entries that agree with it stay.
@@ -103,6 +103,6 @@
         self.entries.extend(entries)
 
     def discard(self, through: int) -> None:
-        """Drop entries up to and including index `through`."""
+        """Discard entries up to and including index `through`."""
         if self.entries and self.entries[0].index <= through:
             del self.entries[: through - self.entries[0].index + 1]
--- a/src/jasperwalk/consensus/election.py
+++ b/src/jasperwalk/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes and the follower's timer."""
+"""Elections: when a replica campaigns, how it counts votes and to whom it grants its own."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
         self._state = state
         self._granted: set[int] = set()
         self.started_at = 0.0
-        """When the current campaign began, seconds; votes prove contact since then."""
+        """When the current campaign started, seconds; votes prove contact since then."""
 
     def tick(self, now: float) -> bool:
-        """Campaign without contact with a leader; return True when the election is won at once."""
+        """Start a pre-vote when the election deadline has passed without contact with a leader.
+
+        Return True when the election is won at once.
+        """
         state = self._state
         if state.role is Role.LEADER or now < state.election_deadline:
             return False
@@ -29,13 +32,13 @@
         return self._start_pre_vote(now)
 
     def _start_pre_vote(self, now: float) -> bool:
-        """Ask whether a campaign would succeed, without disturbing anyone's term."""
+        """Ask whether a campaign would succeed, without changing the term of any replica."""
         self._state.role = Role.PRE_CANDIDATE
         self._state.leader_id = None
         return self._ask_for_votes(now, term=self._state.term + 1, pre_vote=True)
 
     def on_timeout_now(self, sender: int, message: TimeoutNow, now: float) -> bool:
-        """Campaign because the leader asks for it; return True when the election is won."""
+        """Campaign at the leader's request; return True when the election is won."""
         state = self._state
         is_from_leader = sender == state.leader_id and message.term == state.term
         if state.role is not Role.FOLLOWER or not is_from_leader or not state.is_voter():
@@ -43,7 +46,7 @@
         return self._start_campaign(now, transferred=True)
 
     def _start_campaign(self, now: float, transferred: bool = False) -> bool:
-        """Move to the next term with a vote for oneself; it is persisted before asking."""
+        """Move to the next term and vote for itself; both are persisted before asking."""
         state = self._state
         state.set_hard_state(state.term + 1, state.replica_id)
         state.role = Role.CANDIDATE
@@ -64,7 +67,7 @@
         return self._advance_on_quorum(now)
 
     def _advance_on_quorum(self, now: float) -> bool:
-        """Go one step further on a quorum of votes; return True when the election is won."""
+        """Go on to the next stage on a quorum of votes; return True when the election is won."""
         if not self._state.membership.has_quorum(self._granted):
             return False
         if self._state.role is Role.PRE_CANDIDATE:
@@ -76,8 +79,8 @@
         state = self._state
         if not state.may_grant_vote():
             return
-        # A replica in contact with its leader refuses without taking the term over, so that a
-        # replica that was cut off or removed cannot depose a working leader.
+        # A replica in contact with its leader refuses without adopting the term, so that a
+        # replica that was partitioned or removed cannot depose a working leader.
         hears_leader = self._has_leader_contact(now) and not request.transferred
         if request.term < state.term or hears_leader:
             self._reply(sender, state.term, False, request.pre_vote)
@@ -129,7 +132,7 @@
         return self._state.role is Role.CANDIDATE and reply.term == self._state.term
 
     def _is_from_listed_disk(self, sender: int, reply: VoteReply) -> bool:
-        """Refuse the vote of a replica whose disk was replaced: it forgot earlier votes."""
+        """Tell whether the vote is from the listed disk: a replaced one has lost earlier votes."""
         member = self._state.membership.find(sender)
         return member is not None and member.disk_id == reply.disk_id
 
--- a/src/jasperwalk/consensus/entries.py
+++ b/src/jasperwalk/consensus/entries.py
@@ -9,7 +9,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry is for; a host applies only `COMMAND` to its state machine."""
+    """What an entry is for; only `COMMAND` entries are applied to the state machine."""
 
     COMMAND = 0
     LEADERSHIP = 1
@@ -29,7 +29,7 @@
     """One replica of the cluster.
 
     `disk_id` names the data folder that holds the replica's vote and log; empty for a learner
-    without any contact yet. `address` is opaque to the core (the host's peer end point).
+    without any contact yet. `address` is opaque to the core (the replica's peer end point).
     A member with `voting` False is a learner: it gets the log but counts in no quorum.
     """
 
--- a/src/jasperwalk/consensus/follower.py
+++ b/src/jasperwalk/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: matching the leader's log and taking snapshots in."""
+"""The follower's side of replication: matching the leader's log and installing snapshots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Follower:
-    """What a replica does with a leader's messages."""
+    """Handles the messages of a leader."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
@@ -30,10 +30,10 @@
         return True
 
     def on_append(self, sender: int, message: AppendEntries, now: float) -> None:
-        """Append entries that fit, refuse those that don't, and learn the commit index."""
+        """Append entries that match the log, refuse others, and update the commit index."""
         state = self._state
         if not self.accept_leader(sender, message.term, now):
-            # The higher term in the answer makes a leader that was left behind step down.
+            # The higher term in the answer makes a stale leader step down.
             self._refuse(sender, message, 0)
             return
         state.quorum_contact.record_leader_message(
@@ -51,7 +51,7 @@
         self._accept(sender, message, last)
 
     def _append_above_base(self, sender: int, message: AppendEntries) -> None:
-        """Skip what a snapshot covers: it is committed, so it matches any leader's log."""
+        """Skip entries that a snapshot covers: they are committed and match any leader's log."""
         state = self._state
         entries = [entry for entry in message.entries if entry.index > state.log.base_index]
         self._append_entries(entries)
@@ -60,7 +60,7 @@
         self._accept(sender, message, last)
 
     def _append_entries(self, entries: list[LogEntry]) -> None:
-        """Append entries, cutting off a tail of an older term that conflicts."""
+        """Append entries, truncating a conflicting tail of another term."""
         for entry in entries:
             held_term = self._state.log.term_at(entry.index)
             if held_term == entry.term:
@@ -89,7 +89,7 @@
         state.send(to, reply)
 
     def on_install(self, sender: int, message: InstallSnapshot, now: float) -> None:
-        """Collect chunks; install the snapshot when all are there and the checksum fits."""
+        """Collect chunks; install the snapshot when it is complete and its checksum matches."""
         state = self._state
         if not self.accept_leader(sender, message.term, now):
             self._answer_chunk(sender, message, 0, done=False)
@@ -116,7 +116,7 @@
             self._chunks += message.data
 
     def _install(self, message: InstallSnapshot) -> bool:
-        """Adopt the collected snapshot; start over when its checksum is wrong."""
+        """Install the collected snapshot; start over when its checksum is wrong."""
         snapshot = SnapshotData(
             message.index, message.index_term, message.membership, bytes(self._chunks)
         )
--- a/src/jasperwalk/consensus/founding.py
+++ b/src/jasperwalk/consensus/founding.py
@@ -1,10 +1,10 @@
-"""Founding of a cluster, and why a replica that lost its disk cannot vote.
+"""Founding (bootstrap) of a cluster, and why a replica that lost its disk cannot vote.
 
 A vote belongs to a disk, not to a replica ID. Every member list names the disk of each voter,
 and votes and acknowledgements from other disks are ignored. The first member list is made
 once: the initial member with the lowest replica ID (the founder) asks all initial members for
 their disks, and only when every one of them answers that it knows no cluster does it write
-the list. The others take the list over from any member that has it, if it names their own
+the list. The others adopt the list from any member that has it, if it names their own
 disk. A replica whose disk was lost finds a list that names its old disk: it is displaced,
 neither votes nor acknowledges, and has to be replaced under a new replica ID.
 """
@@ -25,7 +25,7 @@
         self._state = state
         self._disks: dict[int, str] = {state.replica_id: state.disk_id}
         self.displaced = False
-        """True when the cluster knows this replica by another disk."""
+        """True when the founding list does not name this replica's disk."""
         self.deadline = state.now if self.is_pending() else math.inf
 
     def is_pending(self) -> bool:
@@ -34,7 +34,7 @@
         return is_initial and self._state.hard_state.founding is None
 
     def tick(self, now: float) -> None:
-        """Ask the other initial members, again and again until one list is known."""
+        """Probe the other initial members at an interval until the founding list is known."""
         if now < self.deadline:
             return
         if not self.is_pending() or self.displaced:
@@ -47,13 +47,13 @@
                 self._state.send(replica_id, FoundingProbe(disk_id=self._state.disk_id))
 
     def on_probe(self, sender: int, probe: FoundingProbe) -> None:
-        """Tell what this replica knows of the founding."""
+        """Answer with this replica's disk and the founding list, if it knows it."""
         founding = self._state.hard_state.founding
         reply = FoundingReply(probe.disk_id, self._state.disk_id, founding)
         self._state.send(sender, reply)
 
     def on_reply(self, sender: int, reply: FoundingReply) -> None:
-        """Take a list over, or note the disk of a member that knows of none."""
+        """Adopt a founding list, or record the disk of a member that knows of none."""
         # An answer to an earlier disk of this replica says nothing about this one.
         if not self.is_pending() or reply.asker_disk_id != self._state.disk_id:
             return
@@ -70,7 +70,7 @@
         self._adopt(reply.founding)
 
     def _found_if_complete(self) -> None:
-        """Write the first list, as the founder, once every initial member has answered."""
+        """As the founder, write the founding list once every initial member has answered."""
         initial = self._state.config.initial_members
         is_founder = self._state.replica_id == min(self._state.config.initial_ids())
         if not is_founder or self.displaced or len(self._disks) < len(initial):
--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -13,13 +13,13 @@
 from jasperwalk.consensus.transfer import LeadershipTransfer
 
 QUORUM_CHECK_TIMEOUTS = 2
-"""Election time-outs without contact with a quorum after which a leader steps down. Followers
-without contact campaign within as many; a leader that gave up before would depose itself for
-a delay in the others' event loops, which ends by itself. Quorum ages tell the truth meanwhile."""
+"""Election timeouts without contact with a quorum after which a leader steps down. Followers
+without contact campaign within the same time; a leader that stepped down earlier would do so for
+a transient delay in the others' event loops. Quorum ages are accurate meanwhile."""
 
 
 class Leadership:
-    """What a replica does while it leads; a new object for each term that it wins."""
+    """The leader's state and message handlers; a new object for each term that it wins."""
 
     def __init__(self, state: ReplicaState, voters: set[int], voted_since: float) -> None:
         self._state = state
@@ -44,7 +44,7 @@
         return self._heartbeat_deadline
 
     def update_followers(self) -> None:
-        """Start or stop feeding replicas as the member list in force says."""
+        """Start or stop replication to followers as the member list in force says."""
         listed = self._state.membership.members
         for member in listed:
             if member.replica_id not in self.progress and not self._is_self(member):
@@ -58,7 +58,7 @@
         return member.replica_id == self._state.replica_id
 
     def propose(self, change: MembershipChange) -> Proposed | MembershipRefused:
-        """Put a change of one member into the log and in force, if it is safe now."""
+        """Append a change of one member, which puts it in force; refuse it where that is unsafe."""
         state = self._state
         # A change must not overtake one that an earlier leader left uncommitted (Ongaro's
         # correction of 2015): an entry of the own term has to be committed first.
@@ -107,7 +107,7 @@
         return now - contacts[self._state.membership.quorum_size() - 1]
 
     def send_to_all(self) -> None:
-        """Send every follower what it may be sent now."""
+        """Send each follower the entries or snapshot chunk that flow control allows now."""
         for replica_id, progress in self.progress.items():
             self._send_next(replica_id, progress)
 
@@ -163,7 +163,7 @@
         return len(entries)
 
     def _send_heartbeat(self, replica_id: int, progress: Progress) -> None:
-        """Send an empty append; in replicate mode it also uncovers lost batches."""
+        """Send an empty append; in replicate mode it also reveals lost batches."""
         if progress.mode is ProgressMode.REPLICATE:
             self._send_append(replica_id, progress, progress.next_index, 0)
             return
@@ -197,7 +197,7 @@
         state.send(replica_id, message)
 
     def on_append_reply(self, sender: int, reply: AppendReply) -> None:
-        """Take an acknowledgement or refusal in."""
+        """Handle an acknowledgement or a refusal."""
         progress = self._known_progress(sender, reply.disk_id)
         if progress is None:
             return
@@ -220,7 +220,7 @@
             self.transfer.advance()
 
     def on_install_reply(self, sender: int, reply: InstallReply) -> None:
-        """Send the next chunk, or go on with entries after the snapshot."""
+        """Move on to the next chunk, or to the entries after the snapshot."""
         progress = self._known_progress(sender, reply.disk_id)
         if progress is None:
             return
@@ -250,7 +250,7 @@
         return progress
 
     def advance_commit(self) -> None:
-        """Commit what a quorum of voters holds, if it is of this leader's own term."""
+        """Commit what a quorum of voters holds, if the last entry is of this leader's own term."""
         state = self._state
         matches = [
             state.log.stable_index
--- a/src/jasperwalk/consensus/log.py
+++ b/src/jasperwalk/consensus/log.py
@@ -1,4 +1,4 @@
-"""The in-memory part of the replicated log."""
+"""The in-memory part of the replicated log: entries after a base, and how far they are synced."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self._next_to_persist = self.last_index + 1
 
     def _choose_base(self, durable: DurableState) -> None:
-        """Find the base; an entry of known term stands in where the one before is gone."""
+        """Set the base; where the entry before the first one is gone, the first one becomes it."""
         if not self._entries:
             if durable.snapshot is not None:
                 self.base_index = durable.snapshot.index
@@ -78,13 +78,13 @@
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry at `index` and all after it."""
+        """Discard the entry at `index` and all after it."""
         del self._entries[index - self.base_index - 1 :]
         self.stable_index = min(self.stable_index, index - 1)
         self._next_to_persist = min(self._next_to_persist, index)
 
     def reset(self, index: int, term: int) -> None:
-        """Forget all entries; the next one follows the given position (a snapshot)."""
+        """Discard all entries; the next one follows the given position (a snapshot)."""
         self._entries.clear()
         self.base_index = index
         self.base_term = term
@@ -92,7 +92,7 @@
         self._next_to_persist = index + 1
 
     def compact(self, through: int) -> None:
-        """Drop entries up to `through`, which becomes the base."""
+        """Discard entries up to `through`, which becomes the base."""
         if through <= self.base_index:
             return
         term = self.term_at(through)
@@ -109,15 +109,15 @@
         return index
 
     def take_unpersisted(self) -> list[LogEntry]:
-        """Return entries not yet handed to the disk, and count them as handed over."""
+        """Return entries not yet passed to storage, and mark them as passed."""
         entries = self.entries_between(self._next_to_persist, self.last_index)
         self._next_to_persist = self.last_index + 1
         return entries
 
     def has_unpersisted(self) -> bool:
-        """Tell whether entries wait for the disk."""
+        """Tell whether there are entries not yet passed to storage."""
         return self._next_to_persist <= self.last_index
 
     def mark_stable(self, index: int) -> None:
-        """Record that the disk holds entries up to `index` (unless cut off meanwhile)."""
+        """Record that the disk holds entries up to `index` (unless truncated meanwhile)."""
         self.stable_index = max(self.stable_index, min(index, self._next_to_persist - 1))
--- a/src/jasperwalk/consensus/members.py
+++ b/src/jasperwalk/consensus/members.py
@@ -1,4 +1,4 @@
-"""The member list as the log carries it, and the rules for changing it.
+"""The member lists that the log carries, and the rules for changing them.
 
 A member list is in force from the moment its entry is in the log, committed or not. Only one
 change may be uncommitted at a time, which keeps any two quorums overlapping.
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class PromoteLearner:
-    """Give a caught-up learner its vote, tied to the disk that it has now."""
+    """Give a caught-up learner a vote, bound to its current disk."""
 
     replica_id: int
 
@@ -70,12 +70,12 @@
         return found
 
     def record(self, entry: LogEntry) -> None:
-        """Take an appended entry in."""
+        """Record the member list of an appended entry, if it carries one."""
         if entry.kind is EntryKind.MEMBERSHIP:
             self._lists.append((entry.index, decode_membership(entry.data)))
 
     def truncate_from(self, index: int) -> None:
-        """Forget lists of entries that were cut off."""
+        """Discard the lists of truncated entries."""
         kept = [item for item in self._lists if item[0] < index]
         self._lists = kept or [(0, EMPTY_MEMBERSHIP)]
 
@@ -84,7 +84,7 @@
         self._lists = [(index, membership)]
 
     def discard_before(self, index: int) -> None:
-        """Drop lists that were replaced at or before `index`."""
+        """Discard lists that were replaced at or before `index`."""
         while len(self._lists) > 1 and self._lists[1][0] <= index:
             del self._lists[0]
 
--- a/src/jasperwalk/consensus/messages.py
+++ b/src/jasperwalk/consensus/messages.py
@@ -1,10 +1,10 @@
 """Messages between replicas.
 
-Tags start at 101, so that a host can put these types into one union with its own messages.
+Tags start at 101, so that these types can share a union with messages of other kinds.
 Replies carry `disk_id`: a vote or an acknowledgement counts only when it comes from the data
 folder that the member list names, so a replica that lost its disk counts for nothing.
 `sent_at` is the leader's clock in seconds; followers echo it, and the leader takes it as the
-time of contact (a late answer proves only that the follower was there when asked).
+time of contact (a late answer proves only that the follower was reachable when asked).
 """
 
 from __future__ import annotations
--- a/src/jasperwalk/consensus/outcomes.py
+++ b/src/jasperwalk/consensus/outcomes.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Proposed:
-    """The entry is in the leader's log; it holds once `index` is committed with `term`."""
+    """The entry is in the leader's log; it takes effect if `index` is committed with `term`."""
 
     kind: ClassVar[str] = "proposed"
     term: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class NotLeader:
-    """The asked replica does not lead; `leader_id` does, as far as it knows."""
+    """The replica does not lead; `leader_id` does, as far as the replica knows."""
 
     kind: ClassVar[str] = "not-leader"
     leader_id: int | None
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Overloaded:
-    """The proposal queue is full: `pending` entries await commitment."""
+    """The proposal queue is full: `pending` entries are not committed yet."""
 
     kind: ClassVar[str] = "overloaded"
     pending: int
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Ready:
-    """What the host does next, in the order of the fields.
+    """What the runner of the core does next, in the order of the fields.
 
     Sync `persist` to disk and call `RaftNode.persisted`, then send `messages`, then restore
     the state machine from `install_snapshot`, then apply `committed`.
--- a/src/jasperwalk/consensus/progress.py
+++ b/src/jasperwalk/consensus/progress.py
@@ -10,19 +10,19 @@
 
 
 class ProgressMode(enum.Enum):
-    """How the leader feeds a follower."""
+    """How the leader replicates to a follower."""
 
     PROBE = "probe"
     """One message at a time, until the logs are known to match."""
     REPLICATE = "replicate"
-    """Batches follow each other without waiting."""
+    """Batches are sent without waiting for replies."""
     SNAPSHOT = "snapshot"
     """Chunks of a snapshot, one at a time."""
 
 
 @dataclass
 class SnapshotTransfer:
-    """A snapshot on its way; it stays the same even if the leader takes a newer one."""
+    """A snapshot being sent; it stays the same even if the leader takes a newer one."""
 
     snapshot: SnapshotData
     checksum: int
@@ -56,7 +56,7 @@
             self.next_index = self.match_index + 1
 
     def record_rejection(self, rejected_index: int, next_index: int) -> None:
-        """Go back after a refusal, unless a late one that a match has overtaken."""
+        """Go back after a refusal, unless a later match has superseded it."""
         if rejected_index <= self.match_index or rejected_index >= self.next_index:
             return
         self.awaiting_reply = False
@@ -64,20 +64,20 @@
         self.next_index = max(self.match_index + 1, min(next_index, rejected_index))
 
     def start_transfer(self, snapshot: SnapshotData) -> None:
-        """Begin to send a snapshot from its first byte."""
+        """Start to send a snapshot from its first byte."""
         self.mode = ProgressMode.SNAPSHOT
         self.awaiting_reply = False
         self.transfer = SnapshotTransfer(snapshot=snapshot, checksum=snapshot.checksum())
 
     def finish_transfer(self, index: int) -> None:
-        """Go on with entries after the installed snapshot."""
+        """Continue with the entries after the installed snapshot."""
         self.transfer = None
         self.mode = ProgressMode.PROBE
         self.record_match(index)
         self.next_index = self.match_index + 1
 
     def reset(self, next_index: int, disk_id: str) -> None:
-        """Begin anew with a learner that came back with another disk."""
+        """Start over with a learner that came back with another disk."""
         self.match_index = 0
         self.next_index = next_index
         self.mode = ProgressMode.PROBE
--- a/src/jasperwalk/consensus/quorum_contact.py
+++ b/src/jasperwalk/consensus/quorum_contact.py
@@ -1,8 +1,9 @@
-"""How old a follower's knowledge of the leader's quorum contact is.
+"""How long ago the leader last had contact with a quorum, as a follower knows it.
 
-A heartbeat may lie in a buffer while a process is frozen or a link is cut. The leader's and
-the follower's clocks are not compared; instead the smallest difference seen between them
-lately counts as the normal delay, and what exceeds it counts as age.
+A heartbeat may wait in a buffer while a process is frozen or a link is down, so its arrival does
+not prove recent contact. The leader's and the follower's clocks are not compared. Instead the
+smallest recent difference between receive time and send time counts as the normal delay, and
+any excess over it counts as age.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import math
 
 DELAY_WINDOW_SECONDS = 60.0
-"""Length of the window of the smallest delay; short enough that clock drift is negligible."""
+"""Window of the smallest delay; short enough that clock drift is negligible."""
 
 
 class QuorumContact:
@@ -30,9 +31,9 @@
     def record_leader_message(
         self, leader_id: int, term: int, sent_at: float, quorum_age: float, now: float
     ) -> None:
-        """Take a message of the leader in; a late duplicate changes nothing.
+        """Record a message of the leader; a late duplicate changes nothing.
 
-        Another leader has another clock, so everything starts anew with it.
+        Another leader has another clock, so everything is reset for it.
         """
         if self._source != (leader_id, term):
             self._source = (leader_id, term)
--- a/src/jasperwalk/consensus/ready_builder.py
+++ b/src/jasperwalk/consensus/ready_builder.py
@@ -1,4 +1,4 @@
-"""The output side of the core: what to persist, send, install and apply next."""
+"""Builds the core's output: what to persist, send, install and apply next."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class ReadyBuilder:
     """Collects the state's changes into one `Ready` after another.
 
-    While a batch is being persisted nothing is handed out, since all that is new may depend
-    on a later batch. `install` is a leader's snapshot that the host has yet to restore.
+    While a batch is being persisted nothing is returned, since newer output may depend on a
+    later batch. `install` is a leader's snapshot that the runner has yet to restore.
     """
 
     def __init__(self, state: ReplicaState) -> None:
@@ -22,7 +22,7 @@
         self.install: SnapshotData | None = None
 
     def take(self) -> Ready:
-        """Return what the host does next."""
+        """Return what the runner does next."""
         if self.is_persisting:
             return Ready()
         return Ready(
@@ -33,7 +33,7 @@
         )
 
     def persisted(self) -> None:
-        """Note that the last batch is on disk."""
+        """Record that the last batch is on disk."""
         self.is_persisting = False
         self._state.log.mark_stable(self._persisting_through)
 
--- a/src/jasperwalk/consensus/stall_grace.py
+++ b/src/jasperwalk/consensus/stall_grace.py
@@ -1,8 +1,8 @@
-"""Grace after the host stood still: its own stall is not the silence of others.
+"""Grace period after a stall of this process, so that it is not taken for silence of the others.
 
-A busy or frozen process runs its timers late. What the others sent meanwhile waits in its
-sockets and is read after the timers have run. A replica that took this for silence would
-campaign against a working leader, and a leader would step down that has its quorum.
+A busy or frozen process runs its timers late. Messages that arrived meanwhile wait in its
+sockets and are read after the timers have run. Without the grace period a follower would
+campaign against a working leader, and a leader that has its quorum would step down.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import math
 
 GRACE_HEARTBEATS = 2
-"""Length of a grace in heartbeat intervals: time to read what waits, and one heartbeat."""
+"""Heartbeat intervals of a grace period: time to read buffered messages, and one heartbeat."""
 
 
 class StallGrace:
-    """Tells from late ticks when judgements about the others' silence have to wait.
+    """Tells from late ticks when decisions about the others' silence have to wait.
 
-    There is one grace for a run of late ticks, so that a host that is always late still
-    notices that its leader or its quorum is gone. It touches no promise: quorum ages are
-    reported as they are. Times are in seconds.
+    A run of late ticks gets one grace period, so that a process that is always late still
+    notices that its leader or its quorum is gone. Quorum ages are reported unchanged. Times
+    are in seconds.
     """
 
     def __init__(self, heartbeat_interval_seconds: float) -> None:
@@ -28,17 +28,17 @@
         self._ends_at = -math.inf
 
     def tick(self, deadline: float, now: float) -> None:
-        """Note a tick that was due at `deadline`."""
+        """Record a tick that was due at `deadline`."""
         is_late = now - deadline > self._max_tick_delay
         if is_late and not self._was_late:
             self._ends_at = now + self._length
         self._was_late = is_late
 
     def is_running(self, now: float) -> bool:
-        """Tell whether silence must not be judged yet."""
+        """Tell whether the silence of others is to be ignored for now."""
         return now < self._ends_at
 
     @property
     def ends_at(self) -> float:
-        """When the newest grace ends, -inf before the first."""
+        """When the newest grace period ends, -inf before the first."""
         return self._ends_at
--- a/src/jasperwalk/consensus/state.py
+++ b/src/jasperwalk/consensus/state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the core share."""
+"""Raft state that the parts of the core (election, follower, leadership and so on) share."""
 
 from __future__ import annotations
 
@@ -91,13 +91,13 @@
         return member is not None and member.disk_id in ("", self.disk_id)
 
     def send(self, to: int, message: RaftMessage) -> None:
-        """Queue a message; it leaves after what is pending has been persisted."""
+        """Queue a message; it is sent after pending changes have been persisted."""
         self.outbox.append(Outgoing(to=to, message=message))
 
     def set_hard_state(
         self, term: int, voted_for: int | None, founding: Membership | None = None
     ) -> None:
-        """Change term and vote; they become durable before the next message leaves."""
+        """Change term and vote; they become durable before the next message is sent."""
         kept = self.hard_state.founding if founding is None else founding
         self.hard_state = HardState(term=term, voted_for=voted_for, founding=kept)
         self.hard_state_changed = True
@@ -119,9 +119,9 @@
     def schedule_campaign(self, now: float) -> None:
         """Draw the next election deadline of a replica without contact with a leader.
 
-        Replicas that have just started come one after the other: the first ones campaign
-        before a quorum is there, and try again soon. The pause doubles up to the ordinary
-        one, so that slow machines have the time that a round of votes takes.
+        Replicas of a cluster start one after the other: the first ones campaign before a
+        quorum is running, and retry soon. The delay doubles up to the normal one, so that
+        slow machines have enough time for a round of votes.
         """
         first = self.config.first_election_seconds
         if first is None or self.leader_seen_at > -math.inf:
@@ -145,7 +145,7 @@
         self.members.record(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Cut uncommitted entries off."""
+        """Truncate uncommitted entries."""
         if index <= self.commit_index:
             raise InvariantViolation(reason=f"committed entry {index} conflicts with the leader's")
         self.log.truncate_from(index)
--- a/src/jasperwalk/consensus/storage.py
+++ b/src/jasperwalk/consensus/storage.py
@@ -2,8 +2,8 @@
 
 The folder holds `identity`, `manifest`, `segment-NNNNNNNNNN.log` files, `snapshot` and `lock`.
 Each batch is one checksummed frame in the newest segment, written and synced together (group
-sync). A last write that a crash cut short was never acknowledged and is cut off on loading;
-any other damage raises a `StorageError`.
+commit). A last write torn by a crash was never acknowledged and is truncated on load; any other
+corruption raises a `StorageError`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def stored_replica_id(folder: Path) -> int | None:
-    """Return whose data folder it is, None for one that is not complete; raises `StorageError`."""
+    """Return the replica ID of a data folder, None if incomplete; raise `StorageError`."""
     path = folder / IDENTITY_NAME
     if not path.exists():
         return None
@@ -42,7 +42,7 @@
 class FileStorage:
     """Loads a replica's state and makes batches durable; blocking, one caller at a time.
 
-    `new_disk_id` (a random text, drawn by the caller) names the folder if it is created now.
+    `new_disk_id` (a random string from the calling code) is its disk ID if it is created now.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
 
     @property
     def torn_bytes(self) -> int:
-        """Bytes of an unfinished last write that `load` cut off."""
+        """Bytes of a torn last write that `load` truncated."""
         return self._log.torn_bytes
 
     def load(self) -> DurableState:
-        """Open the folder, creating it if needed; raise `StorageError` if it isn't whole."""
+        """Open the folder, creating it if needed; raise `StorageError` if it is damaged."""
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         sync_folder(self._folder.parent)
         self._take_lock()
@@ -99,14 +99,14 @@
             raise FolderInUse(path=self._folder) from error
 
     def _create(self) -> None:
-        """Create the files; the identity comes last and marks the folder as complete."""
+        """Create the files; the identity is written last and marks the folder as complete."""
         if self._has_content():
             raise MissingFile(path=self._folder / IDENTITY_NAME)
         self._log.create(self._first_record())
         write_framed_file(self._folder / IDENTITY_NAME, encode_record(self._identity))
 
     def _has_content(self) -> bool:
-        """Tell whether there is more than an unfinished creation leaves behind."""
+        """Tell whether there is more than an interrupted creation leaves behind."""
         if (self._folder / SNAPSHOT_NAME).exists():
             return True
         created = encode_frame(encode_record(self._first_record()))
@@ -161,7 +161,7 @@
     def _check_order(self, record: LogRecord) -> None:
         expected = self._sequence + 1
         if self._sequence and record.sequence != expected:
-            reason = f"record {record.sequence} stands where {expected} belongs"
+            reason = f"found record {record.sequence}, expected {expected}"
             raise CorruptFile(path=self._folder, offset=0, reason=reason)
         self._sequence = record.sequence
 
@@ -175,7 +175,7 @@
             )
 
     def _reconcile(self, durable: DurableState) -> None:
-        """Make log and snapshot fit after a crash between the two writes."""
+        """Make log and snapshot consistent after a crash between the two writes."""
         first = durable.entries[0].index if durable.entries else 1
         if first > self._snapshot_index + 1:
             raise CorruptFile(
@@ -185,7 +185,7 @@
             self.persist(PersistBatch(reset_index=self._snapshot_index))
 
     def persist(self, batch: PersistBatch) -> None:
-        """Make a batch durable; raise `WriteFailed`, after which nothing more is taken.
+        """Make a batch durable; after a `WriteFailed` all further batches are refused.
 
         After a failed sync the kernel may have dropped the written pages and yet report
         success to the next sync, so the process has to stop and load again.
@@ -213,7 +213,7 @@
         self._log.discard(batch.discard_through)
 
     def close(self) -> None:
-        """Close the files and free the folder."""
+        """Close the files and unlock the folder."""
         self._log.close()
         if self._lock is not None:
             os.close(self._lock)
--- a/src/jasperwalk/consensus/transfer.py
+++ b/src/jasperwalk/consensus/transfer.py
@@ -1,8 +1,8 @@
 """Transfer of leadership to another voter, so that a planned stop costs no election timeout.
 
-The leader takes no proposals meanwhile. Once the most current voter holds its whole log, it is
+The leader refuses proposals meanwhile. Once the most up-to-date voter holds its whole log, it is
 asked to campaign at once, and the others vote although they have a leader (Ongaro, 2014,
-section 3.10). A transfer that does not come about in an election timeout is given up.
+section 3.10). A transfer that does not complete within an election timeout is aborted.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a transfer is under way."""
+        """Whether a transfer is in progress."""
         return self._target is not None
 
     def start(self, now: float) -> bool:
-        """Choose the most current voter in contact; return False where there is none."""
+        """Choose the most up-to-date voter in contact; return False where there is none."""
         if self._target is None:
             self._target = self._choose_target(now)
             self._deadline = now + self._state.config.election_timeout_seconds
@@ -37,13 +37,13 @@
         return self._target is not None
 
     def tick(self, now: float) -> None:
-        """Tell the chosen one again, in case the message was lost; give up after a while."""
+        """Repeat the request, in case the message was lost; abort at the deadline."""
         if now >= self._deadline:
             self._target = None
         self.advance()
 
     def advance(self) -> None:
-        """Tell the chosen one to campaign once it holds the whole log."""
+        """Ask the target to campaign once it holds the whole log."""
         if self._target is None:
             return
         progress = self._progress.get(self._target)
