--- a/src/jasperwalk/config/__init__.py
+++ b/src/jasperwalk/config/__init__.py
@@ -1,1 +1,1 @@
-"""Templates, tenants, their rendering and the routing table that results."""
+"""Templates and tenants, their rendering into services, and the resulting routing table."""
--- a/src/jasperwalk/config/conflicts.py
+++ b/src/jasperwalk/config/conflicts.py
@@ -1,4 +1,4 @@
-"""Conflicts between tenants: a listener or an agent address that two of them claim."""
+"""Detects conflicts between tenants: a listener or an agent address claimed by two of them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Owner(msgspec.Struct, frozen=True, gc=False, order=True):
-    """The service of a tenant that claims something."""
+    """The tenant and service that claim a listener or an address."""
 
     tenant: str
     service: str
@@ -44,32 +44,32 @@
 
 
 class Claims:
-    """Who claims each listener and each agent address."""
+    """The owner of each listener and each agent address."""
 
     def __init__(self) -> None:
         self._listeners: dict[Endpoint, Owner] = {}
         self._addresses: dict[Endpoint, Owner] = {}
 
     def claim_listener(self, listener: Endpoint, owner: Owner) -> None:
-        """Note the owner of a listener."""
+        """Record the owner of a listener."""
         self._listeners[listener] = owner
 
     def claim_address(self, address: Endpoint, owner: Owner) -> None:
-        """Note the owner of an agent address."""
+        """Record the owner of an agent address."""
         self._addresses[address] = owner
 
     def release_listener(self, listener: Endpoint) -> None:
-        """Forget the owner of a listener."""
+        """Remove the owner of a listener."""
         self._listeners.pop(listener, None)
 
     def release_address(self, address: Endpoint) -> None:
-        """Forget the owner of an agent address."""
+        """Remove the owner of an agent address."""
         self._addresses.pop(address, None)
 
     def find_conflicts(self, candidates: Iterable[RenderedTenant]) -> list[Conflict]:
-        """Return what the candidates claim of other tenants' or of each other's.
+        """Return the conflicts of the candidates with other tenants and with each other.
 
-        Each candidate replaces what its tenant claims so far.
+        Each candidate replaces the present claims of its tenant.
         """
         rendered = list(candidates)
         replaced = {candidate.tenant for candidate in rendered}
@@ -100,7 +100,7 @@
     present_owners: dict[Endpoint, Owner],
     replaced: set[str],
 ) -> Owner | None:
-    """Return another tenant that claims the end point, and note the new claim."""
+    """Return an owner of another tenant that claims the end point; record the new claim."""
     earlier = new_owners.setdefault(endpoint, owner)
     if earlier.tenant != owner.tenant:
         return earlier
--- a/src/jasperwalk/config/member_states.py
+++ b/src/jasperwalk/config/member_states.py
@@ -1,7 +1,7 @@
-"""What is said of members and hosts before it becomes part of the table.
+"""Reported states of members and hosts, before they become part of the routing table.
 
-The leader's sightings become a `MemberStatus`, the platform's list a `PlatformState`. Both
-travel in commands of the replicated log.
+The leader's observations become a `MemberStatus`, the platform's list a `PlatformState`. Both
+are carried in commands of the replicated log.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What was seen of one incarnation of the agent at `address`."""
+    """The observed status of one incarnation of the agent at `address`."""
 
     address: Endpoint
     incarnation: int
@@ -21,7 +21,7 @@
 
 
 class PlatformState(msgspec.Struct, frozen=True, array_like=True):
-    """The platform's wish for `host`, a host name or an agent's `IPV4:PORT`."""
+    """The platform's admin state for `host`, a host name or an agent's `IPV4:PORT`."""
 
     host: str
     admin_state: AdminState
--- a/src/jasperwalk/config/parameters.py
+++ b/src/jasperwalk/config/parameters.py
@@ -1,4 +1,4 @@
-"""Types of parameters and fields, and the check of raw TOML or JSON values against them."""
+"""Types of parameters and fields, and validation of raw TOML or JSON values against them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 MAX_WEIGHT = 10_000
 MAX_SLOTS = 100_000
 MAX_INTEGER = 2**53
-"""Integers beyond this do not survive JSON readers."""
+"""JSON readers do not preserve larger integers."""
 
 MAX_SHOWN_VALUE_LENGTH = 80
 """Characters of a wrong value that a problem's text repeats."""
@@ -43,7 +43,7 @@
 
 
 class MemberValue(msgspec.Struct, frozen=True):
-    """A member as a tenant's value gives it; None for what the service's defaults decide."""
+    """A member as a tenant's value gives it; None where the service's default applies."""
 
     host: str
     zone: str
@@ -53,11 +53,11 @@
 
 
 TypedValue = str | int | bool | Endpoint | tuple[MemberValue, ...]
-"""A value after its check."""
+"""A validated value."""
 
 
 class ValueShape(msgspec.Struct, frozen=True):
-    """What a value must be.
+    """The type and bounds that a value must have.
 
     `minimum` and `maximum` bound an integer's value, a string's length or a list's count.
     """
@@ -74,7 +74,7 @@
 
 
 def format_value(raw: Any) -> str:
-    """Print a wrong value in a bounded length."""
+    """Format a wrong value for a problem's text, in a bounded length."""
     text = repr(raw)
     return text if len(text) <= MAX_SHOWN_VALUE_LENGTH else text[:MAX_SHOWN_VALUE_LENGTH] + "..."
 
@@ -82,7 +82,7 @@
 def check_value(
     shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> TypedValue | None:
-    """Check one raw value; return it typed, or None after noting its problems."""
+    """Validate one raw value; return it typed, or None after adding its problems."""
     match shape.type:
         case ParameterType.STRING:
             return _check_string(shape, raw, place, problems)
@@ -97,7 +97,7 @@
 
 
 def check_name(raw: Any, place: str, problems: ProblemCollector) -> str | None:
-    """Check a name of a service, host or zone."""
+    """Validate a name of a service, host or zone."""
     if not isinstance(raw, str):
         _add_wrong_type("a string", raw, place, problems)
         return None
@@ -112,7 +112,7 @@
 def check_integer(
     shape: ValueShape, raw: Any, place: str, problems: ProblemCollector
 ) -> int | None:
-    """Check an integer against its bounds; a boolean is none."""
+    """Validate an integer and its bounds; a boolean is not an integer."""
     if isinstance(raw, bool) or not isinstance(raw, int):
         _add_wrong_type("an integer", raw, place, problems)
         return None
@@ -124,7 +124,7 @@
 
 
 def check_address(raw: Any, place: str, problems: ProblemCollector) -> Endpoint | None:
-    """Check an `IPV4:PORT` with a port from 1 on."""
+    """Validate an `IPV4:PORT` with a port from 1 on."""
     if not isinstance(raw, str):
         _add_wrong_type("an address string", raw, place, problems)
         return None
@@ -194,7 +194,7 @@
 """Weight of a member; 0 for no new flows."""
 
 SLOTS_VALUE_SHAPE = ValueShape(type=ParameterType.INTEGER, minimum=1, maximum=MAX_SLOTS)
-"""Requests that a member's back end runs at once."""
+"""Requests that a member's backend runs concurrently."""
 
 
 def _check_member(raw: Any, place: str, problems: ProblemCollector) -> MemberValue | None:
@@ -233,7 +233,7 @@
 def add_duplicate_address(
     address: Endpoint, place: str, first_place: str, problems: ProblemCollector
 ) -> None:
-    """Note that a member's address was given before, at `first_place`."""
+    """Add the problem that a member's address was given before, at `first_place`."""
     detail = f"address {address} is already given at {first_place}"
     mend = "give each member its own address"
     problems.add(ProblemKind.DUPLICATE_ADDRESS, place, detail, mend)
--- a/src/jasperwalk/config/problems.py
+++ b/src/jasperwalk/config/problems.py
@@ -1,4 +1,4 @@
-"""Problems of templates and values: each names its place and its mend."""
+"""Problems of templates and values: each names its place and how to correct it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from jasperwalk.errors import JasperwalkError
 
 MAX_PROBLEMS = 20
-"""Problems reported at once; further ones are counted and left for the next try."""
+"""Problems reported at once; further ones are counted and reported on the next try."""
 
 MAX_PLACE_LENGTH = 160
 """Characters of a problem's place; outcomes with problems are kept in bounded memory."""
 
 MAX_SENTENCE_LENGTH = 400
-"""Characters of a problem's detail, and of its mend."""
+"""Characters of a problem's detail, and of its `mend`."""
 
 
 class ProblemKind(enum.StrEnum):
@@ -40,7 +40,10 @@
 
 
 class Problem(msgspec.Struct, frozen=True, array_like=True):
-    """One problem: `place` is a dotted path such as `services[0].limits.queue_length`."""
+    """One problem; `place` is a dotted path such as `services[0].limits.queue_length`.
+
+    `detail` says what is wrong there, `mend` how to correct it.
+    """
 
     kind: ProblemKind
     place: str
@@ -65,7 +68,7 @@
         self._problems: list[Problem] = []
 
     def add(self, kind: ProblemKind, place: str, detail: str, mend: str) -> None:
-        """Note one problem; beyond `MAX_PROBLEMS` it is only counted."""
+        """Add one problem; beyond `MAX_PROBLEMS` it is only counted."""
         self.count += 1
         if len(self._problems) >= MAX_PROBLEMS:
             return
--- a/src/jasperwalk/config/rendering.py
+++ b/src/jasperwalk/config/rendering.py
@@ -1,4 +1,4 @@
-"""Rendering: a template and a tenant's values into services with members; pure."""
+"""Renders a template with a tenant's values into services with members; free of side effects."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RenderedService(msgspec.Struct, frozen=True, array_like=True):
-    """A service as a template and values describe it, before it is given its ID."""
+    """A service as a template and values describe it, before it gets its ID."""
 
     name: str
     listener: Endpoint
@@ -95,7 +95,7 @@
 def _resolve_field(
     path: str, raw: Any, values: dict[str, TypedValue], place: str, problems: ProblemCollector
 ) -> TypedValue | None:
-    """Replace references, then check the result against the field's own shape."""
+    """Replace references, then validate the result against the field's own shape."""
     shape = SERVICE_FIELDS[path].shape
     sole = sole_reference(raw)
     if sole is not None:
@@ -128,7 +128,7 @@
 def _check_duplicates(
     template: Template, services: list[RenderedService], problems: ProblemCollector
 ) -> None:
-    """Note what two services of one tenant both claim."""
+    """Add a problem for each name, listener or address that two services of a tenant claim."""
     names: dict[str, str] = {}
     listeners: dict[Endpoint, str] = {}
     addresses: dict[Endpoint, str] = {}
--- a/src/jasperwalk/config/routing_table.py
+++ b/src/jasperwalk/config/routing_table.py
@@ -1,6 +1,7 @@
 """The versioned routing table: entries, the revision of each, and removals within a horizon.
 
-A journal ordered by revision makes `changes_since` cost what has changed, not what exists.
+A journal ordered by revision makes the cost of `changes_since` proportional to the number of
+changes, not to the size of the table.
 """
 
 from __future__ import annotations
@@ -28,15 +29,15 @@
 from jasperwalk.errors import JasperwalkError
 
 DEFAULT_TOMBSTONE_LIMIT = 4_096
-"""Removals remembered; a follower from before the oldest of them needs a snapshot."""
+"""Removals kept; a follower at a revision before the last discarded one needs a snapshot."""
 
 MAX_SUPERSEDED_RECORDS = 1_024
-"""Superseded journal records tolerated beyond the live ones before the journal is rebuilt."""
+"""Superseded journal records allowed, beyond the number of live ones, before a rebuild."""
 
 
 @dataclass(eq=False)
 class StaleRevision(JasperwalkError):
-    """A change was given a revision older than the table's; a fault of the caller."""
+    """A change has a revision older than the table's; a fault of the calling code."""
 
     kind: ClassVar[str] = "revision-went-back"
     revision: int
@@ -57,9 +58,9 @@
 
 
 class SnapshotRequired(msgspec.Struct, frozen=True):
-    """Removals after the asked revision may be forgotten.
+    """Removals after the requested revision may have been discarded.
 
-    Only revisions from `horizon` on can be brought up to date by changes.
+    Only copies at a revision from `horizon` on can be brought up to date by changes.
     """
 
     horizon: int
@@ -122,7 +123,7 @@
 
 
 class VersionedTable:
-    """Entries by key, with the revision of each and a bounded memory of removals."""
+    """Entries by key, with the revision of each and a bounded number of tombstones."""
 
     def __init__(self, tombstone_limit: int = DEFAULT_TOMBSTONE_LIMIT) -> None:
         self.revision = 0
@@ -140,7 +141,7 @@
         return len(self._rows)
 
     def upsert(self, entry: TableEntry, revision: int) -> bool:
-        """Store an entry; return False, and change nothing, where it is already so."""
+        """Store an entry; return False, and change nothing, if it is already stored."""
         key = key_of(entry)
         previous = self._rows.get(key)
         if previous is not None and previous.entry == entry:
@@ -166,7 +167,7 @@
         return True
 
     def changes_since(self, revision: int) -> Changes | SnapshotRequired:
-        """Return what changed after `revision`, or that only a snapshot will do.
+        """Return what changed after `revision`, or that a snapshot is required.
 
         A revision at or beyond the table's own gives empty changes.
         """
@@ -242,7 +243,7 @@
         return (entry for entry in self.entries() if isinstance(entry, KeyEntry))
 
     def content(self) -> TableContent:
-        """Return a copy of the rows that later changes leave as they are."""
+        """Return a copy of the rows that later changes do not affect."""
         return TableContent(
             revision=self.revision,
             horizon=self.horizon,
@@ -270,7 +271,7 @@
         return table
 
     def _advance(self, revision: int) -> None:
-        """Take a new revision, which may not be older than the table's."""
+        """Move to a new revision, which may not be older than the table's."""
         if revision < self.revision:
             raise StaleRevision(revision=revision, current=self.revision)
         self.revision = revision
@@ -284,7 +285,7 @@
             self._rebuild_journal()
 
     def _rebuild_journal(self) -> None:
-        """Rebuild the journal with one record a live entry or tombstone."""
+        """Rebuild the journal with one record for each entry and tombstone."""
         records = [(row.revision, key) for key, row in self._rows.items()]
         records.extend((revision, key) for key, revision in self._tombstones.items())
         records.sort(key=lambda record: record[0])
@@ -292,10 +293,10 @@
         self._journal_keys = [key for _, key in records]
 
     def _trim_tombstones(self) -> None:
-        """Forget the oldest removals; followers from before them need a snapshot.
+        """Discard the oldest tombstones; followers at an older revision need a snapshot.
 
-        A whole revision is forgotten at a time, so that what is kept does not depend on the
-        order of removals within a revision.
+        All tombstones of a revision are discarded together, so that what is kept does not
+        depend on the order of removals within a revision.
         """
         while len(self._tombstones) > self._tombstone_limit:
             oldest = next(iter(self._tombstones.values()))
@@ -311,7 +312,7 @@
             self._addresses_by_service.setdefault(entry.service_id, {})[entry.address] = None
 
     def _unindex(self, entry: TableEntry) -> None:
-        """Take an entry out of the indices, unless another entry took its place there."""
+        """Remove an entry from the indices, unless another entry has replaced it there."""
         if isinstance(entry, ServiceEntry):
             if self._services_by_listener.get(entry.listener) == entry.service_id:
                 del self._services_by_listener[entry.listener]
--- a/src/jasperwalk/config/table_entries.py
+++ b/src/jasperwalk/config/table_entries.py
@@ -1,10 +1,10 @@
-"""The routing table: entries with keys, and the revision at which each last changed.
+"""Entries of the routing table (services, members, fleet keys) and their keys.
 
 Control renders accepted configuration into entries. Balancers and agents hold copies, kept
-current by snapshots and deltas, and never take a revision older than their own.
+current by snapshots and deltas, and never accept a revision older than their own.
 
 Entries hold no references to each other, so they are kept out of Python's cycle collection
-(`gc=False`): looking through a region's tens of thousands of them would stop a process.
+(`gc=False`): scanning a region's tens of thousands of them would stall a process.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class Objective(enum.StrEnum):
-    """What a service's operators weigh most."""
+    """What balancing has to favour for a service."""
 
     FEWEST_BROKEN_FLOWS = "fewest-broken-flows"
     LEAST_IMBALANCE = "least-imbalance"
 
 
 class AdminState(enum.StrEnum):
-    """What operators or the platform's list want of a member."""
+    """The state of a member that operators or the platform's list request."""
 
     ENABLED = "enabled"
     DRAINING = "draining"
 
 
 class OperatingStatus(enum.StrEnum):
-    """What control has seen of a member. Only `ONLINE` ones get new work."""
+    """What control has observed of a member. Only `ONLINE` ones get new work."""
 
     UNREGISTERED = "unregistered"
     ONLINE = "online"
     UNHEALTHY = "unhealthy"
-    """Its agent says that it takes no new work: the back end is down, or it is stopping."""
+    """Its agent reports that it takes no new work: the backend is down, or it is stopping."""
     OFFLINE = "offline"
-    """Its agent is not heard of; its flows may be lost."""
+    """Its agent is silent; its flows may be lost."""
 
 
 class KeyPurpose(enum.StrEnum):
@@ -51,7 +51,7 @@
 
 
 class HealthMonitor(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """How an agent checks its back end: path of the GET, interval and time-out in ms."""
+    """How an agent checks its backend: path of the GET, interval and time-out in ms."""
 
     path: str
     interval_ms: int
@@ -63,7 +63,7 @@
     """Admission limits at each member of the service.
 
     `queue_length` requests may wait for a slot, each at most `queue_wait_ms`.
-    `request_deadline_ms` applies where a request names none.
+    `request_deadline_ms` applies to a request without a deadline of its own.
     `slow_start_ms` is the time over which a cold member's weight rises to its full value.
     """
 
@@ -76,7 +76,7 @@
 class ServiceEntry(msgspec.Struct, frozen=True, gc=False, array_like=True, tag=1):
     """One service: a listener (VIP and port) and the rules for its pool of members.
 
-    `service_id` (1 to 2**24 - 1) is allotted once by control and never used again.
+    `service_id` (1 to 2**24 - 1) is assigned once by control and never used again.
     """
 
     service_id: int
@@ -89,7 +89,7 @@
 
 
 class MemberEntry(msgspec.Struct, frozen=True, gc=False, array_like=True, tag=2):
-    """One member of a service's pool: an agent with the back end beside it.
+    """One member of a service's pool: an agent with its backend.
 
     `address` is the agent's forwarding end point. `incarnation` (1 to 65535) names the
     registered start of the agent behind that address, 0 while none has registered.
--- a/src/jasperwalk/config/templates.py
+++ b/src/jasperwalk/config/templates.py
@@ -1,4 +1,4 @@
-"""Templates: TOML text into typed parameters and the services they describe."""
+"""Parses and validates templates: TOML text into typed parameters and service descriptions."""
 
 from __future__ import annotations
 
@@ -219,7 +219,7 @@
 
 
 def _flatten(raw: dict[str, Any], place: str, problems: ProblemCollector) -> dict[str, Any]:
-    """Return the values by dotted path, with defaults; note unknown and missing fields."""
+    """Return values by dotted path, with defaults; add problems of unknown or missing fields."""
     given: dict[str, Any] = {}
     for field, value in raw.items():
         if field in SERVICE_TABLES and isinstance(value, dict):
@@ -245,7 +245,7 @@
     place: str,
     problems: ProblemCollector,
 ) -> None:
-    """Check literal values and references; what parameters decide is checked on rendering."""
+    """Validate literals and references; values that come from parameters wait for rendering."""
     for path, raw in fields.items():
         field_place = f"{place}.{path}"
         references = references_in(raw)
--- a/src/jasperwalk/config/tenants.py
+++ b/src/jasperwalk/config/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: a template's name with values, and their check against its parameters."""
+"""Tenants: a template's name with values, and their validation against its parameters."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def resolve_values(
     template: Template, values: dict[str, Any], problems: ProblemCollector
 ) -> dict[str, TypedValue]:
-    """Return a typed value for each parameter, defaults filled in; note every problem."""
+    """Return a typed value for each parameter, defaults filled in; add every problem found."""
     for name in sorted(values):
         if name not in template.parameters:
             known = ", ".join(template.parameters) or "none"
--- a/src/jasperwalk/consensus/disk/segments.py
+++ b/src/jasperwalk/consensus/disk/segments.py
@@ -126,7 +126,7 @@
         """Remove the oldest segments that hold no entry above `through`."""
         oldest = self._manifest.oldest
         while oldest < self._manifest.newest and self._highest_index[oldest] <= through:
-            # Written before the removal: a crash in between leaves an extra file, not a missing one.
+            # Written before the removal: a crash in between leaves one file too many, not too few.
             self._write_manifest(Manifest(oldest=oldest + 1, newest=self._manifest.newest))
             self._remove(self.path_of(oldest))
             del self._highest_index[oldest]
