--- a/src/jasperwalk/settings/errors.py
+++ b/src/jasperwalk/settings/errors.py
@@ -1,4 +1,4 @@
-"""The one failure of settings: a line that names the file, the key and the mend."""
+"""The error of all settings checks: one line with the file, the key and the remedy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from jasperwalk.errors import JasperwalkError
 
 WHOLE_FILE = "-"
-"""Stands in the place of a key when the file as a whole is at fault."""
+"""Replaces the key when the file as a whole is at fault."""
 
 
 @dataclass(eq=False)
@@ -16,7 +16,8 @@
     """A settings file, or a flag that overrides it, cannot be used.
 
     `source` is the file's path (or the flag), `key` the dotted key in it or `WHOLE_FILE`,
-    `further_problems` the number of other problems found in the same file.
+    `mend` says how to correct the problem, and `further_problems` is the number of other
+    problems found in the same file.
     """
 
     kind: ClassVar[str] = "invalid-settings"
@@ -27,7 +28,7 @@
     further_problems: int = 0
 
     def describe(self) -> str:
-        """Return one line: file, key, problem and mend."""
+        """Return one line: file, key, problem and remedy."""
         line = f"{self.source}: {self.key}: {self.problem}; {self.mend}"
         if self.further_problems:
             line += f" ({self.further_problems} more)"
--- a/src/jasperwalk/settings/loading.py
+++ b/src/jasperwalk/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading a settings file: TOML, then overrides, then the model's checks."""
+"""Loads a settings file: TOML, then overrides, then validation by the model."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from jasperwalk.settings.validation_errors import explain_validation_error
 
 FLAGS_ONLY = "(flags)"
-"""Named as the source of the settings when there is no file."""
+"""The source that errors name when there is no settings file."""
 
 SettingsType = TypeVar("SettingsType", bound=ProcessSettings)
 
@@ -24,7 +24,7 @@
 def load_settings(
     path: Path | None, model: type[SettingsType], overrides: Sequence[str | Override] = ()
 ) -> SettingsType:
-    """Load `path` as `model`, with `overrides` (or texts `key=value`) on top.
+    """Load `path` as `model`, with `overrides` (or strings `key=value`) on top.
 
     Without a path the overrides alone make the settings. Raises `SettingsError` when the
     file, a key in it, or an override cannot be used.
@@ -51,7 +51,7 @@
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         problem = f"is not TOML ({error})"
-        mend = "write it as `key = value` lines; texts stand in quotes"
+        mend = "write it as `key = value` lines, with strings in quotes"
         raise _whole_file_error(path, problem, mend) from error
 
 
--- a/src/jasperwalk/settings/models.py
+++ b/src/jasperwalk/settings/models.py
@@ -48,7 +48,7 @@
 
 
 class SettingsModel(BaseModel):
-    """Base of all settings: unknown keys and loose types are refused."""
+    """Base of all settings: unknown keys and implicit type conversions are refused."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -66,7 +66,7 @@
 
 
 class ProcessSettings(SettingsModel):
-    """What every daemon has."""
+    """Settings that all daemons have."""
 
     name: Name = Field(description="name of this process, unique in the cluster")
     cluster_id: Name = Field(description="name of the cluster; processes of others are refused")
@@ -139,7 +139,7 @@
         if not joins and own_identity not in identities:
             raise ValueError(f"replica_id {own_identity}, this replica, is not among them")
         if joins and own_identity in identities:
-            # It would found the cluster with the others in place of waiting to be taken in.
+            # It would found the cluster with the others instead of waiting to be added.
             raise ValueError(f"replica_id {own_identity} joins, but is among the initial replicas")
         return peers
 
@@ -152,7 +152,7 @@
 
 
 class TableFollowerSettings(ProcessSettings):
-    """What balancers and agents share: they follow the table that control publishes."""
+    """Settings common to balancers and agents, which follow the table that control publishes."""
 
     control: list[RemoteEndpoint] = Field(
         min_length=1, description="IPV4:PORT of the peer_listen of control replicas to follow"
--- a/src/jasperwalk/settings/overrides.py
+++ b/src/jasperwalk/settings/overrides.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Override:
-    """One value to put in the place of the file's.
+    """One value that replaces the file's.
 
     `path` holds the parts of the key, `flag` the command-line flag that it came from.
     """
@@ -23,7 +23,7 @@
 
 
 def parse_override(text: str, flag: str = SET_FLAG) -> Override:
-    """Parse `key=value`; the value is TOML, or plain text where it is not valid TOML.
+    """Parse `key=value`; the value is TOML, or a plain string where it is not valid TOML.
 
     Raises `SettingsError` when there is no key or no equals sign.
     """
@@ -33,14 +33,14 @@
         raise SettingsError(
             source=flag,
             key=text,
-            problem="is not of the shape key=value",
+            problem="is not of the form key=value",
             mend=f"write, for example, {flag} heartbeat_ms=250",
         )
     return Override(path=path, value=_parse_value(value_text.strip()), flag=flag)
 
 
 def apply_override(document: dict[str, object], override: Override) -> None:
-    """Put the override's value into the document, making tables on the way."""
+    """Set the override's value in the document, creating tables as needed."""
     table = document
     for part in override.path[:-1]:
         inner = table.setdefault(part, {})
--- a/src/jasperwalk/settings/startup_checks.py
+++ b/src/jasperwalk/settings/startup_checks.py
@@ -1,7 +1,8 @@
 """Checks at the start of a daemon: its ports are free and its folder can be written.
 
 They turn the usual failures of a first start into a `SettingsError` that names the key.
-A port may still be taken between the check and its use; the daemon then fails by itself.
+Another process may still take a port between the check and its use; the daemon then fails when
+it opens the port.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def check_before_start(settings: ProcessSettings, source: str) -> None:
-    """Raise `SettingsError` when a port or the data folder cannot be had."""
+    """Raise `SettingsError` when a port or the data folder cannot be used."""
     for listener in settings.listeners():
         _check_port(listener, source)
     if isinstance(settings, ControlSettings):
@@ -27,7 +28,7 @@
     kind = socket.SOCK_STREAM if listener.transport is Transport.TCP else socket.SOCK_DGRAM
     with socket.socket(socket.AF_INET, kind) as probe:
         if listener.transport is Transport.TCP:
-            # As the daemon itself: a connection left over from its last run is no obstacle.
+            # As in the daemon: connections left over from its last run do not block the port.
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((listener.endpoint.host, listener.endpoint.port))
--- a/src/jasperwalk/settings/types.py
+++ b/src/jasperwalk/settings/types.py
@@ -1,8 +1,8 @@
 """Field types of settings: end points, networks, URLs and paths.
 
-Relative paths count from the folder of the settings file, which the loader passes in the
-validation context under `BASE_FOLDER`. Without that context (settings built in code) paths
-are taken as they are and files are not looked for.
+Relative paths are resolved against the folder of the settings file, which the loader passes in
+the validation context under `BASE_FOLDER`. Without that context (settings built in code) paths
+are used unchanged and files are not required to exist.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     if isinstance(value, Endpoint):
         return value
     if not isinstance(value, str):
-        raise ValueError("an address must be a text of the shape IPV4:PORT")
+        raise ValueError("an address must be a string of the form IPV4:PORT")
     try:
         return Endpoint.parse(value)
     except InvalidAddress as error:
@@ -43,7 +43,7 @@
     if isinstance(value, ipaddress.IPv4Network):
         return value
     if not isinstance(value, str):
-        raise ValueError("a network must be a text of the shape IPV4/BITS")
+        raise ValueError("a network must be a string of the form IPV4/BITS")
     try:
         return ipaddress.IPv4Network(value)
     except ValueError as error:
@@ -51,10 +51,10 @@
 
 
 def _check_http_url(value: str) -> str:
-    """Accept `http://IPV4:PORT/path` only: processes talk by IP numbers."""
+    """Accept only `http://IPV4:PORT/path`: processes address each other by IP address."""
     parts = urlsplit(value)
     if parts.scheme != "http":
-        raise ValueError(f"{value!r} is not a URL of the shape http://IPV4:PORT/PATH")
+        raise ValueError(f"{value!r} is not a URL of the form http://IPV4:PORT/PATH")
     _parse_remote_endpoint(parts.netloc)
     return value
 
@@ -90,10 +90,10 @@
 HttpUrl = Annotated[str, AfterValidator(_check_http_url)]
 
 FolderPath = Annotated[Path, BeforeValidator(_text_to_path), AfterValidator(_resolve_path)]
-"""A folder, made at the start when it is missing."""
+"""A folder, created at start-up when it is missing."""
 
 InputFilePath = Annotated[Path, BeforeValidator(_text_to_path), AfterValidator(_require_file)]
-"""A file that has to be there already."""
+"""A file that must exist."""
 
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
 
