--- a/src/jasperwalk/addresses.py
+++ b/src/jasperwalk/addresses.py
@@ -1,4 +1,4 @@
-"""IPv4 end points: parsing, printing and the six-byte wire form."""
+"""IPv4 end points: parsing, formatting and the six-byte wire form."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 IPV4_OCTETS = 4
 MAX_OCTET_DIGITS = 3
-"""Digits of a part."""
+"""Digits of an octet."""
 MAX_OCTET = 255
 MAX_PORT_DIGITS = 100
-"""Digits of a port, leading zeros included; Python refuses to read numbers of some thousands."""
+"""Digits of a port, leading zeros included; Python refuses to parse thousands of digits."""
 
 
 def _is_ipv4(host: str) -> bool:
-    """Tell whether text is an IPv4 address in its usual form, without leading zeros.
+    """Tell whether text is a dotted-decimal IPv4 address, without leading zeros.
 
-    The standard library's `ipaddress` says the same; loading it takes 1% of a balancer's start.
+    The standard library's `ipaddress` does the same; importing it takes 1% of a balancer's start.
     """
     parts = host.split(".")
     return len(parts) == IPV4_OCTETS and all(_is_octet(part) for part in parts)
--- a/src/jasperwalk/concurrency.py
+++ b/src/jasperwalk/concurrency.py
@@ -1,4 +1,4 @@
-"""Running the parts of a process at once."""
+"""Runs the parts of a process concurrently, and ends them together."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import structlog
 
 CANCELLATION_WARNING_SECONDS = 2.0
-"""Time after its cancellation from which a part is reported as still running. Closing a connection,
-the longest thing that a part does at its end, takes a second at most."""
+"""Time after its cancellation from which a job is reported as still running. Closing a connection,
+the longest step of a job's end, takes a second at most."""
 
 logger = structlog.get_logger(__name__)
 
@@ -17,12 +17,12 @@
 async def run_together(jobs: Iterable[Coroutine[None, None, None]]) -> None:
     """Run jobs until all have ended; the first failure, or cancellation, ends the others.
 
-    A job that does not end when it is cancelled holds its process: it is named in the log again and
-    again until it ends.
+    A job that does not end when it is cancelled keeps the process from ending: the log names it
+    repeatedly until it ends.
     """
     tasks = [asyncio.create_task(job) for job in jobs]
     try:
-        # `asyncio.gather` would hold a cancellation back until the last job has taken it.
+        # `asyncio.gather` would not return from a cancellation before the last job has ended.
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_EXCEPTION)
         for task in done:
             task.result()
@@ -33,7 +33,7 @@
 
 
 async def _wait_until_ended(tasks: Sequence[asyncio.Task[None]]) -> None:
-    """Wait for cancelled tasks."""
+    """Wait for cancelled tasks, and log those that do not end in time."""
     running = set(tasks)
     while running:
         _, running = await asyncio.wait(running, timeout=CANCELLATION_WARNING_SECONDS)
--- a/src/jasperwalk/errors.py
+++ b/src/jasperwalk/errors.py
@@ -18,7 +18,7 @@
     kind: ClassVar[str] = "internal"
 
     def __repr__(self) -> str:
-        """Return the type and the description; one method for all, which loads faster."""
+        """Return the type and the description; one method for all classes loads faster."""
         return f"{type(self).__name__}({self.describe()!r})"
 
     def __str__(self) -> str:
@@ -26,7 +26,7 @@
         return self.describe()
 
     def describe(self) -> str:
-        """Describe the failure in one line, with the mend where there is one."""
+        """Describe the failure in one line, with the remedy where there is one."""
         return self.kind
 
 
@@ -38,7 +38,7 @@
     text: str
 
     def describe(self) -> str:
-        """Name the text and the expected shape."""
+        """Name the text and the expected form."""
         return f"{self.text!r} is not an address; expected IPV4:PORT, such as 127.0.0.1:7000"
 
 
--- a/src/jasperwalk/observability/__init__.py
+++ b/src/jasperwalk/observability/__init__.py
@@ -1,4 +1,4 @@
-"""Logs, metrics, and the admin HTTP server that every daemon of the HTTP/3 plane has.
+"""Logs, metrics, and the admin HTTP server of the daemons of the HTTP/3 plane.
 
 Nothing is imported here: a process that needs only logs does not load a web framework.
 """
--- a/src/jasperwalk/observability/admin.py
+++ b/src/jasperwalk/observability/admin.py
@@ -15,7 +15,7 @@
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 SHUTDOWN_SECONDS = 1.0
-"""How long a stop waits for requests in progress."""
+"""Maximum wait of a stop for requests in progress."""
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
         )
 
     async def start(self) -> None:
-        """Open the port; raises `OSError` when it cannot be had."""
+        """Open the port; raise `OSError` when it cannot be bound."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, self.endpoint.host, self.endpoint.port)
         await site.start()
--- a/src/jasperwalk/observability/latency.py
+++ b/src/jasperwalk/observability/latency.py
@@ -1,4 +1,4 @@
-"""Latency histograms of a lean process: plain integers, written out elsewhere."""
+"""Latency histograms as plain integers, for processes without a metrics library."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.total_seconds += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return (upper bound, count up to it) as the text format wants them."""
+        """Return pairs (upper bound, count up to it), as the metrics text format has them."""
         bounds = [*(str(bound) for bound in LATENCY_BOUNDS_SECONDS), "+Inf"]
         sums, total = [], 0
         for bound, count in zip(bounds, self.counts, strict=True):
--- a/src/jasperwalk/observability/logs.py
+++ b/src/jasperwalk/observability/logs.py
@@ -24,7 +24,7 @@
     """Set up structlog for this process and route libraries' own logs through it.
 
     `process` is the kind of process (control, balancer, agent), `name` its own name, and
-    `level` one of debug, info, warning, error. `stream` stands in for standard error.
+    `level` one of debug, info, warning, error. `stream` replaces standard error.
     """
     threshold = LEVELS[level]
     structlog.configure(
@@ -55,7 +55,7 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes records of the standard logging module on to structlog."""
+    """Forwards records of the standard logging module to structlog."""
 
     def __init__(self, process: str, name: str) -> None:
         super().__init__()
@@ -64,7 +64,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record as one line, the library's name in the key `library`."""
-        # Bound by hand: a library's thread does not see this context's variables.
+        # Bound explicitly: a library's thread does not see this context's variables.
         logger = get_logger().bind(process=self._process, name=self._process_name)
         logger.log(
             record.levelno,
--- a/src/jasperwalk/observability/metrics.py
+++ b/src/jasperwalk/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one process, with one naming scheme.
+"""Prometheus metrics of one process, under one naming scheme.
 
 Every metric is called `jasperwalk_<process>_<name>`; counters end in `_total`, durations in
 `_seconds`.
--- a/src/jasperwalk/observability/output.py
+++ b/src/jasperwalk/observability/output.py
@@ -1,7 +1,7 @@
-"""Standard output that never makes the process wait.
+"""A log output that never blocks the process.
 
-A reader that stalls fills the pipe; what does not fit is dropped and counted, and the next
-line that is written says how many were lost.
+A reader that stalls fills the pipe; lines that fit neither into it nor into the buffer are
+dropped and counted.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import os
 
 PENDING_LIMIT_BYTES = 64 * 1024
-"""Bytes kept for a reader that is slow for a moment."""
+"""Bytes buffered for a reader that is briefly slow."""
 
 
 class NonBlockingOutput:
@@ -20,10 +20,10 @@
         os.set_blocking(descriptor, False)
         self._pending = bytearray()
         self.dropped = 0
-        """Writes that were not kept."""
+        """Number of writes dropped."""
 
     def write(self, text: str) -> int:
-        """Write a line, or drop it."""
+        """Write a line, or drop it when the buffer is full."""
         if len(self._pending) + len(text) > PENDING_LIMIT_BYTES:
             self.dropped += 1
             return len(text)
@@ -32,7 +32,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what is pending, as far as the reader takes it."""
+        """Write buffered bytes, as far as the reader accepts them."""
         try:
             while self._pending:
                 written = os.write(self._descriptor, self._pending)
@@ -40,5 +40,5 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more.
+            # The reader is gone.
             self._pending.clear()
--- a/src/jasperwalk/runtime.py
+++ b/src/jasperwalk/runtime.py
@@ -20,8 +20,8 @@
 def stop_event() -> asyncio.Event:
     """Return an event that the first SIGTERM or SIGINT sets.
 
-    Call it inside the running loop. The process then ends in its own order: stop taking new
-    work, let go of ports, return from its main coroutine.
+    Call it inside the running loop. The process then shuts down in its own order: it stops
+    taking new work, closes its ports and returns from its main coroutine.
     """
     event = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/src/jasperwalk/token_bucket.py
+++ b/src/jasperwalk/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket that never goes into debt; `distribution.token_bucket` has one that may."""
+"""A token bucket without debt; the one in `distribution.token_bucket` may go into debt."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Allows `rate_per_second` events a second, and `burst` at once after a quiet time.
+    """Allows `rate_per_second` events a second, and `burst` at once after an idle time.
 
     Time is a parameter, in seconds from any origin; it never has to be the wall clock.
     """
