--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -13,11 +13,11 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.distribution.runner import FollowerRunner
 
-REPORT_SECONDS = 0.1
+STATE_REPORT_INTERVAL_SECONDS = 0.1
 """Interval at which the agent's state is told to the follower, and its incarnation read."""
 MOVE_POLL_SECONDS = 0.1
 RENEWAL_PAUSE_SECONDS = 0.02
-OLDEST_KEYS_SECONDS = 0.5
+KEY_REPORT_INTERVAL_SECONDS = 0.5
 """Interval at which the oldest keys in use are looked for."""
 MONITOR_WITHOUT_SERVICE_SECONDS = 1.0
 
@@ -53,7 +53,7 @@
         endpoint.table_fresh = follower.fresh()
         # The incarnation comes with a heartbeat, not with a change of the table.
         current.set_incarnation(follower.incarnation)
-        await asyncio.sleep(REPORT_SECONDS)
+        await asyncio.sleep(STATE_REPORT_INTERVAL_SECONDS)
 
 
 async def apply_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
@@ -83,4 +83,4 @@
         oldest = endpoint.oldest_keys()
         follower.core.connection_id_generation = oldest.connection_id
         follower.core.stateless_reset_generation = oldest.stateless_reset
-        await asyncio.sleep(OLDEST_KEYS_SECONDS)
+        await asyncio.sleep(KEY_REPORT_INTERVAL_SECONDS)
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -42,7 +42,9 @@
             and not is_copy
             and self.waiting.try_enqueue(key, packet, terms, now)
         ):
-            parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
+            parts.answers.reply(
+                FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+            )
             return
         if reason is not None:
             parts.counters.count_refusal(reason)
@@ -51,7 +53,9 @@
         if not is_copy:
             self._admit(key, sender, now)
             parts.record_started(terms.route or DEFAULT_TERMS, now)
-        parts.answers.reply(FrameKind.ACCEPTED, parts.pace.told(key, now), key, sender, now)
+        parts.answers.reply(
+            FrameKind.ACCEPTED, parts.pace.encoded_service_time(key, now), key, sender, now
+        )
         parts.warm_up.record_opening(now)
         parts.to_host(packet)
 
@@ -68,14 +72,14 @@
             request = parts.queue.take_next(takes_flows, seconds, now)
             if request is None:
                 return
-            self._begin(request, now)
+            self._start(request, now)
 
     def release_held(self, now: float) -> None:
         """Give every request of an open flow to the host: it, or its successor, is to decide."""
         for request in self.parts.queue.take_held():
             self.waiting.forward_waiting(request, now)
 
-    def _begin(self, request: WaitingRequest, now: float) -> None:
+    def _start(self, request: WaitingRequest, now: float) -> None:
         if not request.opens_flow:
             self.waiting.forward_waiting(request, now)
             return
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -18,7 +18,7 @@
 UNANSWERED_SECONDS = 1.0
 """A request that the host has not begun to answer for this long counts against the host. A busy
 one has as many requests as it has slots and half as many at hand: it answers each sooner."""
-MAXIMUM_ANSWERS = 3
+MAX_ANSWERS = 3
 """A caller sends its opening packet this often."""
 
 
@@ -50,11 +50,11 @@
     caller_ended: bool = False
     host_ended: bool = False
 
-    def begins_request(self, number: int) -> bool:
+    def starts_request(self, number: int) -> bool:
         """Tell whether data with this number would begin a request: nothing is under way."""
         return not self.busy and self._ahead(number) > 0
 
-    def is_new_data(self, number: int) -> bool:
+    def record_data_number(self, number: int) -> bool:
         """Take the number of data from the caller; tell whether it was not seen before.
 
         A copy of a request may come after the answer, where balancers are late: the host does
@@ -84,7 +84,7 @@
     def record_answer_number(self, number: int | None) -> None:
         """Take the number of the host's answer to an opening packet, None for other packets."""
         if number is not None and number not in self.answer_numbers:
-            self.answer_numbers = (*self.answer_numbers, number)[-MAXIMUM_ANSWERS:]
+            self.answer_numbers = (*self.answer_numbers, number)[-MAX_ANSWERS:]
 
     def is_followed(self, packet: bytes, codec: PacketCodec) -> bool:
         """Tell whether a packet shows that the caller of this half-open flow chose this host."""
--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -19,7 +19,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.fleet.messages import HostPhase
 
-MOST_FORMER_HOSTS = 64
+MAX_FORMER_HOSTS = 64
 """Starts of hosts that are remembered as gone or replaced: announcements are late by seconds, and a
 machine has few starts of its host in that time."""
 RETURN_SECONDS = 2.0
@@ -28,7 +28,7 @@
 RETURN_SPAN_SECONDS = 1.0
 """Time between two calls after which a host is taken to go on announcing itself. Calls that a cut
 has held up come in together, however long their sender is gone."""
-NEW_HOST_CALLS = 10
+MAX_NEW_HOST_CALL_NUMBER = 10
 """Highest number of a call by which another host is taken for one that has just started: an agent
 that runs hears a new host from its first calls on."""
 
@@ -86,7 +86,7 @@
     capacity: int = 1
     zone: str = ""
     slow_until: float = 0.0
-    _slow_until_at_most: float = 0.0
+    _earliest_slow_until: float = 0.0
     """The same, of all announcements the one that was least late."""
     call_number: int = -1
     announced_at: float = 0.0
@@ -94,7 +94,7 @@
     """Hosts that have said that they leave, and when the last of their starts that did so began."""
     _replaced: dict[HostStart, int] = field(default_factory=dict)
     """Starts whose place another one has taken, and the number of their last call."""
-    _doubted: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
+    _unconfirmed: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
     """Starts that may be gone and whose calls came since the present one's last."""
     _is_confirmed: bool = False
     """Whether the present host has spoken more than once, and so was not itself a late call."""
@@ -107,7 +107,7 @@
     def announce(self, announcement: HostAnnouncement, now: float) -> bool:
         """Take an announcement; return False for one that newer knowledge has overtaken."""
         start = self._start_of(announcement)
-        if self._is_of_left(start):
+        if self._has_deregistered(start):
             return False
         if self._is_present(start):
             if not self._is_newer_call(announcement):
@@ -117,14 +117,14 @@
             if not self._may_replace(start, announcement.call_number, now):
                 return False
             self._record_replaced()
-            self._slow_until_at_most = 0.0
+            self._earliest_slow_until = 0.0
             self._is_confirmed = False
-        self._doubted.clear()
+        self._unconfirmed.clear()
         self.host_id, self.started_unix_ms = start.host_id, start.unix_ms
         self.phase = announcement.phase
         self.capacity = max(announcement.capacity, 1)
         self.zone = announcement.zone
-        self._note_slow_start(announcement, now)
+        self._record_slow_start(announcement, now)
         self.call_number = announcement.call_number
         self.announced_at = now
         return True
@@ -139,7 +139,7 @@
         is_same_host = start.host_id == self.host_id
         return is_same_host and self.started_unix_ms in (0, start.unix_ms)
 
-    def _is_of_left(self, start: HostStart) -> bool:
+    def _has_deregistered(self, start: HostStart) -> bool:
         """Tell whether this start of the host, or a later one, has said that it leaves."""
         left = self._left.get(start.host_id)
         return left is not None and (left == 0 or start.unix_ms <= left)
@@ -149,20 +149,20 @@
         is_back = self.phase is HostPhase.DRAINING and announcement.phase is HostPhase.READY
         return announcement.call_number > self.call_number and not is_back
 
-    def _note_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
+    def _record_slow_start(self, announcement: HostAnnouncement, now: float) -> None:
         self.slow_until = now + announcement.slow_start_seconds
         if announcement.slow_start_seconds:
-            known = self._slow_until_at_most or self.slow_until
-            self._slow_until_at_most = min(known, self.slow_until)
+            known = self._earliest_slow_until or self.slow_until
+            self._earliest_slow_until = min(known, self.slow_until)
 
     def started_at(self, slow_start_seconds: float) -> float | None:
         """Return when the present host started, None where it has not been in slow start here.
 
         `slow_start_seconds` is how long hosts of its service are slow after a start.
         """
-        if not self._slow_until_at_most or not slow_start_seconds:
+        if not self._earliest_slow_until or not slow_start_seconds:
             return None
-        return self._slow_until_at_most - slow_start_seconds
+        return self._earliest_slow_until - slow_start_seconds
 
     def _may_replace(self, start: HostStart, call_number: int, now: float) -> bool:
         """Tell whether an announcement of another start is newer than the present one's.
@@ -174,7 +174,7 @@
         last_call_number = self._replaced.get(start)
         is_earlier = 0 < start.unix_ms < self.started_unix_ms
         is_known = last_call_number is not None or is_earlier
-        is_new = call_number <= NEW_HOST_CALLS or not self._is_confirmed
+        is_new = call_number <= MAX_NEW_HOST_CALL_NUMBER or not self._is_confirmed
         if not is_known and is_new:
             return True
         if is_earlier and self.phase is HostPhase.DRAINING:
@@ -182,32 +182,32 @@
         if last_call_number is not None and call_number <= last_call_number:
             return False
         is_silent = now - self.announced_at > RETURN_SECONDS
-        return self._goes_on(start, call_number, now) and is_silent
+        return self._is_repeated(start, call_number, now) and is_silent
 
-    def _goes_on(self, start: HostStart, call_number: int, now: float) -> bool:
+    def _is_repeated(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
-        first = self._doubted.setdefault(start, UnconfirmedCall(call_number, now))
-        _drop_oldest(self._doubted)
+        first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
+        _drop_oldest(self._unconfirmed)
         return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
 
     def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
-            self._note_left(self.start)
+            self._record_left(self.start)
         self._replaced[self.start] = self.call_number
         _drop_oldest(self._replaced)
 
-    def _note_left(self, start: HostStart) -> None:
+    def _record_left(self, start: HostStart) -> None:
         self._left[start.host_id] = start.unix_ms
         _drop_oldest(self._left)
 
     def leave(self, host_id: str) -> bool:
         """Note that a host is ending; return False where it is not the present one."""
         if self.host_id not in ("", host_id):
-            self._note_left(self._last_replaced(host_id))
+            self._record_left(self._last_replaced(host_id))
             return False
         if not self.host_id:
             self.host_id = host_id
-        self._note_left(self.start)
+        self._record_left(self.start)
         self.phase = HostPhase.DRAINING
         return True
 
@@ -218,7 +218,7 @@
 
     def has_left(self) -> bool:
         """Tell whether the present host has said that it is gone."""
-        return self._is_of_left(self.start)
+        return self._has_deregistered(self.start)
 
     def is_leaving(self) -> bool:
         """Tell whether the host drains and has not deregistered yet."""
@@ -240,5 +240,5 @@
 
 def _drop_oldest(former: dict[Any, Any]) -> None:
     """Keep a record of former hosts within its bound."""
-    while len(former) > MOST_FORMER_HOSTS:
+    while len(former) > MAX_FORMER_HOSTS:
         del former[next(iter(former))]
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -16,10 +16,9 @@
 from jasperwalk.agent.datagrams.flow_agent import FlowAgent
 from jasperwalk.agent.datagrams.host import HostState
 from jasperwalk.agent.datagrams.host_presence import is_host_absent
-from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
+from jasperwalk.agent.datagrams.planned_stop import wait_for_deregistration
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
 from jasperwalk.fleet.bound_sockets import AgentSockets, bind_agent
-from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -32,7 +31,8 @@
     WarmUpUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTimer
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
+from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import AgentNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
@@ -45,7 +45,7 @@
 from jasperwalk.transport.http_server import HttpServer, serving
 
 SWEEP_SECONDS = 1.0
-QUEUE_SECONDS = 0.025
+QUEUE_CHECK_INTERVAL_SECONDS = 0.025
 """Pace of looking at waiting flows while no packet of the host gives the occasion."""
 DEREGISTRATION_SECONDS = 0.05
 """Time for the last announcement to leave before the process ends."""
@@ -88,8 +88,8 @@
         self._callers_port = settings.callers_port or frames_port
         self.host = HostState()
         bound = sockets or bind_agent(settings)
-        self._frames = DatagramSocket(bound.frames, self._frame)
-        self._host_packets = DatagramSocket(bound.host_packets, self._host_packet)
+        self._frames = DatagramSocket(bound.frames, self._on_frame)
+        self._host_packets = DatagramSocket(bound.host_packets, self._on_host_packet)
         decisions = DecisionLog(time.monotonic, affordable_lines_per_second(settings.processors))
         self.core = FlowAgent(
             codec=codec,
@@ -115,7 +115,11 @@
         )
         self._ticks = SearchTimer(self._frames, self.helper.has_pending, self.helper.tick)
         self._link = HomeLink(
-            self._record, lambda: reload().replicas(), self._news, self._linked, self._random
+            self._record,
+            lambda: reload().replicas(),
+            self._on_home_message,
+            self._on_link_change,
+            self._random,
         )
         handler = AnnouncementHandler(
             self.host,
@@ -123,7 +127,7 @@
             self._host_endpoint,
             decisions,
             self._link.announce,
-            self._host_changed,
+            self._on_host_changed,
         )
         self._host_calls = HttpServer(
             Endpoint.parse(settings.host_calls_listen), host_interface(handler)
@@ -195,10 +199,10 @@
         jobs = [
             asyncio.create_task(self._link.run()),
             asyncio.create_task(self._sweep()),
-            asyncio.create_task(self._look_for_host()),
+            asyncio.create_task(self._check_host_presence()),
         ]
         await stop.wait()
-        await outlast_leaving_host(self.host, self._settings.stop_grace_ms / 1000)
+        await wait_for_deregistration(self.host, self._settings.stop_grace_ms / 1000)
         self.core.release_held(time.monotonic())
         await self._deregister()
         for job in jobs:
@@ -215,7 +219,7 @@
         self._link.announce()
         await asyncio.sleep(DEREGISTRATION_SECONDS)
 
-    async def _look_for_host(self) -> None:
+    async def _check_host_presence(self) -> None:
         """Learn at once that there is no host; where there is one, wait for its announcement."""
         if await self._is_without_host():
             self.core.record_host_absent(time.monotonic())
@@ -225,10 +229,10 @@
         is_unknown = self.host.phase is HostPhase.UNKNOWN
         return is_unknown and await is_host_absent(self._host_endpoint)
 
-    def _host_changed(self) -> None:
+    def _on_host_changed(self) -> None:
         self.core.host_changed(time.monotonic())
 
-    def _frame(self, data: bytes, sender: SocketAddress) -> None:
+    def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         now = time.monotonic()
         kind = data[0] if data else 0
         if kind == FrameKind.LOCATE:
@@ -239,7 +243,7 @@
             self.core.receive_frame(data, sender, now)
         self._ticks.ensure_scheduled()
 
-    def _host_packet(self, data: bytes, _sender: SocketAddress) -> None:
+    def _on_host_packet(self, data: bytes, _sender: SocketAddress) -> None:
         self.core.receive_host_packet(data, time.monotonic())
 
     def _send_to_host(self, packet: bytes) -> None:
@@ -251,7 +255,7 @@
     async def _sweep(self) -> None:
         swept_at = time.monotonic()
         while True:
-            await asyncio.sleep(QUEUE_SECONDS if self.core.queue else SWEEP_SECONDS)
+            await asyncio.sleep(QUEUE_CHECK_INTERVAL_SECONDS if self.core.queue else SWEEP_SECONDS)
             now = time.monotonic()
             self.core.admit_waiting(now)
             if now - swept_at >= SWEEP_SECONDS:
@@ -259,10 +263,10 @@
                 self.core.sweep(now)
                 self.helper.sweep(now)
 
-    def _linked(self, _linked: bool) -> None:
+    def _on_link_change(self, _on_link_change: bool) -> None:
         """Do nothing: the answers to the host hold without the link."""
 
-    def _news(self, message: HomeMessage) -> None:
+    def _on_home_message(self, message: HomeMessage) -> None:
         """Learn of other agents, of drained zones, of what the service's hosts bear."""
         now = time.monotonic()
         if isinstance(message, FleetUpdate):
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -17,15 +17,15 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.connection import RoutableServerConnection
 from jasperwalk.agent.connection_id_factory import ConnectionIdFactory
-from jasperwalk.agent.datagram_guard import (
+from jasperwalk.agent.datagram_filter import (
     AdmittedDatagram,
     DatagramDropped,
     DatagramFilter,
     DropReason,
 )
 from jasperwalk.agent.flow import Flow
+from jasperwalk.agent.flow_maintenance import FlowMaintenance
 from jasperwalk.agent.flow_table import FlowTable
-from jasperwalk.agent.flow_upkeep import FlowMaintenance
 from jasperwalk.agent.handover import (
     MAX_HOPS,
     Handover,
--- a/src/jasperwalk/agent/http3.py
+++ b/src/jasperwalk/agent/http3.py
@@ -90,15 +90,15 @@
             case ConnectionTerminated():
                 return self._cancel_all()
             case StreamReset(stream_id=stream_id) | StopSendingReceived(stream_id=stream_id):
-                return self._hand_to_http(event) + self._cancel(stream_id)
-        return self._hand_to_http(event)
+                return self._feed_http(event) + self._cancel(stream_id)
+        return self._feed_http(event)
 
     def send_headers(self, stream_id: int, headers: HeaderList, ended: bool) -> bool:
         """Send the head of a response; return False when the stream takes nothing any more."""
         if not self._writable(stream_id) or self._http is None:
             return False
         self._http.send_headers(stream_id, headers, end_stream=ended)
-        self._close_when(ended, stream_id)
+        self._close_if_ended(ended, stream_id)
         return True
 
     def send_data(self, stream_id: int, data: bytes, ended: bool) -> bool:
@@ -106,7 +106,7 @@
         if not self._writable(stream_id) or self._http is None:
             return False
         self._http.send_data(stream_id, data, end_stream=ended)
-        self._close_when(ended, stream_id)
+        self._close_if_ended(ended, stream_id)
         return True
 
     def abort(self, stream_id: int) -> None:
@@ -130,7 +130,7 @@
     def _writable(self, stream_id: int) -> bool:
         return stream_id in self._open and self._connection.can_send_on(stream_id)
 
-    def _close_when(self, ended: bool, stream_id: int) -> None:
+    def _close_if_ended(self, ended: bool, stream_id: int) -> None:
         if not ended:
             return
         self._open.discard(stream_id)
@@ -139,7 +139,7 @@
             self._receiving.discard(stream_id)
             self._connection.stop_stream(stream_id, ErrorCode.H3_NO_ERROR)
 
-    def _hand_to_http(self, event: QuicEvent) -> list[RequestEvent]:
+    def _feed_http(self, event: QuicEvent) -> list[RequestEvent]:
         if self._http is None:
             return []
         translated: list[RequestEvent] = []
@@ -152,7 +152,7 @@
             case HeadersReceived(stream_id=stream_id):
                 return self._headers(stream_id, event)
             case DataReceived(stream_id=stream_id) if stream_id in self._open:
-                self._note_end(stream_id, event.stream_ended)
+                self._record_end(stream_id, event.stream_ended)
                 reference = StreamReference(self._number, stream_id)
                 return [RequestData(reference, event.data, event.stream_ended)]
         return []
@@ -160,16 +160,16 @@
     def _headers(self, stream_id: int, event: HeadersReceived) -> list[RequestEvent]:
         reference = StreamReference(self._number, stream_id)
         if stream_id in self._open:  # trailers: their fields are not passed on
-            self._note_end(stream_id, event.stream_ended)
+            self._record_end(stream_id, event.stream_ended)
             return [RequestData(reference, b"", event.stream_ended)]
         if stream_id & REQUEST_STREAM_MASK:
             return []
         self._open.add(stream_id)
         self._receiving.add(stream_id)
-        self._note_end(stream_id, event.stream_ended)
+        self._record_end(stream_id, event.stream_ended)
         return [RequestHeaders(reference, event.headers, event.stream_ended)]
 
-    def _note_end(self, stream_id: int, ended: bool) -> None:
+    def _record_end(self, stream_id: int, ended: bool) -> None:
         if ended:
             self._receiving.discard(stream_id)
 
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.lending import HeldSlot, SlotRequest
-from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.lending import ReservedSlot, SlotRequest
+from jasperwalk.agent.local_runner import LocalRunner
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.requests import Outcome, Request, ResponseSink
 from jasperwalk.agent.service_view import ServiceView
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.config.table_entries import accepts_new_work
 
 
@@ -22,7 +22,7 @@
         self,
         allocator: SlotAllocator,
         health: BackendHealth,
-        local_run: LocalRun,
+        local_runner: LocalRunner,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
@@ -30,7 +30,7 @@
     ) -> None:
         self._allocator = allocator
         self._health = health
-        self._local_run = local_run
+        self._local_runner = local_runner
         self._peers = peers
         self._view = view
         self._clock = clock
@@ -40,29 +40,29 @@
         """Lent slots and requests in them that have not ended."""
         self.lent = 0
 
-    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
         """Hold a slot for the asker; None to refuse."""
         now = self._clock()
-        self._peers.record_free_slots(Endpoint.unpack(ask.requester), 0, now)
-        if not self._enabled or not self._may_lend(ask.service_id, now):
+        self._peers.record_free_slots(Endpoint.unpack(slot_request.requester), 0, now)
+        if not self._enabled or not self._may_lend(slot_request.service_id, now):
             return None
         self._count += 1
         slot_id = f"lent-{self._count}"
         if not self._allocator.reserve(slot_id):
             return None
         self.open_slots += 1
-        return HeldSlot(slot_id, self._allocator.admission.free_slots)
+        return ReservedSlot(slot_id, self._allocator.admission.free_slots)
 
-    async def run_lent(self, slot: HeldSlot, request: Request, sink: ResponseSink) -> Outcome:
+    async def run_lent(self, slot: ReservedSlot, request: Request, sink: ResponseSink) -> Outcome:
         """Run a request in a held slot, and free the slot."""
         self.lent += 1
         deadline_at = self._clock() + request.deadline_ms / 1000
         try:
-            return await self._local_run.run(slot.slot_id, request, deadline_at, sink)
+            return await self._local_runner.run(slot.slot_id, request, deadline_at, sink)
         finally:
             self.open_slots -= 1
 
-    def give_back(self, slot: HeldSlot) -> None:
+    def give_back(self, slot: ReservedSlot) -> None:
         """Free a held slot that was not used."""
         self.open_slots -= 1
         self._allocator.withdraw(slot.slot_id)
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from jasperwalk.agent.relay_messages import RelayNotRun
-from jasperwalk.agent.relay_server import RelaySink, send_outcome, until_closed
+from jasperwalk.agent.relay_server import RelaySink, send_outcome, wait_closed
 from jasperwalk.agent.requests import NotRunReason, Outcome, Request, ResponseSink
 from jasperwalk.messages.codec import Decoder, encode
 from jasperwalk.transport.framed import FramedConnection
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldSlot:
+class ReservedSlot:
     """An own slot that is held under `slot_id`; `free_slots` are left beside it."""
 
     slot_id: str
@@ -77,15 +77,15 @@
 class Lender(Protocol):
     """The agent's side that lends. A held slot is used or given back, just once."""
 
-    def reserve(self, ask: SlotRequest) -> HeldSlot | None:
+    def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
         """Hold a slot for the asker; None to refuse."""
 
     def run_lent(
-        self, slot: HeldSlot, request: Request, sink: ResponseSink
+        self, slot: ReservedSlot, request: Request, sink: ResponseSink
     ) -> Coroutine[None, None, Outcome]:
         """Run a request in a held slot, and free the slot."""
 
-    def give_back(self, slot: HeldSlot) -> None:
+    def give_back(self, slot: ReservedSlot) -> None:
         """Free a held slot that was not used."""
 
 
@@ -94,14 +94,16 @@
     with contextlib.suppress(TimeoutError):
         frame: bytes | None = await _receive(connection, IDLE_SECONDS)
         while frame is not None:
-            frame = await _serve_ask(connection, lender, SLOT_REQUEST_DECODER.decode(frame))
+            frame = await _serve_slot_request(
+                connection, lender, SLOT_REQUEST_DECODER.decode(frame)
+            )
 
 
-async def _serve_ask(
-    connection: FramedConnection, lender: Lender, ask: SlotRequest
+async def _serve_slot_request(
+    connection: FramedConnection, lender: Lender, slot_request: SlotRequest
 ) -> bytes | None:
     """Serve one ask; return the frame of the next one, None after the last."""
-    slot = lender.reserve(ask)
+    slot = lender.reserve(slot_request)
     if slot is None:
         await connection.send(encode(SlotRefusal()))
         return await _receive(connection, IDLE_SECONDS)
@@ -133,10 +135,10 @@
         for task in (running, following):
             task.cancel()
         await asyncio.wait((running, following))
-        _retrieve(running, following)
+        _consume_errors(running, following)
 
 
-def _retrieve(*ended: asyncio.Future[Any]) -> None:
+def _consume_errors(*ended: asyncio.Future[Any]) -> None:
     """Take the errors of tasks, whose reason is known, so that none is reported as lost."""
     for task in ended:
         if not task.cancelled():
@@ -153,4 +155,4 @@
     await connection.send(encode(RelayNotRun(NotRunReason.SLOT_EXPIRED, LATE_RETRY_AFTER_MS)))
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LATE_REQUEST_SECONDS):
-            await until_closed(connection)
+            await wait_closed(connection)
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -13,7 +13,6 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
@@ -32,15 +31,16 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
-from jasperwalk.agent.local_run import LocalRun
+from jasperwalk.agent.lending_client import LendingClient
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import LendingClient
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
@@ -103,13 +103,13 @@
     def _make_runner(self) -> None:
         settings, allocator, clock = self._settings, self._allocator, self._clock
         peers, view, lend = self._peers, self._current.get, settings.lend_slots
-        local_run = LocalRun(self._backend, allocator, self.health, clock)
+        local_runner = LocalRunner(self._backend, allocator, self.health, clock)
         self._relay = RelayClient(settings.name, settings.cluster_id, self._tls)
         self._lending_client = LendingClient(self._relay, clock)
-        self.lender = SlotLender(allocator, self.health, local_run, peers, view, clock, lend)
+        self.lender = SlotLender(allocator, self.health, local_runner, peers, view, clock, lend)
         self.borrower = SlotBorrower(allocator, self._lending_client, peers, view, clock, lend)
         self.runner = RequestRunner(
-            local_run, allocator, self.borrower, self._relay, view, clock, self._random
+            local_runner, allocator, self.borrower, self._relay, view, clock, self._random
         )
 
     def _prefers_peer(self, member: Endpoint) -> bool:
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.local_run import LocalRun
+from jasperwalk.agent.lending_client import BorrowedSlot
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
 from jasperwalk.agent.requests import (
@@ -22,8 +22,8 @@
 )
 from jasperwalk.agent.retry_budget import RetryBudget
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import BorrowedSlot
-from jasperwalk.agent.ticket_desk import TicketService
+from jasperwalk.agent.slot_allocator import SlotAllocator
+from jasperwalk.agent.ticket_service import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
 MAX_RELAY_TARGETS = 2
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        local_run: LocalRun,
+        local_runner: LocalRunner,
         allocator: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
@@ -48,7 +48,7 @@
         clock: Callable[[], float],
         source: random.Random,
     ) -> None:
-        self._local_run = local_run
+        self._local_runner = local_runner
         self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
@@ -108,7 +108,7 @@
             case NotRun() as not_run:
                 return not_run
             case OwnSlot(slot_id=slot_id):
-                return await self._local_run.run(slot_id, request, deadline_at, sink)
+                return await self._local_runner.run(slot_id, request, deadline_at, sink)
             case BorrowedSlot() as slot:
                 return await self._run_borrowed(slot, request, deadline_at, sink)
 
@@ -122,7 +122,7 @@
         slot_id = request.request_id
         if await self._allocator.acquire(slot_id, deadline_at) is not None:
             return outcome
-        return await self._local_run.run(slot_id, request, deadline_at, sink)
+        return await self._local_runner.run(slot_id, request, deadline_at, sink)
 
     async def _retry(
         self, request: Request, deadline_at: float, sink: ResponseSink, first: NotRun
--- a/src/jasperwalk/agent/sinks.py
+++ b/src/jasperwalk/agent/sinks.py
@@ -18,7 +18,7 @@
     """Writes a response to an HTTP/3 stream and waits while the caller is slow.
 
     `flush` sends what the end point has to send. While the sink waits for room it stands in
-    `blocked`, whose owner calls `progressed` after the caller acknowledged data.
+    `blocked`, whose owner calls `resume_if_possible` after the caller acknowledged data.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     async def data(self, data: bytes) -> None:
         """Send a piece of the body once there is room for it."""
         self._check(self._endpoint.send_data(self._stream, data, ended=False))
-        while not self.gone and self._has_no_room():
+        while not self.gone and self._is_buffer_full():
             await self._wait_for_progress()
         self._check(accepted=True)
 
@@ -54,9 +54,9 @@
         """Send the end of the response."""
         self._check(self._endpoint.send_data(self._stream, b"", ended=True))
 
-    def progressed(self) -> None:
+    def resume_if_possible(self) -> None:
         """Look again whether there is room."""
-        if not self._has_no_room():
+        if not self._is_buffer_full():
             self._progress.set()
 
     def cancel(self) -> None:
@@ -69,7 +69,7 @@
         self._endpoint.abort(self._stream)
         self._flush()
 
-    def _has_no_room(self) -> bool:
+    def _is_buffer_full(self) -> bool:
         return self._endpoint.unsent_bytes(self._stream) > MAX_UNSENT_BYTES
 
     async def _wait_for_progress(self) -> None:
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -35,7 +35,7 @@
 MAX_STORED_BYTES = 64 * 1024 * 1024
 MAX_ANSWER_BYTES = 256 * 1024
 """Longest body of an answer that is kept for a resend."""
-KEPT_AFTER_EXPIRY_SECONDS = 60.0
+RETENTION_AFTER_EXPIRY_SECONDS = 60.0
 
 
 @dataclass(eq=False)
@@ -115,12 +115,12 @@
     status: int
     headers: HeaderFields
     body: bytearray = field(default_factory=bytearray)
-    cut: bool = False
+    truncated: bool = False
 
     def append(self, data: bytes) -> None:
         """Keep a piece of the body unless the answer grows too long."""
-        if self.cut or len(self.body) + len(data) > MAX_ANSWER_BYTES:
-            self.cut = True
+        if self.truncated or len(self.body) + len(data) > MAX_ANSWER_BYTES:
+            self.truncated = True
             self.body.clear()
             return
         self.body += data
@@ -167,11 +167,11 @@
 
 
 @dataclass(slots=True)
-class Use:
+class TicketUse:
     """The first use of a ticket; `finished` without an answer means unknown."""
 
     digest: bytes
-    forget_at: float
+    discard_at: float
     finished: bool = False
     answer: StoredAnswer | None = None
 
@@ -181,7 +181,7 @@
 
     def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
         self._max_tickets = max_tickets
-        self._uses: OrderedDict[bytes, Use] = OrderedDict()
+        self._uses: OrderedDict[bytes, TicketUse] = OrderedDict()
         self._stored_bytes = 0
 
     def __len__(self) -> int:
@@ -199,7 +199,7 @@
             return Expired()
         if len(self._uses) >= self._max_tickets or self._stored_bytes >= MAX_STORED_BYTES:
             return StoreFull()
-        self._uses[ticket.nonce] = Use(digest, expires_at + KEPT_AFTER_EXPIRY_SECONDS)
+        self._uses[ticket.nonce] = TicketUse(digest, expires_at + RETENTION_AFTER_EXPIRY_SECONDS)
         return RunNow()
 
     def did_not_run(self, ticket: Ticket) -> None:
@@ -212,7 +212,7 @@
         if use is None:
             return
         use.finished = True
-        if answer is not None and not answer.cut:
+        if answer is not None and not answer.truncated:
             use.answer = answer
             self._stored_bytes += len(answer.body)
 
@@ -222,7 +222,7 @@
         return None if use is None else use.answer
 
     @staticmethod
-    def _decide_repeat(use: Use, digest: bytes) -> UseDecision:
+    def _decide_repeat(use: TicketUse, digest: bytes) -> UseDecision:
         if use.digest != digest:
             return Conflict()
         if not use.finished:
@@ -236,7 +236,7 @@
         # early entry may hold later ones back for that long: bounded by `max_tickets`.
         while self._uses:
             nonce, use = next(iter(self._uses.items()))
-            if use.forget_at > now or not use.finished:
+            if use.discard_at > now or not use.finished:
                 return
             if use.answer is not None:
                 self._stored_bytes -= len(use.answer.body)
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_paces import HostServiceTimes
+from jasperwalk.fleet.host_service_times import HostServiceTimes
 from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
@@ -175,7 +175,7 @@
             return
         slowdown = self._service_times.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
-            target.pace_factor = slowdown
+            target.slowdown = slowdown
             target.slowdown_at = now
 
     def _cost(
--- a/tests/agent/test_certificate_renewal.py
+++ b/tests/agent/test_certificate_renewal.py
@@ -12,23 +12,23 @@
 class Renewal:
     """An end point whose certificate files are those of the agent `host`."""
 
-    def __init__(self, kit, certificates):
-        self.kit = kit
+    def __init__(self, helpers, certificates):
+        self.helpers = helpers
         self.now = 0.0
         self.files = certificates.tls("agent", "host")._files
         pair = (self.files.certificate_file, self.files.private_key_file)
         named = SimpleNamespace(certificate=str(pair[0]), private_key=str(pair[1]))
-        view = kit.make_view(kit.member_entry(kit.AGENT))
-        self.endpoint = kit.make_endpoint(named, view, 1)
+        view = helpers.make_view(helpers.member_entry(helpers.AGENT))
+        self.endpoint = helpers.make_endpoint(named, view, 1)
         self.renewal = CertificateRenewal(*pair, server_configuration, lambda: self.now)
 
-    def look(self):
+    def check_files(self):
         self.now += POLL_SECONDS
-        self.renewal.look(self.endpoint)
+        self.renewal.check_files(self.endpoint)
 
     def connect(self):
-        caller = self.kit.Caller(0.0)
-        network = self.kit.Network(self.endpoint, caller, 1, 0.0)
+        caller = self.helpers.Caller(0.0)
+        network = self.helpers.Network(self.endpoint, caller, 1, 0.0)
         assert network.run(lambda: caller.quic._handshake_confirmed)
         return caller, network
 
@@ -37,8 +37,8 @@
 
 
 @pytest.fixture
-def renewal(kit, certificates):
-    return Renewal(kit, certificates)
+def renewal(helpers, certificates):
+    return Renewal(helpers, certificates)
 
 
 def test_new_flows_get_the_renewed_certificate_and_open_ones_go_on(renewal, certificates):
@@ -46,7 +46,7 @@
     caller, network = renewal.connect()
     certificates.issue("agent", "host")
     assert renewal.serial_number() == former
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() != former
     stream = caller.request("GET", "/proof")
     events = []
@@ -59,11 +59,11 @@
     former = renewal.serial_number()
     key = renewal.files.private_key_file
     key.write_bytes((certificates.folder / "ca.key").read_bytes() if content is None else content)
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() == former
     key.unlink()
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() == former
     certificates.issue("agent", "host")
-    renewal.look()
+    renewal.check_files()
     assert renewal.serial_number() != former
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -10,7 +10,6 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import lending
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lender import SlotLender
@@ -22,8 +21,8 @@
     serve_lending,
 )
 from jasperwalk.agent.lending_client import BorrowedSlot, IdleLinks, LendingClient, LendingLink
-from jasperwalk.agent.local_run import LocalRun
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.local_runner import LocalRunner
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
 from jasperwalk.agent.relay_server import serve_relay
@@ -36,6 +35,7 @@
     UnknownReason,
 )
 from jasperwalk.agent.runner import RequestRunner
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tickets import TICKET_PATH
 from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
@@ -85,7 +85,7 @@
         pass
 
 
-class Host:
+class LendingAgent:
     """One agent's parts between its flows and its back end."""
 
     def __init__(self, serve=None, slots=1, lend=True):
@@ -97,7 +97,7 @@
         self.allocator = SlotAllocator(Admission(AdmissionLimits(slots, 4, 5_000)))
         peers = PeerSlots(source)
         client = RelayClient("test", "test")
-        local = LocalRun(self.backend, self.allocator, self.health, loop.time)
+        local = LocalRunner(self.backend, self.allocator, self.health, loop.time)
         parts = (peers, lambda: self.view, loop.time, lend)
         self.lender = SlotLender(self.allocator, self.health, local, *parts)
         self.borrower = SlotBorrower(self.allocator, LendingClient(client, loop.time), *parts)
@@ -128,33 +128,33 @@
             await asyncio.sleep(0.001)
 
 
-def run_with_hosts(kit, scenario, *hosts, objective=Objective.LEAST_IMBALANCE):
+def run_with_agents(helpers, scenario, *agents, objective=Objective.LEAST_IMBALANCE):
     """Run `scenario` on hosts built from these keywords; the first one's slot is taken."""
 
     async def main():
         async with contextlib.AsyncExitStack() as stack:
-            built = [Host(**options) for options in hosts]
-            for host in built:
-                await host.server.start()
-                stack.push_async_callback(host.server.close)
-            members = [kit.member_entry(host.server.endpoint) for host in built]
-            for number, host in enumerate(built):
+            built = [LendingAgent(**options) for options in agents]
+            for agent in built:
+                await agent.server.start()
+                stack.push_async_callback(agent.server.close)
+            members = [helpers.member_entry(agent.server.endpoint) for agent in built]
+            for number, agent in enumerate(built):
                 others = members[:number] + members[number + 1 :]
-                host.view = kit.make_view(members[number], *others)
-                service = msgspec.structs.replace(host.view.service, objective=objective)
-                _replace_view(host, service=service)
+                agent.view = helpers.make_view(members[number], *others)
+                service = msgspec.structs.replace(agent.view.service, objective=objective)
+                _replace_view(agent, service=service)
             first = built[0].start("first")
             await until(lambda: built[0].backend.ran == ["first"])
             await scenario(*built)
-            for host in built:
-                host.backend.release.set()
+            for agent in built:
+                agent.backend.release.set()
             assert await first == Answered(200)
-            await until(lambda: all(host.allocator.admission.running == 0 for host in built))
+            await until(lambda: all(agent.allocator.admission.running == 0 for agent in built))
 
     asyncio.run(main())
 
 
-def test_a_request_that_waits_runs_in_a_slot_of_another_member(kit):
+def test_a_request_that_waits_runs_in_a_slot_of_another_member(helpers):
     async def scenario(requester, lender):
         second, third = requester.start("second"), requester.start("third")
         await until(lambda: lender.backend.ran)
@@ -168,11 +168,11 @@
         assert sorted(requester.backend.ran + lender.backend.ran) == ["first", "second", "third"]
         assert (requester.borrower.borrowed, lender.lender.lent) == (2, 2)
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("own_slot_comes", [True, False])
-def test_where_broken_flows_weigh_most_the_own_slot_comes_first(kit, own_slot_comes):
+def test_where_broken_flows_weigh_most_the_own_slot_comes_first(helpers, own_slot_comes):
     async def scenario(requester, lender):
         second = requester.start("second")
         await asyncio.sleep(0)
@@ -183,41 +183,41 @@
         assert lender.lender.lent == (0 if own_slot_comes else 1)
         assert bool(requester.borrower.asked) != own_slot_comes
 
-    run_with_hosts(kit, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
+    run_with_agents(helpers, scenario, {}, {}, objective=Objective.FEWEST_BROKEN_FLOWS)
 
 
-def _draining(host):
-    member = msgspec.structs.replace(host.view.member, admin_state=AdminState.DRAINING)
-    _replace_view(host, member=member)
+def _draining(agent):
+    member = msgspec.structs.replace(agent.view.member, admin_state=AdminState.DRAINING)
+    _replace_view(agent, member=member)
 
 
-def _offline(host):
-    member = msgspec.structs.replace(host.view.member, operating_status=OperatingStatus.OFFLINE)
-    _replace_view(host, member=member)
+def _offline(agent):
+    member = msgspec.structs.replace(agent.view.member, operating_status=OperatingStatus.OFFLINE)
+    _replace_view(agent, member=member)
 
 
-def _other_service(host):
-    _replace_view(host, service=msgspec.structs.replace(host.view.service, service_id=9))
+def _other_service(agent):
+    _replace_view(agent, service=msgspec.structs.replace(agent.view.service, service_id=9))
 
 
-def _replace_view(host, **changes):
-    host.view = type(host.view)(**{**vars(host.view), **changes})
+def _replace_view(agent, **changes):
+    agent.view = type(agent.view)(**{**vars(agent.view), **changes})
 
 
 LENDERS_THAT_REFUSE = {
     "draining": _draining,
-    "stopping": lambda host: _replace_view(host, stopping=True),
+    "stopping": lambda agent: _replace_view(agent, stopping=True),
     "offline in its own table": _offline,
     "of another service": _other_service,
-    "not registered": lambda host: _replace_view(host, incarnation=0),
-    "back end down": lambda host: host.health.request_refused(),
-    "shedding": lambda host: host.allocator.admission.shed(asyncio.get_running_loop().time()),
-    "full": lambda host: host.start("own"),
+    "not registered": lambda agent: _replace_view(agent, incarnation=0),
+    "back end down": lambda agent: agent.health.request_refused(),
+    "shedding": lambda agent: agent.allocator.admission.shed(asyncio.get_running_loop().time()),
+    "full": lambda agent: agent.start("own"),
 }
 
 
 @pytest.mark.parametrize("case", LENDERS_THAT_REFUSE)
-def test_a_lender_that_may_not_lend_refuses_and_the_own_slot_serves(kit, case):
+def test_a_lender_that_may_not_lend_refuses_and_the_own_slot_serves(helpers, case):
     async def scenario(requester, lender):
         LENDERS_THAT_REFUSE[case](lender)
         await asyncio.sleep(0)
@@ -229,11 +229,11 @@
         assert "second" not in lender.backend.ran
         assert lender.lender.open_slots == 0
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 @pytest.mark.parametrize("options", [({"lend": False}, {}), ({}, {"lend": False})])
-def test_the_setting_turns_off_asking_and_lending(kit, options):
+def test_the_setting_turns_off_asking_and_lending(helpers, options):
     async def scenario(requester, lender):
         second = requester.start("second")
         await asyncio.sleep(0.05)
@@ -242,7 +242,7 @@
         assert await second == Answered(200)
         assert lender.backend.ran == []
 
-    run_with_hosts(kit, scenario, *options)
+    run_with_agents(helpers, scenario, *options)
 
 
 async def _grant_and_close(connection):
@@ -260,7 +260,7 @@
     await connection.send(encode(RelayNotRun(NotRunReason.BACKEND_UNREACHABLE, 100)))
 
 
-async def _take_request_and_babble(connection):
+async def _take_request_and_send_garbage(connection):
     await _take_request_and_close(connection)
     await connection.send(b"\xff")
 
@@ -272,14 +272,14 @@
     "closes after the grant, GET": (_grant_and_close, "GET", LOST, 0),
     "closes after the request, POST": (_take_request_and_close, "POST", LOST, 0),
     "closes after the request, GET": (_take_request_and_close, "GET", LOST, 0),
-    "sends nonsense, POST": (_take_request_and_babble, "POST", LOST, 0),
+    "sends nonsense, POST": (_take_request_and_send_garbage, "POST", LOST, 0),
     "refuses after the grant, POST": (_grant_and_refuse, "POST", Answered(200), 1),
     "closes without an answer, POST": (lambda c: c.receive(), "POST", Answered(200), 1),
 }
 
 
 @pytest.mark.parametrize("case", FAILING_LENDERS)
-def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(kit, case):
+def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(helpers, case):
     serve, method, outcome, runs = FAILING_LENDERS[case]
 
     async def scenario(requester, _):
@@ -291,10 +291,10 @@
         assert await second == outcome
         assert requester.backend.ran.count("second") == runs
 
-    run_with_hosts(kit, scenario, {}, {"serve": serve})
+    run_with_agents(helpers, scenario, {}, {"serve": serve})
 
 
-def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(kit):
+def test_a_ticket_stays_with_its_home_when_its_lender_is_lost(helpers):
     async def scenario(requester, _):
         sink = FakeSink()
         issue = Request("issue", "POST", TICKET_PATH, "", [], b"", 5_000, False)
@@ -308,10 +308,10 @@
         assert again == Unknown(UnknownReason.OUTCOME_NOT_KEPT)
         assert requester.backend.ran == ["first"]
 
-    run_with_hosts(kit, scenario, {}, {"serve": _take_request_and_close})
+    run_with_agents(helpers, scenario, {}, {"serve": _take_request_and_close})
 
 
-def test_cancelling_a_lent_request_ends_it_at_the_lender(kit):
+def test_cancelling_a_lent_request_ends_it_at_the_lender(helpers):
     async def scenario(requester, lender):
         second = requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
@@ -320,7 +320,7 @@
         await until(lambda: lender.free_slots == 1 and not lender.lender.open_slots)
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 ENDS_DURING_AN_ASK = {
@@ -331,7 +331,7 @@
 
 @pytest.mark.parametrize("late_turns", range(4))
 @pytest.mark.parametrize("case", ENDS_DURING_AN_ASK)
-def test_a_slot_that_comes_too_late_is_given_back_and_nothing_runs_twice(kit, case, late_turns):
+def test_a_slot_that_comes_too_late_is_given_back_and_nothing_runs_twice(helpers, case, late_turns):
     asked, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
     requests = []
 
@@ -356,18 +356,20 @@
         assert requester.backend.ran.count("second") + len(requests) <= 1
         assert requester.allocator.admission.waiting == 0
 
-    run_with_hosts(kit, scenario, {}, {"serve": serve})
+    run_with_agents(helpers, scenario, {}, {"serve": serve})
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_granted_slot_that_is_not_used_is_free_again(kit, monkeypatch, leaves):
+def test_a_granted_slot_that_is_not_used_is_free_again(helpers, monkeypatch, leaves):
     monkeypatch.setattr(lending, "RESERVATION_SECONDS", 5.0 if leaves else 0.02)
 
     async def scenario(requester, lender):
         member = lender.server.endpoint
         client = RelayClient("test", "test")
         connection = await client.open(member, ConnectionKind.LENDING, 1.0)
-        await connection.send(encode(SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())))
+        await connection.send(
+            encode(SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack()))
+        )
         await connection.receive()
         assert lender.free_slots == 0
         if leaves:
@@ -381,15 +383,15 @@
             connection.abort()
         assert (lender.backend.ran, lender.lender.open_slots) == ([], 0)
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
-def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(kit):
+def test_own_requests_of_a_lender_wait_for_the_lent_slot_alone_and_borrow_in_turn(helpers):
     async def scenario(requester, lender):
         requester.start("second")
         await until(lambda: lender.backend.ran == ["second"])
         own = lender.start("own")
-        refused = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
+        refused = SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack())
         await asyncio.sleep(0)
         assert lender.allocator.admission.waiting == 1
         assert lender.lender.reserve(refused) is None
@@ -397,13 +399,13 @@
         assert await own == Answered(200)
         assert "own" in requester.backend.ran
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
-def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(kit):
+def test_a_request_that_the_own_queue_refuses_runs_where_a_slot_is_free(helpers):
     async def scenario(requester, lender):
-        for host in (requester, lender):
-            host.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
+        for agent in (requester, lender):
+            agent.allocator.admission.set_limits(AdmissionLimits(1, 0, 5_000), 0.0)
         assert await requester.start("second", method="POST", path="/names") == Answered(200)
         lender.start("own")
         await until(lambda: lender.backend.ran == ["second", "own"])
@@ -411,7 +413,7 @@
         assert isinstance(refused, NotRun)
         assert "third" not in requester.backend.ran + lender.backend.ran
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 class FakeLendingClient:
@@ -431,14 +433,16 @@
 
 @pytest.mark.parametrize("grant_first", [True, False])
 @pytest.mark.parametrize("turns_between", range(4))
-def test_of_two_slots_that_come_together_one_is_used(kit, grant_first, turns_between):
+def test_of_two_slots_that_come_together_one_is_used(helpers, grant_first, turns_between):
     async def main():
         loop = asyncio.get_running_loop()
         allocator, requester = (
             SlotAllocator(Admission(AdmissionLimits(1, 4, 5_000))),
             FakeLendingClient(),
         )
-        view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
+        view = helpers.make_view(
+            helpers.member_entry(helpers.AGENT), helpers.member_entry(helpers.OTHER_AGENT)
+        )
         peers = PeerSlots(random.Random(SEED))
         borrower = SlotBorrower(allocator, requester, peers, lambda: view, loop.time, True)
         await borrower.acquire("first", loop.time() + 60)
@@ -458,12 +462,12 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(kit):
+def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(helpers):
     opened = []
 
     async def scenario(requester, lender):
         async def ask():
-            request = SlotRequest(kit.SERVICE_ID, requester.server.endpoint.pack())
+            request = SlotRequest(helpers.SERVICE_ID, requester.server.endpoint.pack())
             return await lending_client.ask(lender.server.endpoint, request)
 
         async def open_one(*arguments):
@@ -497,7 +501,7 @@
         opened[-1].abort()
         lending_client.close()
 
-    run_with_hosts(kit, scenario, {}, {})
+    run_with_agents(helpers, scenario, {}, {})
 
 
 class FakeConnection:
@@ -507,18 +511,18 @@
         self.aborted = True
 
 
-def test_kept_connections_are_few_and_not_old(kit):
+def test_kept_connections_are_few_and_not_old(helpers):
     now = 0.0
     idle = IdleLinks(lambda: now)
-    links = [LendingLink(kit.AGENT, FakeConnection(), 0.0) for _ in range(5)]
+    links = [LendingLink(helpers.AGENT, FakeConnection(), 0.0) for _ in range(5)]
     for link in links:
         idle.keep(link)
     assert [link.connection.aborted for link in links] == [True] + [False] * 4
-    assert idle.take(kit.OTHER_AGENT) is None
-    assert idle.take(kit.AGENT).connection is links[-1].connection
+    assert idle.take(helpers.OTHER_AGENT) is None
+    assert idle.take(helpers.AGENT).connection is links[-1].connection
     now = 11.0
-    assert idle.take(kit.AGENT) is None
+    assert idle.take(helpers.AGENT) is None
     assert [link.connection.aborted for link in links] == [True] * 4 + [False]
     now = 61.0
     idle.keep(links[-1])
-    assert idle.take(kit.AGENT) is None
+    assert idle.take(helpers.AGENT) is None
--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -11,20 +11,20 @@
 
 
 @contextlib.contextmanager
-def standing_still():
+def unresponsive_process():
     """A port whose process reads nothing; the kernel takes connections for it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         yield Endpoint(*listener.getsockname())
 
 
 @contextlib.contextmanager
-def gone():
+def closed_port():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         endpoint = Endpoint(*listener.getsockname())
     yield endpoint
 
 
-@pytest.mark.parametrize(("agent", "answers"), [(standing_still, True), (gone, False)])
+@pytest.mark.parametrize(("agent", "answers"), [(unresponsive_process, True), (closed_port, False)])
 def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
         return await RelayClient("asker", "zagreb").is_alive(endpoint)
--- a/tests/balancer/datagrams/test_host_pace.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -3,10 +3,10 @@
 import pytest
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, MIN_SAMPLES
+from jasperwalk.fleet.host_service_times import MAX_SLOWDOWN, MIN_SAMPLES
 from jasperwalk.fleet.target import SLOW_SECONDS
 from jasperwalk.flows.frames import FULL_LOAD_PER_SLOT, FrameKind, RefusalReason
-from jasperwalk.flows.pace import UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.service_time import UNKNOWN_SERVICE_TIME, encode_service_time
 from tests.balancer.datagrams.support import Bench, address_of, record
 from tests.flows.support import OPENING, from_caller, key_of
 
@@ -51,7 +51,7 @@
     bench.learn_usual()
     slow, _ = bench.open(1.0)
     bench.accept(slow, SLOW, 1.0)
-    assert bench.target(slow).pace_factor == MAX_SLOWDOWN
+    assert bench.target(slow).slowdown == MAX_SLOWDOWN
     asked = []
     for _ in range(6):
         number, _ = bench.open(1.1)
@@ -66,7 +66,7 @@
     bench.learn_usual()
     number, _ = bench.open(1.0)
     bench.answer(number, FrameKind.HELD, 1.0, flags, key=key_of(bench.caller))
-    assert bench.target(number).pace_factor == 1.0
+    assert bench.target(number).slowdown == 1.0
 
 
 def test_an_agent_whose_host_is_slow_is_passed_over_for_a_while():
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -10,7 +10,7 @@
 MAX_WAIT_SECONDS = 0.9
 WAITING_PER_SLOT = 7
 ASKED_HOSTS = 4
-RUSH_FROM, RUSH_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
+BURST_FROM, BURST_UNTIL, PLAYED_UNTIL = 2.0, 6.0, 8.0
 
 
 class FirstOfAll:
@@ -33,7 +33,7 @@
         self.shares, self.slots, self.source = shares, slots, source
         self.busy = 0
         self.waiting = []
-        self.groups_begun = []
+        self.groups_started = []
 
     def load(self):
         return (self.busy + len(self.waiting)) / self.slots
@@ -49,11 +49,11 @@
         self.waiting.remove(gone)
         return [gone]
 
-    def begin(self, now):
+    def start_waiting(self, now):
         """Return the requests begun with their ends, and those that waited too long."""
         expired = [each for each in self.waiting if now - each[1] > MAX_WAIT_SECONDS]
         self.waiting = [each for each in self.waiting if each not in expired]
-        begun = []
+        started = []
         while self.busy < self.slots and self.waiting:
             newest_first = list(dict.fromkeys(group for group, _ in reversed(self.waiting)))
             group = self.shares.group_to_serve(newest_first, now)
@@ -61,23 +61,23 @@
             self.waiting.remove(request)
             self.busy += 1
             self.shares.record_served(group, SERVICE_SECONDS, now)
-            begun.append((request, now + self.source.expovariate(1 / SERVICE_SECONDS)))
-        return begun, expired
+            started.append((request, now + self.source.expovariate(1 / SERVICE_SECONDS)))
+        return started, expired
 
 
 class Replay:
     """Plays arrivals of groups at hosts; `rates` are arrivals a second outside the rush.
 
-    `rush` names how many times the rates of some groups come in the rush. `came` and `in_time`
+    `burst` names how many times the rates of some groups come in the rush. `came` and `in_time`
     count requests by group, of those that came during the rush.
     """
 
-    def __init__(self, make_shares, rates, rush, hosts=1, slots=4, seed=1):
+    def __init__(self, make_shares, rates, burst, hosts=1, slots=4, seed=1):
         self.source = random.Random(seed)
         self.hosts = [Host(make_shares(), slots, self.source) for _ in range(hosts)]
-        self.rates, self.rush = rates, rush
+        self.rates, self.burst = rates, burst
         self.came, self.in_time = Counter(), Counter()
-        self.begun = Counter()
+        self.started = Counter()
 
     def run(self):
         order = count()
@@ -96,19 +96,19 @@
                 host.busy -= 1
                 if self.counts(arrived_at) and now - arrived_at <= OBJECTIVE_SECONDS:
                     self.in_time[group] += 1
-            begun, _ = host.begin(now)
-            for (of_group, arrived_at), ends_at in begun:
-                self.begun[of_group] += self.counts(now)
+            started, _ = host.start_waiting(now)
+            for (of_group, arrived_at), ends_at in started:
+                self.started[of_group] += self.counts(now)
                 event = (ends_at, next(order), of_group, (host, arrived_at))
                 heapq.heappush(events, event)
         return self
 
     def rate(self, group, now):
-        is_rush = RUSH_FROM <= now < RUSH_UNTIL
-        return self.rates[group] * (self.rush.get(group, 1.0) if is_rush else 1.0)
+        is_burst = BURST_FROM <= now < BURST_UNTIL
+        return self.rates[group] * (self.burst.get(group, 1.0) if is_burst else 1.0)
 
     def counts(self, now):
-        return RUSH_FROM <= now < RUSH_UNTIL
+        return BURST_FROM <= now < BURST_UNTIL
 
     def arrival(self, group, now):
         self.came[group] += self.counts(now)
