--- a/src/jasperwalk/settings/overrides.py
+++ b/src/jasperwalk/settings/overrides.py
@@ -33,7 +33,7 @@
         raise SettingsError(
             source=flag,
             key=text,
-            problem="is not of the form key=value",
+            problem="is not of the shape key=value",
             mend=f"write, for example, {flag} heartbeat_ms=250",
         )
     return Override(path=path, value=_parse_value(value_text.strip()), flag=flag)
--- a/tests/config/test_conflicts.py
+++ b/tests/config/test_conflicts.py
@@ -1,4 +1,4 @@
-"""Conflicts between tenants name both of them."""
+"""A conflict between two tenants names both of them."""
 
 from __future__ import annotations
 
--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -108,7 +108,7 @@
 def test_changes_bring_any_copy_to_the_same_content(
     steps: list[tuple[int, int]], start: int, tombstone_limit: int
 ) -> None:
-    """Weight 0 stands for a removal; `start` is the revision at which the follower left."""
+    """Weight 0 means a removal; `start` is the revision at which the copy was taken."""
     table = VersionedTable(tombstone_limit=tombstone_limit)
     followed: dict[EntryKey, TableEntry] = {}
     followed_revision = 0
--- a/tests/config/test_templates.py
+++ b/tests/config/test_templates.py
@@ -1,4 +1,4 @@
-"""Templates and values: what is accepted, and the problem each fault is reported as."""
+"""Templates and values: what is accepted, and the problem that reports each fault."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
 """Shared set-up of all tests: hypothesis draws the same examples in every run.
 
-The certificates of a small cluster are made anew for each test that asks for them.
+The certificates of a small cluster are created for each test that requests them.
 """
 
 import datetime
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 def other_cluster_certificates(tmp_path):
-    """A cluster of the same name with a CA of its own."""
+    """Certificates of another cluster of the same name, which has its own CA."""
     return _make_certificates(tmp_path / "others")
 
 
--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -1,4 +1,4 @@
-"""A seeded network of real cores over disks that lose what was not synced."""
+"""A seeded simulated network of real Raft cores, on disks that lose what was not synced."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Replica:
-    """A host: a core, its disk and a state machine that is the list of applied commands."""
+    """A runner: a core, its disk and a state machine that is the list of applied commands."""
 
     def __init__(self, cluster: SimulatedCluster, replica_id: int, disk_id: str) -> None:
         self.cluster = cluster
@@ -58,7 +58,7 @@
         self.applied_index = index
 
     def process_ready(self) -> None:
-        """Follow the host protocol; syncing may take until a later tick."""
+        """Run the loop that `core` prescribes; a sync may last until a later tick."""
         while self.node is not None and self.unsynced is None:
             ready = self.node.ready()
             if ready.is_empty():
@@ -100,7 +100,7 @@
 
 @dataclass
 class SimulatedCluster:
-    """Replicas, the network between them, and what must always hold."""
+    """Replicas, the network between them, and the invariants that must always hold."""
 
     seed: int
     size: int
@@ -246,5 +246,5 @@
 
 @pytest.fixture
 def make_cluster() -> Callable[[int, int], SimulatedCluster]:
-    """Return the constructor of a world: (seed, number of replicas)."""
+    """Return the constructor of a simulated cluster: (seed, number of replicas)."""
     return SimulatedCluster
--- a/tests/consensus/test_cluster.py
+++ b/tests/consensus/test_cluster.py
@@ -1,4 +1,4 @@
-"""Named failures of a cluster: splits, lost replicas, lost disks, slow and cut-off leaders."""
+"""Failure scenarios of a cluster: partitions, lost replicas and disks, slow or isolated leaders."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def commit_change(cluster, wanted):
-    """Propose a change of members on the leader until it is taken, and let it commit."""
+    """Propose a change of members on the leader until it is accepted, and let it commit."""
     outcome = None
     while not isinstance(outcome, Proposed):
         leader = cluster.await_leader()
@@ -41,7 +41,7 @@
 
 
 def replace_replica(cluster, lost, new):
-    """Replace a replica the way an operator does."""
+    """Replace a replica as an operator does: remove the old one, add and promote a new one."""
     commit_change(cluster, RemoveReplica(lost))
     del cluster.replicas[lost]
     cluster.add(new)
@@ -51,7 +51,7 @@
 
 
 def has_caught_up(cluster, learner):
-    """Tell whether the leader holds the learner for caught up."""
+    """Tell whether the leader considers the learner caught up."""
     leader = cluster.await_leader()
     progress = leader.node.progress_of(learner)
     return progress is not None and progress.match_index >= leader.node.last_index
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica's core alone: each rule that guards a promise, without a network."""
+"""The core of a single replica, without a network: one test for each safety rule."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def finish(node):
-    """Do what the host does, and return the messages and the committed entries."""
+    """Run the runner's loop, and return the messages and the committed entries."""
     messages, committed = [], []
     while not (ready := node.ready()).is_empty():
         if ready.persist is not None:
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -1,4 +1,4 @@
-"""Random faults against the safety properties of Raft; a failure names its seed."""
+"""Safety properties of Raft under random faults; a failure names its seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def inject_fault(cluster) -> None:
-    """Let one random fault begin or end."""
+    """Start or end one random fault."""
     fault = cluster.random.randrange(7)
     victim = cluster.random.choice(sorted(cluster.replicas))
     if fault == 0:
@@ -32,7 +32,7 @@
             leader.node.transfer_leadership(cluster.now)
             leader.process_ready()
     elif fault == 2:
-        # A one-way cut: the victim hears nobody, but is heard.
+        # A one-way cut: the victim receives nothing, but its messages arrive.
         cluster.cuts |= {(other, victim) for other in cluster.replicas}
     else:
         cluster.cuts.clear()
@@ -79,7 +79,7 @@
     cluster.run_until(lambda: is_caught_up(cluster))
     cluster.check_logs_match()
     cluster.check_nothing_lost([*acknowledged, b"last"])
-    assert len(acknowledged) > 5, f"seed {seed}: the run committed next to nothing"
+    assert len(acknowledged) > 5, f"seed {seed}: the run committed almost nothing"
 
 
 class Operator:
@@ -92,7 +92,7 @@
         self.next_id = cluster.size + 1
 
     def wipe(self, victim: int) -> None:
-        """Take a voter's disk away; it comes back empty under its old ID."""
+        """Wipe a voter's disk; it comes back empty under its old ID."""
         self.cluster.add(victim)
         self.lost = victim
         self.new = self.next_id
@@ -119,7 +119,7 @@
         leader.process_ready()
 
     def finish(self, node) -> None:
-        """Switch the lost replica off once the whole change is committed."""
+        """Shut the lost replica down once the last change is committed."""
         if node.membership == node.committed_membership:
             del self.cluster.replicas[self.lost]
             self.lost = None
@@ -164,4 +164,4 @@
     cluster.commit(b"last")
     cluster.run_until(lambda: is_caught_up(cluster))
     cluster.check_nothing_lost([*acknowledged, b"last"])
-    assert repairs > 2, f"seed {seed}: next to nothing was repaired"
+    assert repairs > 2, f"seed {seed}: almost nothing was repaired"
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""What the data folder survives, and what it refuses."""
+"""Which crashes the data folder recovers from, and which damage it refuses to load."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def load(folder: Path):
-    """Load a folder as after a crash, and free it."""
+    """Load a folder as after a crash, and unlock it."""
     storage = open_storage(folder, "another disk")
     durable = storage.load()
     storage.close()
--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership that is transferred before a planned stop."""
+"""Transfer of leadership before a planned stop."""
 
 import pytest
 
@@ -61,7 +61,7 @@
     assert leader.node.is_transferring
     faults.loss = 0.0
     for replica_id in set(cluster.replicas) - {leader.disk.replica_id}:
-        # They answer, but cannot campaign: they know of no such leader.
+        # They answer, but ignore the request to campaign.
         cluster.replicas[replica_id].node._election.on_timeout_now = lambda *_: False
     cluster.run(cluster.config.election_timeout_seconds * 1.5)
     assert leader.node.is_leader
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -75,7 +75,7 @@
     assert load_settings(None, BalancerSettings, overrides).name == "p1"
 
 
-# Model, text that is replaced in a valid file, its replacement, key and words of the line.
+# Model, text to replace in a valid file, its replacement, and key and words of the error line.
 TEXTS = {BalancerSettings: FOLLOWER, ControlSettings: CONTROL, AgentSettings: AGENT}
 ZONE = 'zone = "dvorana-a"'
 FAULTS = [
