--- a/src/jasperwalk/config/table_entries.py
+++ b/src/jasperwalk/config/table_entries.py
@@ -17,7 +17,7 @@
 
 
 class Objective(enum.StrEnum):
-    """What balancing has to favour for a service."""
+    """The balancing goal that operators set for a service."""
 
     FEWEST_BROKEN_FLOWS = "fewest-broken-flows"
     LEAST_IMBALANCE = "least-imbalance"
