--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -22,10 +22,10 @@
 MAX_FORMER_HOSTS = 64
 """Starts of hosts that are remembered as gone or replaced: announcements are late by seconds, and a
 machine has few starts of its host in that time."""
-RETURN_SECONDS = 2.0
+MIN_SILENCE_BEFORE_RETURN_SECONDS = 2.0
 """Silence of the present host after which one that it replaced may take its place again. Hosts
 announce themselves about once a second, so a living one is not replaced by a late announcement."""
-RETURN_SPAN_SECONDS = 1.0
+MIN_RETURN_SPAN_SECONDS = 1.0
 """Time between two calls after which a host is taken to go on announcing itself. Calls that a cut
 has held up come in together, however long their sender is gone."""
 MAX_NEW_HOST_CALL_NUMBER = 10
@@ -181,14 +181,14 @@
             return False
         if last_call_number is not None and call_number <= last_call_number:
             return False
-        is_silent = now - self.announced_at > RETURN_SECONDS
+        is_silent = now - self.announced_at > MIN_SILENCE_BEFORE_RETURN_SECONDS
         return self._is_repeated(start, call_number, now) and is_silent
 
     def _is_repeated(self, start: HostStart, call_number: int, now: float) -> bool:
         """Note a doubted call; tell whether it follows an earlier one that came well before it."""
         first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
         _drop_oldest(self._unconfirmed)
-        return call_number > first.number and now - first.at >= RETURN_SPAN_SECONDS
+        return call_number > first.number and now - first.at >= MIN_RETURN_SPAN_SECONDS
 
     def _record_replaced(self) -> None:
         if self.phase is HostPhase.DRAINING:
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(("slots", "requests"), [(1, 2), (2, 3), (3, 5), (4, 6), (10, 14)])
-def test_a_host_has_its_next_requests_at_hand_and_no_more(slots, requests):
+def test_a_host_has_its_next_requests_and_no_more(slots, requests):
     assert max_requests(slots) == requests
 
 
@@ -278,14 +278,14 @@
     assert len(harness.agent) == 1
 
 
-def test_another_host_beside_the_agent_begins_with_a_clean_record():
+def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
     hand_back(harness, MAX_CONSECUTIVE_RETURNS)
     harness.agent.on_host_replaced(1.1)
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
 
-def test_callers_that_left_are_known_by_the_time_that_the_others_take():
+def test_callers_that_left_are_detected_by_the_follow_up_time_of_others():
     """After an outage most waiting callers have left; their places are not kept for 0.25 s each."""
     harness = Harness()
     for number in range(20):
--- a/tests/fleet/test_host_service_times.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.fleet.host_service_times import (
+from jasperwalk.fleet.host_slowdowns import (
     FULL_WEIGHT_SECONDS,
     MAX_KINDS,
     MAX_SAMPLE_AGE_SECONDS,
@@ -14,7 +14,7 @@
     MIN_SAMPLES,
     MIN_SLOWDOWN,
     TYPICAL_RATIO,
-    HostServiceTimes,
+    HostSlowdowns,
     bounded_slowdown,
     slowdown_at_age,
 )
@@ -29,16 +29,16 @@
 from tests.flows.support import LISTENER
 
 HOSTS = 8
-USUAL = 0.05
+TYPICAL = 0.05
 KIND = LISTENER.pack()
 OTHER_KIND = b"other!"
 
 
-class Bench:
+class Harness:
     """A balancer's agents, all but the first as usual."""
 
-    def __init__(self, uses_service_times=True, hosts=HOSTS):
-        self.pool = TargetPool("a", random.Random(SEED), uses_service_times=uses_service_times)
+    def __init__(self, weighs_slowdown=True, hosts=HOSTS):
+        self.pool = TargetPool("a", random.Random(SEED), weighs_slowdown=weighs_slowdown)
         records = [record(number + 1) for number in range(hosts)]
         self.pool.update(FleetUpdate(True, records, []), 0.0)
 
@@ -46,12 +46,12 @@
         endpoint = address_of(number)
         return self.pool.at((endpoint.host, endpoint.port))
 
-    def tell(self, number, seconds, now=1.0, kind=KIND):
+    def report(self, number, seconds, now=1.0, kind=KIND):
         self.pool.record_service_time(self.target(number), kind, encode_service_time(seconds), now)
 
-    def tell_usual(self, now=0.8, numbers=range(2, HOSTS + 1)):
+    def report_typical(self, now=0.8, numbers=range(2, HOSTS + 1)):
         for number in numbers:
-            self.tell(number, USUAL, now)
+            self.report(number, TYPICAL, now)
 
     def chosen(self, count=200, now=1.0, loads=None):
         source = random.Random(3)
@@ -65,47 +65,47 @@
 
 
 def test_a_slow_host_is_not_chosen_while_others_have_room():
-    bench = Bench()
-    bench.tell_usual()
-    bench.tell(1, 8 * USUAL)
-    assert "agent-1" not in bench.chosen()
+    harness = Harness()
+    harness.report_typical()
+    harness.report(1, 8 * TYPICAL)
+    assert "agent-1" not in harness.chosen()
 
 
 def test_a_slow_host_is_chosen_where_others_are_far_busier():
-    bench = Bench()
-    bench.tell_usual()
-    bench.tell(1, 8 * USUAL)
+    harness = Harness()
+    harness.report_typical()
+    harness.report(1, 8 * TYPICAL)
     for number in range(2, HOSTS + 1):
-        bench.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
-    assert bench.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
+        harness.target(number).record_load(4 * MAX_SLOWDOWN, 1.0)
+    assert harness.pool.choose("web", b"key", (), 1.0).record.name == "agent-1"
 
 
 def test_a_fast_host_gets_more():
-    bench = Bench()
-    bench.tell_usual()
-    bench.tell(1, USUAL / 3)
-    assert bench.chosen().count("agent-1") > 200 / HOSTS * 2
+    harness = Harness()
+    harness.report_typical()
+    harness.report(1, TYPICAL / 3)
+    assert harness.chosen().count("agent-1") > 200 / HOSTS * 2
 
 
 @pytest.mark.parametrize("ratio", [1.0, 1.4, 1 / 1.4])
-def test_between_equals_every_choice_is_as_without_figures(ratio):
+def test_small_differences_change_no_choice(ratio):
     assert max(ratio, 1 / ratio) < TYPICAL_RATIO
-    plain, weighed = Bench(uses_service_times=False), Bench()
-    for bench in (plain, weighed):
-        bench.tell_usual()
-        bench.tell(1, ratio * USUAL)
+    plain, weighed = Harness(weighs_slowdown=False), Harness()
+    for harness in (plain, weighed):
+        harness.report_typical()
+        harness.report(1, ratio * TYPICAL)
     assert plain.chosen(1000) == weighed.chosen(1000)
 
 
 def test_switched_off_nothing_is_weighed():
-    plain, told = Bench(uses_service_times=False), Bench(uses_service_times=False)
-    told.tell_usual()
-    told.tell(1, 100 * USUAL)
-    assert plain.chosen() == told.chosen()
+    plain, reported = Harness(weighs_slowdown=False), Harness(weighs_slowdown=False)
+    reported.report_typical()
+    reported.report(1, 100 * TYPICAL)
+    assert plain.chosen() == reported.chosen()
 
 
-def test_agents_that_tell_nothing_are_chosen_as_before():
-    plain, silent = Bench(uses_service_times=False), Bench()
+def test_agents_that_report_nothing_are_chosen_as_before():
+    plain, silent = Harness(weighs_slowdown=False), Harness()
     for number in range(1, HOSTS + 1):
         silent.pool.record_service_time(silent.target(number), KIND, UNKNOWN_SERVICE_TIME, 1.0)
     assert plain.chosen() == silent.chosen()
@@ -116,11 +116,11 @@
     [(MAX_SERVICE_TIME_CODE, MAX_SLOWDOWN), (1, MIN_SLOWDOWN)],
     ids=["slow", "fast"],
 )
-def test_a_wrong_figure_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
-    bench = Bench()
-    bench.tell_usual()
-    target = bench.target(1)
-    bench.pool.record_service_time(target, KIND, code, 1.0)
+def test_a_wrong_service_time_changes_the_cost_by_a_bounded_factor_and_ages(code, bound):
+    harness = Harness()
+    harness.report_typical()
+    target = harness.target(1)
+    harness.pool.record_service_time(target, KIND, code, 1.0)
     target.record_load(2.0, 1.0)
     load = target.relative_load(1.0)
     assert target.expected_wait(1.0) + 1.0 == pytest.approx(bound * (load + 1.0))
@@ -128,7 +128,7 @@
     assert target.expected_wait(old) == target.relative_load(old)
 
 
-def test_a_figure_counts_less_with_age():
+def test_a_slowdown_counts_less_with_age():
     weights = [
         slowdown_at_age(4.0, age)
         for age in (0.0, FULL_WEIGHT_SECONDS, 1.5, MAX_SLOWDOWN_AGE_SECONDS, 99.0)
@@ -143,35 +143,35 @@
 
 def test_where_too_many_hosts_are_slow_none_counts_as_such():
     slow = range(1, 2 + round(MAX_SLOW_SHARE * HOSTS))
-    bench, plain = Bench(), Bench(uses_service_times=False)
+    harness, plain = Harness(), Harness(weighs_slowdown=False)
     for _ in range(MIN_SAMPLES):
-        bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
+        harness.report_typical(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
-        bench.tell(number, 8 * USUAL)
-    assert all(bench.target(number).slowdown == MAX_SLOWDOWN for number in slow)
-    assert bench.chosen() == plain.chosen()
+        harness.report(number, 8 * TYPICAL)
+    assert all(harness.target(number).slowdown == MAX_SLOWDOWN for number in slow)
+    assert harness.chosen() == plain.chosen()
 
 
 def test_kinds_are_compared_each_with_itself():
-    bench = Bench()
+    harness = Harness()
     for number in range(1, HOSTS + 1):
-        bench.tell(number, USUAL)
+        harness.report(number, TYPICAL)
     for number in range(1, HOSTS + 1):
-        bench.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
-    assert {bench.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
+        harness.report(number, 20 * TYPICAL, 1.2, OTHER_KIND)
+    assert {harness.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
-def test_nothing_is_compared_with_few_or_old_figures():
-    paces = HostServiceTimes()
+def test_nothing_is_compared_with_few_or_old_samples():
+    slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
-        assert paces.slowdown("web", KIND, encode_service_time(USUAL), 0.2 * number) is None
-    assert paces.slowdown("web", KIND, encode_service_time(USUAL), 1.0) == 1.0
+        assert slowdowns.slowdown("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(TYPICAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert paces.slowdown("web", KIND, encode_service_time(9 * USUAL), late) is None
+    assert slowdowns.slowdown("web", KIND, encode_service_time(9 * TYPICAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
-    paces = HostServiceTimes()
+    slowdowns = HostSlowdowns()
     for number in range(3 * MAX_KINDS):
-        paces.slowdown("web", number.to_bytes(6, "big"), encode_service_time(USUAL), 1.0)
-    assert len(paces._kinds) <= MAX_KINDS
+        slowdowns.slowdown("web", number.to_bytes(6, "big"), encode_service_time(TYPICAL), 1.0)
+    assert len(slowdowns._kinds) <= MAX_KINDS
--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("stood_still", [False, True])
-def test_a_leader_that_is_new_or_stood_still_waits_before_it_declares_silence(
+def test_a_new_or_suspended_leader_waits_before_it_declares_members_offline(
     tracker, stood_still: bool
 ) -> None:
     if not stood_still:
@@ -93,7 +93,7 @@
     assert len(tracker.evaluate([member(ONLINE)], 114.0)) == 1
 
 
-def test_a_new_leader_acts_on_what_it_hears_during_its_grace(tracker) -> None:
+def test_a_new_leader_acts_on_reports_during_its_grace_period(tracker) -> None:
     tracker.leader_started(100.0)
     tracker.observe(observation(healthy=False), 100.1)
     assert [each.operating_status for each in tracker.evaluate([member(ONLINE)], 100.1)] == [
@@ -101,7 +101,7 @@
     ]
 
 
-def test_a_flapping_member_has_to_be_well_for_a_while(tracker) -> None:
+def test_a_flapping_member_has_to_be_healthy_for_a_while(tracker) -> None:
     entry, now, online_at = member(ONLINE), 100.0, []
     for second in range(40):
         now = 100.0 + second
@@ -121,7 +121,7 @@
     assert len(tracker.evaluate([member(ONLINE)], 100.0)) == 1
 
 
-def _many(count: int, silent: int) -> tuple[list[MemberEntry], list[AgentObservation]]:
+def _make_members(count: int, silent: int) -> tuple[list[MemberEntry], list[AgentObservation]]:
     """Make members of which the first `silent` are not heard any more from second 100 on."""
     members, reports = [], []
     for number in range(count):
@@ -143,8 +143,8 @@
 
 
 @pytest.mark.parametrize(("count", "silent", "expected"), SILENCES.values(), ids=SILENCES.keys())
-def test_the_silence_of_most_members_is_doubted_for_a_while(tracker, count, silent, expected):
-    members, heard = _many(count, silent)
+def test_the_silence_of_most_members_is_unconfirmed_for_a_while(tracker, count, silent, expected):
+    members, heard = _make_members(count, silent)
     for each in members:
         tracker.observe(msgspec.structs.replace(observation(), address=each.address), 100.0)
     now, changes = 100.0, []
@@ -156,8 +156,8 @@
     assert (now - 100.0, len(changes)) == (expected, silent)
 
 
-def test_members_that_come_back_while_their_silence_is_doubted_never_were_offline(tracker):
-    members, _ = _many(400, 400)
+def test_members_that_come_back_while_their_silence_is_unconfirmed_never_were_offline(tracker):
+    members, _ = _make_members(400, 400)
     for half_second in range(200, 240):
         now = half_second / 2
         # From second 108 on they come back, forty each half second.
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -24,7 +24,7 @@
 FAILING_SHARE_PLAYED = 0.49
 
 
-class Play:
+class HostSimulation:
     """Flows come to one host that fails some requests for a while; counts what is lost."""
 
     def __init__(self, seed, judged=True, share=FAILING_SHARE_PLAYED):
@@ -61,20 +61,20 @@
 
 
 def test_few_requests_are_lost_that_may_not_be_repeated():
-    without = sum(Play(seed, judged=False).run().lost for seed in range(20))
-    judged = sum(Play(seed).run().lost for seed in range(20))
+    without = sum(HostSimulation(seed, judged=False).run().lost for seed in range(20))
+    judged = sum(HostSimulation(seed).run().lost for seed in range(20))
     assert judged < 0.2 * without
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_host_that_serves_again_gets_all_flows_again(seed):
-    assert Play(seed).run().taken_at_the_end >= 0.8 * 3.0 * FLOWS_PER_SECOND * 0.7
+    assert HostSimulation(seed).run().taken_at_the_end >= 0.8 * 3.0 * FLOWS_PER_SECOND * 0.7
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_host_that_fails_one_in_fifty_is_not_judged(seed):
-    played = Play(seed, share=0.02).run()
-    assert played.taken == Play(seed, judged=False, share=0.02).run().taken
+def test_a_host_that_fails_one_in_fifty_does_not_count_as_failing(seed):
+    played = HostSimulation(seed, share=0.02).run()
+    assert played.taken == HostSimulation(seed, judged=False, share=0.02).run().taken
 
 
 def failing(now=1.0):
@@ -92,7 +92,7 @@
     assert not outcomes.is_failing()
 
 
-def test_after_the_pause_it_gets_trials_at_a_pace():
+def test_after_the_pause_it_gets_trials_at_intervals():
     outcomes = failing()
     over = 1.0 + MIN_PAUSE_SECONDS
     assert outcomes.refuses(True, over - 0.01)
@@ -102,7 +102,7 @@
     assert not outcomes.refuses(False, over + RARE_TRIAL_INTERVAL_SECONDS + 0.01)
 
 
-def test_answered_trials_in_a_row_clear_it_and_the_pause_begins_anew():
+def test_answered_trials_in_a_row_end_the_verdict_and_reset_the_pause():
     outcomes = failing()
     outcomes.record_failure(2.0)
     assert outcomes.pause_seconds == 2 * MIN_PAUSE_SECONDS
@@ -124,7 +124,7 @@
     assert outcomes.pause_seconds == MAX_PAUSE_SECONDS
 
 
-def test_requests_from_before_the_pause_neither_clear_nor_prolong_it():
+def test_requests_from_before_the_pause_neither_end_nor_extend_it():
     outcomes = failing()
     for _ in range(20):
         assert not outcomes.record_answer(1.1)
