--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -24,7 +24,9 @@
     yield endpoint
 
 
-@pytest.mark.parametrize(("agent", "is_alive"), [(unresponsive_process, True), (closed_port, False)])
+@pytest.mark.parametrize(
+    ("agent", "is_alive"), [(unresponsive_process, True), (closed_port, False)]
+)
 def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
         return await RelayClient("asker", "zagreb").is_alive(endpoint)
