--- a/src/jasperwalk/agent/__init__.py
+++ b/src/jasperwalk/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent process: ends QUIC, admits, queues, runs, drains, hands over."""
+"""The agent process: terminates QUIC, and admits, queues, runs, drains and hands over requests."""
--- a/src/jasperwalk/agent/admission.py
+++ b/src/jasperwalk/agent/admission.py
@@ -1,9 +1,9 @@
-"""Admission to the back end's slots (sans-IO).
+"""Admission control for the backend's slots (sans-IO).
 
-A request runs at once while a slot is free, waits in a short first-in-first-out queue, or is
-refused at once. Nobody waits for an answer that can't come in time: a request is refused when
-the queue is full, when the estimated wait does not fit its deadline, when the host sheds
-load, and as soon as it has waited `queue_wait_ms`.
+A request runs at once if a slot is free, waits in a short first-in-first-out queue, or is
+refused at once. No request waits for an answer that can't arrive in time: it is refused if the
+queue is full, if the estimated wait exceeds its deadline, while the backend sheds load, and as
+soon as it has waited `queue_wait_ms`.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from jasperwalk.agent.requests import NotRun, NotRunReason
 
 SMOOTHING = 0.2
-"""Weight of the newest service time in the moving average."""
+"""Weight of the newest service time in the exponential moving average."""
 INITIAL_SERVICE_SECONDS = 0.05
 MIN_RETRY_AFTER_MS = 100
 MAX_RETRY_AFTER_MS = 30_000
 SHED_SECONDS = 1.0
-"""Time for which new requests are refused after the back end shed one."""
+"""Time for which new requests are refused after the backend has shed one."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """Slots of the host, places in its queue, and the longest wait in milliseconds."""
+    """Slots of the host, length limit of its queue, and the longest wait in milliseconds."""
 
     slots: int
     queue_length: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request did not run and must not run any more."""
+    """The request did not run and must not run later."""
 
     request_id: str
     not_run: NotRun
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A queued request: when it gives up, and whether its deadline is the reason."""
+    """A queued request: when its wait expires, and whether its deadline is the reason."""
 
     expires_at: float
     by_deadline: bool
 
 
 class Admission:
-    """Slots and queue of one host."""
+    """Slots and queue of one host: decides which requests run, wait or are refused."""
 
     def __init__(self, limits: AdmissionLimits) -> None:
         self._limits = limits
@@ -76,23 +76,23 @@
 
     @property
     def running(self) -> int:
-        """Count the requests that hold a slot."""
+        """The number of requests that hold a slot."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Count the queued requests."""
+        """The number of queued requests."""
         return len(self._queue)
 
     @property
     def free_slots(self) -> int:
-        """Count the slots that nobody holds or waits for."""
+        """The number of slots that no request holds or waits for."""
         if self._queue:
             return 0
         return max(0, self._limits.slots - len(self._running))
 
     def reserve(self, slot_id: str, now: float) -> bool:
-        """Hold a free slot under `slot_id` for another agent; False without a free one."""
+        """Reserve a free slot under `slot_id` for another agent; False without a free one."""
         if now < self._shedding_until or not self.free_slots:
             return False
         self._running[slot_id] = now
@@ -122,26 +122,26 @@
         return self._advance(now)
 
     def cancelled(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request that its caller gave up, queued or running."""
+        """Remove a request that its caller cancelled, queued or running."""
         self._queue.pop(request_id, None)
         self._running.pop(request_id, None)
         return self._advance(now)
 
     def shed(self, now: float) -> None:
-        """Note that the back end refused a request as too much."""
+        """Record that the backend shed a request."""
         self._shedding_until = now + SHED_SECONDS
 
     def set_limits(self, limits: AdmissionLimits, now: float) -> list[Decision]:
-        """Take new limits; running requests keep their slots."""
+        """Apply new limits; running requests keep their slots."""
         self._limits = limits
         return self._advance(now)
 
     def tick(self, now: float) -> list[Decision]:
-        """Refuse what has waited too long; call it at `next_deadline`."""
+        """Refuse requests that have waited too long; to be called at `next_deadline`."""
         return self._advance(now)
 
     def next_deadline(self) -> float | None:
-        """Return when the next queued request gives up."""
+        """Return when the wait of the next queued request expires."""
         if not self._queue:
             return None
         return min(waiting.expires_at for waiting in self._queue.values())
--- a/src/jasperwalk/agent/answers.py
+++ b/src/jasperwalk/agent/answers.py
@@ -1,4 +1,4 @@
-"""The agent's own answers: refusals, unknown outcomes and tickets, as problem+json."""
+"""Answers by the agent itself: problem+json for refusals and unknown outcomes, and tickets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Body of a problem+json answer (RFC 9457); `kind` is the stable name."""
+    """Body of a problem+json answer (RFC 9457); `kind` is its stable name."""
 
     type: str
     title: str
@@ -32,7 +32,7 @@
 
 
 class IssuedTicket(msgspec.Struct, frozen=True):
-    """Body of the answer that carries a new ticket; `expires_in` in seconds."""
+    """Body of the answer with a new ticket; `expires_in` is in seconds."""
 
     ticket: str
     expires_in: int
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class LocalAnswer:
-    """A short answer that the agent itself gives."""
+    """A short answer by the agent itself."""
 
     status: int
     headers: HeaderFields
     body: bytes
 
     async def send(self, sink: ResponseSink, host: str) -> None:
-        """Pass the whole answer to `sink`."""
+        """Send the complete answer to `sink`."""
         length = ("content-length", str(len(self.body)))
         await sink.head(self.status, [*self.headers, length, (HOST_HEADER, host)])
         await sink.data(self.body)
@@ -55,7 +55,7 @@
 
 
 def not_run_answer(not_run: NotRun) -> LocalAnswer:
-    """Say that the request did not run, and when to come back."""
+    """Return the answer that the request did not run, with the time of the next attempt."""
     seconds = max(1, math.ceil(not_run.retry_after_ms / 1000))
     title = "The request was not run."
     problem = _problem(HTTPStatus.SERVICE_UNAVAILABLE, not_run.reason, title, OutcomeKind.NOT_RUN)
@@ -64,7 +64,7 @@
 
 
 def unknown_answer(unknown: Unknown) -> LocalAnswer:
-    """Say that the request may have run."""
+    """Return the answer that the request may have run."""
     status = HTTPStatus.GATEWAY_TIMEOUT
     if unknown.reason is UnknownReason.BACKEND_FAILED:
         status = HTTPStatus.BAD_GATEWAY
@@ -73,12 +73,12 @@
 
 
 def rejected_answer(status: HTTPStatus, kind: str, title: str) -> LocalAnswer:
-    """Say that the request is not acceptable and did not run."""
+    """Return the answer that the request is not acceptable and did not run."""
     return _problem(status, kind, title, OutcomeKind.NOT_RUN)
 
 
 def ticket_answer(ticket: str, expires_in: int) -> LocalAnswer:
-    """Hand out a ticket."""
+    """Return the answer with a new ticket."""
     body = msgspec.json.encode(IssuedTicket(ticket=ticket, expires_in=expires_in))
     headers = [
         ("content-type", "application/json"),
--- a/src/jasperwalk/agent/assembly.py
+++ b/src/jasperwalk/agent/assembly.py
@@ -1,8 +1,8 @@
-"""Putting requests together from HTTP/3 events (sans-IO).
+"""Assembles requests from HTTP/3 events, and rejects malformed ones (sans-IO).
 
-A request is passed on with its whole body: only then does it take a slot of the back end, so
-a slow upload holds none, and a ticket can be bound to the body. Bodies are bounded, one by
-one and all together.
+A request is run only once its body is complete: so a slow upload holds no slot of the backend,
+and a ticket can be bound to the body. The size of each body and of all bodies together is
+bounded.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 )
 
 MAX_BODY_BYTES = 2 * 1024 * 1024
-"""Longest body of a request; it fits one frame of a relay."""
+"""Longest body of a request; it fits into one frame of a relay connection."""
 MAX_BUFFERED_BYTES = 64 * 1024 * 1024
-"""Bytes of all bodies that are being put together."""
+"""Bytes of all bodies that are being assembled."""
 MAX_LENGTH_DIGITS = 20
-"""Digits that are read of a `content-length`."""
+"""Digits of a `content-length` that are read."""
 
 FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9a-z]+")
 FIELD_VALUE = re.compile(r"[^\x00\r\n]*")
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReady:
-    """A whole request arrived."""
+    """A request has arrived completely."""
 
     stream: StreamReference
     request: Request
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """A request can't be taken; it did not run."""
+    """A request is not acceptable and did not run."""
 
     stream: StreamReference
     answer: LocalAnswer
@@ -71,17 +71,17 @@
 
 
 class RequestAssembler:
-    """Collects heads and bodies of requests until they are whole."""
+    """Collects heads and bodies of requests until they are complete."""
 
     def __init__(self, name: str) -> None:
-        """Take the prefix of request IDs, unique to this start of the agent."""
+        """`name` is the prefix of request IDs, unique to this start of the agent."""
         self._name = name
         self._count = 0
         self._partial: dict[StreamReference, _PartialRequest] = {}
         self._buffered = 0
 
     def handle(self, event: RequestEvent, default_deadline_ms: int) -> list[Assembled]:
-        """Take one event; return what it completes."""
+        """Handle one event; return the requests that it completes, rejects or cancels."""
         match event:
             case RequestHeaders(stream=stream, headers=headers, ended=ended):
                 return self._start_request(stream, headers, ended, default_deadline_ms)
@@ -109,7 +109,7 @@
         self, stream: StreamReference, data: bytes, ended: bool, deadline_ms: int
     ) -> list[Assembled]:
         partial = self._partial.get(stream)
-        if partial is None:  # rejected before: the rest of the body is of no interest
+        if partial is None:  # rejected before: the rest of the body is ignored
             return []
         if len(partial.body) + len(data) > MAX_BODY_BYTES:
             self._discard(stream)
--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -1,9 +1,8 @@
-"""The HTTP/1.1 client towards the back end.
+"""The HTTP/1.1 client of the backend.
 
-Every request has a TCP connection of its own, closed when the request ends, however it ends.
-An answer that comes late therefore has nowhere to arrive, and can never be taken for the
-answer to another request. A loopback connection costs little; a mixed-up answer can't be
-mended.
+Every request has a TCP connection of its own, which is closed when the request ends, whatever
+its outcome. So a late answer can never be mistaken for the answer to another request. A
+loopback connection costs little, but a mixed-up answer can't be repaired.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 READ_BUFFER_BYTES = 32_768
-"""Response bytes read ahead of a slow caller."""
+"""Response bytes that are read ahead of a slow caller."""
 MAX_HEADER_FIELD_BYTES = 16_384
 MAX_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
@@ -48,7 +47,7 @@
 
 
 class Backend:
-    """Runs requests on one back end. `host` is the member's name, shown to callers."""
+    """Runs requests on one backend. `host` is the member's name, which is shown to callers."""
 
     def __init__(self, endpoint: Endpoint, host: str, clock: Callable[[], float]) -> None:
         self._endpoint = endpoint
@@ -76,9 +75,9 @@
         sink: ResponseSink,
         on_head: Callable[[], None],
     ) -> Outcome:
-        """Run one request and pass its answer to `sink`; call `on_head` when its head is in.
+        """Run one request and forward its answer to `sink`; call `on_head` when its head arrived.
 
-        Cancelling the task closes the connection, which tells the back end to stop.
+        Cancelling the task closes the connection, which signals the backend to stop.
         """
         progress = AnswerProgress()
         try:
@@ -90,7 +89,7 @@
             return Unknown(UnknownReason.BACKEND_FAILED, head_sent=progress.head_sent)
 
     async def check(self, path: str, timeout_seconds: float) -> bool:
-        """Ask the health path; return whether the back end calls itself fit for work."""
+        """Request the health path; return whether the backend reports itself healthy."""
         url = URL.build(scheme="http", host=self._endpoint.host, port=self._endpoint.port)
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -111,7 +110,7 @@
         try:
             response = await self._send(request, deadline_at)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            # No connection came about, so not a byte of the request went out.
+            # No connection was established, so no byte of the request was sent.
             return NotRun(NotRunReason.BACKEND_UNREACHABLE)
         try:
             if _is_refusal(response):
@@ -124,7 +123,7 @@
             response.close()
 
     async def _send(self, request: Request, deadline_at: float) -> aiohttp.ClientResponse:
-        """Send a request; return its answer once the head is in."""
+        """Send a request; return the answer once its head has arrived."""
         return await self._session.request(
             request.method,
             self._url(request),
@@ -160,7 +159,7 @@
     def _response_fields(self, response: aiohttp.ClientResponse) -> HeaderFields:
         fields = end_to_end_fields(list(response.headers.items()))
         if response.method == "HEAD" or response.status == HTTPStatus.NOT_MODIFIED:
-            # The length is of a body that does not come; some callers take that for a cut.
+            # The length is that of a body that is not sent; some callers take this for truncation.
             fields = [(name, value) for name, value in fields if name != "content-length"]
         fields.append((OUTCOME_HEADER, OutcomeKind.ANSWERED))
         fields.append((HOST_HEADER, self._host))
@@ -168,20 +167,20 @@
 
 
 class _ExchangeCut(aiohttp.ClientError):
-    """The connection to the back end ended before the head of the answer."""
+    """The connection to the backend ended before the head of the answer."""
 
 
 async def _send_once(
     request: aiohttp.ClientRequest, send: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep aiohttp from repeating GET, PUT and the like by itself (aiohttp middleware).
+    """Keep aiohttp from repeating idempotent requests by itself (aiohttp middleware).
 
-    It does so after a cut connection, when the back end may already have run the request;
-    `tests/agent/test_process.py::test_outcomes` fails where it does.
+    It does so after a broken connection, when the backend may already have run the request;
+    `tests/agent/test_process.py::test_outcomes` fails if it does.
     """
     try:
         return await send(request)
-    except aiohttp.ClientConnectorError:  # no connection came about: nothing is repeated
+    except aiohttp.ClientConnectorError:  # no connection was established: nothing is repeated
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise _ExchangeCut from error
--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -1,4 +1,4 @@
-"""The loops that an agent runs beside its requests; each runs until it is cancelled."""
+"""Background loops of an agent; each runs until it is cancelled."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from jasperwalk.distribution.runner import FollowerRunner
 
 STATE_REPORT_INTERVAL_SECONDS = 0.1
-"""Interval at which the agent's state is told to the follower, and its incarnation read."""
+"""Interval at which the state is reported to the follower and the incarnation is read."""
 MOVE_POLL_SECONDS = 0.1
 RENEWAL_PAUSE_SECONDS = 0.02
 KEY_REPORT_INTERVAL_SECONDS = 0.5
-"""Interval at which the oldest keys in use are looked for."""
+"""Interval at which the oldest keys in use are determined and reported."""
 MONITOR_WITHOUT_SERVICE_SECONDS = 1.0
 
 
 async def monitor_backend(backend: Backend, health: BackendHealth, current: CurrentView) -> None:
-    """Ask the back end's health path at the interval that the service sets."""
+    """Request the backend's health path at the interval configured for the service."""
     while True:
         service = current.get().service
         if service is None:
@@ -44,22 +44,22 @@
     current: CurrentView,
     clock: Callable[[], float],
 ) -> None:
-    """Tell the follower of health and flows; take from it the incarnation and freshness."""
+    """Report health and open flows to the follower; read its incarnation and freshness."""
     while True:
         view = current.get()
         healthy = health.healthy(clock())
         follower.healthy = healthy and not view.stopping and not view.removed
         follower.open_flows = endpoint.open_flows
         endpoint.table_fresh = follower.fresh()
-        # The incarnation comes with a heartbeat, not with a change of the table.
+        # The incarnation arrives with a heartbeat, not with a change of the table.
         current.set_incarnation(follower.incarnation)
         await asyncio.sleep(STATE_REPORT_INTERVAL_SECONDS)
 
 
 async def apply_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
-    """Serve the service that this member was moved to, once its open requests have ended.
+    """Switch to the service that this member was moved to, once its open requests have ended.
 
-    The flows that are left rest; their callers are told at once that they ended.
+    The remaining flows are idle; they are closed, which notifies their callers at once.
     """
     while True:
         if current.move_pending:
@@ -74,7 +74,7 @@
 async def renew_flows(
     follower: FollowerRunner, endpoint: AgentEndpoint, port: DatagramPort
 ) -> None:
-    """Tell open flows of a drain, move them to the active keys, report their oldest keys."""
+    """Send GOAWAY on open flows, move them to the active keys, and report their oldest keys."""
     maintenance = endpoint.maintenance
     while True:
         while maintenance.renew_some_flows() | maintenance.send_some_go_aways():
--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -1,10 +1,10 @@
-"""Borrowing slots: a request waits for a slot of its own agent and asks for others.
+"""Borrows slots: a request waits for a slot of its own agent and requests one from peers.
 
-Whichever slot comes first is used. The request leaves the own queue before it is sent to the
-lender, and a slot that comes second is given back, so it runs in one place only.
+Whichever slot is available first is used. The request leaves its own queue before it is sent
+to the lender, and a slot that arrives second is returned, so the request runs in one place only.
 
-A request that runs elsewhere is lost with either of two hosts, a stream for as long as it is
-open. So a service whose objective is fewest broken flows first waits for its own slot.
+A request that runs elsewhere is lost if either of two hosts fails, a stream for as long as it
+is open. So a service whose objective is fewest broken flows first waits for its own slot.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 BORROWING_REASONS = frozenset(
     {NotRunReason.QUEUE_FULL, NotRunReason.DEADLINE_TOO_SHORT, NotRunReason.SHEDDING}
 )
-"""Refusals of the own admission that a free slot elsewhere makes up for."""
+"""Refusals by the own admission control after which a peer is asked for a slot."""
 OWN_SLOT_WAIT_SECONDS = 0.25
-"""Time for which a request waits for its own slot alone where broken flows weigh most."""
+"""Time for which a request waits only for its own slot, if broken flows matter most."""
 MAX_SEARCH_AFTER_REFUSAL_SECONDS = 0.1
-"""Longest search for a request that is refused otherwise: its answer may not come late."""
+"""Time limit of the search after the own queue refused: the refusal must not be late."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 class SlotBorrower:
-    """Finds a slot for each request, here or at another member. `enabled` is the setting."""
+    """Finds a slot for each request, here or at another member. `enabled` turns borrowing on."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self.borrowed = 0
 
     async def acquire(self, request_id: str, deadline_at: float) -> Slot | NotRun:
-        """Return the first slot that comes, or why there is none."""
+        """Return the first available slot, or why there is none."""
         self._budget.earn()
         match self._allocator.request(request_id, deadline_at):
             case Admitted():
@@ -78,7 +78,7 @@
                 return await self._search_after_refusal(not_run, deadline_at)
 
     async def _wait(self, request_id: str) -> Slot | NotRun:
-        """Wait for the own slot and look for another one."""
+        """Wait for an own slot and search for another one."""
         if not self._enabled:
             return _own_slot(request_id, await self._allocator.wait(request_id))
         waiter = self._allocator.waiter(request_id)
@@ -89,7 +89,7 @@
             self._allocator.withdraw(request_id)
             _cancel_search(searching)
             raise
-        # From here to the return nothing is awaited, so only one of the slots is ever used.
+        # Nothing is awaited between here and the return, so only one of the slots is used.
         if waiter.done():
             _cancel_search(searching)
             return _own_slot(request_id, waiter.result())
@@ -97,7 +97,7 @@
         return searching.result()
 
     async def _search_after_refusal(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
-        """Look once, and shortly, for a slot for a request that the own queue refused."""
+        """Search once, for a short time, for a slot for a request that the own queue refused."""
         remaining = deadline_at - self._clock()
         if not self._enabled or remaining <= 0 or not_run.reason not in BORROWING_REASONS:
             return not_run
@@ -160,7 +160,7 @@
 
 
 def _cancel_search(searching: asyncio.Future[BorrowedSlot]) -> None:
-    """End a search; a slot that it has found goes back to its lender."""
+    """Cancel a search; a slot that it has found is returned to the lender."""
     searching.cancel()
     searching.add_done_callback(_give_back)
 
--- a/src/jasperwalk/agent/certificate_renewal.py
+++ b/src/jasperwalk/agent/certificate_renewal.py
@@ -1,4 +1,4 @@
-"""Taking up a renewed certificate for callers; open flows keep the one that they began with."""
+"""Loads renewed certificates for callers; open flows keep the one they started with."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CertificateRenewal:
-    """Watches the two files of an agent's certificate for callers."""
+    """Polls the two files of an agent's certificate for callers."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         self._watch = FileWatch((certificate_file, private_key_file), clock)
 
     async def run(self, endpoint: AgentEndpoint) -> None:
-        """Give the endpoint each renewed certificate, until cancelled."""
+        """Pass each renewed certificate to the endpoint, until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
             self.check_files(endpoint)
 
     def check_files(self, endpoint: AgentEndpoint) -> None:
-        """Look at the files; a pair that can't be used leaves the one in use as it is."""
+        """Load changed files; if the pair can't be used, the current one stays in use."""
         if not self._watch.changed():
             return
         try:
--- a/src/jasperwalk/agent/connection.py
+++ b/src/jasperwalk/agent/connection.py
@@ -23,7 +23,7 @@
 from aioquic.quic.packet_builder import QuicPacketBuilder
 
 MAX_CONNECTION_IDS = 8
-"""Most unretired connection IDs that a connection hands out, as in aioquic."""
+"""Unretired connection IDs that a connection issues at most, as in aioquic."""
 
 ConnectionIdSource = Callable[[], bytes]
 """Returns a fresh routable connection ID."""
@@ -35,8 +35,7 @@
 class RoutableServerConnection(QuicConnection):
     """A `QuicConnection` of the server side with routable connection IDs.
 
-    No session ticket handler is passed on, so resumption and 0-RTT, which may be replayed,
-    stay off.
+    No session ticket handler is set, so resumption and 0-RTT, which may be replayed, stay off.
     """
 
     def __init__(
@@ -69,12 +68,12 @@
 
     @property
     def has_undelivered_answers(self) -> bool:
-        """Tell whether the caller has not acknowledged the whole of some ended response."""
+        """Return whether the caller has not yet fully acknowledged some ended response."""
         senders = (stream.sender for stream in self._streams.values())
         return any(each._buffer_fin is not None and not each.is_finished for each in senders)
 
     def can_send_on(self, stream_id: int) -> bool:
-        """Tell whether a stream still takes data: neither reset nor finished."""
+        """Return whether a stream still accepts data: it is neither reset nor finished."""
         stream = self._streams.get(stream_id)
         if stream is None or self._close_event is not None:
             return False
@@ -83,7 +82,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether the connection has ended."""
+        """Return whether the connection has ended."""
         return bool(self._state is QuicConnectionState.TERMINATED)
 
     @property
@@ -96,7 +95,7 @@
 
         The caller may use the former ones until it has retired them.
         """
-        # The caller's limit is not known before, and nothing can be issued.
+        # The caller's limit is not known before the handshake, and nothing can be issued.
         self._renewal_pending = not self._handshake_complete
         if self._renewal_pending:
             return
@@ -109,7 +108,7 @@
         if self._renewal_pending:
             self.renew_connection_ids()
             return
-        # Those that the caller was told to retire do not count towards its limit.
+        # Connection IDs that the caller was asked to retire do not count towards its limit.
         present = sum(
             1 for each in self._host_cids if each.sequence_number >= self._retire_prior_to
         )
--- a/src/jasperwalk/agent/connection_id_factory.py
+++ b/src/jasperwalk/agent/connection_id_factory.py
@@ -1,4 +1,4 @@
-"""Making routable connection IDs and their reset tokens for one agent (sans-IO)."""
+"""Makes routable connection IDs and their reset tokens for one agent (sans-IO)."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class ConnectionIdFactory:
-    """Makes connection IDs that name this agent, with the active keys of its view."""
+    """Makes connection IDs that identify this agent, with the active keys of its view."""
 
     def __init__(self, view: ServiceView, source: random.Random) -> None:
         self._random = source
         self.view_changed(view)
 
     def view_changed(self, view: ServiceView) -> None:
-        """Take the keys, the service and the incarnation of a newer view."""
+        """Use the keys, the service and the incarnation of a newer view."""
         self._view = view
         self.codec = ConnectionIdCodec(view.keys_for(KeyPurpose.CONNECTION_ID))
 
     def connection_id(self) -> bytes:
-        """Return a connection ID with a random nonce; it may be in use already."""
+        """Return a connection ID with a random nonce; it may already be in use."""
         service = self._view.service
         service_id = 0 if service is None else service.service_id
         routable = RoutableId(self._view.address, service_id, self._view.incarnation)
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -1,4 +1,9 @@
-"""The agent's current view of its service, replaced whole on every change."""
+"""The agent's current view of its service: an immutable value, replaced on every change.
+
+A change comes from a new revision of the routing table, from control's registration of this
+start (incarnation), or from a planned stop. Each one is applied to the endpoint, to what is
+known of the peers, to the admission limits and to the slow start.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +25,7 @@
 
 
 class CurrentView:
-    """Holds the view, and tells the agent's parts of each change. `clock` is in seconds."""
+    """Holds the view and applies each change to the agent's components. `clock` is in seconds."""
 
     def __init__(
         self,
@@ -33,7 +38,7 @@
     ) -> None:
         self._view = view
         self._newest = view
-        """As the newest table has it; `_view` lags behind while a move waits."""
+        """As in the newest table; `_view` keeps the former service while a move is pending."""
         self._endpoint = endpoint
         self._allocator = allocator
         self._health = health
@@ -43,33 +48,33 @@
         """The incarnation that was last seen online."""
 
     def get(self) -> ServiceView:
-        """Return the view as it stands."""
+        """Return the current view."""
         return self._view
 
     @property
     def move_pending(self) -> bool:
-        """Tell whether this member was moved to a service that it does not serve yet."""
+        """Return whether this member was moved to a service that it does not serve yet."""
         moved = self._view.removed and self._newest.service is not None
         return moved and not self._view.stopping
 
     def bind(self, address: Endpoint) -> None:
-        """Take the address that the agent's ports got, before the first table arrives."""
+        """Set the address of the opened ports, before the first table arrives."""
         self._view = dataclasses.replace(self._view, address=address)
 
     def table_changed(self, table: FollowerTable, incarnation: int) -> None:
-        """Take a new revision of the table."""
+        """Apply a new revision of the table."""
         self._newest = ServiceView.build(
             self._view.address, table.revision, incarnation, table.entries()
         )
         self._replace(self._view.followed_by(self._newest))
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Take the agent's incarnation as control states it."""
+        """Set the agent's incarnation, as assigned by control."""
         if incarnation != self._view.incarnation:
             self._replace(dataclasses.replace(self._view, incarnation=incarnation))
 
     def set_stopping(self) -> None:
-        """Take no new work from here on."""
+        """Accept no new work from now on."""
         self._replace(dataclasses.replace(self._view, stopping=True))
 
     def apply_move(self) -> None:
@@ -97,7 +102,7 @@
         self._health.failures_to_offline = service.health_monitor.failures_to_offline
 
     def _start_slow_start(self) -> None:
-        """Begin a slow start when control first calls this incarnation online."""
+        """Start the slow start when control first reports this incarnation as online."""
         view = self._view
         if view.online and view.incarnation != self._online_incarnation:
             self._online_incarnation = view.incarnation
--- a/src/jasperwalk/agent/datagram_filter.py
+++ b/src/jasperwalk/agent/datagram_filter.py
@@ -1,4 +1,8 @@
-"""The checks that every forwarded datagram passes before anything reads it."""
+"""Checks of every forwarded datagram before anything else reads it.
+
+Only a datagram for the agent's own service and listener is admitted. One that is not sealed by
+a process of the fleet may not open a flow.
+"""
 
 from __future__ import annotations
 
@@ -40,13 +44,13 @@
 
 @dataclass(eq=False)
 class DatagramDropped(JasperwalkError):
-    """A datagram that this agent does not take."""
+    """A datagram that this agent drops."""
 
     kind: ClassVar[str] = "datagram-dropped"
     reason: DropReason
 
     def describe(self) -> str:
-        """Give the reason."""
+        """Return the reason."""
         return f"datagram dropped: {self.reason}"
 
 
@@ -54,7 +58,7 @@
 class AdmittedDatagram:
     """A datagram for the agent's own service, with the head of its first packet.
 
-    `trusted` tells that a process of the fleet sealed it, so that it may open a flow.
+    `trusted` means that a process of the fleet sealed it, so that it may open a flow.
     """
 
     datagram: ForwardedDatagram
@@ -63,12 +67,12 @@
 
 
 class DatagramFilter:
-    """Lets through what is for the agent's own service and its listener."""
+    """Admits datagrams for the agent's own service and its listener."""
 
     def __init__(self) -> None:
         self._decoder: Decoder[DatagramMessage] = Decoder(DatagramMessage)
         self.seal = DatagramSeal()
-        """Checks, and makes, seals; renewed with the keys."""
+        """Checks and makes seals; replaced when the keys change."""
 
     def admit(self, data: bytes, view: ServiceView) -> AdmittedDatagram:
         """Decode and check a datagram; raise `DatagramDropped`."""
@@ -86,7 +90,7 @@
         head = read_head(datagram.payload)
         if head is None:
             raise DatagramDropped(DropReason.MALFORMED)
-        # Without any key, in the first moments of a new cluster, no balancer has one either.
+        # Without any key, just after the start of a new cluster, no balancer has one either.
         trusted = sealed or not self.seal.has_keys
         return AdmittedDatagram(datagram, head, trusted)
 
--- a/src/jasperwalk/agent/datagram_port.py
+++ b/src/jasperwalk/agent/datagram_port.py
@@ -1,4 +1,4 @@
-"""The asyncio side of the QUIC end point: one UDP socket and one timer."""
+"""The asyncio side of the QUIC endpoint: one UDP socket and one timer."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from jasperwalk.agent.outgoing import Outgoing, ProbeAgent, ToAgent, ToFabric
 
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
-"""Asked for; the system may grant less."""
+"""Requested size; the system may grant less."""
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """Feeds datagrams to the end point and sends what it puts out.
+    """Passes received datagrams to the endpoint and sends its output.
 
     `dispatch` is called after each batch of input. Datagrams that arrive in one turn of the
-    loop are one batch, so that answers to them leave together.
+    event loop form one batch, so that the answers to them are sent together.
     """
 
     def __init__(self, endpoint: AgentEndpoint, fabric: Endpoint) -> None:
@@ -32,15 +32,15 @@
         self._timer_due: float | None = None
         self.dispatch: Callable[[], None] = lambda: None
         self.is_alive: Callable[[Endpoint], Awaitable[bool]] = _assume_alive
-        """Asks an agent whether it lives; set by the process."""
+        """Probes whether an agent is alive; set by the process."""
         self._probes: set[asyncio.Future[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Take one datagram."""
+        """Pass one datagram to the endpoint."""
         self._endpoint.datagram_received(data, self._loop.time())
         self.schedule()
 
@@ -48,7 +48,7 @@
         """Ignore a peer's closed port: QUIC treats it as a lost packet."""
 
     def schedule(self) -> None:
-        """Process what changed, later in this turn of the loop."""
+        """Schedule processing later in this turn of the event loop."""
         if not self._pump_scheduled:
             self._pump_scheduled = True
             self._loop.call_soon(self._pump)
@@ -63,7 +63,7 @@
             self._transport.close()
 
     def flush(self) -> None:
-        """Send at once what the end point has to send."""
+        """Send at once all output of the endpoint."""
         self._endpoint.flush(self._loop.time())
         for outgoing in self._endpoint.take_outgoing():
             self._send(outgoing)
@@ -113,14 +113,14 @@
 
 
 async def _assume_alive(_: Endpoint) -> bool:
-    """Take every agent for alive: without a way to ask nobody is called lost."""
+    """Assume that every agent is alive: without a probe no agent may be considered lost."""
     return True
 
 
 async def open_datagram_port(
     endpoint: AgentEndpoint, listen: Endpoint, fabric: Endpoint
 ) -> tuple[DatagramPort, Endpoint]:
-    """Bind the forwarding port; return it with its real end point. Raises `OSError`."""
+    """Bind the forwarding port; return it with its actual endpoint. Raises `OSError`."""
     opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
         opened.setblocking(False)
--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -1,4 +1,4 @@
-"""Connects the QUIC end point with the request runner: one task a request."""
+"""Connects the QUIC endpoint with the request runner: one task per request."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from jasperwalk.agent.sinks import StreamSink
 
 DEFAULT_DEADLINE_MS = 30_000
-"""Used before the service's own limits are known."""
+"""Used until the limits of the service are known."""
 MAX_OPEN_REQUESTS = 8_192
 
 logger = structlog.get_logger(__name__)
@@ -56,7 +56,7 @@
 
 
 class Dispatcher:
-    """Starts, and on cancellation ends, the task of each request."""
+    """Starts the task of each request and cancels it when the caller cancels the request."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         return len(self._open)
 
     def dispatch(self) -> None:
-        """Act on the end point's events, and wake responses that wait for room."""
+        """Handle the endpoint's events, and resume responses that wait for free buffer space."""
         service = self._view().service
         deadline_ms = DEFAULT_DEADLINE_MS if service is None else service.limits.request_deadline_ms
         for event in self._endpoint.take_events():
@@ -94,7 +94,7 @@
             sink.resume_if_possible()
 
     def cancel_all(self) -> None:
-        """End every request, at the very end of a stop."""
+        """Cancel every request, as the last step of a stop."""
         for opened in list(self._open.values()):
             opened.sink.cancel()
             opened.task.cancel()
@@ -148,7 +148,7 @@
         except CallerGone:
             raise
         except Exception:
-            # One request's fault must not take the others along; whether it ran is open.
+            # A fault in one request must not end the others. It is unknown whether the request ran.
             logger.exception("request-failed", request_id=request.request_id)
             return Unknown(UnknownReason.BACKEND_FAILED)
 
@@ -156,7 +156,7 @@
         if isinstance(outcome, Answered):
             return
         if sink.head_sent:
-            # A part of an answer went out: the caller must see that the rest is missing.
+            # Part of the answer was sent: the reset shows the caller that it is truncated.
             sink.abort()
             return
         answer = not_run_answer(outcome) if isinstance(outcome, NotRun) else unknown_answer(outcome)
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -1,7 +1,7 @@
-"""The agent's QUIC end point (sans-IO): forwarded datagrams in, datagrams and requests out.
+"""The agent's QUIC endpoint (sans-IO): forwarded datagrams in, datagrams and requests out.
 
-Every datagram is checked against the agent's own service before anything reads it, so a
-packet for another service is never answered, whatever a stale balancer believes.
+Every datagram is checked against the agent's own service before anything else reads it. So a
+packet for another service is never answered, even if a stale balancer sends it here.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 class AgentEndpoint:
-    """All flows of one agent. Call `flush` after a batch of inputs, then take the outputs."""
+    """All flows of one agent. Call `flush` after a batch of inputs, then collect the outputs."""
 
     def __init__(
         self,
@@ -67,9 +67,9 @@
         self._max_flows = max_flows
         self.slow_start = SlowStart()
         self.table_fresh = False
-        """Set by the adapter: the view was the newest of a quorum just now."""
+        """Set by the adapter: whether the view was recently the newest of a quorum."""
         self.prefers_peer: Callable[[Endpoint], bool] = lambda _: False
-        """Set by the process: a new flow is better off at another member."""
+        """Set by the process: whether a new flow should go to the given other member."""
         self._handover = Handover(self.slow_start)
         self._filter = DatagramFilter()
         self._flows = FlowTable()
@@ -85,21 +85,21 @@
 
     @property
     def open_flows(self) -> int:
-        """Count the flows that are not closed."""
+        """The number of flows that are not closed."""
         return len(self._flows)
 
     @property
     def resets_sent(self) -> int:
-        """Count the stateless resets sent."""
+        """The number of stateless resets sent."""
         return self._strays.resets_sent
 
     @property
     def has_events(self) -> bool:
-        """Tell whether request events wait to be taken."""
+        """Return whether there are request events to collect."""
         return self._flows.has_events
 
     def set_view(self, view: ServiceView) -> None:
-        """Take a new revision of the service, its members and the keys."""
+        """Apply a new revision of the service, its members and the keys."""
         self.maintenance.view_changed(self._view, view)
         self._view = view
         self._connection_ids.view_changed(view)
@@ -108,22 +108,22 @@
         self._strays.view_changed(view)
 
     def set_configuration(self, configuration: QuicConfiguration) -> None:
-        """Use other QUIC settings, with another certificate, for flows that open from now on."""
+        """Use other QUIC settings, with another certificate, for flows opened from now on."""
         self._configuration = configuration
 
     def oldest_keys(self) -> OldestKeys:
-        """Return the generations of the oldest keys that the open flows rest on."""
+        """Return the generations of the oldest keys that the open flows depend on."""
         return oldest_keys(self._view, (flow.connection for flow in self._flows))
 
     def datagram_received(self, data: bytes, now: float) -> None:
-        """Take one datagram from a balancer or another agent."""
+        """Handle one datagram from a balancer or another agent."""
         try:
             self._receive(self._filter.admit(data, self._view), now)
         except DatagramDropped as dropped:
             self.drops[dropped.reason] += 1
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> None:
-        """Take the outcome of a `ProbeAgent`."""
+        """Handle the outcome of a `ProbeAgent`."""
         resets = self._strays.probe_ended(address, answered, self._view, self.table_fresh, now)
         self._outgoing.extend(resets)
 
@@ -146,7 +146,7 @@
         return flow is not None and flow.http.send_data(stream.stream_id, data, ended)
 
     def abort(self, stream: StreamReference) -> None:
-        """Cut a response that can't be completed."""
+        """Reset a response that can't be completed."""
         flow = self._flows.touch(stream.flow)
         if flow is not None:
             flow.http.abort(stream.stream_id)
@@ -158,24 +158,24 @@
 
     @property
     def has_undelivered_answers(self) -> bool:
-        """Tell whether some caller has not acknowledged the whole of an ended response."""
+        """Return whether some caller has not yet fully acknowledged an ended response."""
         return any(flow.connection.has_undelivered_answers for flow in self._flows)
 
     def close_all(self) -> None:
-        """Close every flow, at the very end of a planned stop; what is undelivered is lost."""
+        """Close every flow, as the last step of a planned stop; undelivered data is lost."""
         self._flows.close_all()
 
     def flush(self, now: float) -> None:
-        """Turn what changed since the last call into datagrams and timers."""
+        """Produce the datagrams and timers for all changes since the last call."""
         self._outgoing.extend(self._flows.transmit(now))
 
     def take_outgoing(self) -> list[Outgoing]:
-        """Return, and forget, the datagrams to send."""
+        """Return the datagrams to send and clear the queue."""
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
 
     def take_events(self) -> list[RequestEvent]:
-        """Return, and forget, the request events in the order in which they happened."""
+        """Return the request events in order of occurrence and clear the queue."""
         return self._flows.take_events()
 
     def _receive(self, admitted: AdmittedDatagram, now: float) -> None:
@@ -186,7 +186,7 @@
                 raise DatagramDropped(DropReason.OTHER_SERVICE)
             self._deliver(flow, datagram, now)
             return
-        # A caller's own connection ID may decode by chance: with candidates it opens a flow.
+        # A caller's own connection ID may decode by chance: with candidates it opens a new flow.
         opens = head.initial and bool(datagram.candidates)
         routable = None if opens else self._connection_ids.codec.decode(head.destination)
         if routable is not None:
--- a/src/jasperwalk/agent/flow.py
+++ b/src/jasperwalk/agent/flow.py
@@ -9,17 +9,17 @@
 from jasperwalk.agent.http3 import Http3Flow
 
 KEEPALIVE_SECONDS = 15.0
-"""Interval of pings while a request is open: a quiet stream must not hit an idle time-out."""
+"""Interval of pings while a request is open, so that a quiet stream meets no idle time-out."""
 HANDSHAKE_SECONDS = 10.0
-"""Time for a handshake; an Initial that nobody follows up on must not hold memory longer."""
+"""Time limit of a handshake: an Initial without a follow-up must not hold memory longer."""
 
 
 @dataclass(slots=True)
 class Flow:
     """One QUIC connection.
 
-    `vip` is the packed end point that answers come from. `next_timer_at` is the earliest entry for
-    the flow in the end point's timer heap. Times are in seconds.
+    `vip` is the packed endpoint that answers come from. `next_timer_at` is the earliest entry
+    for the flow in the timer heap of the flow table. Times are in seconds.
     """
 
     number: int
@@ -34,7 +34,7 @@
     next_timer_at: float = math.inf
 
     def next_timer(self) -> float:
-        """Return when `run_timers` next has something to do, inf for never."""
+        """Return when `run_timers` has to be called next, inf for never."""
         due = self.connection.get_timer()
         if due is None:
             return math.inf
@@ -54,7 +54,7 @@
             self.pinged_at = now
 
     def handshake_overdue(self, now: float) -> bool:
-        """Tell whether the caller did not complete the handshake in time."""
+        """Return whether the caller did not complete the handshake in time."""
         return not self.handshake_complete and now >= self.opened_at + HANDSHAKE_SECONDS
 
     def _keepalive_at(self) -> float:
--- a/src/jasperwalk/agent/flow_maintenance.py
+++ b/src/jasperwalk/agent/flow_maintenance.py
@@ -1,6 +1,7 @@
-"""What an agent does on its open flows by itself when its view changes (sans-IO).
+"""Maintenance of open flows after a change of the view (sans-IO).
 
-Flows move to the active fleet keys, and are told of a drain, in bounded turns.
+Flows are moved to the active fleet keys, and get GOAWAY at a drain. A bounded number of flows
+is handled in each turn of the event loop.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class FlowMaintenance:
-    """Takes care of the flows of a table."""
+    """Maintains the flows of a table."""
 
     def __init__(self, flows: FlowTable) -> None:
         self._flows = flows
@@ -20,13 +21,13 @@
         self._go_aways = PendingGoAways()
 
     def view_changed(self, before: ServiceView, after: ServiceView) -> None:
-        """Note what the open flows need after a change."""
+        """Queue the open flows that a change affects."""
         numbers = [flow.number for flow in self._flows]
         self._renewal.view_changed(before, after, numbers)
         self._go_aways.view_changed(before, after, numbers)
 
     def renew_some_flows(self) -> bool:
-        """Move a bounded number of flows to the active keys; return False when none waits."""
+        """Move a bounded number of flows to the active keys; return False when none is queued."""
         touched = [self._flows.touch(number) for number in self._renewal.take()]
         flows = [flow for flow in touched if flow is not None]
         for flow in flows:
@@ -34,7 +35,7 @@
         return bool(flows)
 
     def send_some_go_aways(self) -> bool:
-        """Tell a bounded number of flows of a drain; return False when none waits."""
+        """Send GOAWAY on a bounded number of flows; return False when none is queued."""
         touched = [self._flows.touch(number) for number in self._go_aways.take()]
         flows = [flow for flow in touched if flow is not None]
         for flow in flows:
--- a/src/jasperwalk/agent/flow_table.py
+++ b/src/jasperwalk/agent/flow_table.py
@@ -15,9 +15,9 @@
 
 
 class FlowTable:
-    """Finds flows by number and connection ID, and runs them.
+    """Finds flows by number and connection ID, and runs their connections and timers.
 
-    A flow that was given something to send has to be touched; `transmit` then sends it.
+    A flow with something to send has to be touched; `transmit` then sends it.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._events: list[RequestEvent] = []
 
     def __len__(self) -> int:
-        """Count the flows that are not closed."""
+        """Return the number of flows that are not closed."""
         return len(self._flows)
 
     def __iter__(self) -> Iterator[Flow]:
@@ -38,7 +38,7 @@
 
     @property
     def has_events(self) -> bool:
-        """Tell whether request events wait to be taken."""
+        """Return whether there are request events to collect."""
         return bool(self._events)
 
     def new_number(self) -> int:
@@ -47,7 +47,7 @@
         return self._last_number
 
     def add(self, flow: Flow, original_destination: bytes) -> None:
-        """Take up a new flow, whose Initial came for `original_destination`."""
+        """Add a new flow, whose Initial was addressed to `original_destination`."""
         self._flows[flow.number] = flow
         self._register(flow, original_destination)
         self._register(flow, flow.connection.host_cid)
@@ -61,20 +61,20 @@
         return self._by_connection_id.get(connection_id)
 
     def touch(self, number: int) -> Flow | None:
-        """Return an open flow that will have something to send."""
+        """Return an open flow and mark it as having something to send."""
         flow = self._flows.get(number)
         if flow is not None:
             self._touched.add(number)
         return flow
 
     def deliver(self, flow: Flow, payload: bytes, caller: bytes, now: float) -> None:
-        """Give a flow a datagram that came from the packed end point `caller`."""
+        """Pass a flow a datagram from the packed endpoint `caller`."""
         flow.connection.receive_datagram(payload, caller, now)
         self._collect(flow)
         self._touched.add(flow.number)
 
     def close_all(self) -> None:
-        """Close every flow; what is undelivered is lost."""
+        """Close every flow; undelivered data is lost."""
         for flow in self:
             flow.connection.close()
             self._touched.add(flow.number)
@@ -98,7 +98,7 @@
             self._touched.add(number)
 
     def transmit(self, now: float) -> list[ToFabric]:
-        """Return what touched flows send, and set their timers."""
+        """Return the datagrams of touched flows, and set their timers."""
         datagrams: list[ToFabric] = []
         while self._touched:
             flow = self._flows.get(self._touched.pop())
@@ -107,7 +107,7 @@
         return datagrams
 
     def take_events(self) -> list[RequestEvent]:
-        """Return, and forget, the request events in the order in which they happened."""
+        """Return the request events in order of occurrence and clear the queue."""
         events, self._events = self._events, []
         return events
 
--- a/src/jasperwalk/agent/graceful_close.py
+++ b/src/jasperwalk/agent/graceful_close.py
@@ -1,4 +1,4 @@
-"""Planned ends of all flows of an agent: at a stop, and when its member moves to a service."""
+"""Planned closing of all flows of an agent: at a stop, or when it moves to another service."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from jasperwalk.agent.runner import RequestRunner
 
 MAX_DELIVERY_SECONDS = 5.0
-"""Time for callers to acknowledge the last answers before a planned end of their flows."""
+"""Time for callers to acknowledge the last answers before their flows are closed."""
 IDLE_POLL_SECONDS = 0.1
-"""Interval at which the end of the last request is looked for."""
+"""Interval at which the agent checks whether the last request has ended."""
 
 
 class GracefulClose:
-    """Waits for the work in progress, and closes the flows. `clock` is in seconds."""
+    """Waits until the work in progress is done, then closes the flows. `clock` is in seconds."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         self._clock = clock
 
     async def wait_until_idle(self, grace_seconds: float = math.inf) -> bool:
-        """Wait until no request is open, and callers have the answers or are silent.
+        """Wait until no request is open, and callers have acknowledged the answers or are silent.
 
-        Returns False where that was not so within `grace_seconds`.
+        Returns False if that does not happen within `grace_seconds`.
         """
         started_at = self._clock()
         deliver_until = started_at + MAX_DELIVERY_SECONDS
@@ -55,11 +55,11 @@
             await asyncio.sleep(IDLE_POLL_SECONDS)
 
     def cancel_requests(self) -> None:
-        """End the requests in progress, at the very end of a stop."""
+        """Cancel the requests in progress, as the last step of a stop."""
         self._dispatcher.cancel_all()
 
     def close_flows(self) -> None:
-        """Close every flow and tell its caller at once."""
+        """Close every flow and notify its caller at once."""
         self._endpoint.close_all()
         self._port.flush()
 
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -1,24 +1,24 @@
-"""Which agent takes a new flow: this one, or another to which it is handed on (sans-IO).
+"""Decides whether this agent takes a new flow or hands it over to another one (sans-IO).
 
-A balancer that lost control goes on deciding with its last table, so each agent makes the
-newest configuration that it knows take effect, by comparing revisions:
+A balancer that has lost its link to control continues with its last table. So each agent
+enforces the newest configuration that it knows, by comparing the revisions of the tables:
 
-- the sender's table is newer than the agent's: the sender's candidates count;
-- the sender's table is older and the agent's is fresh: the agent decides anew, as a balancer
+- the sender's table is newer than the agent's: the sender's candidates are used;
+- the sender's table is older and the agent's is fresh: the agent decides again, as a balancer
   of its own revision would, and takes the flow only if it is a candidate;
-- an agent whose slots are taken hands the flow on to the other candidate, once, where that
-  one is known to have a free slot;
-- whatever the sender's table, an agent whose own table or state says that it takes no new
-  work hands the flow on while there is another member that does.
+- an agent without a free slot hands the flow over once to the other candidate, if that one is
+  known to have a free slot;
+- whatever the sender's table, an agent whose own table or state says that it accepts no new
+  work hands the flow over as long as another member accepts it.
 
 The choice is remembered by the Initial's connection ID, so that the rest of the caller's
-first flight follows it to the same agent. A caller that still repeats its Initial after
-`ANSWER_SECONDS` has had no answer from there: the agent then takes the flow itself or, where
-it takes no new work, tries the other candidate. If the silent target comes back to life, the
-caller keeps to whichever answered first (RFC 9000, section 7.2).
+first flight is forwarded to the same agent. A caller that still repeats its Initial after
+`ANSWER_SECONDS` has received no answer from there: the agent then takes the flow itself or,
+if it accepts no new work, tries the other candidate. If the silent target answers later, the
+caller stays with whichever agent answered first (RFC 9000, section 7.2).
 
-Loops: each hand-over raises `hops`, which ends at `MAX_HOPS`. The second hand-over is made
-only by an agent whose table is newer than the first one's, or that remembers its choice.
+Loops are bounded: each hand-over increments `hops`, up to `MAX_HOPS`. The second hand-over is
+made only by an agent whose table is newer than the first one's, or that remembers its choice.
 """
 
 from __future__ import annotations
@@ -37,23 +37,23 @@
 
 REMEMBERED_SECONDS = 10.0
 ANSWER_SECONDS = 1.2
-"""Time after which a caller that repeats its Initial has had no answer: its target is silent.
+"""Time after which a caller that repeats its Initial has had no answer: the target is silent.
 
-Callers repeat it sooner too, and their first flight may be more than one datagram.
+Callers may repeat it earlier, and their first flight may be more than one datagram.
 """
 MAX_REMEMBERED = 20_000
 MAX_HOPS = 2
-"""Hand-overs between agents that one datagram may take."""
+"""Hand-overs between agents allowed for one datagram."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeHere:
-    """The agent that got the flow takes it."""
+    """The agent that received the flow takes it."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandOverTo:
-    """`target` gets the flow, with the revision and the candidates that it was chosen by."""
+    """The flow goes to `target`, with the revision and candidates on which the choice is based."""
 
     target: Endpoint
     revision: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Nobody whom this agent knows may take the flow."""
+    """No agent that this one knows may take the flow."""
 
 
 Placement = TakeHere | HandOverTo | Refuse
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RememberedChoice:
-    """A flow that was handed on `at` some time (seconds)."""
+    """A flow that was handed over at the time `at` (seconds)."""
 
     at: float
     chosen: HandOverTo
@@ -78,11 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementContext:
-    """What the choice depends on beside the flow.
+    """Input of the decision beside the flow.
 
     `can_accept` tells whether the agent has what it needs to open a flow; `table_fresh`
-    whether its table was the newest of a quorum just now; `prefers_peer` whether a flow is better
-    off at another member because of the load.
+    whether its table was recently the newest of a quorum; `prefers_peer` whether the load makes
+    another member the better place for a flow.
     """
 
     view: ServiceView
@@ -92,7 +92,7 @@
 
 
 class Handover:
-    """Places new flows, and remembers for a while those that it handed on."""
+    """Places new flows, and remembers for a limited time those that it handed over."""
 
     def __init__(self, slow_start: SlowStart) -> None:
         self._slow_start = slow_start
@@ -100,11 +100,11 @@
         self._remembered: OrderedDict[bytes, _RememberedChoice] = OrderedDict()
 
     def view_changed(self, view: ServiceView) -> None:
-        """Take a new revision of the service's members."""
+        """Apply a new revision of the service's members."""
         self._index.table_changed(view)
 
     def remembered(self, connection_id: bytes, now: float) -> HandOverTo | None:
-        """Return where this Initial was handed; None too when nobody has answered it there."""
+        """Return the choice for this Initial; None if unknown, or without an answer in time."""
         self._discard_expired(now)
         handed = self._remembered.get(connection_id)
         if handed is None or now - handed.at >= ANSWER_SECONDS:
@@ -125,7 +125,7 @@
         if chosen is not None and _may_hand_over(datagram, view):
             self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
-        # A removed member's service may be gone, or its listener may be another service's.
+        # The service of a removed member may be gone, or its listener may now belong to another.
         if not state.can_accept or (view.removed and not acceptable):
             return Refuse()
         return TakeHere()
@@ -147,7 +147,7 @@
     def _prefers_other(
         self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext, now: float
     ) -> bool:
-        # A flow that was handed over stays: two cold or busy agents would only swap their flows.
+        # A flow that was handed over stays: two cold or busy agents would only exchange flows.
         if datagram.hops > 0 or state.view.service is None:
             return False
         seconds = state.view.service.limits.slow_start_ms / 1000
@@ -164,7 +164,7 @@
         silent: Endpoint | None = None,
     ) -> HandOverTo | None:
         if datagram.revision > view.revision:
-            # Only a newer table may name members that this agent doesn't know (any more).
+            # A newer table may name members that this agent does not know, or no longer knows.
             target = _first_other(_unpack(datagram.candidates), view.address, silent)
             if target is not None:
                 return HandOverTo(target, datagram.revision, tuple(datagram.candidates))
@@ -206,7 +206,7 @@
 def _first_other(
     candidates: list[Endpoint], own: Endpoint, silent: Endpoint | None
 ) -> Endpoint | None:
-    """Return the first candidate beside `own`; a silent one only where there is no other."""
+    """Return the first candidate other than `own`; the silent one only if there is no other."""
     others = [candidate for candidate in candidates if candidate != own]
     return next((other for other in others if other != silent), others[0] if others else None)
 
--- a/src/jasperwalk/agent/health_report.py
+++ b/src/jasperwalk/agent/health_report.py
@@ -1,4 +1,4 @@
-"""What the agent's `/healthz` shows."""
+"""The agent's health report, served at `/healthz`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AgentHealth:
-    """Reads the facts from the agent's parts. `clock` is in seconds."""
+    """Collects the facts from the agent's components. `clock` is in seconds."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._clock = clock
 
     def report(self) -> HealthReport:
-        """Return the facts as they stand; healthy is an agent that can answer callers."""
+        """Return the current facts; an agent is healthy if it can answer callers."""
         view = self._current.get()
         facts = (
             HealthFact("service", "" if view.service is None else view.service.name),
--- a/src/jasperwalk/agent/http3.py
+++ b/src/jasperwalk/agent/http3.py
@@ -1,7 +1,7 @@
-"""HTTP/3 on one flow: from QUIC events to request events, and responses back (sans-IO).
+"""HTTP/3 on one flow: translates QUIC events into request events, and sends responses (sans-IO).
 
-aioquic sends no GOAWAY, so its frame is written here to the control stream, whose number is
-an internal of `H3Connection`; `tests/agent/test_go_away.py` fails when that changes.
+aioquic sends no GOAWAY, so the frame is written here to the control stream. The stream's ID is
+an internal of `H3Connection`; `tests/agent/test_go_away.py` fails if that changes.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 """The two low bits of a stream ID are zero on streams that the caller opened for requests."""
 
 GO_AWAY_STREAM_ID = 2**62 - 4
-"""The greatest ID of a request stream: every request up to it is still served (RFC 9114, 5.2)."""
+"""The highest ID of a request stream: all requests up to it are still served (RFC 9114, 5.2)."""
 
 HeaderList = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class StreamReference:
-    """One request stream: the agent's number of the flow and the QUIC stream ID."""
+    """One request stream: the agent's number for the flow and the QUIC stream ID."""
 
     flow: int
     stream_id: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHeaders:
-    """The head of a request arrived; `ended` where it has no body."""
+    """The head of a request arrived; `ended` if it has no body."""
 
     stream: StreamReference
     headers: HeaderList
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The caller gave the request up, or its flow ended."""
+    """The caller cancelled the request, or its flow ended."""
 
     stream: StreamReference
 
@@ -75,11 +75,11 @@
         self._http: H3Connection | None = None
         self._open: set[int] = set()
         self._receiving: set[int] = set()
-        """Request streams whose end has not come yet."""
+        """Request streams whose end has not arrived yet."""
 
     @property
     def open_requests(self) -> int:
-        """Count the requests that have begun and are not answered to their end."""
+        """The number of requests that have started and are not fully answered."""
         return len(self._open)
 
     def handle(self, event: QuicEvent) -> list[RequestEvent]:
@@ -94,7 +94,7 @@
         return self._feed_http(event)
 
     def send_headers(self, stream_id: int, headers: HeaderList, ended: bool) -> bool:
-        """Send the head of a response; return False when the stream takes nothing any more."""
+        """Send the head of a response; return False if the stream accepts no more data."""
         if not self._writable(stream_id) or self._http is None:
             return False
         self._http.send_headers(stream_id, headers, end_stream=ended)
@@ -110,16 +110,16 @@
         return True
 
     def abort(self, stream_id: int) -> None:
-        """Reset a response that can't be completed, so the caller sees that it was cut."""
+        """Reset a response that can't be completed, so the caller sees that it is truncated."""
         if self._writable(stream_id):
             self._connection.reset_stream(stream_id, ErrorCode.H3_INTERNAL_ERROR)
         self._open.discard(stream_id)
         self._receiving.discard(stream_id)
 
     def go_away(self) -> None:
-        """Ask the caller to open another flow for what it has not begun yet (GOAWAY).
+        """Ask the caller to open another flow for new requests (GOAWAY).
 
-        No request is refused for it: what still comes on this flow is answered as before.
+        No request is refused because of it: requests that still arrive are answered as before.
         """
         control_stream = None if self._http is None else self._http._local_control_stream_id
         if control_stream is None:
@@ -159,7 +159,7 @@
 
     def _headers(self, stream_id: int, event: HeadersReceived) -> list[RequestEvent]:
         reference = StreamReference(self._number, stream_id)
-        if stream_id in self._open:  # trailers: their fields are not passed on
+        if stream_id in self._open:  # trailers: their fields are not forwarded
             self._record_end(stream_id, event.stream_ended)
             return [RequestData(reference, b"", event.stream_ended)]
         if stream_id & REQUEST_STREAM_MASK:
--- a/src/jasperwalk/agent/key_renewal.py
+++ b/src/jasperwalk/agent/key_renewal.py
@@ -1,9 +1,9 @@
-"""Moving open flows to the active fleet keys, so that old keys can be retired (sans-IO).
+"""Moves open flows to the active fleet keys, so that old keys can be retired (sans-IO).
 
 A flow's connection IDs and their reset tokens are made with the keys that were active when
 they were issued. When another key becomes active, every flow issues new ones and asks its
-caller to retire the old ones; until the caller has, the flow rests on the old keys and the
-agent says so in its acknowledgements.
+caller to retire the old ones. Until the caller has done so, the flow depends on the old keys,
+and the agent reports their generations in its acknowledgements.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from jasperwalk.routing.connection_ids import CONNECTION_ID_LENGTH, ROTATION_SHIFT
 
 FLOW_KEY_PURPOSES = (KeyPurpose.CONNECTION_ID, KeyPurpose.STATELESS_RESET)
-"""Purposes whose keys a flow rests on for as long as its connection IDs live."""
+"""Purposes whose keys a flow depends on as long as its connection IDs are in use."""
 FLOWS_PER_TURN = 64
-"""Flows that are renewed in one turn of the loop, so that packets do not wait for all."""
+"""Flows renewed in one turn of the event loop, so that packets do not wait for all of them."""
 
 
 @dataclass(frozen=True, slots=True)
 class OldestKeys:
-    """Generations of the oldest keys that open flows rest on; the active ones without flows."""
+    """Generations of the oldest keys in use by open flows; the active keys without open flows."""
 
     connection_id: int = 0
     stateless_reset: int = 0
 
 
 class FlowRenewal:
-    """The numbers of the flows that still have to move to the active keys."""
+    """Queue of the flows, by number, that still have to move to the active keys."""
 
     def __init__(self) -> None:
         self._waiting: deque[int] = deque()
@@ -41,12 +41,12 @@
     def view_changed(
         self, before: ServiceView, after: ServiceView, open_flows: Iterable[int]
     ) -> None:
-        """Queue all open flows where another key became active."""
+        """Queue all open flows if another key became active."""
         if flows_need_renewal(before, after):
             self._waiting = deque(open_flows)
 
     def take(self) -> list[int]:
-        """Return, and forget, the next flows to renew."""
+        """Remove the next flows to renew from the queue and return them."""
         count = min(FLOWS_PER_TURN, len(self._waiting))
         return [self._waiting.popleft() for _ in range(count)]
 
@@ -57,7 +57,7 @@
 
 
 def flows_need_renewal(before: ServiceView, after: ServiceView) -> bool:
-    """Tell whether another key that flows rest on became active between two views."""
+    """Return whether another key that flows depend on became active between two views."""
     return any(
         _active(before, purpose) is not None
         and _active(after, purpose) is not None
@@ -69,8 +69,8 @@
 def oldest_keys(view: ServiceView, connections: Iterable[RoutableServerConnection]) -> OldestKeys:
     """Find the oldest keys in use, in time proportional to the connections.
 
-    A connection ID with a lower number was never made with a newer key, so that the oldest
-    one of each flow decides.
+    A connection ID with a lower sequence number was never made with a newer key, so the oldest
+    one of each flow is enough.
     """
     active = OldestKeys(
         active_generation(view, KeyPurpose.CONNECTION_ID),
@@ -93,7 +93,7 @@
 
 
 def _has_older_keys(view: ServiceView, active: OldestKeys) -> bool:
-    """Tell whether a key that flows may rest on is older than the active one."""
+    """Return whether a key that flows may depend on is older than the active one."""
     active_generations = {
         KeyPurpose.CONNECTION_ID: active.connection_id,
         KeyPurpose.STATELESS_RESET: active.stateless_reset,
--- a/src/jasperwalk/agent/lender.py
+++ b/src/jasperwalk/agent/lender.py
@@ -1,4 +1,4 @@
-"""Lending free slots to other agents of the service."""
+"""Lends free slots to other agents of the service, as the lending protocol requests them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SlotLender:
-    """Lends a slot while one is free and no own request waits. `enabled` is the setting."""
+    """Lends a slot while one is free and no own request waits. `enabled` turns lending on."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._enabled = enabled
         self._count = 0
         self.open_slots = 0
-        """Lent slots and requests in them that have not ended."""
+        """Number of lent slots that are reserved or in use."""
         self.lent = 0
 
     def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
-        """Hold a slot for the asker; None to refuse."""
+        """Reserve a slot for the requester; None to refuse."""
         now = self._clock()
         self._peers.record_free_slots(Endpoint.unpack(slot_request.requester), 0, now)
         if not self._enabled or not self._may_lend(slot_request.service_id, now):
@@ -54,7 +54,7 @@
         return ReservedSlot(slot_id, self._allocator.admission.free_slots)
 
     async def run_lent(self, slot: ReservedSlot, request: Request, sink: ResponseSink) -> Outcome:
-        """Run a request in a held slot, and free the slot."""
+        """Run a request in a reserved slot, then free the slot."""
         self.lent += 1
         deadline_at = self._clock() + request.deadline_ms / 1000
         try:
@@ -63,7 +63,7 @@
             self.open_slots -= 1
 
     def give_back(self, slot: ReservedSlot) -> None:
-        """Free a held slot that was not used."""
+        """Free a reserved slot that was not used."""
         self.open_slots -= 1
         self._allocator.withdraw(slot.slot_id)
 
--- a/src/jasperwalk/agent/lending.py
+++ b/src/jasperwalk/agent/lending.py
@@ -1,13 +1,13 @@
-"""Lending a free slot to a request that waits at another agent of the service.
+"""Protocol by which an agent lends a free slot to a request that waits at a peer.
 
-A framed TCP connection carries one ask after the other. The asker sends `SlotRequest` and gets
-`SlotGrant` or `SlotRefusal` at once. A granted slot is held for the asker, who then sends the
-request itself, or closes the connection because a slot of its own came first. So a request
-leaves its agent only once a slot is certain, and an asker that gives up, at whatever moment
-before it sent the request, knows that it did not run.
+The requests for slots follow each other on a framed TCP connection. The requester sends
+`SlotRequest` and gets `SlotGrant` or `SlotRefusal` at once. A granted slot is reserved for the
+requester, which then sends the request itself, or closes the connection because a slot of its
+own became free first. So a request leaves its agent only once a slot is certain, and a
+requester that cancels at any time before sending the request knows that it did not run.
 
-The lender runs the request in that slot and never passes it on: it does not look at its
-ticket, because the asker, the ticket's home, keeps the account of it and asks just once.
+The lender runs the request in that slot and never relays it. It does not check the ticket: the
+requester, which is the ticket's home, records its use and sends the request just once.
 """
 
 from __future__ import annotations
@@ -27,34 +27,34 @@
 from jasperwalk.transport.framed import FramedConnection
 
 IDLE_SECONDS = 30.0
-"""Time for which a connection waits for the next ask."""
+"""Time for which a connection waits for the next slot request."""
 RESERVATION_SECONDS = 0.5
-"""Time for which a granted slot waits for its request."""
+"""Time for which a granted slot is reserved for its request."""
 LATE_REQUEST_SECONDS = 0.5
-"""Time for which a request that comes too late for its slot still gets its answer."""
+"""Time for which a request that arrives too late for its slot still gets an answer."""
 LATE_RETRY_AFTER_MS = 100
 
 
 class SlotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks an agent of this service for a free slot; `requester` has none."""
+    """Requests a free slot from an agent of this service; `requester` has none."""
 
     service_id: int
     requester: bytes
-    """The asker's packed end point."""
+    """The requester's packed endpoint."""
 
 
 class SlotGrant(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A slot is held for the asker; `free_slots` are left beside it."""
+    """A slot is reserved for the requester; `free_slots` more are free."""
 
     free_slots: int
 
 
 class SlotRefusal(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """No slot is to be had."""
+    """No slot is available."""
 
 
 class LentRequest(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The request that runs in the granted slot."""
+    """The request to run in the granted slot."""
 
     request: Request
 
@@ -68,29 +68,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservedSlot:
-    """An own slot that is held under `slot_id`; `free_slots` are left beside it."""
+    """An own slot that is reserved under `slot_id`; `free_slots` more are free."""
 
     slot_id: str
     free_slots: int
 
 
 class Lender(Protocol):
-    """The agent's side that lends. A held slot is used or given back, just once."""
+    """The lending side of an agent. A reserved slot is either used or given back, once."""
 
     def reserve(self, slot_request: SlotRequest) -> ReservedSlot | None:
-        """Hold a slot for the asker; None to refuse."""
+        """Reserve a slot for the requester; None to refuse."""
 
     def run_lent(
         self, slot: ReservedSlot, request: Request, sink: ResponseSink
     ) -> Coroutine[None, None, Outcome]:
-        """Run a request in a held slot, and free the slot."""
+        """Run a request in a reserved slot, then free the slot."""
 
     def give_back(self, slot: ReservedSlot) -> None:
-        """Free a held slot that was not used."""
+        """Free a reserved slot that was not used."""
 
 
 async def serve_lending(connection: FramedConnection, lender: Lender) -> None:
-    """Serve asks, and the request that may follow each, until the asker closes or falls silent."""
+    """Serve slot requests and the requests that follow, until the requester closes or idles."""
     with contextlib.suppress(TimeoutError):
         frame: bytes | None = await _receive(connection, IDLE_SECONDS)
         while frame is not None:
@@ -102,7 +102,7 @@
 async def _serve_slot_request(
     connection: FramedConnection, lender: Lender, slot_request: SlotRequest
 ) -> bytes | None:
-    """Serve one ask; return the frame of the next one, None after the last."""
+    """Serve one slot request; return the frame of the next one, None after the last."""
     slot = lender.reserve(slot_request)
     if slot is None:
         await connection.send(encode(SlotRefusal()))
@@ -121,13 +121,13 @@
 
 
 async def _run(connection: FramedConnection, run: Coroutine[None, None, Outcome]) -> bytes | None:
-    """Run a request, cancel it when the asker closes; return the frame that follows it."""
+    """Run a request, cancel it if the requester closes; return the frame that follows it."""
     running = asyncio.ensure_future(run)
     following = asyncio.ensure_future(connection.receive())
     try:
         await asyncio.wait((running, following), return_when=asyncio.FIRST_COMPLETED)
         if not running.done():
-            following.result()  # raises where the asker closed
+            following.result()  # raises if the requester closed
         await send_outcome(connection, await running)
         async with asyncio.timeout(IDLE_SECONDS):
             return await following
@@ -139,7 +139,7 @@
 
 
 def _consume_errors(*ended: asyncio.Future[Any]) -> None:
-    """Take the errors of tasks, whose reason is known, so that none is reported as lost."""
+    """Retrieve the errors of tasks, whose cause is known, so that none is logged as unhandled."""
     for task in ended:
         if not task.cancelled():
             task.exception()
@@ -151,7 +151,7 @@
 
 
 async def _refuse_late_request(connection: FramedConnection) -> None:
-    """Tell an asker that is late that its request, which may be under way, did not run."""
+    """Tell a late requester that its request, which may be in flight, did not run."""
     await connection.send(encode(RelayNotRun(NotRunReason.SLOT_EXPIRED, LATE_RETRY_AFTER_MS)))
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LATE_REQUEST_SECONDS):
--- a/src/jasperwalk/agent/lending_client.py
+++ b/src/jasperwalk/agent/lending_client.py
@@ -1,8 +1,8 @@
-"""Asking other agents for slots, over connections that are kept for the next ask.
+"""Client of the lending protocol: requests slots from other agents over reused connections.
 
-Opening a connection costs some round trips and, with TLS, a handshake: longer than many a
-wait for a slot. A connection is kept after a refusal and after a whole answer, where both
-sides know that nothing is under way on it; after anything else it is dropped.
+Opening a connection costs some round trips and, with TLS, a handshake, which is often longer
+than the wait for a slot. A connection is kept after a refusal and after a complete answer,
+when both sides know that nothing is in flight on it. In all other cases it is closed.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 
 CONNECT_TIMEOUT_SECONDS = 0.25
 ANSWER_TIMEOUT_SECONDS = 0.25
-"""Time within which an asked agent has to answer; it decides at once."""
+"""Time for the lender to answer; it decides at once."""
 IDLE_SECONDS = 10.0
-"""Time for which a connection is kept; shorter than the lender's."""
+"""Time for which an idle connection is kept; shorter than at the lender."""
 MAX_LINK_AGE_SECONDS = 60.0
-"""Age up to which a connection is used again: certificates and keys may be renewed."""
+"""Age up to which a connection is reused: certificates and keys may be renewed meanwhile."""
 MAX_IDLE_LINKS = 4
-"""Connections that are kept to one member."""
+"""Idle connections that are kept to one member."""
 
 
 @dataclass(frozen=True)
 class LendingLink:
-    """A connection to a lender; times in seconds of the loop."""
+    """A connection to a lender; times in seconds of the event loop's clock."""
 
     member: Endpoint
     connection: FramedConnection
@@ -55,20 +55,20 @@
 
 
 class IdleLinks:
-    """Connections on which nothing is under way."""
+    """Pool of connections on which nothing is in flight."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._links: dict[Endpoint, list[LendingLink]] = {}
 
     def take(self, member: Endpoint) -> LendingLink | None:
-        """Return, and forget, the connection to `member` that was used last."""
+        """Remove the most recently used connection to `member` from the pool and return it."""
         self._close_expired()
         links = self._links.get(member)
         return links.pop() if links else None
 
     def keep(self, link: LendingLink) -> None:
-        """Keep a connection for the next ask."""
+        """Keep a connection for the next slot request."""
         kept = LendingLink(link.member, link.connection, link.opened_at, self._clock())
         links = self._links.setdefault(link.member, [])
         links.append(kept)
@@ -77,7 +77,7 @@
         self._close_expired()
 
     def close(self) -> None:
-        """Drop every connection."""
+        """Close every connection."""
         for links in self._links.values():
             for link in links:
                 link.connection.abort()
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class BorrowedSlot:
-    """A slot that another agent holds for this one."""
+    """A slot that another agent has reserved for this one."""
 
     free_slots: int
     link: LendingLink
@@ -123,12 +123,12 @@
                 self.link.connection.abort()
 
     def give_back(self) -> None:
-        """Let the lender have its slot back."""
+        """Return the unused slot to the lender, by closing the connection."""
         self.link.connection.abort()
 
 
 class LendingClient:
-    """Asks other agents for slots."""
+    """Requests slots from other agents."""
 
     def __init__(self, client: RelayClient, clock: Callable[[], float]) -> None:
         self._client = client
@@ -136,11 +136,11 @@
         self._idle = IdleLinks(clock)
 
     async def ask(self, member: Endpoint, ask: SlotRequest) -> BorrowedSlot | SlotRefusal | None:
-        """Ask `member`; return its answer, None when it gave none in time."""
+        """Request a slot from `member`; return its answer, None if none came in time."""
         kept = self._idle.take(member)
         if kept is not None:
             answer = await self._exchange(kept, ask)
-            if answer is not None:  # else the lender has closed it, or has gone
+            if answer is not None:  # else the lender has closed it or is gone
                 return answer
         try:
             connection = await self._client.open(
@@ -151,7 +151,7 @@
         return await self._exchange(LendingLink(member, connection, self._clock()), ask)
 
     def close(self) -> None:
-        """Drop the connections that are kept."""
+        """Close the idle connections."""
         self._idle.close()
 
     async def _exchange(
--- a/src/jasperwalk/agent/local_runner.py
+++ b/src/jasperwalk/agent/local_runner.py
@@ -1,4 +1,4 @@
-"""Running a request at this agent's back end, in a slot that it holds."""
+"""Runs a request at this agent's backend, in a slot that the request holds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LocalRunner:
-    """Runs requests at the back end, frees their slots and learns from their outcomes."""
+    """Runs requests at the backend, frees their slots and records what the outcomes show."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
     async def run(
         self, slot_id: str, request: Request, deadline_at: float, sink: ResponseSink
     ) -> Outcome:
-        """Run a request in the slot held under `slot_id`, and free that slot."""
+        """Run a request in the slot held under `slot_id`, then free the slot."""
 
         def head_arrived() -> None:
-            # The slot stands for the back end's work on the answer. Passing the body on
-            # takes as long as the caller takes, hours for a stream, and must hold no slot.
+            # The slot represents the backend's work on the answer. Forwarding the body takes
+            # as long as the caller reads, hours for a stream, and must hold no slot.
             self._health.request_answered(self._clock())
             self._allocator.release(slot_id)
 
--- a/src/jasperwalk/agent/lost_agents.py
+++ b/src/jasperwalk/agent/lost_agents.py
@@ -1,10 +1,10 @@
-"""Which agents of the service are lost for good (sans-IO).
+"""Determines by probes which agents of the service are lost (sans-IO).
 
-Control calls a member offline when it has not heard of it, or when its back end is down.
-Neither says that its agent is gone: cut off from control, it may serve open flows as before.
-So an agent that meets a packet of such a flow asks the flow's agent itself, and only silence
-makes it lost. The packets that came while the question was out are kept, within a bound, so
-that their callers hear of the loss at once.
+Control reports a member as offline when its heartbeats are missing or its backend is down.
+Neither means that its agent is gone: without control it may still serve open flows. So
+an agent that receives a packet of such a flow probes the holder of the flow, which counts as
+lost only if it does not answer. Packets that arrive during the probe are kept, within a bound,
+so that their callers get a reset as soon as the agent is known to be lost.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from jasperwalk.agent.datagram_filter import AdmittedDatagram
 
 ANSWER_HOLDS_SECONDS = 1.0
-"""Time for which an answer spares the next question."""
+"""Time for which an answer makes another probe unnecessary."""
 SILENCE_HOLDS_SECONDS = 5.0
-"""Time for which silence counts, until the question is put again."""
+"""Time for which an unanswered probe counts, until the next probe."""
 MAX_WAITING_PACKETS = 200
-"""Packets kept for one agent while the question is out."""
+"""Packets kept for one agent during a probe."""
 
 
 class ProbeState(enum.Enum):
-    """What is known of an agent."""
+    """What is known about an agent."""
 
     PROBE_NOW = enum.auto()
-    """Nothing: the caller of this module has to ask now."""
+    """Nothing: the user of this module has to probe now."""
     PROBING = enum.auto()
     ALIVE = enum.auto()
     LOST = enum.auto()
@@ -42,18 +42,18 @@
 
 
 class LostAgents:
-    """Keeps, for agents that control calls offline, what they answered. Times in seconds."""
+    """Results of probes, for agents that control reports as offline. Times in seconds."""
 
     def __init__(self) -> None:
         self._agents: dict[Endpoint, _ProbedAgent] = {}
 
     def keep_only(self, addresses: Container[Endpoint]) -> None:
-        """Forget agents that are no members of the service any more."""
+        """Discard agents that are no longer members of the service."""
         for address in [known for known in self._agents if known not in addresses]:
             del self._agents[address]
 
     def check(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
-        """Judge the home of a packet, and keep the packet while that is not known.
+        """Return the state of a packet's holder, and keep the packet while it is unknown.
 
         After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
         """
@@ -67,7 +67,7 @@
         return agent.state
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> list[AdmittedDatagram]:
-        """Take the answer, or silence; return the kept packets, whose flows are now lost."""
+        """Record the result of a probe; return the kept packets, whose flows are now lost."""
         agent = self._agents.get(address)
         if agent is None:
             return []
--- a/src/jasperwalk/agent/metrics.py
+++ b/src/jasperwalk/agent/metrics.py
@@ -1,4 +1,4 @@
-"""The agent's metrics, read from its parts when `/metrics` is asked."""
+"""The agent's metrics, read from its components when `/metrics` is requested."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AgentCollector(Collector):
-    """Collects counters and gauges of one agent."""
+    """Collects the counters and gauges of one agent."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._lender = lender
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the metrics as they stand."""
+        """Yield the current metrics."""
         yield _gauge("open_flows", "Open QUIC connections.", self._endpoint.open_flows)
         yield _gauge("open_requests", "Requests in progress.", self._dispatcher.open_requests)
         yield _gauge("slots_used", "Slots in use.", self._admission.running)
--- a/src/jasperwalk/agent/outgoing.py
+++ b/src/jasperwalk/agent/outgoing.py
@@ -1,4 +1,4 @@
-"""What the agent's QUIC end point asks its adapter to do."""
+"""Output of the agent's QUIC endpoint, to be performed by its adapter."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAgent:
-    """Ask whether the agent at `address` lives; `AgentEndpoint.probe_ended` takes the answer."""
+    """Probe the agent at `address`; the result has to be passed to `AgentEndpoint.probe_ended`."""
 
     address: Endpoint
 
--- a/src/jasperwalk/agent/packets.py
+++ b/src/jasperwalk/agent/packets.py
@@ -1,4 +1,4 @@
-"""The little of a QUIC packet that an agent reads before a connection takes it (RFC 8999)."""
+"""The fields of a QUIC packet that an agent reads before it finds the connection (RFC 8999)."""
 
 from __future__ import annotations
 
--- a/src/jasperwalk/agent/peer_slots.py
+++ b/src/jasperwalk/agent/peer_slots.py
@@ -1,13 +1,13 @@
-"""What an agent has learned of its neighbours' free slots, and whom it asks next (sans-IO).
+"""Known free slots of the peer agents, and the choice of the peer to ask next (sans-IO).
 
-Nothing is published. An agent learns of the other members of its service only from the
-answers to its own asks and from asks that reach it, so the knowledge costs nothing where no
-slot is short, and it is as old as the last contact. Back ends' load pages have no part in
-it: they may lag or mislead.
+Free slots are not published. An agent learns about the other members of its service only from
+the answers to its own slot requests and from the requests that it receives. So the knowledge
+costs nothing while slots are free, and it is as old as the last contact. The load pages of
+backends are not used: they may lag or mislead.
 
-The choice is that of two random members (power of two choices; Mitzenmacher 2001), by
-weight, and of these the one with more free slots as far as known. Random first draws keep
-all agents from running after the same idle host.
+Two members are drawn at random by weight (power of two choices; Mitzenmacher 2001), and of
+these the one with more known free slots is asked. The random draw keeps agents from all asking
+the same idle host.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from jasperwalk.config.table_entries import MemberEntry
 
 KNOWLEDGE_TTL_SECONDS = 0.25
-"""Time for which a count of free slots is taken for true."""
+"""Time for which a reported number of free slots is used."""
 FULL_BACKOFF_SECONDS = 0.02
-"""Time for which a member that refused for want of a free slot is not asked again."""
+"""Time for which a member that refused because it had no free slot is not asked again."""
 UNREACHABLE_BACKOFF_SECONDS = 2.0
 """Time for which a member that gave no answer is not asked again."""
 MEMBERS_DRAWN = 2
-"""Members drawn for one ask."""
+"""Members drawn for one slot request."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """What was last learned of a member: free slots, when, and until when not to ask it."""
+    """Last known state of a member: its free slots, when learned, and until when not to ask it."""
 
     free_slots: int
     learned_at: float
@@ -39,27 +39,27 @@
 
 
 class PeerSlots:
-    """Knowledge of the other members, by their address."""
+    """Known states of the other members, by address."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
         self._known: dict[Endpoint, PeerState] = {}
 
     def record_free_slots(self, member: Endpoint, free_slots: int, now: float) -> None:
-        """Note a member's free slots, as its answer or its own ask told."""
+        """Record a member's free slots, from its answer or from its own slot request."""
         avoid_until = now if free_slots else now + FULL_BACKOFF_SECONDS
         self._known[member] = PeerState(free_slots, now, avoid_until)
 
     def record_unreachable(self, member: Endpoint, now: float) -> None:
-        """Note that a member gave no answer."""
+        """Record that a member gave no answer."""
         self._known[member] = PeerState(0, now, now + UNREACHABLE_BACKOFF_SECONDS)
 
     def keep_only(self, members: Collection[Endpoint]) -> None:
-        """Forget what is known of all but `members`."""
+        """Discard the states of all other members than `members`."""
         self._known = {each: known for each, known in self._known.items() if each in members}
 
     def take_known_slot(self, member: Endpoint, now: float) -> bool:
-        """Count one of a member's known free slots as taken; False if none is known."""
+        """Count one of a member's known free slots as used; False if none is known."""
         known = self._known.get(member)
         if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS or not known.free_slots:
             return False
@@ -69,7 +69,7 @@
     def choose(
         self, members: Sequence[MemberEntry], asked: Collection[Endpoint], now: float
     ) -> Endpoint | None:
-        """Return the member to ask for a slot, None when none is worth it now."""
+        """Return the member to ask for a slot, None when no member may be asked now."""
         eligible = [
             each for each in members if each.address not in asked and self._may_ask(each, now)
         ]
@@ -84,7 +84,7 @@
         return known is None or now >= known.avoid_until
 
     def _expected_slots(self, member: MemberEntry, now: float) -> float:
-        """Return the free slots to expect: what is known, else half of all."""
+        """Return the expected number of free slots: the known one, else half of all slots."""
         known = self._known.get(member.address)
         if known is None or now - known.learned_at >= KNOWLEDGE_TTL_SECONDS:
             return member.slots / 2
--- a/src/jasperwalk/agent/ports.py
+++ b/src/jasperwalk/agent/ports.py
@@ -1,4 +1,4 @@
-"""The agent's ports, of one number: UDP for forwarded datagrams, TCP for other agents."""
+"""The agent's ports, with the same number: UDP for forwarded datagrams, TCP for other agents."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from jasperwalk.transport.tls import LinkTls
 
 PORT_ATTEMPTS = 16
-"""Numbers tried where the system chooses: its free UDP port may be taken on TCP."""
+"""Port numbers tried if the system chooses one: its free UDP port may be in use for TCP."""
 
 
 @dataclass(frozen=True)
 class AgentPorts:
-    """Both open ports and their common end point."""
+    """Both open ports and their common endpoint."""
 
     address: Endpoint
     datagrams: DatagramPort
     relay: FramedServer
 
     async def close(self) -> None:
-        """Close both."""
+        """Close both ports."""
         await self.relay.close()
         self.datagrams.close()
 
@@ -42,7 +42,7 @@
     lender: Lender,
     tls: LinkTls | None = None,
 ) -> AgentPorts:
-    """Open both ports; raise `OSError` when they can't be had."""
+    """Open both ports; raise `OSError` if they can't be opened."""
     attempts = PORT_ATTEMPTS if listen.port == 0 else 1
     for _ in range(attempts - 1):
         with contextlib.suppress(OSError):
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent process: wires the cores to sockets, control and the back end."""
+"""The agent process: connects the sans-IO cores to sockets, control and the backend."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
 
 BOOT_ID_BYTES = 8
 FAILURES_TO_OFFLINE = 3
-"""Used before the service's own health monitor is known."""
+"""Used until the service's health monitor is known."""
 NO_SLOTS = AdmissionLimits(slots=0, queue_length=0, queue_wait_ms=0)
 
 logger = structlog.get_logger(__name__)
 
 
 class Agent:
-    """All parts of one agent, and the order in which they start and end."""
+    """All components of one agent, and the order in which they start and stop."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self._settings = settings
@@ -87,7 +87,7 @@
 
     @property
     def view(self) -> ServiceView:
-        """Return what the agent knows of its service."""
+        """Return the current view of the service."""
         return self._current.get()
 
     def _make_endpoint(self, view: ServiceView) -> AgentEndpoint:
@@ -113,12 +113,12 @@
         )
 
     def _prefers_peer(self, member: Endpoint) -> bool:
-        """Tell whether a new flow is better off at `member`: busy here, a free slot there."""
+        """Return whether `member` should take a new flow: no free slot here, a known one there."""
         busy = not self._allocator.admission.free_slots
         return busy and self._peers.take_known_slot(member, self._clock())
 
     async def run(self) -> None:
-        """Run until a stop signal, or until a newer process has this agent's address."""
+        """Run until a stop signal, or until a newer process has registered with this address."""
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._backend.close)
             stack.callback(self._lending_client.close)
@@ -141,7 +141,7 @@
             await self._wait_until_stopped(dispatcher, follower, graceful_close)
 
     def stop(self) -> None:
-        """Stop as on a signal: end the requests in progress first."""
+        """Stop as on a signal: requests in progress are completed first."""
         self._stopped.set()
 
     async def _open_ports(self) -> AgentPorts:
@@ -214,7 +214,7 @@
     def _loops(
         self, follower: FollowerRunner, graceful_close: GracefulClose, port: DatagramPort
     ) -> tuple[Coroutine[None, None, None], ...]:
-        """Return what runs beside the requests, in the order of its start."""
+        """Return the background tasks, in the order in which they are started."""
         return (
             follower.run(),
             monitor_backend(self._backend, self.health, self._current),
@@ -232,7 +232,7 @@
         self._current.set_stopping()
         follower.healthy = False
         logger.info("agent-stopping", open_requests=dispatcher.open_requests)
-        # Within its grace a planned stop cuts no request; a second signal ends the wait.
+        # A planned stop cancels no request within its grace time; a second signal ends the wait.
         signalled.clear()
         await first_of(signalled.wait(), graceful_close.wait_until_idle(self._stop_grace_seconds()))
         cut = dispatcher.open_requests
@@ -246,5 +246,5 @@
 
 
 async def run_agent(settings: AgentSettings) -> None:
-    """Run one agent until it is stopped. Raises `OSError` when a port can't be had."""
+    """Run one agent until it is stopped. Raises `OSError` when a port can't be opened."""
     await Agent(settings).run()
--- a/src/jasperwalk/agent/quic_settings.py
+++ b/src/jasperwalk/agent/quic_settings.py
@@ -8,7 +8,7 @@
 
 IDLE_TIMEOUT_SECONDS = 300.0
 MAX_STREAM_DATA = 262_144
-"""Bytes that a caller may send on a stream ahead of what the agent has read."""
+"""Bytes that a caller may send on a stream before the agent has read them."""
 MAX_CONNECTION_DATA = 1_048_576
 
 
--- a/src/jasperwalk/agent/rate_limit.py
+++ b/src/jasperwalk/agent/rate_limit.py
@@ -1,4 +1,4 @@
-"""A limit on what strangers can make the agent send (sans-IO)."""
+"""A rate limit on packets that unauthenticated senders can make the agent send (sans-IO)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         self._used = 0
 
     def allows(self, now: float) -> bool:
-        """Count one event and tell whether it is within the limit."""
+        """Count one event and return whether it is within the limit."""
         if int(now) != self._second:
             self._second = int(now)
             self._used = 0
--- a/src/jasperwalk/agent/relay.py
+++ b/src/jasperwalk/agent/relay.py
@@ -1,7 +1,7 @@
-"""Relaying a request to another agent of the service, one framed TCP connection a request.
+"""Relays requests to other agents of the service, one framed TCP connection per request.
 
-Closing the connection cancels the request. The target answers with its own admission's
-decision and never relays further, so a request can't go round in circles.
+Closing the connection cancels the request. The target applies its own admission control and
+never relays the request further, so there can be no relay loop.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 PROBE_ATTEMPTS = 2
-"""One lost SYN, which TCP repeats after a second, is no sign of a lost host."""
+"""A single lost SYN, which TCP repeats after a second, does not mean that the host is lost."""
 PROBE_TIMEOUT_SECONDS = 0.6
 ANSWER_MARGIN_SECONDS = 0.25
-"""Time beyond the deadline for the target's own verdict on it to arrive."""
+"""Time beyond the deadline for the target's own time-out answer to arrive."""
 
 
 class RelayClient:
@@ -69,9 +69,9 @@
             connection.abort()
 
     async def is_alive(self, target: Endpoint) -> bool:
-        """Tell whether the agent at `target` is there: whether its port takes a connection.
+        """Return whether the agent at `target` is alive: whether its port accepts a connection.
 
-        An agent that stands still is there. It may go on at any time, and its flows with it.
+        A suspended agent counts as alive: it may resume at any time, and its flows with it.
         """
         for _ in range(PROBE_ATTEMPTS):
             if await port_accepts(target, PROBE_TIMEOUT_SECONDS):
@@ -89,7 +89,7 @@
 async def run_exchange(
     connection: FramedConnection, first: msgspec.Struct, request: Request, sink: ResponseSink
 ) -> Outcome:
-    """Send `first`, the frame that carries `request`, and pass the answer on to `sink`."""
+    """Send `first`, the frame that contains `request`, and forward the answer to `sink`."""
     progress = AnswerProgress()
     seconds = request.deadline_ms / 1000 + ANSWER_MARGIN_SECONDS
     try:
--- a/src/jasperwalk/agent/relay_messages.py
+++ b/src/jasperwalk/agent/relay_messages.py
@@ -29,7 +29,7 @@
 
 
 class RelayEnd(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 class RelayNotRun(msgspec.Struct, frozen=True, array_like=True, tag=5):
--- a/src/jasperwalk/agent/relay_server.py
+++ b/src/jasperwalk/agent/relay_server.py
@@ -1,4 +1,4 @@
-"""Serving requests that other agents relay here, one framed TCP connection a request."""
+"""Serves requests that other agents relay here, one framed TCP connection per request."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 RelayHandler = Callable[[RelayRequest, ResponseSink], Awaitable[Outcome]]
 """Runs a relayed request here."""
 RECEIVE_TIMEOUT_SECONDS = 5.0
-"""Time within which the other agent has sent its request, whole."""
+"""Time limit for the other agent to send its complete request."""
 
 
 class RelaySink:
-    """Passes an answer back over the connection; raises `CallerGone` when it is lost."""
+    """Sends an answer back over the connection; raises `CallerGone` if the connection is lost."""
 
     def __init__(self, connection: FramedConnection) -> None:
         self._connection = connection
@@ -63,7 +63,7 @@
 async def serve_relay(connection: FramedConnection, handler: RelayHandler) -> None:
     """Serve one relayed request; the handler is cancelled when the connection ends.
 
-    Raises `RequestTimeout` where no request comes.
+    Raises `RequestTimeout` if no request arrives.
     """
     relayed = REQUEST_DECODER.decode(await connection.receive_request(RECEIVE_TIMEOUT_SECONDS))
     await run_until_closed(connection, handler(relayed, RelaySink(connection)))
@@ -84,13 +84,13 @@
 
 
 async def wait_closed(connection: FramedConnection) -> None:
-    """Wait until the other side closes the connection, or says something out of turn."""
+    """Wait until the other side closes the connection or sends an unexpected frame."""
     with contextlib.suppress(TransportError):
         await connection.receive()
 
 
 async def send_outcome(connection: FramedConnection, outcome: Outcome) -> None:
-    """Send what became of a request; an answer has been sent by its sink."""
+    """Send the outcome of a request; an answer has already been sent by its sink."""
     match outcome:
         case NotRun(reason=reason, retry_after_ms=retry_after_ms):
             await connection.send(encode(RelayNotRun(reason, retry_after_ms)))
--- a/src/jasperwalk/agent/requests.py
+++ b/src/jasperwalk/agent/requests.py
@@ -1,4 +1,4 @@
-"""Requests and outcomes as the agent's parts pass them on, and the rules for header fields."""
+"""Requests and their outcomes, as used within the agent, and the rules for header fields."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class OutcomeKind(enum.StrEnum):
-    """What became of a request; the value of the response header `jasperwalk-outcome`."""
+    """Kind of a request's outcome; the value of the response header `jasperwalk-outcome`."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -73,11 +73,11 @@
 
 
 class Request(msgspec.Struct, frozen=True, array_like=True):
-    """One request with its whole body.
+    """One request with its complete body.
 
-    `deadline_ms` is the time left when the request was passed on. It bounds the whole answer
-    where the caller named it (`deadline_by_caller`), and only the time to the answer's head
-    where it is the service's default: streams stay open for hours.
+    `deadline_ms` is the time left when the request was forwarded. It bounds the complete answer
+    if the caller set it (`deadline_by_caller`). The service's default deadline bounds only the
+    time to the head of the answer, because streams stay open for hours.
     """
 
     request_id: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The back end's answer was passed on to its end."""
+    """The backend's answer was forwarded completely."""
 
     status: int
 
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run. `head_sent` tells that a part of an answer went out."""
+    """The request may have run. `head_sent` tells whether part of an answer was sent."""
 
     reason: UnknownReason
     head_sent: bool = False
@@ -126,36 +126,36 @@
 
 @dataclass(slots=True)
 class AnswerProgress:
-    """How far an answer got on its way to its taker, for an outcome that is `Unknown`."""
+    """Progress of an answer on its way to the receiver, for an outcome that is `Unknown`."""
 
     head_sent: bool = False
 
 
 @dataclass(eq=False)
 class CallerGone(JasperwalkError):
-    """The taker of a response has gone; the rest of the response has no use."""
+    """The receiver of a response is gone; the rest of the response is not needed."""
 
     kind: ClassVar[str] = "caller-gone"
 
 
 class ResponseSink(Protocol):
-    """Takes one response as it arrives; each call waits while the taker is slow.
+    """Receives one response piece by piece; each call waits while the receiver is slow.
 
-    Every method raises `CallerGone` once the response has no taker.
+    Every method raises `CallerGone` once the response has no receiver.
     """
 
     async def head(self, status: int, headers: HeaderFields) -> None:
-        """Take the status and the header fields."""
+        """Send the status and the header fields."""
 
     async def data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Send a piece of the body."""
 
     async def end(self) -> None:
-        """Take the end of the body."""
+        """Send the end of the body."""
 
 
 def end_to_end_fields(headers: HeaderFields) -> HeaderFields:
-    """Drop hop-by-hop fields, those that `connection` names, and `jasperwalk-*` fields."""
+    """Return the fields without hop-by-hop, `connection`-named and `jasperwalk-*` fields."""
     named = {
         token.strip().lower()
         for name, value in headers
@@ -172,7 +172,7 @@
 
 
 def caller_deadline_ms(headers: HeaderFields) -> int | None:
-    """Return the deadline that the caller named, bounded; `None` without a valid one."""
+    """Return the deadline that the caller set, bounded; `None` without a valid one."""
     for name, value in headers:
         if name != DEADLINE_HEADER or not (value.isascii() and value.isdigit()):
             continue
--- a/src/jasperwalk/agent/retry_budget.py
+++ b/src/jasperwalk/agent/retry_budget.py
@@ -1,9 +1,9 @@
-"""A budget for retries, so that they stay a small share of the requests (sans-IO)."""
+"""A retry budget, which keeps retries a small share of the requests (sans-IO)."""
 
 from __future__ import annotations
 
 RETRIES_PER_REQUEST = 0.1
-"""Tokens that each first attempt earns; a retry costs one."""
+"""Tokens earned by each first attempt; a retry costs one."""
 MAX_TOKENS = 10.0
 
 
@@ -14,11 +14,11 @@
         self._tokens = MAX_TOKENS
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(MAX_TOKENS, self._tokens + RETRIES_PER_REQUEST)
 
     def spend(self) -> bool:
-        """Take a token for one retry; False when there is none."""
+        """Spend a token on one retry; False if there is none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -1,4 +1,9 @@
-"""Deciding where a request runs: here, at another member, at its ticket's home, or nowhere."""
+"""Decides where a request runs: here, at another member, at its ticket's home, or nowhere.
+
+A request without a ticket runs in a slot of this agent or in one that a peer lends. What
+provably did not run is retried at one other member, within a budget. A draining agent relays
+its requests to other members.
+"""
 
 from __future__ import annotations
 
@@ -27,16 +32,16 @@
 from jasperwalk.agent.tickets import TICKET_PATH
 
 MAX_RELAY_TARGETS = 2
-"""Members that are asked for one request of a draining agent."""
+"""Members that are tried for one request of a draining agent."""
 RETRIED_REASONS = frozenset(
     {NotRunReason.BACKEND_UNREACHABLE, NotRunReason.SHEDDING, NotRunReason.QUEUE_FULL}
 )
 LENDER_REFUSALS = RETRIED_REASONS | {NotRunReason.DRAINING, NotRunReason.SLOT_EXPIRED}
-"""Refusals of a lender after which a request may run here."""
+"""Refusals of a lender after which a request may run here instead."""
 
 
 class RequestRunner:
-    """Runs requests of this agent's flows, and those that other agents relay to it."""
+    """Runs the requests of this agent's flows and those that other agents relay to it."""
 
     def __init__(
         self,
@@ -68,7 +73,7 @@
         self._budget.earn()
         if request.path == TICKET_PATH:
             if self._view().draining:
-                # A ticket's home has to stay: let a member that does issue it.
+                # A ticket's home has to stay in service: let another member issue the ticket.
                 return await self._relay_elsewhere(request, deadline_at, sink)
             return await self._ticket_service.issue(request, sink)
         if request.ticket is not None:
@@ -103,7 +108,7 @@
         return await self._run_here(request, deadline_at, sink)
 
     async def _run_here(self, request: Request, deadline_at: float, sink: ResponseSink) -> Outcome:
-        """Run a request in a slot of this agent, or in one that another member lends it."""
+        """Run a request in a slot of this agent or in one lent by another member."""
         match await self._borrower.acquire(request.request_id, deadline_at):
             case NotRun() as not_run:
                 return not_run
@@ -127,7 +132,7 @@
     async def _retry(
         self, request: Request, deadline_at: float, sink: ResponseSink, first: NotRun
     ) -> Outcome:
-        """Try one other member, within the budget; the request provably did not run here."""
+        """Try one other member, within the budget: the request provably did not run here."""
         targets = self._targets()
         if not targets or not self._budget.spend():
             return first
@@ -159,12 +164,12 @@
         return await self._relay.run(target, service.service_id, timed, sink)
 
     def _timed(self, request: Request, deadline_at: float) -> Request:
-        """Return the request with the time that is left."""
+        """Return the request with the remaining time as its deadline."""
         remaining_ms = int((deadline_at - self._clock()) * 1000)
         return msgspec.structs.replace(request, deadline_ms=remaining_ms)
 
     def _targets(self) -> list[Endpoint]:
-        """Return the other eligible members in a random order, heavier ones rather first."""
+        """Return the other eligible members in a random order, weighted towards the front."""
         members = self._view().other_members()
         keyed = [
             (self._random.random() ** (1 / member.weight), member.address) for member in members
@@ -173,5 +178,5 @@
 
 
 def _may_run_here(outcome: Outcome) -> bool:
-    """Tell whether a request may run here after its lender's `outcome`: it did not run there."""
+    """Return whether a request may run here: its lender's `outcome` shows that it did not run."""
     return isinstance(outcome, NotRun) and outcome.reason in LENDER_REFUSALS
--- a/src/jasperwalk/agent/service_view.py
+++ b/src/jasperwalk/agent/service_view.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its own service: its entry, the members and the fleet keys."""
+"""An agent's view of its own service: the service entry, its members and the fleet keys."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 class ServiceView:
     """One revision of the table as the agent at `address` sees it.
 
-    `incarnation` is the agent's own, 0 while control has not registered this start.
-    `stopping` is set while the process ends its last requests. `removed` is set once a change
-    took this member out of its pool, also to put it into another one: the view then keeps what
-    it last knew of the service, so that open flows go on, and takes no new work.
+    `incarnation` is the agent's own, 0 until control has registered this start. `stopping` is
+    set while the process completes its last requests. `removed` is set once a change removed
+    this member from its pool, also when it moved to another pool: the view then keeps the last
+    known state of the service, so that open flows continue, and accepts no new work.
     """
 
     address: Endpoint
@@ -47,7 +47,7 @@
         incarnation: int,
         entries: Iterable[TableEntry],
     ) -> ServiceView:
-        """Pick the agent's own service, its members and the keys from table entries."""
+        """Select the agent's own service, its members and the keys from table entries."""
         all_entries = list(entries)
         keys = tuple(entry for entry in all_entries if isinstance(entry, KeyEntry))
         members = {entry.address: entry for entry in all_entries if isinstance(entry, MemberEntry)}
@@ -66,35 +66,35 @@
         return cls(address, revision, incarnation, service, own, same_service, keys)
 
     def followed_by(self, newer: ServiceView) -> ServiceView:
-        """Return the view after `newer` arrived.
+        """Return the view that follows once `newer` has arrived.
 
-        After a removal `newer` names no service, after a move another one.
+        After a removal `newer` names no service; after a move it names another one.
         """
         if self.service is None or newer.names_service(self.service.service_id):
             return dataclasses.replace(newer, stopping=self.stopping)
-        # Dropping the service at once would cut every open flow, though the change was
-        # planned. Control sends a removed agent the keys alone.
+        # Dropping the service at once would break every open flow, although the change was
+        # planned. Control sends a removed agent only the keys.
         return dataclasses.replace(self, revision=newer.revision, keys=newer.keys, removed=True)
 
     def names_service(self, service_id: int) -> bool:
-        """Tell whether this is the view of a member of the service."""
+        """Return whether this is the view of a member of the service."""
         return self.service is not None and self.service.service_id == service_id
 
     @property
     def draining(self) -> bool:
-        """Tell whether this agent takes no new work."""
+        """Return whether this agent accepts no new work."""
         if self.stopping or self.removed:
             return True
         return self.member is not None and self.member.admin_state is AdminState.DRAINING
 
     @property
     def serving(self) -> bool:
-        """Tell whether this agent has what it needs to answer: service and incarnation."""
+        """Return whether this agent has what it needs to answer: a service and an incarnation."""
         return self.service is not None and self.incarnation > 0
 
     @property
     def online(self) -> bool:
-        """Tell whether control has declared this very start of the agent online."""
+        """Return whether control has declared this start of the agent online."""
         member = self.member
         if member is None or self.incarnation == 0:
             return False
@@ -102,7 +102,7 @@
         return is_online and member.incarnation == self.incarnation
 
     def members_of(self, service_id: int) -> list[MemberEntry]:
-        """Return the members of a service's pool, none for another service than the own."""
+        """Return the members of a service's pool; none for any service but the agent's own."""
         if not self.names_service(service_id):
             return []
         return list(self.members.values())
--- a/src/jasperwalk/agent/sinks.py
+++ b/src/jasperwalk/agent/sinks.py
@@ -1,4 +1,4 @@
-"""Takers of responses: an HTTP/3 stream, and a recorder for tickets."""
+"""Response sinks: an HTTP/3 stream with back-pressure, and a recorder for tickets."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from jasperwalk.agent.tickets import StoredAnswer
 
 MAX_UNSENT_BYTES = 65_536
-"""Response bytes that may wait for a slow caller before the back end is read no further."""
+"""Response bytes that may wait for a slow caller before reading from the backend pauses."""
 
 
 class StreamSink:
     """Writes a response to an HTTP/3 stream and waits while the caller is slow.
 
-    `flush` sends what the end point has to send. While the sink waits for room it stands in
-    `blocked`, whose owner calls `resume_if_possible` after the caller acknowledged data.
+    `flush` sends the output of the endpoint. While the sink waits for buffer space it is a member
+    of `blocked`, whose owner calls `resume_if_possible` after the caller acknowledged data.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._check(self._endpoint.send_headers(self._stream, fields, ended=False))
 
     async def data(self, data: bytes) -> None:
-        """Send a piece of the body once there is room for it."""
+        """Send a piece of the body, then wait while too much is unacknowledged."""
         self._check(self._endpoint.send_data(self._stream, data, ended=False))
         while not self.gone and self._is_buffer_full():
             await self._wait_for_progress()
@@ -55,17 +55,17 @@
         self._check(self._endpoint.send_data(self._stream, b"", ended=True))
 
     def resume_if_possible(self) -> None:
-        """Look again whether there is room."""
+        """Resume sending if there is buffer space again."""
         if not self._is_buffer_full():
             self._progress.set()
 
     def cancel(self) -> None:
-        """Note that the caller has gone."""
+        """Record that the caller is gone, and wake the response."""
         self.gone = True
         self._progress.set()
 
     def abort(self) -> None:
-        """Cut a response that can't be completed."""
+        """Reset a response that can't be completed."""
         self._endpoint.abort(self._stream)
         self._flush()
 
@@ -87,9 +87,9 @@
 
 
 class RecordingSink:
-    """Keeps an answer for resends while it passes on to the first caller.
+    """Records an answer for resends while forwarding it to the first caller.
 
-    The first caller may go at any time: the request runs on, and only the record remains.
+    The first caller may leave at any time: the request continues and is only recorded.
     """
 
     def __init__(self, caller: ResponseSink) -> None:
@@ -97,7 +97,7 @@
         self.answer: StoredAnswer | None = None
 
     async def head(self, status: int, headers: HeaderFields) -> None:
-        """Record and pass on the head."""
+        """Record and forward the head."""
         self.answer = StoredAnswer(status, headers)
         if self._caller is not None:
             try:
@@ -106,7 +106,7 @@
                 self._caller = None
 
     async def data(self, data: bytes) -> None:
-        """Record and pass on a piece of the body."""
+        """Record and forward a piece of the body."""
         if self.answer is not None:
             self.answer.append(data)
         if self._caller is not None:
@@ -116,7 +116,7 @@
                 self._caller = None
 
     async def end(self) -> None:
-        """Pass on the end."""
+        """Forward the end."""
         if self._caller is not None:
             try:
                 await self._caller.end()
--- a/src/jasperwalk/agent/slot_allocator.py
+++ b/src/jasperwalk/agent/slot_allocator.py
@@ -1,4 +1,4 @@
-"""The asyncio side of admission: a request awaits its slot here."""
+"""The asyncio side of admission control: requests await their slots here."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlotAllocator:
-    """Wakes queued requests when the admission core decides on them."""
+    """Allocates slots, and wakes queued requests when the admission core decides on them."""
 
     def __init__(self, admission: Admission) -> None:
         self.admission = admission
@@ -18,7 +18,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(self, request_id: str, deadline_at: float) -> NotRun | None:
-        """Wait for a slot; return `None` with the slot, or why the request was refused."""
+        """Wait for a slot; return `None` once it is held, or why the request was refused."""
         match self.request(request_id, deadline_at):
             case Admitted():
                 return None
@@ -28,7 +28,7 @@
                 return await self.wait(request_id)
 
     def request(self, request_id: str, deadline_at: float) -> Decision:
-        """Ask for a slot. A queued request waits by `wait` or `waiter`, or leaves again."""
+        """Request a slot. A queued request waits by `wait` or `waiter`, or withdraws."""
         decision = self.admission.request(request_id, deadline_at, self._loop.time())
         if isinstance(decision, Queued):
             self._waiters[request_id] = self._loop.create_future()
@@ -36,33 +36,33 @@
         return decision
 
     def waiter(self, request_id: str) -> asyncio.Future[NotRun | None]:
-        """Return what tells the decision on a queued request, as `wait` returns it."""
+        """Return the future of the decision on a queued request, with the result of `wait`."""
         return self._waiters[request_id]
 
     async def wait(self, request_id: str) -> NotRun | None:
-        """Wait for the decision on a queued request; cancelling the task makes it leave."""
+        """Wait for the decision on a queued request; cancelling the task withdraws it."""
         try:
             return await self._waiters[request_id]
         except asyncio.CancelledError:
-            # The slot may have been given in the same turn of the loop: hand it on.
+            # The slot may have been allocated in the same turn of the event loop: pass it on.
             self.withdraw(request_id)
             raise
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request that needs no slot here; one that it was given is handed on."""
+        """Remove a request that needs no slot here; a slot already held goes to the next one."""
         self._waiters.pop(request_id, None)
         self.apply(self.admission.cancelled(request_id, self._loop.time()))
 
     def reserve(self, slot_id: str) -> bool:
-        """Hold a free slot under `slot_id`; False without a free one."""
+        """Reserve a free slot under `slot_id`; False without a free one."""
         return self.admission.reserve(slot_id, self._loop.time())
 
     def release(self, request_id: str) -> None:
-        """Give the slot back; harmless when it was given back before."""
+        """Release the slot; does nothing if it was released before."""
         self.apply(self.admission.finished(request_id, self._loop.time()))
 
     def apply(self, decisions: list[Decision]) -> None:
-        """Wake the requests that the core decided on and set the timer anew."""
+        """Wake the requests that the core decided on, and set the timer again."""
         for decision in decisions:
             waiter = self._waiters.pop(decision.request_id, None)
             if waiter is None or waiter.done():
--- a/src/jasperwalk/agent/slot_search.py
+++ b/src/jasperwalk/agent/slot_search.py
@@ -1,9 +1,8 @@
-"""When a waiting request asks a neighbour for a slot, and when it pauses (sans-IO).
+"""Decides when a waiting request asks a peer for a slot, and when it pauses (sans-IO).
 
-A request asks one member after the other. After `MAX_CONSECUTIVE_REQUESTS` refusals it pauses, longer
-each time, since a service without free slots gains nothing from being asked. All requests of
-an agent share one budget, so that asking stays a bounded part of its work when everything
-is full.
+A request asks one member after the other. After `MAX_CONSECUTIVE_REQUESTS` refusals it pauses,
+longer each time, because asking is useless while the service has no free slots. All requests of
+an agent share one budget, so that slot requests stay a bounded part of its work at overload.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 INITIAL_PAUSE_SECONDS = 0.01
 MAX_PAUSE_SECONDS = 0.02
 SLOT_REQUESTS_PER_ARRIVAL = 2.0
-"""Asks that each arrival at the agent earns for the shared budget."""
+"""Slot requests that each arrival at the agent adds to the shared budget."""
 MAX_SAVED_REQUESTS = 40.0
 
 
@@ -30,11 +29,11 @@
         self._tokens = MAX_SAVED_REQUESTS
 
     def earn(self) -> None:
-        """Note an arrival."""
+        """Add the tokens of an arrival."""
         self._tokens = min(MAX_SAVED_REQUESTS, self._tokens + SLOT_REQUESTS_PER_ARRIVAL)
 
     def spend(self) -> bool:
-        """Take a token for one ask; False when there is none."""
+        """Spend a token on one slot request; False if there is none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -43,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSlot:
-    """Ask this member now."""
+    """Request a slot from this member now."""
 
     member: Endpoint
 
@@ -56,7 +55,7 @@
 
 
 class SlotSearch:
-    """The search of one waiting request."""
+    """The search for a slot for one waiting request."""
 
     def __init__(self, peers: PeerSlots, budget: SlotRequestBudget) -> None:
         self._peers = peers
--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: a cold agent passes on a falling share of its new flows (sans-IO).
+"""Slow start: a cold agent diverts a falling share of its new flows to other agents (sans-IO).
 
-The share falls linearly from 95% to nothing over the service's `slow_start_ms`. The agent
-does it by itself, so a restart costs control no deltas of rising weights.
+The share falls linearly from 95% to zero over the service's `slow_start_ms`. The agent does
+this by itself, so that control need not publish a series of rising weights after a restart.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from xxhash import xxh3_64_intdigest
 
 MAX_DIVERTED_SHARE = 0.95
-"""Share passed on at the very start: some flows have to warm the host up."""
+"""Share that is diverted at the start: the remaining flows warm up the host."""
 HASH_SEED = 0x736C6F77
-"""Makes the hash independent of the one by which balancers choose candidates."""
+"""Makes the hash independent of the one that balancers use to choose candidates."""
 HASH_SPAN = float(2**64)
 
 
@@ -24,11 +24,11 @@
         self._started_at = -math.inf
 
     def start(self, now: float) -> None:
-        """Note that this agent came online just now; `now` is in seconds."""
+        """Record that this agent has just come online; `now` is in seconds."""
         self._started_at = now
 
     def diverts(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
-        """Tell whether the flow that this Initial opens goes to the other candidate."""
+        """Return whether the flow opened by this Initial goes to the other candidate."""
         elapsed = now - self._started_at
         if elapsed >= duration_seconds:
             return False
--- a/src/jasperwalk/agent/stateless_reset.py
+++ b/src/jasperwalk/agent/stateless_reset.py
@@ -1,7 +1,7 @@
 """Stateless reset tokens and packets (RFC 9000, section 10.3).
 
-A token derives from the connection ID and a fleet key, so an agent that restarted, and so
-has no state of a flow, can still end it at once.
+A token is derived from the connection ID and a fleet key, so an agent that has restarted and
+lost the state of a flow can still end the flow at once.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 TOKEN_LENGTH = 16
 MIN_PACKET_BYTES = 21
-"""Bytes of the smallest packet that can be told from a valid short-header packet."""
+"""Bytes of the smallest reset that looks like a valid short-header packet."""
 MAX_PACKET_BYTES = 43
 FIXED_BIT = 0x40
 FIXED_BIT_MASK = 0x3F
 
 
 def reset_token(secret: bytes, connection_id: bytes) -> bytes:
-    """Derive the token of a connection ID with HMAC-SHA-256, cut to 16 bytes."""
+    """Derive the token of a connection ID by HMAC-SHA-256, truncated to 16 bytes."""
     return hmac.new(secret, connection_id, hashlib.sha256).digest()[:TOKEN_LENGTH]
 
 
 def reset_packet(token: bytes, received_length: int, source: random.Random) -> bytes | None:
-    """Build a reset for a packet of `received_length` bytes; `None` where it is too short.
+    """Build a reset for a packet of `received_length` bytes; `None` if the packet is too short.
 
-    The reset is shorter than the packet that caused it, so two ends can't loop.
+    The reset is shorter than the packet that caused it, so two endpoints can't loop.
     """
     length = min(received_length - 1, MAX_PACKET_BYTES)
     if length < MIN_PACKET_BYTES:
--- a/src/jasperwalk/agent/stray_packets.py
+++ b/src/jasperwalk/agent/stray_packets.py
@@ -1,13 +1,13 @@
-"""Packets with a routable connection ID whose flow this agent does not hold (sans-IO).
+"""Handles packets with a routable connection ID whose flow this agent does not hold (sans-IO).
 
-A flow of an earlier start of this agent, or one that has ended here, is reset at once: its
-caller would else wait for its idle time-out.
+A flow of an earlier start of this agent, or one that has ended here, is reset at once:
+otherwise its caller would wait for its idle time-out.
 
-A flow of another agent comes here when a balancer's table calls that agent offline. Its
-packets are always passed on to it, so that nothing is lost if it lives. The caller gets a
-stateless reset only when this agent's own table, fresh from a quorum, says the same and the
-agent does not answer, or has been replaced: see `jasperwalk.agent.lost_agents`. A host that
-merely drains, or whose back end is down, answers and keeps its flows.
+Packets of another agent's flow arrive here when a balancer's table marks that agent offline.
+They are always forwarded to the holder, so that nothing is lost if it is alive. The caller gets
+a stateless reset only if this agent's own table, fresh from a quorum, agrees and the holder
+does not answer a probe or has been replaced: see `jasperwalk.agent.lost_agents`. An agent that
+is only draining, or whose backend is down, answers the probe and keeps its flows.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class StrayPackets:
-    """Resets flows that are lost, and passes on what may yet reach its agent."""
+    """Resets lost flows, and forwards packets that may still reach the holder of their flow."""
 
     def __init__(self, source: random.Random) -> None:
         self.resets_sent = 0
@@ -42,7 +42,7 @@
         self._lost_agents = LostAgents()
 
     def view_changed(self, view: ServiceView) -> None:
-        """Take a new revision of the service's members."""
+        """Apply a new revision of the service's members."""
         self._lost_agents.keep_only(view.members)
 
     def handle(
@@ -53,7 +53,7 @@
         table_fresh: bool,
         now: float,
     ) -> list[Outgoing]:
-        """Return what to do about a packet; raise `DatagramDropped` where that is nothing."""
+        """Return what to send for a packet; raise `DatagramDropped` if it is dropped."""
         if routable.service_id != packet.datagram.service_id:
             raise DatagramDropped(DropReason.OTHER_SERVICE)
         if routable.address == view.address:
@@ -61,7 +61,7 @@
         holder = view.members.get(routable.address)
         if holder is None or packet.datagram.hops > 0:
             raise DatagramDropped(DropReason.OTHER_ADDRESS)
-        # Resets have the look of short packets, and only such packets call for them.
+        # Resets look like short-header packets, and only such packets are answered by resets.
         if packet.head.version is not None or not _may_be_lost(holder, view, table_fresh):
             return [_forward(holder, packet)]
         if holder.incarnation > routable.incarnation:
@@ -71,7 +71,7 @@
     def _reset_if_lost(
         self, holder: MemberEntry, packet: AdmittedDatagram, view: ServiceView, now: float
     ) -> list[Outgoing]:
-        """Reset the flow of an agent that is lost; pass the packet on while it may live."""
+        """Reset the flow if its holder is lost; forward the packet while it may be alive."""
         match self._lost_agents.check(holder.address, packet, now):
             case ProbeState.LOST:
                 return self._reset(packet, view, now)
@@ -83,10 +83,10 @@
     def probe_ended(
         self, address: Endpoint, answered: bool, view: ServiceView, table_fresh: bool, now: float
     ) -> list[Outgoing]:
-        """Take the outcome of a probe; return the resets that follow."""
+        """Record the outcome of a probe; return the resets that follow from it."""
         waiting = self._lost_agents.probe_ended(address, answered, now)
         holder = view.members.get(address)
-        # The host may have come back, or control been lost, while the question was out.
+        # During the probe the host may have come back, or control may have been lost.
         if holder is None or not _may_be_lost(holder, view, table_fresh):
             return []
         return [reset for packet in waiting for reset in self._reset(packet, view, now)]
--- a/src/jasperwalk/agent/tasks.py
+++ b/src/jasperwalk/agent/tasks.py
@@ -1,4 +1,4 @@
-"""Waiting for and ending asyncio tasks."""
+"""Helpers to wait for and cancel asyncio tasks."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 async def cancel(task: asyncio.Future[Any]) -> None:
-    """Cancel a task and wait for its end; raise what it failed with.
+    """Cancel a task and wait for its end; raise the error with which it failed.
 
-    Awaiting the task itself and suppressing its cancellation would swallow one that is meant for
-    the caller.
+    Awaiting the task itself and suppressing its cancellation would also swallow a cancellation
+    of the calling task.
     """
     task.cancel()
     await asyncio.wait((task,))
--- a/src/jasperwalk/agent/ticket_service.py
+++ b/src/jasperwalk/agent/ticket_service.py
@@ -1,4 +1,8 @@
-"""Issuing tickets and running requests under them."""
+"""Issues tickets, and runs requests under them at most once.
+
+A request runs only at its ticket's home, the agent that issued the ticket: other agents relay
+it there. Where the home cannot be asked, the outcome is unknown and nothing is run.
+"""
 
 from __future__ import annotations
 
@@ -41,13 +45,13 @@
 from jasperwalk.config.table_entries import KeyPurpose
 
 RunHere = Callable[[Request, float, ResponseSink], Awaitable[Outcome]]
-"""Runs a request at this agent's back end, given its deadline."""
+"""Runs a request at this agent's backend, given its deadline."""
 RelayTo = Callable[[Endpoint, Request, float, ResponseSink], Awaitable[Outcome]]
 """Runs a request at another agent."""
 
 
 class TicketService:
-    """Keeps the promise that a request under a ticket runs at most once."""
+    """Issues tickets and guarantees that a request under a ticket runs at most once."""
 
     def __init__(
         self,
@@ -91,7 +95,7 @@
     async def run(
         self, request: Request, deadline_at: float, sink: ResponseSink, relayed: bool
     ) -> Outcome:
-        """Run a request under its ticket, here or at the ticket's home, or not at all."""
+        """Run a request under its ticket, here or at the ticket's home, or refuse it."""
         view = self._view()
         try:
             ticket = TicketCodec(view.keys_for(KeyPurpose.TICKET)).open(request.ticket or "")
@@ -114,7 +118,7 @@
         self, ticket: Ticket, request: Request, deadline_at: float, sink: ResponseSink
     ) -> Outcome:
         outcome = await self._relay_to(ticket.home, request, deadline_at, sink)
-        # Only the home knows that no earlier arrival ran: when it can't be asked, a refusal
+        # Only the home knows whether an earlier arrival ran: when it can't be asked, a refusal
         # as "not run" would be a guess.
         unasked = (NotRunReason.RELAY_UNREACHABLE, NotRunReason.NO_SERVICE)
         if isinstance(outcome, NotRun) and outcome.reason in unasked:
@@ -147,8 +151,8 @@
         if self._view().draining:
             self._store.did_not_run(ticket)
             return NotRun(NotRunReason.DRAINING)
-        # The run does not end with its caller: a caller whose flow breaks comes back with
-        # the ticket for the outcome.
+        # The run continues when its caller is gone: a caller whose flow broke sends the ticket
+        # again to get the outcome.
         running = asyncio.ensure_future(self._run_and_store(ticket, request, deadline_at, sink))
         self._first_uses[ticket.nonce] = running
         running.add_done_callback(lambda _: self._first_uses.pop(ticket.nonce, None))
--- a/src/jasperwalk/agent/tickets.py
+++ b/src/jasperwalk/agent/tickets.py
@@ -1,10 +1,10 @@
-"""Tickets for requests that may not be repeated (sans-IO).
+"""Idempotency tickets, for requests that must not run twice (sans-IO).
 
 A ticket names its home: the agent, by address and incarnation, that issued it. Only the home
 may run a request under the ticket, and it does so at most once; every later arrival gets the
-stored outcome. The home's memory is the proof: once the home is gone, or its incarnation
-changed, nobody runs the request, and its outcome is unknown. Expiry is by the home's own
-monotonic clock, as nobody else judges it.
+stored outcome. The uses are recorded only in the home's memory: once the home is gone, or its
+incarnation has changed, the request is not run and its outcome is unknown. Expiry is measured
+by the home's own monotonic clock, as no other process checks it.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 
 @dataclass(eq=False)
 class InvalidTicket(JasperwalkError):
-    """An Idempotency-Key that is no ticket of this fleet."""
+    """An Idempotency-Key that is not a ticket of this fleet."""
 
     kind: ClassVar[str] = "invalid-ticket"
 
     def describe(self) -> str:
-        """Tell where tickets come from."""
+        """Explain how to obtain a ticket."""
         return f"not a ticket of this service; obtain one with POST {TICKET_PATH}"
 
 
 class Ticket(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Contents of a ticket. `expires_at_ms` counts on the home's monotonic clock."""
+    """Contents of a ticket. `expires_at_ms` is a time of the home's monotonic clock."""
 
     home: Endpoint
     incarnation: int
@@ -60,16 +60,16 @@
 
 
 class TicketCodec:
-    """Seals tickets with the active fleet key and opens those of any accepted key."""
+    """Signs tickets with the active fleet key and opens tickets of any accepted key."""
 
     def __init__(self, keys: Iterable[KeyEntry]) -> None:
-        """Take the ticket keys, the active one first."""
+        """`keys` are the ticket keys, the active one first."""
         self._keys = list(keys)
         self._decoder: Decoder[Ticket] = Decoder(Ticket)
 
     @property
     def can_issue(self) -> bool:
-        """Tell whether an active key is known."""
+        """Return whether an active key is known."""
         return bool(self._keys) and self._keys[0].active
 
     def seal(self, ticket: Ticket) -> str:
@@ -100,7 +100,7 @@
 
 
 def request_digest(request: Request) -> bytes:
-    """Digest what a ticket is bound to by its first use: method, path and body."""
+    """Return the digest to which the first use binds a ticket: of method, path and body."""
     digest = hashlib.sha256()
     for part in (request.method.encode(), request.path.encode(), request.body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class StoredAnswer:
-    """An answer as kept for resends; `body` is cut at `MAX_ANSWER_BYTES`."""
+    """An answer as kept for resends; `body` is empty if it exceeded `MAX_ANSWER_BYTES`."""
 
     status: int
     headers: HeaderFields
@@ -118,7 +118,7 @@
     truncated: bool = False
 
     def append(self, data: bytes) -> None:
-        """Keep a piece of the body unless the answer grows too long."""
+        """Append a piece of the body, unless the answer becomes too long."""
         if self.truncated or len(self.body) + len(data) > MAX_ANSWER_BYTES:
             self.truncated = True
             self.body.clear()
@@ -133,24 +133,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitForFirst:
-    """The first use still runs; its outcome is this one's too."""
+    """The first use is still running; its outcome also applies to this arrival."""
 
 
 @dataclass(frozen=True, slots=True)
 class Repeat:
-    """The first use has this answer."""
+    """The first use was answered; the stored answer is sent again."""
 
     answer: StoredAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The request ran, or may have, and its answer was not kept."""
+    """The request ran or may have run, and its answer was not kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The ticket is past its time; it is not run any more."""
+    """The ticket has expired; its request is not run any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFull:
-    """The store can't promise to remember one more use, so nothing was run."""
+    """The store can't record another use, so the request was not run."""
 
 
 UseDecision = RunNow | WaitForFirst | Repeat | OutcomeUnknown | Expired | Conflict | StoreFull
@@ -168,7 +168,7 @@
 
 @dataclass(slots=True)
 class TicketUse:
-    """The first use of a ticket; `finished` without an answer means unknown."""
+    """The first use of a ticket; `finished` without an answer means an unknown outcome."""
 
     digest: bytes
     discard_at: float
@@ -177,7 +177,7 @@
 
 
 class TicketStore:
-    """What the home remembers of used tickets. Nothing is forgotten before its expiry."""
+    """Used tickets of the home. No use is discarded before the ticket has expired."""
 
     def __init__(self, max_tickets: int = MAX_TICKETS) -> None:
         self._max_tickets = max_tickets
@@ -185,11 +185,11 @@
         self._stored_bytes = 0
 
     def __len__(self) -> int:
-        """Count the remembered uses."""
+        """Return the number of recorded uses."""
         return len(self._uses)
 
     def use(self, ticket: Ticket, digest: bytes, now: float) -> UseDecision:
-        """Decide on one arrival; after `RunNow` the use counts as begun."""
+        """Decide on one arrival; after `RunNow` the use counts as started."""
         self._discard_expired(now)
         known = self._uses.get(ticket.nonce)
         if known is not None:
@@ -207,7 +207,7 @@
         self._uses.pop(ticket.nonce, None)
 
     def finish(self, ticket: Ticket, answer: StoredAnswer | None) -> None:
-        """Store the first use's answer; `None`, or a cut one, makes resends unknown."""
+        """Store the first use's answer; after `None` or a truncated one, resends are unknown."""
         use = self._uses.get(ticket.nonce)
         if use is None:
             return
@@ -232,8 +232,8 @@
         return Repeat(use.answer)
 
     def _discard_expired(self, now: float) -> None:
-        # Uses are in order of arrival and forget times differ by a lifetime at most, so an
-        # early entry may hold later ones back for that long: bounded by `max_tickets`.
+        # Uses are in order of arrival and discard times differ by a lifetime at most. So an
+        # early entry may delay later ones for that long: bounded by `max_tickets`.
         while self._uses:
             nonce, use = next(iter(self._uses.items()))
             if use.discard_at > now or not use.finished:
--- a/src/jasperwalk/routing/candidates.py
+++ b/src/jasperwalk/routing/candidates.py
@@ -1,4 +1,4 @@
-"""The candidates of new flows, prepared once for each service and set of members."""
+"""The candidates of new flows, by an index that is prepared once per service and set of members."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MemberSource(Protocol):
-    """The part of a routing table that the index reads."""
+    """The part of a routing table that the candidate index reads."""
 
     def members_of(self, service_id: int) -> Iterable[MemberEntry]:
         """Return the members of a service's pool, whatever their state."""
@@ -26,19 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedPool:
-    """A service's contenders, with the member entries that they were made from."""
+    """A service's prepared members, with the member entries that they were made from."""
 
     members: tuple[MemberEntry, ...]
     prepared_members: tuple[PreparedMember, ...]
 
 
 class CandidateIndex:
-    """Picks candidates among the members that accept new work.
+    """Chooses candidates among the members that accept new work.
 
-    Pools are prepared on first use. After `table_changed` each pool is compared with the
-    table once, when it is next asked for, and prepared again only if its members changed.
-    A pool that nobody asked for between two changes is let go, so that removed services
-    leave nothing behind.
+    Pools are prepared on first use. After `table_changed` each pool is compared with the table
+    on its next use, and prepared again only if its members changed. A pool that is not used
+    between two changes is discarded, so that removed services leave nothing behind.
     """
 
     def __init__(self, source: MemberSource) -> None:
@@ -47,7 +46,7 @@
         self._outdated: dict[int, PreparedPool] = {}
 
     def table_changed(self, source: MemberSource) -> None:
-        """Take the table's new state."""
+        """Use the table's new state."""
         self._source = source
         self._outdated = self._current
         self._current = {}
--- a/src/jasperwalk/routing/connection_ids.py
+++ b/src/jasperwalk/routing/connection_ids.py
@@ -1,4 +1,4 @@
-"""Routable QUIC connection IDs: a connection ID that names the agent which holds the flow.
+"""Routable QUIC connection IDs: each one identifies the agent that holds the flow.
 
 The layout follows the IETF draft "QUIC-LB: Generating Routable QUIC Connection IDs"
 (single-pass encryption). A connection ID has 17 bytes:
@@ -11,8 +11,8 @@
 
 The encryption hides the server ID and makes it unlikely that a guess decodes into anything
 useful, but it is not authentication: a forged connection ID decodes into a random server
-ID. Readers must therefore check what they decode, the balancer by service and network and
-the agent by service, address and incarnation.
+ID. So users must check what they decode: the balancer by service and network, the agent by
+service, address and incarnation.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
 
 @dataclass(eq=False)
 class UnencodableConnectionId(JasperwalkError):
-    """A routable ID or nonce with a field that does not fit its place."""
+    """A routable ID or nonce with a value that does not fit its field."""
 
     kind: ClassVar[str] = "unencodable-connection-id"
     field: str
@@ -90,7 +90,7 @@
 
 
 class RoutableId(msgspec.Struct, frozen=True):
-    """What a connection ID names: the agent's end point, the service and the incarnation."""
+    """Content of a connection ID: the agent's endpoint, the service and the incarnation."""
 
     address: Endpoint
     service_id: int
@@ -98,7 +98,7 @@
 
 
 def pack_service_id(service_id: int) -> bytes:
-    """Encode a service ID into the three bytes that it takes in a server ID."""
+    """Encode a service ID into the three bytes that it has in a server ID."""
     return service_id.to_bytes(SERVICE_ID_END - SERVICE_ID_START, "big")
 
 
@@ -135,7 +135,7 @@
     """
 
     def __init__(self, keys: Iterable[KeyEntry]) -> None:
-        """Take the fleet's keys; those of other purposes are ignored.
+        """`keys` are the fleet's keys; those of other purposes are ignored.
 
         Raises `UnusableConnectionIdKey` for a secret or rotation of the wrong size.
         """
@@ -163,7 +163,7 @@
 
     @property
     def can_encode(self) -> bool:
-        """Tell whether a key is active."""
+        """Return whether a key is active."""
         return self._encryptor is not None
 
     def encode(self, routable: RoutableId, nonce: bytes) -> bytes:
@@ -179,10 +179,10 @@
         return self._active_octet + self._encryptor.update(pack_server_id(routable) + nonce)
 
     def decode(self, connection_id: bytes) -> RoutableId | None:
-        """Return what a connection ID names, or None if it is not routable.
+        """Return the content of a connection ID, or None if it is not routable.
 
         None means another length, a rotation without a key, or a zero field. A forged
-        connection ID may decode: see the module's note on checks.
+        connection ID may decode: see the module's documentation on checks.
         """
         if len(connection_id) != CONNECTION_ID_LENGTH:
             return None
--- a/src/jasperwalk/routing/quic_packets.py
+++ b/src/jasperwalk/routing/quic_packets.py
@@ -1,8 +1,8 @@
-"""Just enough of QUIC's packet headers to route a datagram without its keys.
+"""Parses as much of QUIC's packet headers as is needed to route a datagram without its keys.
 
 The sources are RFC 8999 (version-independent properties), RFC 9000 section 17 (version 1)
-and RFC 9369 (version 2). Only the first packet of a datagram is looked at: RFC 9000 section
-12.2 has all packets of a datagram carry the same destination connection ID.
+and RFC 9369 (version 2). Only the first packet of a datagram is parsed: by RFC 9000 section
+12.2 all packets of a datagram have the same destination connection ID.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 
 
 class PacketKind(enum.Enum):
-    """What the header tells about a packet sent by a client."""
+    """Kind of a packet sent by a client, according to its header."""
 
     SHORT = "short"
     INITIAL = "initial"
     ZERO_RTT = "0-rtt"
     HANDSHAKE = "handshake"
     UNKNOWN_VERSION = "unknown-version"
-    """A long header of a version that is not ours: it calls for Version Negotiation."""
+    """A long header of an unsupported version: it is answered by Version Negotiation."""
     SERVER_ONLY = "server-only"
     """Retry or Version Negotiation: packets that no client sends."""
     MALFORMED = "malformed"
--- a/src/jasperwalk/routing/rendezvous.py
+++ b/src/jasperwalk/routing/rendezvous.py
@@ -1,9 +1,8 @@
 """Weighted rendezvous hashing: an ordered pair of members for a flow key.
 
-Each member gets a score from a hash of the flow key that is its own (the hash is seeded by
-the member's address); the two best scores win. Every balancer with the same members picks
-the same pair, their order in the table does not matter, and a member that leaves moves only
-the flows that had chosen it.
+Each member gets a score from a hash of the flow key, seeded by the member's address; the two
+best scores win. Every balancer with the same members chooses the same pair, whatever their
+order in the table, and removing a member moves only the flows that had chosen it.
 
 Weights follow the logarithmic method of Schindelhauer and Schomaker ("Weighted distributed
 hash tables", SPAA 2005): with u uniform in (0, 1), the greatest `ln(u) / weight` belongs to
@@ -29,7 +28,7 @@
 
 
 class WeightedMember(msgspec.Struct, frozen=True):
-    """A member that may be chosen: its end point and its weight (over 0)."""
+    """A member that may be chosen: its endpoint and its weight (over 0)."""
 
     address: Endpoint
     weight: float
@@ -45,14 +44,14 @@
 
 
 class CandidatePair(msgspec.Struct, frozen=True):
-    """The members chosen for a flow; `second` is None where the pool has one member."""
+    """The members chosen for a flow; `second` is None if the pool has only one member."""
 
     first: PreparedMember
     second: PreparedMember | None
 
 
 def prepare(members: Iterable[WeightedMember]) -> tuple[PreparedMember, ...]:
-    """Prepare members for `choose_pair`, in an order that does not depend on the input's."""
+    """Prepare members for `choose_pair`, in an order that is independent of the input order."""
     prepared_members = [_prepare_member(member) for member in members]
     return tuple(
         sorted(prepared_members, key=lambda prepared_member: prepared_member.packed_address)
@@ -67,7 +66,7 @@
     second: PreparedMember | None = None
     first_score = second_score = -math.inf
     for prepared_member in prepared_members:
-        # The half keeps the logarithm's argument above 0 and a score always finite.
+        # Adding 0.5 keeps the logarithm's argument above 0, so that the score is finite.
         uniform = (xxh3_64_intdigest(flow_key, prepared_member.seed) + 0.5) / HASH_SPAN
         score = math.log(uniform) * prepared_member.inverse_weight
         if first is None or score > first_score:
