--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -42,7 +42,7 @@
 MAX_HEADER_FIELD_BYTES = 16_384
 MAX_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
-CLIENT_MADE_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+AUTOMATIC_CLIENT_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """Fields that aiohttp would add by itself."""
 
 
@@ -57,7 +57,7 @@
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
-            skip_auto_headers=CLIENT_MADE_FIELDS,
+            skip_auto_headers=AUTOMATIC_CLIENT_FIELDS,
             read_bufsize=READ_BUFFER_BYTES,
             max_field_size=MAX_HEADER_FIELD_BYTES,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
@@ -166,7 +166,7 @@
         return fields
 
 
-class _ExchangeCut(aiohttp.ClientError):
+class _ExchangeBroken(aiohttp.ClientError):
     """The connection to the backend ended before the head of the answer."""
 
 
@@ -183,7 +183,7 @@
     except aiohttp.ClientConnectorError:  # no connection was established: nothing is repeated
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise _ExchangeCut from error
+        raise _ExchangeBroken from error
 
 
 def _is_refusal(response: aiohttp.ClientResponse) -> bool:
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -10,8 +10,14 @@
 from dataclasses import dataclass, field
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.fleet.host_service_times import HostSlowdowns
-from jasperwalk.fleet.messages import HOSTLESS, DrainedZones, FleetUpdate, HostPhase, NodeRecord
+from jasperwalk.fleet.host_slowdowns import HostSlowdowns
+from jasperwalk.fleet.messages import (
+    HOSTLESS_PHASES,
+    DrainedZones,
+    FleetUpdate,
+    HostPhase,
+    NodeRecord,
+)
 from jasperwalk.fleet.target import Target, make_target
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import service_tag
@@ -54,9 +60,9 @@
     _targets: dict[Endpoint, Target] = field(default_factory=dict)
     _by_service: dict[str, list[Target]] = field(default_factory=dict)
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
-    uses_service_times: bool = True
+    weighs_slowdown: bool = True
     """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
-    _service_times: HostSlowdowns = field(default_factory=HostSlowdowns)
+    _slowdowns: HostSlowdowns = field(default_factory=HostSlowdowns)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
@@ -64,12 +70,12 @@
         """Take the directory's news in."""
         if self.directory_since is None:
             self.directory_since = now
-        if update.whole:
+        if update.is_snapshot:
             listed = {record.endpoint for record in update.records}
             for endpoint in [each for each in self._targets if each not in listed]:
                 self._unlist(endpoint, now)
         for record in update.records:
-            self._take(record, now)
+            self._add_record(record, now)
         for endpoint, seconds_ago in update.removals():
             self._unlist(endpoint, now - seconds_ago)
         self._index()
@@ -88,21 +94,21 @@
         if target is not None and target.unlisted_since is None:
             target.unlisted_since = since
 
-    def _take(self, record: NodeRecord, now: float) -> None:
-        held = self._targets.get(record.endpoint)
-        is_same_service = held is not None and held.record.service == record.service
-        if held is None or not is_same_service or held.departed:
-            if held is not None:
-                held.departed = True
-            held = self._targets[record.endpoint] = make_target(record, now)
-        if held.record.incarnation != record.incarnation:
-            held.started_at = now
+    def _add_record(self, record: NodeRecord, now: float) -> None:
+        known = self._targets.get(record.endpoint)
+        is_same_service = known is not None and known.record.service == record.service
+        if known is None or not is_same_service or known.departed:
+            if known is not None:
+                known.departed = True
+            known = self._targets[record.endpoint] = make_target(record, now)
+        if known.record.incarnation != record.incarnation:
+            known.started_at = now
         # A restarted agent has the same host beside it: its flows go on.
-        held.record = record
-        held.unlisted_since = None
-        held.slow_until = now + record.slow_start_seconds
-        held.departed = record.phase in HOSTLESS
-        held.zone_drained = record.zone_of_host() in self.drained.zones
+        known.record = record
+        known.unlisted_since = None
+        known.slow_until = now + record.slow_start_seconds
+        known.departed = record.phase in HOSTLESS_PHASES
+        known.zone_drained = record.zone_of_host() in self.drained.zones
 
     def _index(self) -> None:
         self._by_service = {}
@@ -150,7 +156,7 @@
         if prefers_own_zone:
             candidates = self._free_in_own_zone(candidates, now) or candidates
         other_zone_cost = BULK_OTHER_ZONE_COST if is_bulk else OTHER_ZONE_COST
-        by_expected_wait = self.uses_service_times and self._service_times.can_avoid_slow_hosts(
+        by_expected_wait = self.weighs_slowdown and self._slowdowns.can_avoid_slow_hosts(
             service, usable, now
         )
         return min(
@@ -171,9 +177,9 @@
 
     def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
         """Take what an agent told of its host's pace for requests of a listener."""
-        if not self.uses_service_times:
+        if not self.weighs_slowdown:
             return
-        slowdown = self._service_times.slowdown(target.record.service, listener, code, now)
+        slowdown = self._slowdowns.slowdown(target.record.service, listener, code, now)
         if slowdown is not None:
             target.slowdown = slowdown
             target.slowdown_at = now
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.datagrams.flow_knowledge import (
-    IDLE_SLACK,
+    IDLE_SLACK_SECONDS,
     SILENT_HOST_SECONDS,
 )
 from jasperwalk.agent.datagrams.host import HostAnnouncement
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_flow_is_in_doubt_until_its_caller_follows_up():
+def test_a_flow_is_unconfirmed_until_its_caller_follows_up():
     """Another host may have answered the caller first; the host tells by handing back."""
     harness = Harness()
     harness.open()
@@ -63,7 +63,7 @@
     assert harness.agent.counters.frames_malformed == 1
 
 
-def test_nobody_is_told_of_a_flow_that_nobody_asked_for():
+def test_no_balancer_is_notified_of_a_flow_it_did_not_ask_for():
     harness = Harness()
     harness.open()
     harness.follow_up([CALLER])
@@ -96,7 +96,7 @@
     harness = Harness()
     harness.agent.flow_idle_seconds = 15.0
     assert harness.find(16.0) is FrameKind.UNSURE
-    assert harness.find(15.0 + IDLE_SLACK + 0.1) is FrameKind.NOT_HELD
+    assert harness.find(15.0 + IDLE_SLACK_SECONDS + 0.1) is FrameKind.NOT_HELD
 
 
 def replaced(harness, now):
@@ -104,7 +104,7 @@
     harness.agent.on_host_replaced(now)
 
 
-def test_flows_of_a_host_that_another_one_replaced_are_in_doubt():
+def test_flows_of_a_replaced_host_are_unconfirmed():
     harness = Harness()
     harness.open()
     replaced(harness, 2.0)
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -153,7 +153,7 @@
     assert numbers == [2, 3]
 
 
-def test_what_runs_at_the_host_is_not_held_back_half_way():
+def test_further_packets_of_a_started_request_are_not_held():
     """The next packets of a request whose first was passed on follow it."""
     host = overloaded_host()
     host.begun()
@@ -161,7 +161,7 @@
     assert host.begun() == [(1, FEEDS.port)]
 
 
-def test_a_caller_that_leaves_takes_its_waiting_request_along():
+def test_a_reset_of_the_caller_cancels_its_waiting_request():
     host = overloaded_host()
     host.begun()
     reset = from_caller(RESET, caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS)
@@ -209,7 +209,7 @@
     assert host.replies[-1][0].kind is FrameKind.RETURNED
 
 
-def test_an_agent_that_ends_gives_what_waits_to_the_host():
+def test_an_agent_that_stops_forwards_what_waits_to_the_host():
     host = overloaded_host()
     host.begun()
     host.agent.release_held(1.1)
@@ -243,7 +243,7 @@
     assert len(host.begun()) == FULL + 3
 
 
-def test_a_draining_host_ends_what_its_open_flows_ask():
+def test_a_draining_host_still_serves_its_open_flows():
     host = overloaded_host()
     host.begun()
     host.say(HostPhase.DRAINING, 2)
@@ -364,13 +364,13 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_in_a_rush_the_urgent_do_not_pay_for_the_open_flows(seed):
+def test_in_a_burst_urgent_flows_are_not_delayed_by_open_ones(seed):
     """Without terms requests of open flows reach the host at once, and new flows alone wait."""
     assert Burst(seed, has_terms=False).play() <= 10
     assert Burst(seed, has_terms=True).play() >= 30
 
 
-def test_a_rush_of_one_group_of_callers_stays_with_that_group():
+def test_a_burst_of_one_group_of_callers_affects_that_group_only():
     """Ten flows of callers that rush, and one of another group that comes last but one."""
     host = Host(shares=FairShares())
     rushing = CarriedTerms(1, 0.4, 3.0, group=1)
@@ -395,7 +395,7 @@
     assert host.agent.shares.group_to_serve([FEED_TERMS.group, 99], 0.6) == 99
 
 
-def test_a_young_crowd_waits_and_a_lasting_one_is_refused_at_once():
+def test_a_short_burst_waits_and_a_lasting_one_is_refused_at_once():
     """After an outage all callers come back together, and are worked off within their time."""
     host = overloaded_host(FULL + 20)
     assert host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
@@ -404,7 +404,7 @@
     assert host.open_with(92, FEEDS, FEED_TERMS, at_end + 0.01, waits=True) is FrameKind.REFUSED
 
 
-def test_a_crowd_is_over_once_a_flow_may_expect_its_answer_in_time():
+def test_a_burst_is_over_once_a_flow_may_expect_its_answer_in_time():
     host = overloaded_host(FULL + 20)
     host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True)
     host.agent.release_held(1.5)
--- a/tests/balancer/datagrams/thin_link_model.py
+++ b/tests/balancer/datagrams/bottleneck_link_model.py
@@ -21,7 +21,7 @@
 PACKETS = 33
 WINDOW = 16
 FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 1.6
+MAX_RETRY_SECONDS = 1.6
 DELAY_SECONDS = 0.002
 OBJECTIVE_SECONDS = 1.0
 TRIES = 3
@@ -37,7 +37,7 @@
     """One upload of a caller; it is tried again where it is reset."""
 
     number: int
-    began_at: float
+    started_at: float
     tries: int = 1
     next_packet: int = 0
     acknowledged: set[int] = field(default_factory=set)
@@ -53,24 +53,24 @@
         return from_caller(flags, b"data", caller=self.caller())
 
 
-class ThinLink:
+class BottleneckLink:
     """Plays uploads through one balancer; `limited` switches pacer and admission on."""
 
     def __init__(self, seed, megabits, limited):
         self.random = random.Random(seed)
         self.bytes_per_second = link_bytes_per_second(megabits)
         paced_rate = PACED_SHARE * self.bytes_per_second
-        self.pacer = LinkPacer(paced_rate, self.leave) if limited else None
+        self.pacer = LinkPacer(paced_rate, self.transmit) if limited else None
         self.admission = UploadAdmission(
             PlainCodec(), self.pacer, WINDOW * PACKET_BYTES, FIRST_RETRY_SECONDS
         )
-        self.under_way = {}
+        self.in_flight = {}
         self.now, self.events, self.order = 0.0, [], 0
         self.free_at = {"in": 0.0, "out": 0.0}
         self.uploads = []
         self.open = {}
 
-    def later(self, delay, action):
+    def schedule(self, delay, action):
         self.order += 1
         heapq.heappush(self.events, (self.now + delay, self.order, action))
 
@@ -79,9 +79,9 @@
         at = 0.0
         while at < seconds:
             at += self.random.expovariate(rate_at(at))
-            self.later(at, self.arrive)
-        self.later(TICK_SECONDS, self.tick)
-        self.later(RELEASE_SECONDS, self.release)
+            self.schedule(at, self.arrive)
+        self.schedule(TICK_SECONDS, self.tick)
+        self.schedule(RELEASE_SECONDS, self.release)
         while self.events and self.events[0][0] < seconds + 8.0:
             self.now, _, action = heapq.heappop(self.events)
             action()
@@ -91,19 +91,19 @@
             self.reset(self.open.pop(key))
         for key, _ in self.admission.take_due(self.now):
             self.send_more(self.open[key])
-        self.later(TICK_SECONDS, self.tick)
+        self.schedule(TICK_SECONDS, self.tick)
 
     def release(self):
         if self.pacer is not None:
             self.pacer.release(self.now)
-        self.later(RELEASE_SECONDS, self.release)
+        self.schedule(RELEASE_SECONDS, self.release)
 
     def arrive(self):
         upload = Upload(len(self.uploads), self.now)
         self.uploads.append(upload)
-        self.begin(upload)
+        self.start_upload(upload)
 
-    def begin(self, upload):
+    def start_upload(self, upload):
         key = upload.key()
         self.open[key] = upload
         if self.admission.take(key, upload.packet(), None, self.now, self.now):
@@ -112,38 +112,38 @@
     def reset(self, upload):
         if upload.tries < TRIES:
             upload.tries += 1
-            self.later(DELAY_SECONDS, lambda: self.begin(upload))
+            self.schedule(DELAY_SECONDS, lambda: self.start_upload(upload))
 
     def send_more(self, upload):
         while upload.next_packet < min(PACKETS, len(upload.acknowledged) + WINDOW):
             self.send(upload, upload.next_packet, FIRST_RETRY_SECONDS)
             upload.next_packet += 1
 
-    def send(self, upload, position, patience):
+    def send(self, upload, position, timeout):
         if position in upload.acknowledged:
             return
-        self.cross("in", lambda: self.carry(upload, position))
-        following = min(2 * patience, LONGEST_RETRY_SECONDS)
-        self.later(patience, lambda: self.send(upload, position, following))
+        self.transfer("in", lambda: self.receive_packet(upload, position))
+        following = min(2 * timeout, MAX_RETRY_SECONDS)
+        self.schedule(timeout, lambda: self.send(upload, position, following))
 
-    def cross(self, direction, arrived):
+    def transfer(self, direction, arrived):
         start = max(self.now, self.free_at[direction])
         self.free_at[direction] = start + PACKET_BYTES / self.bytes_per_second
-        self.later(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
+        self.schedule(self.free_at[direction] - self.now + DELAY_SECONDS, arrived)
 
-    def carry(self, upload, position):
+    def receive_packet(self, upload, position):
         self.admission.record_packet(upload.key(), upload.packet(), self.now)
         frame = position.to_bytes(2, "big") + upload.key()
-        self.under_way[frame] = lambda: self.acknowledge(upload, position)
+        self.in_flight[frame] = lambda: self.acknowledge(upload, position)
         frame = frame.ljust(PACKET_BYTES, b".")
         if self.pacer is None:
-            self.leave(frame, AGENT)
+            self.transmit(frame, AGENT)
         else:
             self.pacer.send_bulk(upload.key(), position, frame, AGENT, self.now)
 
-    def leave(self, frame, _address):
+    def transmit(self, frame, _address):
         if self.free_at["out"] - self.now <= BUFFER_SECONDS:
-            self.cross("out", self.under_way[frame.rstrip(b".")])
+            self.transfer("out", self.in_flight[frame.rstrip(b".")])
 
     def acknowledge(self, upload, position):
         upload.acknowledged.add(position)
@@ -154,10 +154,10 @@
 
     def in_time(self, since, until):
         """Return the share of uploads begun in this span that met their objective."""
-        begun = [each for each in self.uploads if since <= each.began_at < until]
+        begun = [each for each in self.uploads if since <= each.started_at < until]
         met = [
             each
             for each in begun
-            if each.ended_at is not None and each.ended_at - each.began_at <= OBJECTIVE_SECONDS
+            if each.ended_at is not None and each.ended_at - each.started_at <= OBJECTIVE_SECONDS
         ]
         return len(met) / len(begun)
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -141,7 +141,7 @@
     assert core.phase is FollowerPhase.REPLACED
 
 
-def test_a_thawed_process_does_not_take_buffered_heartbeats_for_news(core) -> None:
+def test_a_resumed_process_does_not_treat_buffered_heartbeats_as_current(core) -> None:
     core.message(Heartbeat(10, 0, 5), 0.1)
     assert core.fresh(2.0)
     effects = core.message(Heartbeat(10, 0, 5), 60.0)
@@ -251,7 +251,7 @@
     assert leave_reason(effects) is LeaveReason.STALE_QUORUM
 
 
-def test_attempts_grow_rare_and_patient_while_no_replica_answers(core) -> None:
+def test_attempts_become_rarer_and_time_outs_longer_while_no_replica_answers(core) -> None:
     core.disconnected(0.0)
     now, tried_at, waited = 0.0, [], []
     while now < 120.0:
--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -38,7 +38,7 @@
 HEARTBEAT = 1.0
 SPRAY_SECONDS = 2.0
 SPRAY_PACKETS = 3
-CALM_SECONDS = 6.0
+QUIET_SECONDS = 6.0
 """After the last fault, before the end is judged."""
 OTHER_LISTENER = Endpoint("198.18.0.2", 443)
 SLOW_SECONDS = 2.5
@@ -46,7 +46,7 @@
 ZONES = ("a", "b")
 CUT_OFF_SECONDS = 3.0
 """How late balancers, or else agents, learn that a zone is drained."""
-NEWS_SECONDS = 0.05
+UPDATE_DELAY_SECONDS = 0.05
 """Longest way of the directory's news."""
 SERVICES = {"web": LISTENER, "export": OTHER_LISTENER}
 
@@ -55,7 +55,7 @@
 class Violation:
     """A broken promise: what, when, and to which flow."""
 
-    promise: str
+    invariant: str
     at: float
     detail: str
 
@@ -76,7 +76,7 @@
             return
         codec, world = self.world.codec, self.world
         key = codec.flow_key(packet)
-        world.saw_packet(self, key, packet)
+        world.check_packet(self, key, packet)
         if codec.is_opening(packet):
             self.half_open.add(key)
             self._answer(key, b"hello " + self.host_id.encode())
@@ -84,12 +84,12 @@
         if key in self.half_open and packet.endswith(b"@" + self.host_id.encode()):
             self.half_open.discard(key)
             self.flows.add(key)
-            world.opened(key, self)
+            world.on_opened(key, self)
         if key not in self.flows:
             returned = packet[:12] + bytes((packet[12] | RETURNED,)) + packet[13:]
-            world.later(0.0005, lambda: world.slots[self.slot].from_host(returned))
+            world.schedule(0.0005, lambda: world.slots[self.slot].from_host(returned))
             return
-        world.later(world.random.uniform(0.01, 0.1), lambda: self._reply(key))
+        world.schedule(world.random.uniform(0.01, 0.1), lambda: self._reply(key))
 
     def _reply(self, key):
         if self.alive and key in self.flows:
@@ -98,7 +98,7 @@
     def _answer(self, key, data):
         caller, listener = Endpoint.unpack(key[:6]), Endpoint.unpack(key[6:])
         packet = from_host(0, data, caller=caller, listener=listener)
-        self.world.later(0.0005, lambda: self.world.slots[self.slot].from_host(packet))
+        self.world.schedule(0.0005, lambda: self.world.slots[self.slot].from_host(packet))
 
 
 class Slot:
@@ -115,7 +115,7 @@
         self.agent = None
         self.new_host(service)
         self.start_agent()
-        self.beat()
+        self.send_heartbeats()
 
     def new_host(self, service):
         self.hosts += 1
@@ -147,17 +147,17 @@
             log=SilentLog(),
         )
         self.helper.fleet_changed(self.world.directory(), self.world.now)
-        self.world.tell(self)
+        self.world.announce_agent(self)
 
     def send_to_host(self, packet):
         host = self.host
-        self.world.later(0.0005, lambda: host.receive(packet))
+        self.world.schedule(0.0005, lambda: host.receive(packet))
 
-    def beat(self):
+    def send_heartbeats(self):
         """The host speaks to its agent, again and again."""
         if self.agent is not None and self.host.alive:
             self.speak()
-        self.world.later(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.beat)
+        self.world.schedule(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.send_heartbeats)
 
     def speak(self):
         host = self.host
@@ -165,13 +165,13 @@
         if self.agent is None:
             return
         before = self.state.host_id
-        news = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
-        self.state.announce(news, self.world.now)
+        announcement = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
+        self.state.announce(announcement, self.world.now)
         if before not in ("", self.state.host_id):
             self.agent.on_host_replaced(self.world.now)
         if host.phase is HostPhase.DRAINING and self.acknowledged_drain_at is None:
             self.acknowledged_drain_at = self.world.now
-        self.world.tell(self)
+        self.world.announce_agent(self)
 
     def record(self):
         return NodeRecord(
@@ -249,11 +249,11 @@
             return
         self.attempts += 1
         self._send(OPENING, b"")
-        self.world.later(0.2 * self.attempts, self.open)
+        self.world.schedule(0.2 * self.attempts, self.open)
 
     def receive(self, packet):
         if packet[12] & RESET:
-            self.world.was_reset(self)
+            self.world.on_reset(self)
             self.ended = True
         elif packet.endswith(b"answer"):
             return
@@ -265,8 +265,8 @@
         if self.ended:
             return
         for delay in (0.0, 0.2, 0.6):
-            self.world.later(delay, lambda: self._send(0, b"@" + self.greeting))
-        self.world.later(self.world.random.uniform(0.5, IDLE / 2), self.speak)
+            self.world.schedule(delay, lambda: self._send(0, b"@" + self.greeting))
+        self.world.schedule(self.world.random.uniform(0.5, IDLE / 2), self.speak)
 
     def _send(self, flags, data):
         packet = from_caller(flags, data, caller=self.endpoint, listener=self.listener)
@@ -299,11 +299,11 @@
             service = "export" if number % 3 == 0 else "web"
             self.slots[number] = Slot(self, number, service)
         self.balancers = [Balancer(self, each) for each in range(1, self.balancer_count + 1)]
-        self.later(TICK, self._tick)
+        self.schedule(TICK, self._tick)
 
     # Time and network
 
-    def later(self, delay, action):
+    def schedule(self, delay, action):
         self.order += 1
         heapq.heappush(self.queue, (self.now + delay, self.order, action))
 
@@ -320,11 +320,11 @@
             if slot.agent is not None:
                 slot.agent.admit_waiting(self.now)
                 slot.helper.tick(self.now)
-        self.later(TICK, self._tick)
+        self.schedule(TICK, self._tick)
 
     def _deliver(self, action, lag=0.0):
         if self.random.random() >= self.loss:
-            self.later(lag + self.random.uniform(0.0003, 0.003), action)
+            self.schedule(lag + self.random.uniform(0.0003, 0.003), action)
 
     def send_from_caller(self, packet):
         # The fabric: any balancer, mostly the same one for a flow.
@@ -353,17 +353,17 @@
     def send_to_caller(self, packet, to):
         caller = self.callers.get(Endpoint(*to))
         if caller is not None:
-            self.later(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
+            self.schedule(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
 
-    def tell(self, slot):
+    def announce_agent(self, slot):
         """Pass an agent's record on, after a delay that differs between balancers."""
         record = slot.record()
         for balancer in self.balancers:
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda core=balancer.core: self._told(core, record))
+            self.schedule(delay, lambda core=balancer.core: self._notify(core, record))
         for other in self.slots.values():
             delay = self.random.uniform(0.001, 0.05)
-            self.later(delay, lambda other=other: self._told(other.helper, record))
+            self.schedule(delay, lambda other=other: self._notify(other.helper, record))
 
     def directory(self):
         """Return the directory whole; it remembers for a while agents that left silently."""
@@ -371,11 +371,11 @@
         lost = [slot.address for slot in self.slots.values() if slot.agent is None]
         return FleetUpdate(True, records, lost)
 
-    def _told(self, core, record):
+    def _notify(self, core, record):
         core.fleet_changed(FleetUpdate(False, [record], []), self.now)
 
-    def order_zone(self, zone, drained, late):
-        """Drain or restore a zone; `late` says who is cut off and learns it long after."""
+    def order_zone(self, zone, drained, cut_off):
+        """Drain or restore a zone; `cut_off` says who is cut off and learns it long after."""
         held = set(self.zones.zones) - {zone}
         names = sorted(held | {zone} if drained else held)
         self.zones = zones = DrainedZones(self.zones.revision + 1, names)
@@ -383,13 +383,13 @@
         if drained:
             self.drained_at[zone] = self.now
         for balancer in self.balancers:
-            delay = CUT_OFF_SECONDS if late == "balancers" else NEWS_SECONDS
-            self.later(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
+            delay = CUT_OFF_SECONDS if cut_off == "balancers" else UPDATE_DELAY_SECONDS
+            self.schedule(delay, lambda one=balancer: one.core.zones_changed(zones, self.now))
         for slot in self.slots.values():
-            delay = CUT_OFF_SECONDS if late == "agents" else NEWS_SECONDS
-            self.later(delay, lambda one=slot: self._tell_zones(one, zones))
+            delay = CUT_OFF_SECONDS if cut_off == "agents" else UPDATE_DELAY_SECONDS
+            self.schedule(delay, lambda one=slot: self._notify_zones(one, zones))
 
-    def _tell_zones(self, slot, zones):
+    def _notify_zones(self, slot, zones):
         if slot.agent is not None:
             slot.agent.zones_changed(zones, self.now)
 
@@ -402,10 +402,10 @@
 
     # What is checked
 
-    def violate(self, promise, detail):
-        self.violations.append(Violation(promise, round(self.now, 3), detail))
+    def violate(self, invariant, detail):
+        self.violations.append(Violation(invariant, round(self.now, 3), detail))
 
-    def saw_packet(self, host, key, packet):
+    def check_packet(self, host, key, packet):
         listener = Endpoint.unpack(key[6:])
         if SERVICES[host.service] != listener:
             self.violate("a packet reaches only hosts of its service", host.host_id)
@@ -415,9 +415,9 @@
         zone = self.slots[host.slot].zone
         if self.codec.is_opening(packet) and self.now > self.drained_at.get(zone, self.now) + 0.1:
             self.violate("a drained zone gets no new flow", host.host_id)
-        self._watch_spray(host, key)
+        self._check_spray(host, key)
 
-    def _watch_spray(self, host, key):
+    def _check_spray(self, host, key):
         holder = self.holders.get(key)
         if holder is None or not holder.alive or key not in holder.flows:
             return
@@ -429,16 +429,16 @@
         if lasts:
             self.violate("an open flow's packets reach its host", host.host_id)
 
-    def opened(self, key, host):
+    def on_opened(self, key, host):
         self.holders[key] = host
         self.seen[key] = [(self.now, True)]
 
-    def was_reset(self, caller):
+    def on_reset(self, caller):
         holder = self.holders.get(caller.key())
         if holder is not None and holder.alive and caller.key() in holder.flows:
             self.violate("an open flow is not reset", f"{holder.host_id} {caller.endpoint}")
 
-    def judge_end(self):
+    def check_end(self):
         """Each open flow of a living host is known to be held, by whoever asks."""
         for key, host in self.holders.items():
             caller = self.callers[Endpoint.unpack(key[:6])]
@@ -475,7 +475,7 @@
     if kind == "drain":
         slot.host.phase = HostPhase.DRAINING
         slot.speak()
-        world.later(4.0, lambda: replace_host(world, slot, slot.service))
+        world.schedule(4.0, lambda: replace_host(world, slot, slot.service))
     if kind == "reuse":
         other = "web" if slot.service == "export" else "export"
         replace_host(world, slot, other)
@@ -485,16 +485,16 @@
     """Let an operator drain a zone and restore it, once or twice; drawn apart from the faults."""
     drawn = random.Random(f"zones {world.seed}")
     for _ in range(drawn.randint(0, 2)):
-        zone, late = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
+        zone, cut_off = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
         drained_at = drawn.uniform(1.0, seconds * 0.6)
         restored_at = drained_at + drawn.uniform(1.0, 6.0)
-        world.later(drained_at, lambda one=zone, who=late: world.order_zone(one, True, who))
-        world.later(restored_at, lambda one=zone: world.order_zone(one, False, ""))
+        world.schedule(drained_at, lambda one=zone, who=cut_off: world.order_zone(one, True, who))
+        world.schedule(restored_at, lambda one=zone: world.order_zone(one, False, ""))
 
 
 def restart_agent(world, slot):
     slot.agent = None
-    world.later(world.random.uniform(0.05, 0.4), slot.start_agent)
+    world.schedule(world.random.uniform(0.05, 0.4), slot.start_agent)
 
 
 def replace_host(world, slot, service):
@@ -502,7 +502,7 @@
     slot.host.alive = False
     slot.agent = None
     slot.new_host(service)
-    world.later(world.random.uniform(0.05, 0.4), slot.start_agent)
+    world.schedule(world.random.uniform(0.05, 0.4), slot.start_agent)
 
 
 def play(seed, seconds=16.0, **options):
@@ -513,11 +513,11 @@
         listener = SERVICES["export" if number % 4 == 0 else "web"]
         caller = Caller(world, Endpoint("100.64.0.1", 1000 + number), listener)
         world.callers[caller.endpoint] = caller
-        world.later(world.random.uniform(0.0, seconds * 0.7), caller.open)
+        world.schedule(world.random.uniform(0.0, seconds * 0.7), caller.open)
     for _ in range(world.random.randint(2, 7)):
         kind = world.random.choice(FAULTS)
-        world.later(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
+        world.schedule(world.random.uniform(1.0, seconds), lambda kind=kind: inject(world, kind))
     schedule_zone_orders(world, seconds)
-    world.run(1.5 + seconds + CALM_SECONDS + IDLE)
-    world.judge_end()
+    world.run(1.5 + seconds + QUIET_SECONDS + IDLE)
+    world.check_end()
     return world
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -13,7 +13,7 @@
     RESCALE_HALF_LIVES,
     FairShares,
 )
-from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstOfAll, Replay
+from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstGroup, Replay
 
 RUSHING, CALM = 1, (2, 3, 4)
 GROUPS = (RUSHING, *CALM)
@@ -29,13 +29,13 @@
     return dict.fromkeys(GROUPS, share * hosts * slots / SERVICE_SECONDS)
 
 
-def served(plays, groups):
+def served(simulations, groups):
     """Return the share of these groups' requests that was answered in time, in all plays."""
-    came = sum(each.came[group] for each in plays for group in groups)
-    return sum(each.in_time[group] for each in plays for group in groups) / came
+    came = sum(each.came[group] for each in simulations for group in groups)
+    return sum(each.in_time[group] for each in simulations for group in groups) / came
 
 
-def play(make_shares, size, burst, seed):
+def simulate(make_shares, size, burst, seed):
     hosts, slots = size
     return Replay(make_shares, rates(hosts, slots), burst, hosts, slots, seed).run()
 
@@ -45,38 +45,38 @@
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 @pytest.mark.parametrize("times", [4.0, 6.0])
-def test_a_rush_of_one_group_leaves_the_others_as_they_were(size, times):
+def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
     burst = {RUSHING: times}
-    without = [play(FirstOfAll, size, burst, seed) for seed in SEEDS]
-    fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
+    without = [simulate(FirstGroup, size, burst, seed) for seed in SEEDS]
+    fair = [simulate(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
     assert served(fair, CALM) > 0.94
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
-def test_the_hosts_do_as_much_as_without_shares(size):
+def test_throughput_is_the_same_as_without_shares(size):
     burst = {RUSHING: 5.0}
-    fair = play(FairShares, size, burst, 1)
-    without = play(FirstOfAll, size, burst, 1)
+    fair = simulate(FairShares, size, burst, 1)
+    without = simulate(FirstGroup, size, burst, 1)
     assert fair.begun.total() >= 0.98 * without.begun.total()
 
 
-def test_what_the_others_leave_goes_to_the_group_that_rushes():
+def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
-    fair = play(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
+    fair = simulate(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
     assert fair.begun[RUSHING] > 0.85 * left * 4.0
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
-def test_a_rush_of_all_is_borne_by_all_alike(size):
-    fair = play(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
+def test_a_burst_of_all_groups_affects_all_equally(size):
+    fair = simulate(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
     in_time = [served([fair], [group]) for group in GROUPS]
     assert max(in_time) - min(in_time) < 0.1
 
 
-def test_agents_that_forgot_everything_are_fair_again_at_once():
-    class Forgetful(FairShares):
+def test_agents_that_restart_are_fair_again_at_once():
+    class RestartingShares(FairShares):
         """An agent that is restarted every now and then."""
 
         def record_served(self, group, seconds, now):
@@ -84,12 +84,12 @@
                 self.__init__()
             super().record_served(group, seconds, now)
 
-    assert served([play(Forgetful, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
+    assert served([simulate(RestartingShares, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
 
 
-def test_weights_divide_a_host_that_all_want_whole():
+def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
-    played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
+    played = simulate(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
     assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
         assert played.begun[group] / played.begun.total() == pytest.approx(1 / 6, abs=0.04)
@@ -98,21 +98,21 @@
 # Whose turn it is
 
 
-def test_a_single_group_has_every_turn():
+def test_a_single_group_is_always_served():
     shares = FairShares()
     for step in range(1000):
         assert shares.group_to_serve([7], 0.01 * step) == 7
         shares.record_served(7, 1.0, 0.01 * step)
 
 
-def test_equals_are_served_in_the_order_given():
+def test_on_a_tie_groups_are_served_in_the_order_given():
     shares = FairShares()
     assert shares.group_to_serve([3, 1, 2], 5.0) == 3
     shares.record_served(3, 0.05, 5.0)
     assert shares.group_to_serve([3, 1, 2], 5.0) == 1
 
 
-def test_one_that_had_more_of_the_host_comes_later_though_it_had_fewer_requests():
+def test_use_is_counted_in_service_time_and_not_in_requests():
     shares = FairShares()
     shares.record_served(1, 0.5, 1.0)
     for _ in range(4):
@@ -137,7 +137,7 @@
     assert shares.group_to_serve([1, 2], 1.0 + idle_seconds) == 1
 
 
-def test_an_idle_group_saves_nothing_up():
+def test_an_idle_group_accumulates_no_credit():
     def turns_of_one_that_was_idle(idle_seconds):
         shares = FairShares()
         steps = round(idle_seconds / SERVICE_SECONDS)
@@ -186,7 +186,7 @@
 # Whose request is let go
 
 
-def test_a_rushing_group_loses_its_own_requests_first():
+def test_a_group_with_a_burst_loses_its_own_requests_first():
     shares = FairShares()
     assert shares.group_to_shed({2: 1, 1: 20, 3: 2}, 1.0) == 1
     shares.record_served(2, 5.0, 1.0)
@@ -207,11 +207,11 @@
     assert FairShares({1: 3.0}).group_to_shed({1: 12, 2: 5, 3: 1}, 1.0) == 2
 
 
-def test_the_last_request_of_a_light_group_stays_while_another_has_more_over():
+def test_the_last_request_of_a_light_group_stays_while_another_has_more_excess():
     assert FairShares({1: 0.1}).group_to_shed({1: 1, 2: 9}, 1.0) == 2
 
 
-def test_of_equals_the_one_that_used_more_loses_its_request():
+def test_on_a_tie_the_group_that_used_more_loses_its_request():
     shares = FairShares()
     assert shares.group_to_shed({2: 4, 1: 4}, 1.0) == 2
     shares.record_served(1, 0.1, 1.0)
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -28,7 +28,7 @@
     assert requests.count(1.1) == 1
 
 
-def test_a_request_that_is_never_answered_keeps_no_place_for_long():
+def test_a_request_that_is_never_answered_stops_counting_after_a_while():
     """A host that leaves some of its requests unanswered would soon have no place left."""
     requests = measured(0.03)
     requests.start("lost", 1.0)
@@ -45,13 +45,13 @@
     assert measured(seconds).overdue_seconds() == overdue
 
 
-def test_a_host_of_which_nothing_is_known_is_waited_for():
+def test_a_host_without_measurements_has_the_longest_time():
     requests = RequestsInFlight()
     assert requests.overdue_seconds() == MAX_OVERDUE_SECONDS
     assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
 
 
-def test_another_host_is_measured_anew():
+def test_a_replacement_host_is_measured_from_the_start():
     requests = measured(0.5)
     assert requests.mean_seconds == pytest.approx(0.5)
     requests.reset_times()
