--- a/tests/agent/conftest.py
+++ b/tests/agent/conftest.py
@@ -151,7 +151,7 @@
 
 
 def initial_packet(connection_id: bytes) -> bytes:
-    """Build the outside of an Initial for a chosen connection ID; its inside is noise."""
+    """Build an Initial with a valid header for a chosen connection ID; its payload is filler."""
     head = b"\xc0\x00\x00\x00\x01" + bytes([len(connection_id)]) + connection_id
     head += b"\x08" + b"sourceid" + b"\x00"
     rest = 1200 - len(head) - 2
@@ -166,7 +166,7 @@
     ended: bool = False
     reset: bool = False
     stopped: int | None = None
-    """Error code with which the agent asked for no more of the request."""
+    """Error code of STOP_SENDING, by which the agent refused the rest of the request."""
 
 
 class Caller:
@@ -237,9 +237,9 @@
 
 
 class Network:
-    """Carries datagrams between one caller and an end point on virtual time.
+    """Transports datagrams between one caller and an endpoint on virtual time.
 
-    Each datagram is lost with probability `loss`, else delayed by 5 to 25 ms: reordered.
+    Each datagram is lost with probability `loss`, else delayed by 5 to 25 ms and so reordered.
     """
 
     def __init__(self, endpoint: AgentEndpoint, caller: Caller, seed: int, loss: float) -> None:
@@ -308,5 +308,5 @@
 
 @pytest.fixture
 def helpers() -> ModuleType:
-    """Give tests the helpers of this module (tests are not an importable package)."""
+    """Return this module with its test helpers (tests are not an importable package)."""
     return sys.modules[__name__]
--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -1,4 +1,4 @@
-"""The fault table of admission, on the sans-IO core."""
+"""Decisions of the admission control core, case by case."""
 
 import asyncio
 
@@ -105,7 +105,7 @@
         [(0.0, "shed"), (0.5, "reserve", "x"), (1.0, "reserve", "y")],
         ["x none", "y held"],
     ),
-    "fewer slots cut nobody": (
+    "fewer slots cancel no running request": (
         [*FULL, (0.1, "limits", AdmissionLimits(1, 2, 500)), (0.2, "finished", "a")],
         FULL_DECISIONS,
     ),
--- a/tests/agent/test_assembly.py
+++ b/tests/agent/test_assembly.py
@@ -1,4 +1,4 @@
-"""What is passed on to the back end as a request, and what is refused before."""
+"""Requests are assembled and bounded; malformed ones are refused before they reach a backend."""
 
 import pytest
 
--- a/tests/agent/test_certificate_renewal.py
+++ b/tests/agent/test_certificate_renewal.py
@@ -1,4 +1,4 @@
-"""A renewed certificate for callers: new flows get it, open ones go on."""
+"""A renewed certificate for callers: new flows use it, open ones continue."""
 
 from types import SimpleNamespace
 
@@ -10,7 +10,7 @@
 
 
 class Renewal:
-    """An end point whose certificate files are those of the agent `host`."""
+    """An endpoint with the certificate files of the agent `host`."""
 
     def __init__(self, helpers, certificates):
         self.helpers = helpers
--- a/tests/agent/test_endpoint.py
+++ b/tests/agent/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Flows end to end over a lossy, reordering network, and the table of datagrams refused."""
+"""Flows end to end over a lossy, reordering network, and datagrams that have to be refused."""
 
 import msgspec
 import pytest
@@ -16,7 +16,7 @@
 
 
 def _echo(endpoint):
-    """Answer every whole request with its own body and a download."""
+    """Answer every complete request with its own body and a download."""
     assembler = RequestAssembler("test")
 
     def serve():
@@ -70,7 +70,7 @@
     assert network.run(lambda: caller.quic._handshake_confirmed)
     for text in REBINDINGS[case]:
         response = caller.responses[caller.request("POST", "/submit", b"names" * 2_000)]
-        network.run(lambda response=response: response.body, 5.0)  # in the midst of the answer
+        network.run(lambda response=response: response.body, 5.0)  # in the middle of the answer
         host, port = text.split(":")
         network.caller_address = helpers.Endpoint(host, int(port))
         caller.quic.send_ping(1)
@@ -287,7 +287,7 @@
         assert (passed_on.hops, passed_on.payload) == (1, initial)
         second = helpers.make_endpoint(
             certificate, helpers.make_view(own, *others), seed=4
-        )  # draining too, but one hop is the most
+        )  # draining too, but at most one hop is allowed
         second.datagram_received(out.data, 9.0)
         second.flush(9.0)
         assert not any(isinstance(out, helpers.ToAgent) for out in second.take_outgoing())
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -1,4 +1,4 @@
-"""A drain tells open flows by GOAWAY, in bounded turns, and breaks none."""
+"""A drain sends GOAWAY on open flows, in bounded turns, and breaks none of them."""
 
 import dataclasses
 
@@ -22,7 +22,7 @@
 
 
 def record_control_stream(caller):
-    """Return what comes on the agent's control stream, as it comes."""
+    """Return the data received on the agent's control stream; it grows as data arrives."""
     received, handle = {}, caller._handle
 
     def record(event):
@@ -67,7 +67,7 @@
     events = []
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
     assert not endpoint.maintenance.send_some_go_aways()
-    for _ in range(2):  # the same drain, seen again, is told once
+    for _ in range(2):  # the same drain, seen again, sends GOAWAY once
         endpoint.set_view(STARTS_OF_A_DRAIN[case](view))
         endpoint.maintenance.send_some_go_aways()
     later = caller.request("GET", "/lookup")
--- a/tests/agent/test_graceful_close.py
+++ b/tests/agent/test_graceful_close.py
@@ -1,4 +1,4 @@
-"""What a planned end of an agent's flows has to wait for."""
+"""Conditions for which a planned closing of an agent's flows has to wait."""
 
 import msgspec
 import pytest
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -1,4 +1,4 @@
-"""New flows from stale balancers, newer balancers, and to agents that take none."""
+"""New flows from stale and newer balancers, and at agents that accept no new work."""
 
 import random
 from ipaddress import IPv4Network
@@ -47,7 +47,7 @@
 
 
 def _open(helpers, endpoint, connection_id, now=0.0, **fields):
-    """Return the port to which a new flow was handed on, with the datagram; None if taken."""
+    """Return the port to which a new flow was handed over, with the datagram; None if taken."""
     before = endpoint.open_flows
     datagram = helpers.forwarded(helpers.initial_packet(connection_id), **fields)
     endpoint.datagram_received(datagram, now)
--- a/tests/agent/test_key_renewal.py
+++ b/tests/agent/test_key_renewal.py
@@ -1,4 +1,4 @@
-"""Flows open through a rotation of keys: they live on and let go of the old keys."""
+"""Flows during a key rotation: they stay open and move from the old keys to the new ones."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 
 def keys_of(helpers, rotated=(), activated=False, retired=False):
-    """The kit's keys as generation 1; those of the rotated purposes have a generation 2."""
+    """The keys of `helpers` as generation 1; those of the rotated purposes have a generation 2."""
     keys = []
     for key in helpers.KEYS:
         is_old = key.purpose in rotated and activated
@@ -45,7 +45,7 @@
 
 
 def exchange(endpoint, caller, network):
-    """Send a request over the flow and see that the agent gets it."""
+    """Send a request over the flow and check that the agent receives it."""
     caller.request("GET", "/proof")
     events = []
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
@@ -68,7 +68,7 @@
     former = {caller.quic._peer_cid.cid, *(each.cid for each in caller.quic._peer_cid_available)}
     set_keys(endpoint, view, keys_of(helpers, rotated, activated=True))
     renewed = OldestKeys(*(2 if purpose in rotated else 1 for purpose in NEW_SECRETS))
-    assert endpoint.oldest_keys() == OldestKeys(1, 1)  # the caller has not let go of them yet
+    assert endpoint.oldest_keys() == OldestKeys(1, 1)  # the caller has not retired the old IDs yet
     if loss == 0.0:  # aioquic's caller keeps an ID that comes late, against RFC 9000, 19.15
         assert network.run(lambda: endpoint.oldest_keys() == renewed)
     else:
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -1,4 +1,4 @@
-"""Lending slots over loopback connections, with faults of lender and asker in tables."""
+"""Lending slots over loopback connections, with tables of faults of lender and requester."""
 
 import asyncio
 import contextlib
@@ -86,7 +86,7 @@
 
 
 class LendingAgent:
-    """One agent's parts between its flows and its back end."""
+    """The components of one agent between its flows and its backend."""
 
     def __init__(self, serve=None, slots=1, lend=True):
         loop = asyncio.get_running_loop()
@@ -129,7 +129,7 @@
 
 
 def run_with_agents(helpers, scenario, *agents, objective=Objective.LEAST_IMBALANCE):
-    """Run `scenario` on hosts built from these keywords; the first one's slot is taken."""
+    """Run `scenario` on agents built from these options; the slot of the first one is in use."""
 
     async def main():
         async with contextlib.AsyncExitStack() as stack:
@@ -267,7 +267,7 @@
 
 LOST = Unknown(UnknownReason.RELAY_FAILED)
 FAILING_LENDERS = {
-    # lender, method, outcome, runs at the asker
+    # lender, method, outcome, runs at the requester
     "closes after the grant, POST": (_grant_and_close, "POST", LOST, 0),
     "closes after the grant, GET": (_grant_and_close, "GET", LOST, 0),
     "closes after the request, POST": (_take_request_and_close, "POST", LOST, 0),
@@ -285,7 +285,7 @@
     async def scenario(requester, _):
         second = requester.start("second", method=method, path="/lookup")
         await until(lambda: requester.borrower.asked)
-        # Its own slot comes free once the lender has had its turn.
+        # Its own slot becomes free after the lender has acted.
         await asyncio.sleep(0.05)
         requester.backend.release.set()
         assert await second == outcome
@@ -325,7 +325,7 @@
 
 ENDS_DURING_A_SLOT_REQUEST = {
     "the own slot comes first": lambda requester, _: requester.backend.release.set(),
-    "the asker cancels": lambda _, second: second.cancel(),
+    "the requester cancels": lambda _, second: second.cancel(),
 }
 
 
@@ -348,7 +348,7 @@
         second = requester.start("second")
         await asked.wait()
         go_on.set()
-        for _ in range(late_turns):  # the grant and the other end meet in different orders
+        for _ in range(late_turns):  # the grant and the other event arrive in different orders
             await asyncio.sleep(0)
         ENDS_DURING_A_SLOT_REQUEST[case](requester, second)
         await asyncio.wait([second])
@@ -417,7 +417,7 @@
 
 
 class FakeLendingClient:
-    """Grants when told to; its slot's connection notes that it was aborted."""
+    """Grants a slot once `grant` is set; also its connection, which counts aborts."""
 
     def __init__(self):
         self.grant = asyncio.Event()
@@ -490,7 +490,7 @@
         await until(lambda: lender.free_slots == 1)
         slot = await ask()
         assert len(opened) == 2
-        for link in opened:  # as if the lender had closed what is kept
+        for link in opened:  # as if the lender had closed the idle connections
             link.abort()
         lookup = Request("cut", "POST", "/names", "", [], b"", 1_000, False)
         assert await slot.run(lookup, FakeSink()) == LOST
--- a/tests/agent/test_peer_slots.py
+++ b/tests/agent/test_peer_slots.py
@@ -1,4 +1,4 @@
-"""Whom a waiting request asks for a slot, and when it pauses."""
+"""Which peer a waiting request asks for a slot, and when it pauses."""
 
 import random
 
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -1,4 +1,4 @@
-"""Whole agents on loopback: control, fabric, callers and back ends are fakes of this file."""
+"""Complete agents on loopback; control, fabric, callers and backends are fakes of this file."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class FakeControl:
-    """Publishes the table as whole snapshots."""
+    """Publishes the table as full snapshots."""
 
     def __init__(self, helpers):
         self.helpers = helpers
@@ -119,7 +119,7 @@
 class FakeFabric(asyncio.DatagramProtocol):
     """Fabric and balancer in one: routes by connection ID, new flows by `candidates`.
 
-    Its table is that of the fleet's start, so after a change it is a stale balancer.
+    Its table dates from the start of the fleet, so after a change it acts as a stale balancer.
     """
 
     def __init__(self, helpers):
@@ -169,7 +169,7 @@
 
 
 class Fleet:
-    """Two agents, each with its back end."""
+    """Two agents, each with its backend."""
 
     def __init__(self, helpers, certificate, settings):
         self.helpers = helpers
@@ -282,10 +282,10 @@
 
 OUTCOMES = {
     # method, path, caller's deadline, expected status, outcome, runs, cancelled
-    "cut PUT: unknown, run once": ("PUT", "/cut", None, 502, "unknown", 1, 0),
-    "cut GET: unknown, run once": ("GET", "/cut", None, 502, "unknown", 1, 0),
+    "broken PUT: unknown, run once": ("PUT", "/cut", None, 502, "unknown", 1, 0),
+    "broken GET: unknown, run once": ("GET", "/cut", None, 502, "unknown", 1, 0),
     "deadline passes while it runs": ("POST", "/wait", "200", 504, "unknown", 1, 1),
-    "shed by the back end": ("POST", "/shed", None, 503, "not-run", 0, 0),
+    "shed by the backend": ("POST", "/shed", None, 503, "not-run", 0, 0),
     "deadline of nothing": ("POST", "/lookup", "0", 503, "not-run", 0, 0),
 }
 
@@ -488,7 +488,7 @@
 
 
 def test_a_stop_with_a_grace_ends_within_it_and_tells_its_callers(helpers, certificate):
-    """A supervisor that kills after its patience would cut the request without a word."""
+    """Otherwise a supervisor that kills after its time-out would break requests without notice."""
 
     async def scenario(fleet, ask):
         caller = fleet.caller()
--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -1,4 +1,4 @@
-"""Asking an agent whether it is there: one that stands still is, one that is gone is not."""
+"""Probing whether an agent is alive: a suspended agent is, one whose port is closed is not."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @contextlib.contextmanager
 def unresponsive_process():
-    """A port whose process reads nothing; the kernel takes connections for it."""
+    """A port whose process reads nothing; the kernel accepts connections for it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         yield Endpoint(*listener.getsockname())
 
--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -32,7 +32,7 @@
 
 
 class FakeDependencies:
-    """Borrower, back end and relay in one: every request fails here with `outcome`."""
+    """Borrower, backend and relay in one: every request fails here with `outcome`."""
 
     def __init__(self, outcome, elsewhere):
         self.outcome = outcome
@@ -43,7 +43,7 @@
         return OwnSlot(request_id)
 
     async def run(self, *arguments):
-        if isinstance(arguments[0], str):  # as the back end, in the slot of this name
+        if isinstance(arguments[0], str):  # as the backend, in the slot of this name
             return self.outcome
         self.relayed += 1
         return self.elsewhere
--- a/tests/agent/test_sealed_datagrams.py
+++ b/tests/agent/test_sealed_datagrams.py
@@ -1,4 +1,4 @@
-"""Nobody but the fleet opens a flow at an agent, or has it pass datagrams on."""
+"""Only processes of the fleet can open flows at an agent or make it forward datagrams."""
 
 import dataclasses
 
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -1,4 +1,4 @@
-"""The fault table of tickets, on the sans-IO core."""
+"""Tickets are checked, and each one runs its request at most once, on the sans-IO core."""
 
 import pytest
 
@@ -82,11 +82,11 @@
         [("use", ONE, 0), ("finish", ANSWER), ("use", ONE, 69)],
         ["RunNow", "Repeat"],
     ),
-    "a forgotten use is expired, not run again": (
+    "a discarded use is expired, not run again": (
         [("use", ONE, 0), ("finish", ANSWER), ("use", ONE, 70)],
         ["RunNow", "Expired"],
     ),
-    "a use that still runs is never forgotten": (
+    "a use that still runs is never discarded": (
         [("use", ONE, 0), ("use", ONE, 1_000)],
         ["RunNow", "WaitForFirst"],
     ),
