--- a/src/jasperwalk/agent/peer_slots.py
+++ b/src/jasperwalk/agent/peer_slots.py
@@ -55,7 +55,7 @@
         self._known[member] = PeerState(0, now, now + UNREACHABLE_BACKOFF_SECONDS)
 
     def keep_only(self, members: Collection[Endpoint]) -> None:
-        """Discard the states of all other members than `members`."""
+        """Discard the states of all members but `members`."""
         self._known = {each: known for each, known in self._known.items() if each in members}
 
     def take_known_slot(self, member: Endpoint, now: float) -> bool:
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -1,8 +1,8 @@
 """Decides where a request runs: here, at another member, at its ticket's home, or nowhere.
 
-A request without a ticket runs in a slot of this agent or in one that a peer lends. What
-provably did not run is retried at one other member, within a budget. A draining agent relays
-its requests to other members.
+A request runs in a slot of this agent or in one that a peer lends; the home of a ticket decides
+on the requests under it. A request without a ticket that provably did not run is retried at one
+other member, within a budget. A draining agent relays such requests to other members.
 """
 
 from __future__ import annotations
