--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -38,12 +38,12 @@
 from jasperwalk.messages.distribution import SubscriberRole
 
 STEP_INTERVAL_SECONDS = 0.2
-JUDGE_INTERVAL_SECONDS = 0.5
+EVALUATION_INTERVAL_SECONDS = 0.5
 """Replicas report as often; judging 24,000 members takes the leader most of 100 ms."""
 QUORUM_CONTACT_SECONDS = 1.0
 """A leader whose quorum contact is older than this decides nothing."""
 NANOSECONDS_PER_MILLISECOND = 1_000_000
-MOST_LOGGED = 50
+MAX_LOGGED_CHANGES = 50
 """Lines for the members or hosts of one round; a zone that is lost names thousands."""
 
 logger = structlog.get_logger(__name__)
@@ -75,14 +75,14 @@
         self._region = region
         self._poller = poller
         self._led_term: int | None = None
-        self._judge_at = 0.0
+        self._next_evaluation_at = 0.0
         self._liveness = LivenessTracker(config.liveness)
         self._reconciler = PlatformReconciler(config.reconciler)
 
     async def run(self) -> None:
         """Run the steps at an interval until cancelled."""
         while True:
-            leads = self._note_leadership()
+            leads = self._update_leadership()
             if self._poller is not None:
                 self._poller.wanted = leads
             if leads:
@@ -91,14 +91,14 @@
 
     async def _run_steps(self) -> None:
         try:
-            await self._keep_keys()
-            await self._judge_members()
-            await self._follow_platform_list()
+            await self._maintain_keys()
+            await self._evaluate_members()
+            await self._apply_platform_list()
         except ProposalError as error:
             # The next round starts from what has been committed by then.
             logger.info("leader-step-failed", kind=error.kind)
 
-    def _note_leadership(self) -> bool:
+    def _update_leadership(self) -> bool:
         """Tell whether this replica leads; start anew with every term that it leads."""
         if not self._runner.is_leader or self._runner.quorum_age() > QUORUM_CONTACT_SECONDS:
             if not self._runner.is_leader:
@@ -112,7 +112,7 @@
             logger.info("leadership-taken", term=self._runner.term)
         return True
 
-    async def _keep_keys(self) -> None:
+    async def _maintain_keys(self) -> None:
         """Install missing keys, activate those that are in force and retire the free ones."""
         table = self._runner.state.table
         for command in (
@@ -128,25 +128,25 @@
     def _agent_keys(self) -> list[AgentKeys]:
         return [
             AgentKeys(each.address, each.connection_id_generation, each.stateless_reset_generation)
-            for each in self._region.sightings()
+            for each in self._region.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
 
-    async def _judge_members(self) -> None:
+    async def _evaluate_members(self) -> None:
         """Set the statuses of members that came, went silent or reported their back end down."""
         now = time.monotonic()
-        if now < self._judge_at:
+        if now < self._next_evaluation_at:
             return
-        self._judge_at = now + JUDGE_INTERVAL_SECONDS
-        for sighting in self._region.sightings():
-            if sighting.role is SubscriberRole.AGENT:
-                self._liveness.observe(_observation_of(sighting, now), now)
+        self._next_evaluation_at = now + EVALUATION_INTERVAL_SECONDS
+        for subscriber in self._region.subscribers():
+            if subscriber.role is SubscriberRole.AGENT:
+                self._liveness.observe(_observation_of(subscriber, now), now)
         statuses = self._liveness.evaluate(self._runner.state.members(), now)
         if statuses:
             await self._propose(SetMemberStatus(statuses=statuses))
             _log_statuses(statuses)
 
-    async def _follow_platform_list(self) -> None:
+    async def _apply_platform_list(self) -> None:
         """Drain the hosts that the platform takes away, and take back those that stay."""
         platform_list = None if self._poller is None else self._poller.take()
         if platform_list is None:
@@ -178,29 +178,29 @@
 
 
 def _log_statuses(statuses: list[MemberStatus]) -> None:
-    for each in statuses[:MOST_LOGGED]:
+    for each in statuses[:MAX_LOGGED_CHANGES]:
         status = each.operating_status.value
         address = str(each.address)
         logger.info("member-status", address=address, incarnation=each.incarnation, status=status)
-    if len(statuses) > MOST_LOGGED:
-        logger.info("member-statuses-not-logged", count=len(statuses) - MOST_LOGGED)
+    if len(statuses) > MAX_LOGGED_CHANGES:
+        logger.info("member-statuses-not-logged", count=len(statuses) - MAX_LOGGED_CHANGES)
 
 
 def _log_platform_states(states: list[PlatformState]) -> None:
-    for each in states[:MOST_LOGGED]:
+    for each in states[:MAX_LOGGED_CHANGES]:
         logger.info("platform-state", host=each.host, state=each.admin_state.value)
-    if len(states) > MOST_LOGGED:
-        logger.info("platform-states-not-logged", count=len(states) - MOST_LOGGED)
+    if len(states) > MAX_LOGGED_CHANGES:
+        logger.info("platform-states-not-logged", count=len(states) - MAX_LOGGED_CHANGES)
 
 
 def _unix_time_ms() -> int:
     return time.time_ns() // NANOSECONDS_PER_MILLISECOND
 
 
-def _observation_of(sighting: SubscriberSighting, now: float) -> AgentObservation:
+def _observation_of(subscriber: SubscriberSighting, now: float) -> AgentObservation:
     return AgentObservation(
-        address=sighting.address,
-        incarnation=sighting.incarnation,
-        healthy=sighting.healthy,
-        silence_seconds=now - sighting.seen_at,
+        address=subscriber.address,
+        incarnation=subscriber.incarnation,
+        healthy=subscriber.healthy,
+        silence_seconds=now - subscriber.seen_at,
     )
--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -34,9 +34,9 @@
 QUEUE_LIMIT_MESSAGES = 1024
 RECONNECT_SECONDS = 0.2
 """Pause before a lost link is opened again."""
-LONGEST_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 5.0
 """Longest pause while TLS fails, which lasts until someone mends files; it doubles."""
-ALIVE_INTERVAL_SECONDS = 0.5
+KEEPALIVE_INTERVAL_SECONDS = 0.5
 SILENCE_LIMIT_SECONDS = 3.0
 """A link on which nothing came for this long is ended; its opener opens it anew."""
 
@@ -50,7 +50,7 @@
 
     connect_timeout: float = CONNECT_TIMEOUT_SECONDS
     reconnect: float = RECONNECT_SECONDS
-    alive_interval: float = ALIVE_INTERVAL_SECONDS
+    keepalive_interval: float = KEEPALIVE_INTERVAL_SECONDS
     silence_limit: float = SILENCE_LIMIT_SECONDS
 
 
@@ -78,7 +78,7 @@
         self.dropped_messages = 0
         self._hello = make_hello(ConnectionKind.PEER, name, cluster_id, replica_id)
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(maxsize=QUEUE_LIMIT_MESSAGES)
-        self._heard = asyncio.Event()
+        self._redial = asyncio.Event()
 
     def peer_connected(self) -> None:
         """Dial at once: the peer has just opened a link of its own, so it is there.
@@ -87,7 +87,7 @@
         though the peer has come back meanwhile.
         """
         if not self.connected:
-            self._heard.set()
+            self._redial.set()
 
     def send(self, payload: bytes) -> bool:
         """Queue one message; False when it was dropped."""
@@ -108,7 +108,7 @@
             except TlsError as error:
                 peer = str(self.endpoint)
                 logger.warning("peer-refused", peer=peer, kind=error.kind, detail=str(error))
-                pause_seconds = min(2 * pause_seconds, LONGEST_PAUSE_SECONDS)
+                pause_seconds = min(2 * pause_seconds, MAX_PAUSE_SECONDS)
                 await asyncio.sleep(pause_seconds)
             except JasperwalkError as error:
                 logger.debug("peer-link-lost", peer=str(self.endpoint), kind=error.kind)
@@ -117,32 +117,32 @@
     async def _connect(self) -> FramedConnection:
         """Open a connection; an attempt under way when the peer is heard is begun anew."""
         while True:
-            self._heard.clear()
+            self._redial.clear()
             dialing = asyncio.create_task(
                 connect(self.endpoint, self._hello, self._times.connect_timeout, self._tls)
             )
-            hearing = asyncio.create_task(self._heard.wait())
+            redial_requested = asyncio.create_task(self._redial.wait())
             try:
-                await asyncio.wait({dialing, hearing}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({dialing, redial_requested}, return_when=asyncio.FIRST_COMPLETED)
                 if dialing.done():
                     return dialing.result()
             finally:
-                hearing.cancel()
+                redial_requested.cancel()
                 dialing.cancel()
-                await asyncio.gather(dialing, hearing, return_exceptions=True)
+                await asyncio.gather(dialing, redial_requested, return_exceptions=True)
 
     async def _pause(self, seconds: float) -> None:
         """Wait before the next attempt, but not once the peer was heard."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._heard.wait()
+                await self._redial.wait()
 
     async def _serve(self, connection: FramedConnection) -> None:
         """Send until the link fails; raise the failure."""
         self.connected = True
         jobs = {
             asyncio.create_task(self._send_queued(connection)),
-            asyncio.create_task(_watch_for_silence(connection, self._times.silence_limit)),
+            asyncio.create_task(_receive_until_silent(connection, self._times.silence_limit)),
         }
         try:
             done, _ = await asyncio.wait(jobs, return_when=asyncio.FIRST_COMPLETED)
@@ -165,13 +165,13 @@
     async def _next_payload(self) -> bytes:
         """Return the next queued message, or a sign of life where none comes for a while."""
         try:
-            async with asyncio.timeout(self._times.alive_interval):
+            async with asyncio.timeout(self._times.keepalive_interval):
                 return await self._queue.get()
         except TimeoutError:
             return LINK_ALIVE
 
 
-async def _watch_for_silence(connection: FramedConnection, limit_seconds: float) -> None:
+async def _receive_until_silent(connection: FramedConnection, limit_seconds: float) -> None:
     """Raise `PeerSilent` when the peer has been silent for too long, or why the link is lost."""
     while True:
         await _receive_within(connection, limit_seconds)
@@ -208,7 +208,7 @@
         self.on_message = on_message
         self._links: dict[int, PeerLink] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._served: set[FramedConnection] = set()
+        self._accepted: set[FramedConnection] = set()
         self.malformed_messages = 0
 
     def set_peers(self, peers: Mapping[int, Endpoint]) -> None:
@@ -238,9 +238,11 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Take messages from a link that a peer opened, until it ends."""
-        beacon = asyncio.create_task(_send_alive(connection, self._times.alive_interval))
-        self._served.add(connection)
-        self._peer_heard(connection)
+        keepalive = asyncio.create_task(
+            _send_keepalives(connection, self._times.keepalive_interval)
+        )
+        self._accepted.add(connection)
+        self._redial_peer(connection)
         try:
             while True:
                 payload = await _receive_within(connection, self._times.silence_limit)
@@ -250,8 +252,8 @@
             connection.abort()
             raise
         finally:
-            self._served.discard(connection)
-            beacon.cancel()
+            self._accepted.discard(connection)
+            keepalive.cancel()
 
     async def close(self) -> None:
         """Close all links, those that peers opened too.
@@ -259,14 +261,14 @@
         A peer takes a link that stands for a replica that hears it: left open, it would go to
         a replica that is gone while its successor in the same process hears nothing.
         """
-        for connection in list(self._served):
+        for connection in list(self._accepted):
             connection.abort()
         tasks = list(self._tasks.values())
         for replica_id in list(self._links):
             self._close(replica_id)
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _peer_heard(self, connection: FramedConnection) -> None:
+    def _redial_peer(self, connection: FramedConnection) -> None:
         link = None if connection.peer is None else self._links.get(connection.peer.sender_id)
         if link is not None:
             link.peer_connected()
@@ -293,7 +295,7 @@
         self._tasks.pop(replica_id).cancel()
 
 
-async def _send_alive(connection: FramedConnection, interval_seconds: float) -> None:
+async def _send_keepalives(connection: FramedConnection, interval_seconds: float) -> None:
     with contextlib.suppress(JasperwalkError):
         while True:
             await connection.send(LINK_ALIVE)
--- a/src/jasperwalk/control/state/commands.py
+++ b/src/jasperwalk/control/state/commands.py
@@ -129,10 +129,10 @@
 _DECODER: codec.Decoder[Command] = codec.Decoder(Command)
 
 
-HIGHEST_VALUE = 2**63 - 1
+MAX_INTEGER = 2**63 - 1
 """Integers beyond this are not taken into the log."""
 
-DEEPEST_VALUE = 8
+MAX_NESTING_LEVELS = 8
 """Levels of lists and tables within a tenant's values."""
 
 
@@ -154,10 +154,10 @@
 
 def _check_plain(command: Command) -> None:
     """Raise `MalformedMessage` for values that another replica could not print or encode."""
-    if isinstance(command, SetTenant) and not _is_plain(command.values, DEEPEST_VALUE):
+    if isinstance(command, SetTenant) and not _is_plain(command.values, MAX_NESTING_LEVELS):
         reason = (
             "values may hold strings, 64-bit integers, numbers, booleans, and lists and tables "
-            f"of them up to {DEEPEST_VALUE} levels deep"
+            f"of them up to {MAX_NESTING_LEVELS} levels deep"
         )
         raise MalformedMessage(reason=reason)
 
@@ -167,7 +167,7 @@
     if value is None or isinstance(value, str | float):
         return True
     if isinstance(value, int):
-        return -HIGHEST_VALUE <= value <= HIGHEST_VALUE
+        return -MAX_INTEGER <= value <= MAX_INTEGER
     if depth == 0:
         return False
     if isinstance(value, list):
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -3,7 +3,7 @@
 A report says what changed since the one before it; the first to a leader says everything.
 Subscribers are introduced once with a number, and named by it from then on. What a report
 does not name is vouched for: it holds the common revision, and was heard within
-`VOUCHED_SECONDS`. So a report of a steady replica is a few dozen bytes.
+`UNREPORTED_SILENCE_SECONDS`. So a report of a steady replica is a few dozen bytes.
 
 A subscriber whose connection ended stays in the reports, as a silent one, until it is back or
 forgotten everywhere. A new leader learns in this way of subscribers that are under way from
@@ -22,11 +22,11 @@
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.messages.distribution import SubscriberRole
 
-FORGET_AFTER_SECONDS = 5.0
+SUBSCRIBER_EXPIRY_SECONDS = 5.0
 """Seconds without a message of a subscriber after which it no longer counts."""
-VOUCHED_SECONDS = 1.25
+UNREPORTED_SILENCE_SECONDS = 1.25
 """Longest silence of a subscriber that a report does not name; two acknowledgements."""
-FLOW_SHARE = 8
+FLOW_CHANGE_DIVISOR = 8
 """The number of open flows is reported anew when it moved by more than one part of these."""
 MILLISECONDS_PER_SECOND = 1000
 
@@ -78,7 +78,7 @@
 class SubscriberReport(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """The subscribers of the sender, for the leader of `term`.
 
-    `sequence` counts the sender's reports. A `whole` one clears what was reported before; any
+    `sequence` counts the sender's reports. A `full` one clears what was reported before; any
     other follows the report of the sequence below, and is worth nothing without it.
     `revision` is that of the sender's table. `recorded_ms` tells for how long the sender has
     kept its record of subscribers. `groups` and `silent` are whole in every report.
@@ -86,12 +86,12 @@
 
     term: int
     sequence: int
-    whole: bool
+    full: bool
     revision: int
     recorded_ms: int
     common_revision: int
     changed: list[ReportedSubscriber]
-    forgotten: list[int]
+    removed: list[int]
     groups: list[RevisionGroup]
     silent: list[SilentSubscriber]
 
@@ -115,10 +115,10 @@
         self,
         now: float,
         first_sequence: int,
-        forget_after_seconds: float = FORGET_AFTER_SECONDS,
+        expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS,
     ) -> None:
         self._recorded_since = now
-        self._forget_after_seconds = forget_after_seconds
+        self._expiry_seconds = expiry_seconds
         self._records: dict[int, _Record] = {}
         self._destination: tuple[int, int] | None = None
         self._sequence = first_sequence
@@ -131,30 +131,30 @@
         self, links: Iterable[SubscriberLink], leader_id: int, term: int, revision: int, now: float
     ) -> SubscriberReport:
         """Return the next report to the leader of `term`; it has to be sent, or `restart`."""
-        whole = self._destination != (leader_id, term)
-        if whole:
+        full = self._destination != (leader_id, term)
+        if full:
             self._destination = (leader_id, term)
             for record in self._records.values():
                 record.condition = None
-        forgotten = self._follow(links, now)
+        removed = self._update_records(links, now)
         counts = Counter(each.link.acknowledged_revision for each in self._records.values())
         common = max(counts, key=lambda each: (counts[each], each), default=revision)
         report = SubscriberReport(
             term=term,
             sequence=self._sequence,
-            whole=whole,
+            full=full,
             revision=revision,
             recorded_ms=int((now - self._recorded_since) * MILLISECONDS_PER_SECOND),
             common_revision=common,
             changed=self._changed(),
-            forgotten=[] if whole else forgotten,
+            removed=[] if full else removed,
             groups=self._groups(common),
             silent=self._silent(now),
         )
         self._sequence += 1
         return report
 
-    def _follow(self, links: Iterable[SubscriberLink], now: float) -> list[int]:
+    def _update_records(self, links: Iterable[SubscriberLink], now: float) -> list[int]:
         """Take in who is connected now; return the numbers of those that no longer count."""
         for record in self._records.values():
             record.connected = False
@@ -165,22 +165,22 @@
             record = self._records[link.subscriber_id]
             record.connected = True
             present.add(record.key)
-        forgotten = [
+        removed = [
             number
             for number, record in self._records.items()
-            if not record.connected and self._no_longer_counts(record, present, now)
+            if not record.connected and self._is_expired(record, present, now)
         ]
-        for number in forgotten:
+        for number in removed:
             del self._records[number]
-        return forgotten
+        return removed
 
-    def _no_longer_counts(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
-        return record.key in present or now - record.link.last_seen > self._forget_after_seconds
+    def _is_expired(self, record: _Record, present: set[SubscriberKey], now: float) -> bool:
+        return record.key in present or now - record.link.last_seen > self._expiry_seconds
 
     def _changed(self) -> list[ReportedSubscriber]:
         changed: list[ReportedSubscriber] = []
         for number, record in self._records.items():
-            if not _condition_holds(record):
+            if not _is_condition_current(record):
                 record.condition = _condition_of(record.link)
                 changed.append(ReportedSubscriber(number, record.key, record.condition))
         return changed
@@ -197,7 +197,7 @@
         silent: list[SilentSubscriber] = []
         for number, record in self._records.items():
             silence = max(now - record.link.last_seen, 0.0)
-            if silence > VOUCHED_SECONDS or not record.connected:
+            if silence > UNREPORTED_SILENCE_SECONDS or not record.connected:
                 silence_ms = int(silence * MILLISECONDS_PER_SECOND)
                 silent.append(SilentSubscriber(number, silence_ms))
         return silent
@@ -218,7 +218,7 @@
     )
 
 
-def _condition_holds(record: _Record) -> bool:
+def _is_condition_current(record: _Record) -> bool:
     """Tell whether what was last reported of a subscriber is still near enough."""
     reported, link = record.condition, record.link
     return (
@@ -227,11 +227,11 @@
         and reported.healthy == link.healthy
         and reported.connection_id_generation == link.connection_id_generation
         and reported.stateless_reset_generation == link.stateless_reset_generation
-        and _flows_hold(reported.open_flows, link.open_flows)
+        and _is_flow_count_current(reported.open_flows, link.open_flows)
     )
 
 
-def _flows_hold(reported: int, open_flows: int) -> bool:
+def _is_flow_count_current(reported: int, open_flows: int) -> bool:
     if not reported or not open_flows:
         return reported == open_flows
-    return abs(open_flows - reported) * FLOW_SHARE <= reported
+    return abs(open_flows - reported) * FLOW_CHANGE_DIVISOR <= reported
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -106,7 +106,7 @@
     assert harness.resets == [RESET_TO_CALLER]
 
 
-def test_a_silent_agent_is_passed_over_and_avoided():
+def test_the_next_agent_is_tried_after_a_silent_one_which_is_then_avoided():
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
     ((_, silent, _),) = harness.take_sent()
@@ -195,7 +195,7 @@
     assert harness.resets == []
 
 
-def passed_over():
+def with_unanswered_agents():
     """Return a balancer, an agent that did not answer in time, and the one asked after it."""
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
@@ -211,7 +211,7 @@
 
     Nobody else is asked, and the holder gets the first packet with the question.
     """
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     for name in answers.split():
         harness.answer({"silent": silent, "other": other}[name], FrameKind.ACCEPTED, 1.2)
     harness.core.receive(DATA, 1.3)
@@ -229,7 +229,7 @@
 
 @pytest.mark.parametrize("denied", [True, False], ids=["denied", "unanswered"])
 def test_a_flow_that_none_of_the_agents_asked_confirms_is_searched(denied):
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.core.receive(DATA, 1.3)
     harness.take_sent()
     if denied:
@@ -248,7 +248,7 @@
 
 
 def test_a_late_refusal_leaves_the_flow_to_the_agent_asked_after():
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.refuse(silent, 1.2)
     harness.answer(other, FrameKind.ACCEPTED, 1.2)
     harness.core.receive(DATA, 1.3)
@@ -256,7 +256,7 @@
 
 
 def test_a_late_acceptance_counts_where_the_agent_asked_after_refuses():
-    harness, silent, other = passed_over()
+    harness, silent, other = with_unanswered_agents()
     harness.answer(silent, FrameKind.ACCEPTED, 1.2)
     harness.refuse(other, 1.21)
     assert harness.sent == harness.resets == []
@@ -264,7 +264,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, silent, DATA)]
 
 
-def test_a_refusal_of_a_copy_takes_no_acceptance_back():
+def test_a_refusal_of_a_copy_revokes_no_acceptance():
     harness = Harness(record(1), record(2))
     number = opened(harness)
     harness.refuse(number, 1.2, RefusalReason.DRAINING)
@@ -272,7 +272,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
-def test_a_caller_that_follows_up_stands_for_an_answer_that_is_late():
+def test_a_callers_follow_up_replaces_a_late_answer():
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
     ((_, number, _),) = harness.take_sent()
@@ -284,7 +284,7 @@
 
 
 def test_a_flow_that_an_agent_may_have_taken_is_never_reset():
-    harness, _silent, other = passed_over()
+    harness, _silent, other = with_unanswered_agents()
     harness.refuse(other, 1.2)
     number, waits = harness.take_opening()
     assert (number, waits) == (other, True)
@@ -301,7 +301,7 @@
     assert harness.take_opening() == (1, True)
 
 
-def test_an_agent_is_told_how_long_ago_the_caller_began():
+def test_an_opening_frame_carries_the_age_of_the_callers_attempt():
     harness = Harness(record(1))
     copy = from_caller(OPENING, bytes((6,)))
     harness.core.receive(copy, 1.0)
@@ -327,7 +327,7 @@
     assert len(harness.core) == 0
 
 
-def test_flows_without_packets_are_forgotten_in_the_end():
+def test_flows_without_packets_are_removed_after_their_lifetime():
     harness = Harness(record(1))
     opened(harness)
     harness.core.sweep(30.0)
@@ -336,7 +336,7 @@
     assert len(harness.core) == 0
 
 
-def test_every_decision_is_noted_with_its_flow():
+def test_every_decision_is_logged_with_its_flow():
     harness = Harness(record(1))
     opened(harness)
     other = CALLER.__class__("100.64.0.9", 1)
@@ -362,7 +362,7 @@
     assert harness.take_sent() == [(FrameKind.OPEN, 1, SYN)]
 
 
-def test_a_new_flow_waits_while_an_agent_that_restarted_has_not_heard_its_host():
+def test_a_new_flow_waits_while_the_host_of_a_restarted_agent_has_not_announced_itself():
     harness = Harness(record(1))
     harness.update_fleet(record(1, HostPhase.UNKNOWN, incarnation=2), now=0.9)
     harness.core.receive(SYN, 1.0)
@@ -382,7 +382,7 @@
     assert not harness.core.has_pending()
 
 
-def test_an_agent_that_never_heard_of_a_host_lets_no_flow_wait():
+def test_an_agent_without_an_announced_host_lets_no_flow_wait():
     harness = Harness(record(1, HostPhase.UNKNOWN))
     harness.core.receive(SYN, 1.0)
     assert harness.resets == [RESET_TO_CALLER]
@@ -412,7 +412,7 @@
     assert not harness.core.has_pending()
 
 
-def test_a_flow_that_its_caller_has_followed_up_is_not_taken_back():
+def test_a_flow_that_its_caller_has_followed_up_is_not_revoked():
     harness = Harness(record(1), record(2))
     number = opened(harness)
     harness.core.receive(DATA, 1.1)
@@ -423,7 +423,7 @@
     assert harness.take_sent() == [(FrameKind.CARRY, number, DATA)]
 
 
-def test_an_agent_whose_host_fails_is_passed_over_for_a_while_and_then_asked_again():
+def test_an_agent_whose_host_fails_is_avoided_for_a_while_and_then_tried_again():
     harness = Harness(record(1), record(2), record(3))
     asked = opening_to(harness, 1, 1.0)
     key = key_of(caller=Endpoint("100.64.0.9", 1))
