--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("news", "phase"),
+    ("announcement", "phase"),
     [
         ([], HostPhase.UNKNOWN),
         ([call(1)], READY),
