--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -24,7 +24,7 @@
     def __init__(self, config: PublisherConfig) -> None:
         self._config = config
         self._started_at: OrderedDict[int, float] = OrderedDict()
-        self._next_turn = 0.0
+        self._next_retry_at = 0.0
 
     def has_capacity(self, now: float) -> bool:
         """Tell whether one more may join now."""
@@ -42,14 +42,14 @@
     def retry_after_ms(self, now: float) -> int:
         """Return when one that is refused may come back: a turn of its own, in milliseconds."""
         config = self._config
-        least = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
+        earliest = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
         latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
-        turn = max(self._next_turn, least)
-        if turn > latest:
+        retry_at = max(self._next_retry_at, earliest)
+        if retry_at > latest:
             # Turns beyond the horizon begin anew: late ones share the moments of early ones.
-            turn = least
-        self._next_turn = turn + 1 / config.retries_per_second
-        return round((turn - now) * MILLISECONDS_PER_SECOND)
+            retry_at = earliest
+        self._next_retry_at = retry_at + 1 / config.retries_per_second
+        return round((retry_at - now) * MILLISECONDS_PER_SECOND)
 
     def _remove_overdue(self, now: float) -> None:
         limit = now - self._config.join_seconds
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -52,7 +52,7 @@
         self._random = random_source
         self._base = backoff_base_seconds
         self._cap = backoff_cap_seconds
-        self._not_before = 0.0
+        self._next_attempt_at = 0.0
         self._failures_in_a_row = 0
         self._configured = list(dict.fromkeys(replicas))
         self._learned: list[Endpoint] = []
@@ -79,7 +79,7 @@
     def next_available_at(self) -> float:
         """Return the earliest time at which some replica may be tried."""
         earliest = min(record.available_at for record in self._eligible())
-        return max(earliest, self._not_before)
+        return max(earliest, self._next_attempt_at)
 
     def choose(self, now: float) -> Endpoint | None:
         """Return the replica that waits longest for its turn, or None while all back off."""
@@ -91,10 +91,10 @@
         self,
         endpoint: Endpoint,
         now: float,
-        at_least_seconds: float = 0.0,
+        min_backoff_seconds: float = 0.0,
         spread_seconds: float = 0.0,
     ) -> None:
-        """Back off from a replica, for `at_least_seconds` or more.
+        """Back off from a replica, for `min_backoff_seconds` or more.
 
         The next attempt at any replica comes at a random moment of the pause, which is
         `spread_seconds` or longer.
@@ -103,7 +103,7 @@
         self._failures_in_a_row += 1
         pause = min(MAX_PAUSE_SECONDS, self._base * 2**exponent)
         pause = min(self._cap, max(spread_seconds, pause))
-        self._not_before = now + self._random.random() * pause
+        self._next_attempt_at = now + self._random.random() * pause
         record = self._records.get(endpoint)
         if record is None:
             return
@@ -111,7 +111,7 @@
         backoff = min(self._cap, self._base * 2**exponent)
         record.failures += 1
         jittered = backoff * (0.5 + self._random.random() / 2)
-        record.available_at = now + at_least_seconds + jittered
+        record.available_at = now + min_backoff_seconds + jittered
 
     def record_served(self, endpoint: Endpoint) -> None:
         """Note that a replica serves well, which ends its back-off."""
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -37,7 +37,7 @@
 """A request that is not answered yet counts from this ratio on: most requests differ by less."""
 BASELINE_STEP = 1.01
 """Factor by which a request moves what is usual for its kind: 70 requests double it."""
-LEARNING_REQUESTS = 5
+FIRST_SAMPLES = 5
 """Requests whose median is the first value of what is usual for a kind."""
 MAX_KINDS = 64
 """Kinds that are told apart; all further ones count as one."""
@@ -59,15 +59,15 @@
     def note(self, seconds: float) -> None:
         """Take the time of one more request."""
         if self.seconds is None:
-            self._learn(seconds)
+            self._add_first_sample(seconds)
         elif seconds > self.seconds:
             self.seconds *= BASELINE_STEP
         elif seconds < self.seconds:
             self.seconds /= BASELINE_STEP
 
-    def _learn(self, seconds: float) -> None:
+    def _add_first_sample(self, seconds: float) -> None:
         self._first.append(seconds)
-        if len(self._first) >= LEARNING_REQUESTS:
+        if len(self._first) >= FIRST_SAMPLES:
             self.seconds = _median(self._first)
             self._first = []
 
@@ -143,7 +143,7 @@
         return self._slowdown
 
     def _compute_slowdown(self, now: float) -> float | None:
-        ratios = self._newest_ratios(now) + self._lower_bounds(now)
+        ratios = self._newest_ratios(now) + self._ratios_in_flight(now)
         return _median(ratios) if len(ratios) >= MIN_OBSERVATIONS else None
 
     def _newest_ratios(self, now: float) -> list[float]:
@@ -156,7 +156,7 @@
             newest.append(ratio)
         return newest
 
-    def _lower_bounds(self, now: float) -> list[float]:
+    def _ratios_in_flight(self, now: float) -> list[float]:
         """Return the ratios so far of requests that noticeably take longer than usual."""
         ratios = [self._ratio_so_far(request, now) for request in self._slots.running()]
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -38,7 +38,7 @@
     )
 
 
-def test_the_host_beside_the_agent_is_taken():
+def test_an_announcement_of_the_host_beside_the_agent_is_accepted():
     handler, state, recorder = handler_and_state()
     assert handler.announce(announcement()) is AnnouncementOutcome.ACCEPTED
     assert handler.announce(announcement()) is AnnouncementOutcome.STALE
@@ -80,7 +80,7 @@
     assert recorder.changes == 1
 
 
-def test_an_unreadable_announcement_is_counted_and_told():
+def test_an_unreadable_announcement_is_counted_and_logged():
     handler, state, recorder = handler_and_state()
     handler.refuse("h1", "state: not a known state")
     assert state.phase is HostPhase.UNKNOWN
--- a/tests/agent/datagrams/test_confirmed_flows.py
+++ b/tests/agent/datagrams/test_confirmed_flows.py
@@ -73,7 +73,7 @@
     assert harness.host_packets == [from_caller(0, b"more")]
 
 
-def test_another_services_balancer_hears_nothing_of_the_flow():
+def test_a_balancer_of_another_service_learns_nothing_of_the_flow():
     harness = half_open()
     assert confirm(harness, MINE, service="export") == [(FrameKind.NOT_HELD, OTHER_BALANCER)]
     assert harness.host_packets == []
@@ -88,7 +88,7 @@
     assert confirm(harness, from_caller(0, b"hello@copy0")) == [(FrameKind.HELD, OTHER_BALANCER)]
 
 
-def test_a_carried_packet_that_follows_another_host_up_is_handed_back():
+def test_a_packet_that_follows_another_host_up_is_returned():
     harness = half_open()
     harness.frame(FrameKind.CARRY, OTHERS, 1.1)
     ((reply, to),) = harness.replies
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -100,7 +100,7 @@
     assert refused == {RefusalReason.FULL}
 
 
-def test_a_copy_of_an_opening_that_was_taken_passes():
+def test_a_copy_of_an_admitted_opening_is_forwarded():
     harness = SlowHostHarness()
     harness.serve(20, WORK)
     harness.serve(4, SLOW_FACTOR * WORK)
@@ -125,7 +125,7 @@
     assert fields["pace_ms"] > 3 * fields["usual_ms"]
 
 
-def test_switched_off_nothing_is_told_or_refused():
+def test_when_disabled_nothing_is_reported_or_refused():
     harness = slow_host_harness(measures_service_times=False)
     answer = harness.ask(URGENT)
     assert (answer.kind, answer.flags) == (FrameKind.ACCEPTED, UNKNOWN_SERVICE_TIME)
@@ -139,7 +139,7 @@
     assert harness.ask().flags == UNKNOWN_SERVICE_TIME
 
 
-def test_another_host_is_judged_anew():
+def test_a_replacement_host_starts_without_a_verdict():
     harness = slow_host_harness()
     harness.agent.on_host_replaced(harness.now)
     assert harness.ask(URGENT).kind is FrameKind.ACCEPTED
--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -37,7 +37,7 @@
 """Revisions that the runner of the present test announced."""
 
 
-class PublisherHost:
+class PublisherServer:
     """The smallest host of a publisher: one server, one core, registrations granted at once."""
 
     def __init__(self, table: VersionedTable) -> None:
@@ -50,7 +50,7 @@
         self.ticker: asyncio.Task[None] | None = None
         self.closing: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> PublisherHost:
+    async def __aenter__(self) -> PublisherServer:
         await self.server.start()
         self.ticker = asyncio.ensure_future(self.tick())
         return self
@@ -114,11 +114,11 @@
 @pytest.fixture
 def make_runner(builders):
     def make(
-        *hosts: PublisherHost,
+        *publishers: PublisherServer,
         role: SubscriberRole = SubscriberRole.BALANCER,
         cluster: str = CLUSTER,
     ) -> FollowerRunner:
-        replicas = [host.server.endpoint for host in hosts]
+        replicas = [replica_server.server.endpoint for replica_server in publishers]
         facts = builders.facts("f", role, builders.address(1))
         core = FollowerCore(FollowerConfig(), facts, replicas, random.Random(3))
         return FollowerRunner(core, cluster, lambda table: CHANGES.append(table.revision))
@@ -139,13 +139,13 @@
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as first, PublisherHost(table) as second:
+        async with PublisherServer(table) as first, PublisherServer(table) as second:
             runner = make_runner(first, second)
             async with running(runner):
                 await until(runner.fresh)
                 table.upsert(builders.member(2, 1), 3)
-                for host in (first, second):
-                    host.perform(host.core.table_advanced(time.monotonic()))
+                for replica_server in (first, second):
+                    replica_server.perform(replica_server.core.table_advanced(time.monotonic()))
                 await until(lambda: runner.table.revision == 3)
                 serving, other = (first, second) if first.connections else (second, first)
                 await serving.server.close()
@@ -168,28 +168,30 @@
     table, make_runner, payload: bytes
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
-            runner = make_runner(host)
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server)
             async with running(runner) as task:
                 await until(runner.fresh)
-                host.write(1, payload)
-                await until(lambda: 2 in host.connections)
+                replica_server.write(1, payload)
+                await until(lambda: 2 in replica_server.connections)
                 assert not task.done()
                 assert runner.table.revision == 2
 
     asyncio.run(scenario())
 
 
-def test_an_agent_hears_its_incarnation_and_stops_when_it_is_replaced(
+def test_an_agent_receives_its_incarnation_and_stops_when_it_is_replaced(
     builders, table, make_runner
 ) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
-            runner = make_runner(host, role=SubscriberRole.AGENT)
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server, role=SubscriberRole.AGENT)
             async with running(runner) as task:
                 await until(lambda: runner.incarnation == 4)
                 now = time.monotonic()
-                host.perform(host.core.agent_registered(builders.address(1), "newer", 5, now))
+                replica_server.perform(
+                    replica_server.core.agent_registered(builders.address(1), "newer", 5, now)
+                )
                 await asyncio.wait_for(asyncio.shield(task), timeout=10)
                 assert runner.incarnation == 0
                 assert not runner.fresh()
@@ -199,10 +201,10 @@
 
 def test_a_follower_of_another_cluster_is_sent_nothing(table, make_runner) -> None:
     async def scenario() -> None:
-        async with PublisherHost(table) as host:
-            runner = make_runner(host, cluster="hanoi")
+        async with PublisherServer(table) as replica_server:
+            runner = make_runner(replica_server, cluster="hanoi")
             async with running(runner):
-                await until(lambda: host.server.refused.get("wrong-cluster", 0) >= 2)
+                await until(lambda: replica_server.server.refused.get("wrong-cluster", 0) >= 2)
                 assert runner.table.revision == 0
 
     asyncio.run(scenario())
