--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -189,7 +189,7 @@
         if self.knowledge.record_host_absent():
             self.log.note("host-absent", after_ms=round(1000 * (now - self.started_at)))
 
-    def on_host_replaced(self, now: float) -> None:
+    def on_new_host(self, now: float) -> None:
         """Doubt the flows in the table: another host has replaced the one beside this agent.
 
         The new host may have taken flows before it spoke for the first time, so the table is
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -230,7 +230,7 @@
         return is_unknown and await is_host_absent(self._host_endpoint)
 
     def _on_host_replaced(self) -> None:
-        self.core.on_host_replaced(time.monotonic())
+        self.core.on_new_host(time.monotonic())
 
     def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         now = time.monotonic()
--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -103,7 +103,7 @@
 
 def test_a_replacement_host_does_not_inherit_the_verdict():
     harness = failing_host_harness()
-    harness.agent.on_host_replaced(1.05)
+    harness.agent.on_new_host(1.05)
     assert harness.open(1.1, caller(50)).kind is FrameKind.ACCEPTED
 
 
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -281,7 +281,7 @@
 def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
     hand_back(harness, MAX_CONSECUTIVE_RETURNS)
-    harness.agent.on_host_replaced(1.1)
+    harness.agent.on_new_host(1.1)
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
 
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -101,7 +101,7 @@
 
 def replaced(harness, now):
     harness.host.announce(HostAnnouncement("h2", HostPhase.READY, 2, 0.0, 1), now)
-    harness.agent.on_host_replaced(now)
+    harness.agent.on_new_host(now)
 
 
 def test_flows_of_a_replaced_host_are_unconfirmed():
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -200,7 +200,7 @@
     """Its successor hands them back, so that their callers learn it."""
     host = overloaded_host()
     host.started()
-    host.agent.on_host_replaced(1.1)
+    host.agent.on_new_host(1.1)
     assert sorted(host.started()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
     packet = from_caller(
         RETURNED, b"\x02request@h1", caller=Endpoint("100.64.0.9", FULL + 1), listener=FEEDS
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -141,7 +141,7 @@
 
 def test_a_replacement_host_starts_without_a_verdict():
     harness = slow_host_harness()
-    harness.agent.on_host_replaced(harness.now)
+    harness.agent.on_new_host(harness.now)
     assert harness.ask(URGENT).kind is FrameKind.ACCEPTED
 
 
--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -168,7 +168,7 @@
         announcement = HostAnnouncement(host.host_id, host.phase, 4, 0.0, host.calls)
         self.state.announce(announcement, self.world.now)
         if before not in ("", self.state.host_id):
-            self.agent.on_host_replaced(self.world.now)
+            self.agent.on_new_host(self.world.now)
         if host.phase is HostPhase.DRAINING and self.acknowledged_drain_at is None:
             self.acknowledged_drain_at = self.world.now
         self.world.announce_agent(self)
