--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -31,7 +31,7 @@
         parts = self.parts
         key = parts.codec.flow_key(packet)
         if terms.route is not None and tag == parts.tag:
-            parts.learned.note(parts.codec.listener_of(key), sender, terms.route)
+            parts.learned.record(parts.codec.listener_of(key), sender, terms.route)
         self._expire_half_open(now)
         flow = parts.table.get(key)
         is_copy = flow is not None and not flow.has_ended()
--- a/src/jasperwalk/agent/datagrams/learned_terms.py
+++ b/src/jasperwalk/agent/datagrams/learned_terms.py
@@ -25,7 +25,7 @@
         """Tell whether any terms are known: whether requests differ at all."""
         return bool(self._terms)
 
-    def note(self, listener: bytes, balancer: SocketAddress, terms: CarriedTerms) -> None:
+    def record(self, listener: bytes, balancer: SocketAddress, terms: CarriedTerms) -> None:
         """Take the terms of a listener's route, and the group of a balancer's callers."""
         self._terms[listener] = terms
         self._terms.move_to_end(listener)
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -237,7 +237,7 @@
 
 def test_nothing_waits_for_a_host_that_has_not_said_how_much_it_can_do():
     host = Host(HostPhase.UNKNOWN)
-    host.agent.parts.learned.note(FEEDS.pack(), BALANCER, FEED_TERMS)
+    host.agent.parts.learned.record(FEEDS.pack(), BALANCER, FEED_TERMS)
     for port in range(1, FULL + 4):
         host.ask(port, 2, 1.0)
     assert len(host.started()) == FULL + 3
@@ -264,7 +264,7 @@
 def test_requests_whose_route_names_no_limit_are_passed_on_after_a_while():
     host = overloaded_host()
     host.started()
-    host.agent.parts.learned.note(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
+    host.agent.parts.learned.record(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
     for port in range(1, 3):
         host.answer(port, FEEDS, 1.01)
     host.ask(1, 3, 1.02)
