--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -140,7 +140,7 @@
         if self.parts.queue.hold(key, packet, number, terms, now) is None:
             return False
         self.parts.counters.requests_held += 1
-        self.parts.counters.by_priority.note("held", terms.priority)
+        self.parts.counters.by_priority.count("held", terms.priority)
         return True
 
     def _add_to_waiting(self, waiting: WaitingRequest, packet: bytes) -> bool:
--- a/src/jasperwalk/agent/datagrams/counters.py
+++ b/src/jasperwalk/agent/datagrams/counters.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, int]] = Counter()
 
-    def note(self, what: str, priority: int) -> None:
+    def count(self, what: str, priority: int) -> None:
         """Count one request."""
         self._counts[what, priority] += 1
 
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -110,7 +110,7 @@
         parts = self.parts
         for request in refused:
             parts.counters.flows_waited_in_vain += 1
-            parts.counters.by_priority.note("waited_in_vain", request.terms.priority)
+            parts.counters.by_priority.count("waited_in_vain", request.terms.priority)
             self._log("flow-waited-in-vain", request, now)
             caller = parts.codec.caller_of(request.key)
             parts.to_caller(parts.codec.reset_for(request.packets[0]), caller)
