--- a/src/jasperwalk/scheduling/__init__.py
+++ b/src/jasperwalk/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about scarce things: a link's rate, a host's time, a caller's patience; sans-IO."""
+"""Decides how limited resources are used: a link's rate, a host's slots, callers' time; sans-IO."""
--- a/src/jasperwalk/scheduling/fair_shares.py
+++ b/src/jasperwalk/scheduling/fair_shares.py
@@ -1,14 +1,17 @@
-"""Fair shares of one host between groups of callers: whose request is next, and whose is let go.
+"""Weighted fair queueing of one host's time between groups of callers.
 
-Load pattern: the callers of one group come with several times their usual requests, more than the
-host can answer. First come first served, or newest first, then delays or loses the requests of
-every group alike. Here each group may have a share of the host by its weight, and what a group
-does not use goes to the others (weighted max-min fairness): a group that stays within its share
-is served as if the others were not there.
+Decides which group's request is served next, and which group's request is shed when the queue is
+full, from the slot time that each group used and the number of its requests that wait.
 
-A group's use of the host decays, so that what it used seconds ago neither counts against it nor,
-where it used little, for it. Each agent decides alone, from the requests that its own host began;
-no state is shared. Groups without a request that waits take no part in any decision.
+Load pattern: the callers of one group send several times their usual requests, more than the host
+can answer. First come first served, or newest first, would then delay or lose the requests of every
+group alike. Here each group has a share of the host by its weight, and what a group does not use
+goes to the others (weighted max-min fairness): a group that stays within its share is served as if
+the others were not there.
+
+A group's use of the host decays, so that use of some seconds ago neither counts against a group nor
+leaves it credit. Each agent decides alone, from the requests that its own host started; no state is
+shared. Groups without a waiting request take no part in a decision.
 
 Sans-IO; times are seconds. A group is a number (`jasperwalk.flows.terms.caller_group`).
 """
@@ -20,21 +23,21 @@
 
 DEFAULT_WEIGHT = 1.0
 HALF_LIFE_SECONDS = 0.5
-"""Time in which past use comes to count half. Longer than most requests, so that a group within its
-share is not delayed by the few that it has just had. Shorter than callers wait: a group that begins
-anew, with more than the host can do, goes before the others for about this long."""
+"""Time after which past use counts half. Longer than most requests take, so that a group within its
+share is not delayed by the few that were just served. Shorter than callers wait: a group that
+returns with more requests than the host can serve goes before the others for about this long."""
 MAX_GROUPS = 256
-"""Groups whose use is remembered; a group that is forgotten counts as one that used nothing."""
+"""Groups whose use is kept; a group that was removed counts as one that used nothing."""
 MIN_REQUEST_SECONDS = 0.001
-"""A request counts at least this much, so that requests expected to take no time have a cost."""
+"""Lower bound of a request's cost, so that requests expected to take no time have one."""
 NEGLIGIBLE_SECONDS = 0.001
-"""Groups that used less than this for their weight are equals: less than one request."""
+"""Groups that used less than this for their weight tie: it is less than one request."""
 RESCALE_HALF_LIVES = 256.0
-"""Half-lives after which uses are scaled anew, well before floating-point numbers overflow."""
+"""Half-lives after which uses are rescaled, well before floating-point numbers overflow."""
 
 
 class FairShares:
-    """Remembers what groups used of one host, and compares them.
+    """Keeps the slot time that groups used at one host, and compares them.
 
     `weights` names the groups whose weight is not `default_weight`; weights are above 0.
     """
@@ -45,19 +48,19 @@
         self._weights = dict(weights)
         self._default_weight = default_weight
         self._use: OrderedDict[int, float] = OrderedDict()
-        """Slot seconds for each unit of weight, the least recently served group first.
+        """Slot seconds per unit of weight, the least recently served group first.
 
-        In units that grow by the half-life from `_scaled_at` on, so that all uses decay at once
-        and no decision has to decay them (forward decay: Cormode, Shkapenyuk, Srivastava, Xu).
+        The unit doubles with each half-life since `_scaled_at`, so that all uses decay at once and
+        no decision has to update them (forward decay: Cormode, Shkapenyuk, Srivastava, Xu).
         """
         self._scaled_at: float | None = None
 
     def __len__(self) -> int:
-        """Return how many groups are remembered."""
+        """Return how many groups have a recorded use."""
         return len(self._use)
 
     def record_served(self, group: int, seconds: float, now: float) -> None:
-        """Note that a request was begun which is expected to take a slot for `seconds`."""
+        """Record a started request that is expected to hold a slot for `seconds`."""
         used = max(seconds, MIN_REQUEST_SECONDS) / self._weight(group)
         self._use[group] = used * self._unit(now) + self._use.get(group, 0.0)
         self._use.move_to_end(group)
@@ -65,21 +68,20 @@
             self._use.popitem(last=False)
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
-        """Return the group that used least of the host lately for its weight.
+        """Return the group that recently used least of the host for its weight.
 
-        `groups` are those that have a request waiting, at least one; the first of equals is
-        returned.
+        `groups` are those with a waiting request, at least one; on a tie the first is returned.
         """
         negligible = NEGLIGIBLE_SECONDS * self._unit(now)
         return min(groups, key=lambda group: self._used(group, negligible))
 
     def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
-        """Return the group whose request is let go, because one too many waits.
+        """Return the group whose request is shed, because one request too many waits.
 
-        `waiting` holds how many requests of each group wait, the one that has just come included;
-        at least one does. The group is the one with most requests beyond its max-min share of the
-        places left, so a group within its share loses none. Of equals it is the one that used
-        most of the host lately, then the first.
+        `waiting` holds the number of waiting requests of each group, the newest included; at least
+        one waits. The group is the one with most requests beyond its max-min share of the remaining
+        queue places, so a group within its share loses none. On a tie it is the one that recently
+        used most of the host, then the first.
         """
         negligible = NEGLIGIBLE_SECONDS * self._unit(now)
         level = self._places_per_weight(waiting)
@@ -91,10 +93,10 @@
         return max(waiting, key=excess)
 
     def _places_per_weight(self, waiting: Mapping[int, int]) -> float:
-        """Return the max-min share of a unit of weight in one place less than requests wait.
+        """Return the max-min share per unit of weight when one place less than now is available.
 
-        Groups above their share are those with most requests for their weight; the places that
-        the other groups do not fill are divided among them by weight.
+        Groups above their share are those with most requests for their weight; they divide the
+        places that the other groups do not fill, by weight.
         """
         level = 0.0
         places = -1.0
@@ -115,7 +117,7 @@
         return max(self._use.get(group, 0.0), negligible)
 
     def _unit(self, now: float) -> float:
-        """Return what a slot second counts now, in the units of `_use`."""
+        """Return what a slot second counts now, in units of `_use`."""
         if self._scaled_at is None:
             self._scaled_at = now
         half_lives = (now - self._scaled_at) / HALF_LIFE_SECONDS
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -1,18 +1,17 @@
-"""How long a host takes for a request now, and how that compares with what is usual for it.
+"""Measures one host's service times and its slowdown: the ratio of current to usual times.
 
-Load pattern: a host turns several times slower for some seconds and goes on taking flows. Nobody
+Load pattern: a host becomes several times slower for some seconds and goes on taking flows. Nothing
 announces it, and its requests are answered, though late.
 
-Measured is the time for which each request holds a slot (`slot_use`). Requests of different kinds
-take different times, so each is compared with what its own kind usually takes at this host; a
-change of the mix of kinds changes nothing. The host's slowness is the median of the newest of these
+A request's service time is the time for which it holds a slot (`slot_use`). Requests of different
+kinds take different times, so each is compared with the baseline of its own kind at this host; a
+change of the mix of kinds changes nothing. The host's slowdown is the median of the newest of these
 ratios: a few long requests among many do not move it. A request that still holds its slot counts
-with the time that it has taken so far, once that is more than usual, so a slow host shows before
-it answers.
+with its time so far, once that is more than usual, so a slow host is detected before it answers.
 
-What is usual for a kind is its median, followed by small steps in proportion (stochastic
-approximation, Robbins and Monro 1951): a few seconds of a slow host barely move it, and a host that
-stays slow becomes usual after some minutes.
+The baseline of a kind is an estimate of its median that moves by small proportional steps
+(stochastic approximation, Robbins and Monro 1951): a few seconds of a slow host barely move it, and
+a host that stays slow counts as usual after some minutes.
 
 Sans-IO; times are seconds.
 """
@@ -26,29 +25,29 @@
 from jasperwalk.scheduling.slot_use import SlotUse, TrackedRequest
 
 WINDOW_SECONDS = 0.5
-"""Requests that ended in this time make up the slowness: about the time that a caller waits."""
+"""Requests that ended within this time make up the slowdown: about as long as a caller waits."""
 STALE_SECONDS = 2.0
-"""A request that ended longer ago says nothing of the host now."""
+"""A request that ended longer ago says nothing about the host now."""
 MIN_OBSERVATIONS = 3
-"""Requests that the slowness rests on at least; one or two may be long by themselves."""
+"""Fewest requests from which a slowdown is computed; one or two may be long by themselves."""
 MAX_OBSERVATIONS = 64
-"""The newest observations that are kept: a bound of memory and of the work for a median."""
+"""Bounds the kept observations, and with them memory and the cost of a median."""
 NOTICEABLE_FACTOR = 1.5
-"""A request that is not answered yet counts from this ratio on: most requests differ by less."""
+"""Ratio from which an unanswered request counts; most requests differ by less."""
 BASELINE_STEP = 1.01
-"""Factor by which a request moves what is usual for its kind: 70 requests double it."""
+"""Factor by which a request moves the baseline of its kind; 70 requests double it."""
 FIRST_SAMPLES = 5
-"""Requests whose median is the first value of what is usual for a kind."""
+"""Requests whose median is the first baseline of a kind."""
 MAX_KINDS = 64
-"""Kinds that are told apart; all further ones count as one."""
+"""Kinds with a baseline of their own; all further ones share one."""
 SLOWDOWN_CACHE_SECONDS = 0.02
-"""A slowness that was worked out less long ago is used again: requests take longer than that."""
+"""A computed slowdown is reused for this long; requests take longer than that."""
 TYPICAL_SHARE = 1 / 16
 """Weight of the newest request in the typical time."""
 
 
 class BaselineTime:
-    """What requests of one kind usually take; `seconds` is None until enough were seen."""
+    """Baseline service time of one kind; `seconds` is None until enough requests were seen."""
 
     __slots__ = ("_first", "seconds")
 
@@ -57,7 +56,7 @@
         self._first: list[float] = []
 
     def record(self, seconds: float) -> None:
-        """Take the time of one more request."""
+        """Update the baseline by one more request."""
         if self.seconds is None:
             self._add_first_sample(seconds)
         elif seconds > self.seconds:
@@ -73,26 +72,26 @@
 
 
 class HostServiceTimes:
-    """Measures one host. Requests and kinds are named by any hashable values."""
+    """Measures one host; any hashable values identify requests and kinds."""
 
     def __init__(self) -> None:
         self._slots = SlotUse()
         self._baselines: dict[Hashable, BaselineTime] = {}
         self._other_kinds = BaselineTime()
         self._ratios: deque[tuple[float, float]] = deque(maxlen=MAX_OBSERVATIONS)
-        """When each request ended and how many times as long as usual it took, oldest first."""
+        """When each request ended, and the ratio of its time to the baseline, oldest first."""
         self._typical_seconds: float | None = None
         self._slowdown: float | None = None
         self._computed_at = float("-inf")
 
-    # What is observed
+    # Observations
 
     def record_request(self, request: Hashable, kind: Hashable, slots: int, now: float) -> None:
-        """Note that a request, or a further part of it, was passed on to the host."""
+        """Record that a request, or a further part of it, was forwarded to the host."""
         self._slots.start(request, kind, slots, now)
 
     def record_answer(self, request: Hashable, slots: int, now: float) -> None:
-        """Note the first packet of the host's answer to a request."""
+        """Record the first packet of the host's answer to a request."""
         ended = self._slots.end(request, slots, now)
         if ended is None:
             return
@@ -106,7 +105,7 @@
         usual.record(seconds)
 
     def record_end(self, request: Hashable, slots: int, now: float) -> None:
-        """Note that a request ended without a measurable answer."""
+        """Record that a request ended without a measurable answer."""
         self._slots.end(request, slots, now)
 
     def _baseline_of(self, kind: Hashable) -> BaselineTime:
@@ -125,7 +124,7 @@
             self._typical_seconds += TYPICAL_SHARE * (seconds - self._typical_seconds)
 
     def reset(self) -> None:
-        """Measure anew: another host has taken the place."""
+        """Discard all measurements: another host has taken the place."""
         self._slots.reset()
         self._baselines.clear()
         self._other_kinds = BaselineTime()
@@ -133,10 +132,10 @@
         self._typical_seconds = None
         self._computed_at = float("-inf")
 
-    # What follows from it
+    # Results
 
     def slowdown(self, now: float) -> float | None:
-        """Return how many times as long as usual requests take now, None where it is not known."""
+        """Return how many times as long as usual requests take now, None where it is unknown."""
         if not 0.0 <= now - self._computed_at < SLOWDOWN_CACHE_SECONDS:
             self._slowdown = self._compute_slowdown(now)
             self._computed_at = now
@@ -147,7 +146,7 @@
         return _median(ratios) if len(ratios) >= MIN_OBSERVATIONS else None
 
     def _newest_ratios(self, now: float) -> list[float]:
-        """Return the ratios in the window, and older ones up to the least number."""
+        """Return the ratios in the window, and older ones up to `MIN_OBSERVATIONS`."""
         newest: list[float] = []
         for ended_at, ratio in reversed(self._ratios):
             age = now - ended_at
@@ -157,7 +156,7 @@
         return newest
 
     def _ratios_in_flight(self, now: float) -> list[float]:
-        """Return the ratios so far of requests that noticeably take longer than usual."""
+        """Return the ratios so far of unanswered requests that are noticeably above usual."""
         ratios = [self._ratio_so_far(request, now) for request in self._slots.running()]
         return [ratio for ratio in ratios if ratio > NOTICEABLE_FACTOR]
 
@@ -166,7 +165,7 @@
         return 0.0 if usual is None else (now - request.started_at) / usual
 
     def baseline_seconds(self, kind: Hashable = None) -> float | None:
-        """Return what requests of a kind usually take; of an unknown kind, of the typical one."""
+        """Return the baseline of a kind, that of a typical request for an unknown kind."""
         usual = self._baselines.get(kind)
         known = None if usual is None else usual.seconds
         return self._typical_seconds if known is None else known
@@ -176,13 +175,13 @@
         return [ratio for _, ratio in islice(reversed(self._ratios), count)]
 
     def keep_newest(self, count: int) -> None:
-        """Forget what requests took before the newest ones; what is usual stays."""
+        """Discard all but the newest ratios; baselines stay."""
         while len(self._ratios) > count:
             self._ratios.popleft()
         self._computed_at = float("-inf")
 
     def observations(self) -> int:
-        """Return how many measured requests are kept."""
+        """Return how many measured ratios are kept."""
         return len(self._ratios)
 
     def newest_age_seconds(self, now: float) -> float | None:
@@ -191,5 +190,5 @@
 
 
 def _median(values: list[float]) -> float:
-    """Return the median, the lower one of two: what is not surely slow is not slow."""
+    """Return the median, the lower one of two, so that a host in doubt does not count as slow."""
     return sorted(values)[(len(values) - 1) // 2]
--- a/src/jasperwalk/scheduling/link_pacer.py
+++ b/src/jasperwalk/scheduling/link_pacer.py
@@ -1,16 +1,15 @@
-"""Sending no faster than a thin link carries: what leaves first, and what waits.
+"""Paces datagrams to the rate of a thin link: decides what is sent now, queued or dropped.
 
-Load pattern: a caller sends as much of an upload as it may have under way at once, 16 packets
-within a few milliseconds, and a balancer that passes them on at once hands its link more than the
-link's buffer holds. The rest is lost, the caller sends it again after 0.2 s, in one burst as
-before, and loses some of it again. On a link of 2 Mbit/s ten packets of such a burst arrived and
-six did not, and an upload of 20 kB took 0.5 to 1.1 s instead of 0.1 s, while the link was idle
-for most of that time (times of each packet at the balancer and at the agent).
+Load pattern: a caller sends a whole window of an upload at once, 16 packets within a few
+milliseconds, and a balancer that forwards them at once gives its link more than the link's buffer
+holds. The rest is lost, the caller sends it again after 0.2 s, again in one burst, and loses some
+of it again. On a link of 2 Mbit/s ten packets of such a burst arrived and six did not, and an
+upload of 20 kB took 0.5 to 1.1 s instead of 0.1 s, while the link was idle for most of that time.
 
-So datagrams leave at the link's rate. Datagrams of bulk flows wait in a queue for each flow, and
-the flows take turns, datagram by datagram: a short upload is not kept behind a long one. All else
-is small and goes before them. A copy of a datagram that still waits is not taken, because callers
-cannot tell a queue from a loss and send again what only waits.
+So datagrams leave at the link's rate. Datagrams of bulk flows wait in a queue per flow, and the
+flows take turns, datagram by datagram (round robin): a short upload does not wait behind a long
+one. All other datagrams are small and go before them. A copy of a datagram that still waits is
+discarded, because callers cannot tell a queue from a loss and send again what only waits.
 
 Sans-IO; times are seconds, rates bytes a second.
 """
@@ -23,19 +22,19 @@
 from jasperwalk.flows.codec import DatagramSender, SocketAddress
 
 PACED_SHARE = 0.9
-"""Part of the link's rate that is used: resets to callers and the link to the control plane, some
-10 kB a second, share the link and are not paced."""
+"""Part of the link's rate that is used: resets to callers and the connection to the control plane,
+some 10 kB a second, share the link and are not paced."""
 BURST_SECONDS = 0.02
-"""Datagrams for this long a time of the link leave at once. A link's own buffer held 40 ms of
-them (10 kB at 2 Mbit/s, measured); half of it stays free for what is not paced."""
+"""Datagrams that the link carries in this time may leave at once. A link's own buffer holds 40 ms
+of them (10 kB at 2 Mbit/s); half of it stays free for what is not paced."""
 MIN_BURST_BYTES = 1500
-"""However thin the link, one whole datagram leaves at once."""
+"""However thin the link, one full datagram may leave at once."""
 MAX_URGENT_SECONDS = 0.2
-"""Datagrams outside bulk flows wait no longer than this: their callers send again then."""
+"""Datagrams outside bulk flows wait no longer than this: then their callers send again."""
 MAX_BULK_SECONDS = 1.0
-"""Bulk datagrams that the link could not send within this time are not kept: they bound memory."""
+"""Bulk datagrams beyond what the link can send within this time are dropped, to bound memory."""
 HEADER_BYTES = 28
-"""IPv4 and UDP heads, which the link carries as well."""
+"""IPv4 and UDP headers, which the link carries as well."""
 BITS_PER_MEGABIT = 1e6
 BITS_PER_BYTE = 8
 
@@ -52,14 +51,14 @@
     datagrams_delayed: int = 0
     """Datagrams that waited for the link."""
     datagrams_copies: int = 0
-    """Copies that were not taken, because the first still waited."""
+    """Copies that were discarded, because the first still waited."""
     datagrams_dropped: int = 0
-    """Datagrams that were too many for the link."""
+    """Datagrams that exceeded what may wait for the link."""
 
 
 @dataclass(eq=False, repr=False)
 class LinkPacer:
-    """Owns what waits for one link; call `release` when `pause` has passed.
+    """Owns the queues of one link; call `release` when `pause` has passed.
 
     `rate` is the part of the link's rate that may be used, see `PACED_SHARE`.
     """
@@ -74,11 +73,11 @@
     _bulk: OrderedDict[bytes, OrderedDict[int, tuple[bytes, SocketAddress]]] = field(
         default_factory=OrderedDict
     )
-    """For each flow its datagrams by the number of their data; the flow first in turn first."""
+    """For each flow its datagrams by the number of their data; the next flow first."""
     _bulk_bytes: int = 0
 
     def __post_init__(self) -> None:
-        """Begin with the whole burst at hand."""
+        """Start with the credit of a full burst."""
         self._burst = max(self.rate * BURST_SECONDS, MIN_BURST_BYTES)
         self._credit = self._burst
 
@@ -87,7 +86,7 @@
         return self._urgent_bytes + self._bulk_bytes
 
     def backlog_seconds(self) -> float:
-        """Return how long the link needs for what waits."""
+        """Return how long the link needs for what waits, in seconds."""
         return self.backlog_bytes() / self.rate
 
     def waits(self, flow_key: bytes) -> bool:
@@ -95,7 +94,7 @@
         return flow_key in self._bulk
 
     def send(self, datagram: bytes, address: SocketAddress, now: float) -> None:
-        """Send a datagram as soon as the link takes it, before those of bulk flows."""
+        """Send a datagram as soon as the link can take it, before those of bulk flows."""
         self._refill(now)
         if self._credit > 0 and not self._urgent:
             self._transmit(datagram, address)
@@ -129,7 +128,7 @@
         self._bulk_bytes += len(datagram) + HEADER_BYTES
 
     def release(self, now: float) -> None:
-        """Send what the link takes by now."""
+        """Send what the link can take by now."""
         self._refill(now)
         while self._credit > 0 and self._urgent:
             self._transmit(*self._take_urgent())
@@ -157,7 +156,7 @@
         return taken
 
     def _take_bulk(self) -> tuple[bytes, SocketAddress]:
-        """Take the oldest datagram of the flow whose turn it is; its next turn is the last."""
+        """Take the oldest datagram of the next flow, which then goes to the end of the queue."""
         flow_key, waiting = self._bulk.popitem(last=False)
         _, taken = waiting.popitem(last=False)
         if waiting:
--- a/src/jasperwalk/scheduling/request_order.py
+++ b/src/jasperwalk/scheduling/request_order.py
@@ -1,14 +1,17 @@
-"""Which of the requests that wait for a host is begun next, and which is let go first.
+"""Decides which waiting request a host starts next, and which one is shed first.
 
-Load pattern: many urgent requests come at once, each with a flow of its own, while requests of open
-flows go on; the host can do less than both ask for. Begun as they come, the urgent ones pay: those
-of open flows are at the host at once, and only new flows are ever made to wait or refused.
+It decides by priority, group of callers, deadline and time of arrival.
 
-So the more urgent request is begun first, and the others keep a least share of the host, so that
-none of them starves. Within a priority the groups of callers take their shares (`GroupShares`), and
-within a group the one with least time left goes first, of those that can be in time still. The late
-ones follow, the newest first: served in the order in which they came, all would wait about as long
-as the oldest.
+Load pattern: many urgent requests arrive at once, each with a flow of its own, while requests of
+open flows go on; the host can serve less than both need. Served in the order of arrival, the urgent
+ones would suffer alone: requests of open flows reach the host at once, and only new flows can be
+queued or refused.
+
+So the request of the higher priority is started first, and the less urgent ones keep a minimum
+share of the host, so that none starves. Within a priority the host is shared between groups of
+callers (`GroupShares`), and within a group the request with the earliest deadline goes first, among
+those that can still meet it. The late ones follow, newest first: in the order of arrival all of
+them would wait about as long as the oldest.
 
 Sans-IO; times are seconds.
 """
@@ -23,91 +26,91 @@
 from jasperwalk.scheduling.waiting_request import WaitingRequest
 
 DEFAULT_LEAST_SHARE = 0.1
-"""Part of the requests begun that is left to less urgent ones while they wait."""
+"""Part of the started requests that is reserved for less urgent ones while they wait."""
 
 
 class GroupShares(Protocol):
     """Shares a host's time between groups of callers."""
 
     def record_served(self, group: int, seconds: float, now: float) -> None:
-        """Note that a request was begun that is expected to take so much of a slot's time."""
+        """Record a started request that is expected to hold a slot for `seconds`."""
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
-        """Return the group that has had least of the host lately for its weight."""
+        """Return the group that recently used least of the host for its weight."""
 
     def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
-        """Return the group furthest over its share of a queue with so many of each waiting."""
+        """Return the group furthest over its share of the queue, by its waiting requests."""
 
 
 class NoShares:
-    """All callers are one group."""
+    """Shares nothing: all callers count as one group."""
 
     def record_served(self, group: int, seconds: float, now: float) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     def group_to_serve(self, groups: Iterable[int], now: float) -> int:
         """Return the first group."""
         return next(iter(groups))
 
     def group_to_shed(self, waiting: Mapping[int, int], now: float) -> int:
-        """Return the group with the most waiting."""
+        """Return the group with most waiting requests."""
         return max(waiting, key=lambda group: waiting[group])
 
 
 @dataclass(eq=False, repr=False)
 class DeadlineQueue:
-    """Requests of one kind that stand in line: those that may be in time still, and the late ones.
+    """Waiting requests of one kind: those that can still meet their deadline, and the late ones.
 
-    Where no objective is named, time left tells nothing, and the newest goes first.
+    A request without an objective has no deadline and counts with the late ones, newest first.
     """
 
     on_time: list[WaitingRequest] = field(default_factory=list)
-    """The one with least time left first."""
+    """Ordered by deadline, the earliest first."""
     late: list[WaitingRequest] = field(default_factory=list)
-    """Those that cannot be in time any more, or have no objective, the oldest first."""
+    """Those that can no longer meet their deadline, or have none, the oldest first."""
 
     def __len__(self) -> int:
-        """Return how many requests stand in line."""
+        """Return how many requests wait."""
         return len(self.on_time) + len(self.late)
 
     def __bool__(self) -> bool:
-        """Tell whether any request stands in line."""
+        """Tell whether any request waits."""
         return bool(self.on_time or self.late)
 
     def add(self, request: WaitingRequest) -> None:
-        """Take a request in."""
+        """Add a request."""
         if request.terms.objective_seconds:
             insort(self.on_time, request, key=WaitingRequest.answer_deadline)
         else:
             self.late.append(request)
 
     def remove(self, request: WaitingRequest) -> None:
-        """Let a request go."""
+        """Remove a request."""
         (self.on_time if request in self.on_time else self.late).remove(request)
 
     def move_late(self, answer_at: float) -> None:
-        """Put those behind that would be late with an answer at this time."""
+        """Move the requests to the late ones whose deadline is before this time."""
         while self.on_time and self.on_time[0].answer_deadline() < answer_at:
             self.late.append(self.on_time.pop(0))
 
     def rank(self) -> tuple[bool, float]:
-        """Return what puts this line or another one first: the lower rank."""
+        """Return the sort key of the next request; the queue with the lowest rank goes first."""
         if self.on_time:
             return False, self.on_time[0].answer_deadline()
         return True, -self.late[-1].arrived_at
 
     def take(self) -> WaitingRequest:
-        """Take the request whose turn it is."""
+        """Take the next request."""
         return self.on_time.pop(0) if self.on_time else self.late.pop()
 
     def first_to_shed(self) -> WaitingRequest:
-        """Return the request that is least likely to be served in time."""
+        """Return the request that is least likely to be answered in time."""
         return self.late[0] if self.late else self.on_time[0]
 
 
 @dataclass(eq=False, repr=False)
 class GroupQueue:
-    """What waits of one priority and group; new flows apart from requests of open ones."""
+    """Waiting requests of one priority and group; new flows apart from requests of open flows."""
 
     openings: DeadlineQueue = field(default_factory=DeadlineQueue)
     requests: DeadlineQueue = field(default_factory=DeadlineQueue)
@@ -117,18 +120,18 @@
         return len(self.openings) + len(self.requests)
 
     def queue_for(self, request: WaitingRequest) -> DeadlineQueue:
-        """Return where a request stands."""
+        """Return the queue that a request belongs to."""
         return self.openings if request.opens_flow else self.requests
 
     def nonempty_queues(self, with_openings: bool) -> list[DeadlineQueue]:
-        """Return the lines that have something to begin, new flows only where they are taken."""
+        """Return the queues that are not empty, that of new flows only `with_openings`."""
         nonempty_queues = [self.requests] if self.requests else []
         if with_openings and self.openings:
             nonempty_queues.append(self.openings)
         return nonempty_queues
 
     def take_next(self, with_openings: bool, answer_at: float) -> WaitingRequest:
-        """Take the request whose turn it is, for an answer at this time."""
+        """Take the next request, whose answer is expected at this time."""
         nonempty_queues = self.nonempty_queues(with_openings)
         for queue in nonempty_queues:
             queue.move_late(answer_at)
@@ -137,32 +140,32 @@
 
 @dataclass(eq=False, repr=False)
 class PriorityOrder:
-    """Owns what waits. `least_share` is the part that less urgent requests keep, 0 to below 1."""
+    """Owns the waiting requests. `least_share` is reserved for less urgent ones, 0 to below 1."""
 
     shares: GroupShares
     least_share: float = DEFAULT_LEAST_SHARE
     _group_queues: dict[int, dict[int, GroupQueue]] = field(default_factory=dict)
     """By priority, then by group; none is empty."""
     _share_credit: float = 0.0
-    """Requests that are due to the less urgent ones."""
+    """Starts that the less urgent requests have earned."""
 
     def add(self, request: WaitingRequest) -> None:
-        """Take a request in."""
+        """Add a request."""
         groups = self._group_queues.setdefault(request.terms.priority, {})
         group_queue = groups.setdefault(request.terms.group, GroupQueue())
         group_queue.queue_for(request).add(request)
 
     def discard(self, request: WaitingRequest) -> None:
-        """Let a request go."""
+        """Remove a request."""
         group_queue = self._group_queues[request.terms.priority][request.terms.group]
         group_queue.queue_for(request).remove(request)
         self._drop_if_empty(request)
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
-        """Take the request to begin now, None where there is none.
+        """Take the request to start now, None where there is none.
 
-        `with_openings` is False while the host takes no new flows. `seconds` is what a request is
-        expected to take of a slot.
+        `with_openings` is False while the host takes no new flows. `seconds` is how long a request
+        is expected to hold a slot.
         """
         priorities = self._priorities(with_openings)
         if not priorities:
@@ -176,7 +179,7 @@
         return request
 
     def _priorities(self, with_openings: bool) -> list[int]:
-        """Return the priorities that have something to begin, the most urgent first."""
+        """Return the priorities with a request that can be started, the most urgent first."""
         priorities = sorted(self._group_queues)
         if with_openings:
             return priorities
@@ -189,7 +192,7 @@
         return [group for group, group_queue in lanes.items() if group_queue.requests]
 
     def _next_priority(self, priorities: list[int]) -> int:
-        """Return the most urgent priority, or now and then the one whose oldest waits longest."""
+        """Return the most urgent priority, on an earned start the one with the oldest request."""
         most_urgent, *others = priorities
         if not others:
             return most_urgent
@@ -207,9 +210,9 @@
         )
 
     def opening_to_shed(self, now: float) -> WaitingRequest | None:
-        """Return the new flow to let go when there is no room for all, None where none waits.
+        """Return the new flow to shed when the queue is full, None where none waits.
 
-        It is the oldest of the least urgent, of the group that is furthest over its share. Its
+        It is the oldest of the least urgent, in the group that is furthest over its share. Its
         caller has waited longest, so that an answer in time is least likely.
         """
         for priority in sorted(self._group_queues, reverse=True):
--- a/src/jasperwalk/scheduling/request_scheduler.py
+++ b/src/jasperwalk/scheduling/request_scheduler.py
@@ -1,13 +1,13 @@
-"""The requests that wait at an agent for its host: bounded in number and in time.
+"""The queue of requests that wait at an agent for its host, bounded in number and in time.
 
-Load pattern: more is asked of a host than it can do, by new flows and by open ones alike. What the
-agent passes on at once stands in the host's own queue, first come first served, and what does not
-fit in there is turned away by the host. So the host gets what it can work on and its next request,
-and the rest waits here, where its order is decided (`request_order`).
+Load pattern: a host gets more requests than it can serve, of new flows and of open ones. What the
+agent forwards at once waits in the host's own queue, first come first served, and the host rejects
+what does not fit there. So the agent forwards what the host can work on and the next requests, and
+keeps the rest here, where `request_order` decides its order.
 
-A new flow that has no room is let go at once, the least likely to be served in time first, so that
-its caller can try again while it still may. A request of an open flow cannot be refused: it waits
-until its limit, or is passed on after a bounded time where its route names none.
+When too many new flows wait, the one least likely to be answered in time is shed at once, so that
+its caller can try again in time. A request of an open flow cannot be refused: it waits until its
+limit, or is forwarded after a bounded time where its route names no limit.
 
 Sans-IO; times are seconds.
 """
@@ -22,24 +22,24 @@
 from jasperwalk.scheduling.waiting_request import WaitingRequest
 
 MAX_WAIT_SECONDS = 0.9
-"""A caller waits 1.4 s for an answer to its opening packet; its flow is answered before."""
+"""Longest wait of a new flow: its caller waits 1.4 s for an answer to its opening packet."""
 MAX_AGE_SECONDS = 1.2
-"""The same, from when the caller began: its packet may have been on the way for long. A host
-that works for a caller who has left works for nobody."""
+"""The same, counted from when the caller started, because its packet may have been on the way for
+long. What a host does for a caller that has left is wasted."""
 MAX_HOLD_SECONDS = 2.0
-"""A request of an open flow whose route names no limit is passed on after this time."""
+"""A request of an open flow whose route names no limit is forwarded after this time."""
 WAITING_PER_SLOT = 7.2
-"""New flows that wait for each of a host's slots at most: what a host with requests of some ten
-milliseconds works off before their callers leave."""
+"""Most new flows that wait for each of a host's slots: a host with service times of some ten
+milliseconds serves as many before their callers leave."""
 COLD_WAIT_SECONDS = 0.6
-"""The queue of a cold host takes the new flows that it bears in this time, where that is less."""
+"""The queue of a cold host holds the new flows that the host may get in this time, if fewer."""
 MAX_HELD_REQUESTS = 1024
-"""Requests of open flows that wait at most, a bound of memory; more are passed on."""
+"""Most requests of open flows that wait, to bound memory; further ones are forwarded."""
 
 
 @dataclass(eq=False, repr=False)
 class RequestScheduler:
-    """Owns what waits for one host."""
+    """Owns the requests that wait for one host."""
 
     order: PriorityOrder
     _waiting: dict[bytes, WaitingRequest] = field(default_factory=dict)
@@ -59,7 +59,7 @@
         return self._openings
 
     def get(self, key: bytes) -> WaitingRequest | None:
-        """Return the flow's request that waits, None where there is none."""
+        """Return the waiting request of a flow, None where there is none."""
         return self._waiting.get(key)
 
     def max_openings(self, capacity: int, max_per_second: float | None) -> int:
@@ -75,7 +75,7 @@
     def add_opening(
         self, key: bytes, packet: bytes, terms: CarriedTerms, age_seconds: float, now: float
     ) -> WaitingRequest:
-        """Let a new flow wait that its caller began so long ago."""
+        """Queue a new flow that its caller started `age_seconds` ago."""
         expires_at = self.opening_expires_at(terms, age_seconds, now)
         began_at = now - age_seconds
         request = WaitingRequest(key, [packet], [], terms, True, began_at, now, expires_at)
@@ -92,7 +92,7 @@
     def hold(
         self, key: bytes, packet: bytes, number: int, terms: CarriedTerms, now: float
     ) -> WaitingRequest | None:
-        """Let the next request of an open flow wait; None where too many do."""
+        """Queue the next request of an open flow; None where too many wait."""
         if len(self._waiting) - self._openings >= MAX_HELD_REQUESTS:
             return None
         expires_at = now + (terms.limit_seconds or MAX_HOLD_SECONDS)
@@ -106,7 +106,7 @@
         self.order.add(request)
 
     def discard(self, key: bytes) -> WaitingRequest | None:
-        """Let a flow's request go, for its caller needs no answer any more."""
+        """Remove a flow's request, whose caller needs no answer any more."""
         request = self._waiting.pop(key, None)
         if request is not None:
             self._openings -= request.opens_flow
@@ -114,7 +114,7 @@
         return request
 
     def take_next(self, with_openings: bool, seconds: float, now: float) -> WaitingRequest | None:
-        """Take the request to begin now; see `PriorityOrder.take_next`."""
+        """Take the request to start now; see `PriorityOrder.take_next`."""
         request = self.order.take_next(with_openings, seconds, now)
         if request is not None:
             del self._waiting[request.key]
@@ -122,11 +122,11 @@
         return request
 
     def record_started(self, terms: CarriedTerms, seconds: float, now: float) -> None:
-        """Note a request that was begun without waiting; it counts against its group's share."""
+        """Record a request that started without waiting; it counts against its group's share."""
         self.order.shares.record_served(terms.group, seconds, now)
 
     def shed_openings(self, most: int, now: float) -> list[WaitingRequest]:
-        """Take the new flows that are too many where this many may wait."""
+        """Remove and return the new flows beyond the `most` that may wait."""
         shed = []
         while self._openings > most:
             request = self.order.opening_to_shed(now)
@@ -137,15 +137,15 @@
         return shed
 
     def take_expired(self, now: float) -> list[WaitingRequest]:
-        """Take what has waited too long."""
+        """Take the requests that have waited too long."""
         return self._take([each for each in self._waiting.values() if now > each.expires_at])
 
     def take_openings(self) -> list[WaitingRequest]:
-        """Take every new flow, because the host takes none any more."""
+        """Take every new flow, because the host admits none any more."""
         return self._take([each for each in self._waiting.values() if each.opens_flow])
 
     def take_held(self) -> list[WaitingRequest]:
-        """Take every request of an open flow, because its host is to decide about it now."""
+        """Take every request of an open flow, because the host is to decide about them now."""
         return self._take([each for each in self._waiting.values() if not each.opens_flow])
 
     def _take(self, taken: list[WaitingRequest]) -> list[WaitingRequest]:
--- a/src/jasperwalk/scheduling/requests_in_flight.py
+++ b/src/jasperwalk/scheduling/requests_in_flight.py
@@ -1,9 +1,9 @@
-"""The requests at a host, and whether it has room for another one.
+"""Counts the requests in flight at a host, for the decision whether it has a free place.
 
-Load pattern: a host leaves some of its requests unanswered. Each would keep a place until its
-caller gives up, and the few places of a host would soon all be taken, though the host answers the
-others at once. So a request that has been there for much longer than is usual at this host keeps no
-place any more.
+Load pattern: a host leaves some of its requests unanswered. Each would occupy a place until its
+caller gives up, and the few places of the host would soon all be occupied, though it answers the
+other requests at once. So a request that has been there for much longer than is usual at this host
+is overdue and no longer counts.
 
 Sans-IO; times are seconds.
 """
@@ -16,51 +16,51 @@
 from jasperwalk.scheduling.smoothed_time import SmoothedTime
 
 MIN_OVERDUE_SECONDS = 0.2
-"""However fast a host is, one request in some takes several times as long as the others."""
+"""However fast a host is, some requests take several times as long as the others."""
 MAX_OVERDUE_SECONDS = 1.0
-"""However slow it is, a caller of most services has an answer by then, or has been lost."""
+"""However slow a host is, at most services a request is answered by then or lost."""
 DEFAULT_ANSWER_SECONDS = 0.05
-"""What a request takes at a host of which nothing is known yet."""
+"""Time of a request at a host without measurements."""
 
 
 class RequestsInFlight:
-    """Counts requests from when they were passed on; each is named by any hashable."""
+    """Counts requests from when they were forwarded; any hashable value identifies one."""
 
     __slots__ = ("_answer_time", "_begun_at")
 
     def __init__(self) -> None:
         self._begun_at: OrderedDict[Hashable, float] = OrderedDict()
-        """Those that keep a place, the oldest first."""
+        """When each counted request was forwarded, the oldest first."""
         self._answer_time = SmoothedTime()
 
     def start(self, request: Hashable, now: float) -> None:
-        """Note a request that was passed on, or that goes on."""
+        """Record that a request, or a further part of it, was forwarded."""
         self._begun_at[request] = now
         self._begun_at.move_to_end(request)
 
     def end(self, request: Hashable) -> None:
-        """Note that a request is over, whatever became of it."""
+        """Record that a request ended, with whatever outcome."""
         self._begun_at.pop(request, None)
 
     def record_answer(self, seconds: float) -> None:
-        """Note how long the host took to begin an answer."""
+        """Record how long the host took to start an answer."""
         self._answer_time.record(seconds)
 
     def reset_times(self) -> None:
-        """Begin anew: another host has taken the place of this one."""
+        """Discard the measured times: another host has taken the place of this one."""
         self._answer_time.reset()
 
     @property
     def mean_seconds(self) -> float:
-        """How long a request takes at this host on average."""
+        """Average time of a request at this host."""
         return self._answer_time.mean or DEFAULT_ANSWER_SECONDS
 
     def overdue_seconds(self) -> float:
-        """Return after how long a request keeps no place any more."""
+        """Return after how long a request no longer counts."""
         return self._answer_time.timeout_seconds(MIN_OVERDUE_SECONDS, MAX_OVERDUE_SECONDS)
 
     def count(self, now: float) -> int:
-        """Return how many requests keep a place."""
+        """Return how many requests count as in flight."""
         oldest_counted = now - self.overdue_seconds()
         while self._begun_at:
             request, begun_at = next(iter(self._begun_at.items()))
--- a/src/jasperwalk/scheduling/slot_use.py
+++ b/src/jasperwalk/scheduling/slot_use.py
@@ -1,10 +1,10 @@
-"""How long each request held one of a host's slots, from what passes the agent beside the host.
+"""Estimates how long each request held one of a host's slots, from what passes the host's agent.
 
-A host works on as many requests as it has slots, in the order in which they came, and queues the
-rest. So a request is at work from when it came or, where all slots were held, from when one became
-free. A host that takes another order answers a request that counts as queued: that one then takes
-the place of the request that counts as at work for the shortest time. Either way the times sum up
-to the time in which slots were held, so the mean is right whatever the order is.
+A host runs as many requests as it has slots, in the order in which they arrived, and queues the
+rest. So a request runs from its arrival or, where all slots were held, from when one became free. A
+host that takes another order answers a request that counts as queued: that request then takes the
+place of the one that counts as running for the shortest time. Either way the times sum up to the
+time for which slots were held, so the mean is right whatever the order is.
 
 Sans-IO; times are seconds.
 """
@@ -14,11 +14,11 @@
 from collections.abc import Hashable, Iterable
 
 MAX_TRACKED_REQUESTS = 1024
-"""Requests that are followed at once; further ones are not measured."""
+"""Requests that are tracked at once; further ones are not measured."""
 
 
 class TrackedRequest:
-    """A request that the host has not begun to answer."""
+    """A request that the host has not started to answer."""
 
     __slots__ = ("asked_at", "kind", "started_at")
 
@@ -26,22 +26,22 @@
         self.kind = kind
         self.asked_at = asked_at
         self.started_at = asked_at
-        """When it took its slot; means nothing while it is queued."""
+        """When it took its slot; undefined while it is queued."""
 
 
 class SlotUse:
-    """Follows the requests at one host; requests are named by any hashable value."""
+    """Tracks the requests at one host; any hashable value identifies one."""
 
     def __init__(self) -> None:
         self._running: dict[Hashable, TrackedRequest] = {}
         self._queued: dict[Hashable, TrackedRequest] = {}
 
     def __len__(self) -> int:
-        """Return the number of requests that are followed."""
+        """Return the number of tracked requests."""
         return len(self._running) + len(self._queued)
 
     def start(self, name: Hashable, kind: Hashable, slots: int, now: float) -> None:
-        """Note that a request was passed on; one that was not whole yet begins anew."""
+        """Record that a request was forwarded; one that was incomplete so far starts again."""
         if name in self._running or name in self._queued:
             self._remove_incomplete(name)
         request = TrackedRequest(kind, now)
@@ -51,7 +51,7 @@
             self._queued[name] = request
 
     def _remove_incomplete(self, name: Hashable) -> None:
-        """Take a request out that the host cannot have worked on; its slot was free meanwhile."""
+        """Remove a request that the host cannot have worked on yet; its slot was free meanwhile."""
         request = self._running.pop(name, None)
         if request is None:
             del self._queued[name]
@@ -59,7 +59,7 @@
             self._start_queued(request.started_at)
 
     def end(self, name: Hashable, slots: int, now: float) -> TrackedRequest | None:
-        """Note that a request ended; return it, None where it was not followed.
+        """Record that a request ended; return it, None where it was not tracked.
 
         It held a slot from its `started_at` until `now`.
         """
@@ -94,6 +94,6 @@
         return self._running.values()
 
     def reset(self) -> None:
-        """Follow no request any more."""
+        """Discard all requests."""
         self._running.clear()
         self._queued.clear()
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -1,9 +1,10 @@
-"""What a host that is much slower than usual gets: what it serves in time, and a few trials.
+"""Outlier detection by service time: decides whether a host is slow and which flows it refuses.
 
 A slow host still serves some requests in time: those whose callers want their answers late enough.
-Any other is late there and in time elsewhere, so it is refused. A flow that found no other host is
-taken, so that a service whose hosts are all slow loses none. A host without requests shows nothing:
-it stays slow for the agent until a trial tells otherwise, or until the judgement is old.
+Any other request would be late there and in time elsewhere, so its flow is refused. A flow that
+found no other host is admitted, so that a service whose hosts are all slow loses none. A host
+without requests cannot be measured: it counts as slow until a trial shows otherwise, or until the
+verdict expires.
 
 Sans-IO; times are seconds.
 """
@@ -15,41 +16,41 @@
 from jasperwalk.scheduling.host_service_times import HostServiceTimes
 
 SLOW_FACTOR = 3.0
-"""Slowness from which a host counts as slow: twice as long is usual for single requests."""
+"""Slowdown from which a host counts as slow; single requests often take twice as long."""
 RECOVERY_FACTOR = 2.0
-"""Slowness below which a slow host counts as usual again."""
+"""Slowdown below which a slow host has recovered."""
 OBJECTIVE_SHARE = 0.8
-"""Part of the time that a caller wants its answer in that the host may use; the rest is for the
-way there and back, and for requests that take longer than most."""
+"""Part of the time to the caller's deadline that the host may use; the rest is for the network, and
+for requests that take longer than most."""
 TRIAL_INTERVAL_SECONDS = 0.5
-"""A slow host that has no request and has got no flow for this long gets one, whatever its expected
-time. Requests that are under way tell as much as a trial."""
+"""A slow host that has no request and got no flow for this long gets one, whatever its expected
+time. While requests are in flight they show as much as a trial."""
 
 RECOVERY_REQUESTS = 2
-"""The newest requests that took as long as usual and end the judgement, however far apart: a host
-that gets only trials has too few for a figure."""
+"""Newest requests that, if all took about the usual time, end the verdict, however far apart they
+are: a host that gets only trials has too few requests for a slowdown."""
 VERDICT_LIFETIME_SECONDS = 6.0
-"""A judgement that no request has borne out for this long is given up: by then others would take
-the host for usual long since, and a trial that finds it slow costs one late answer."""
+"""A verdict that no request has confirmed for this long expires: the host may have recovered long
+before, and a trial that finds it slow costs one late answer."""
 
 
 class SlowHost:
-    """Judges one host by its pace and decides about its new flows."""
+    """Evaluates one host by its service times and decides about its new flows."""
 
     def __init__(self, service_times: HostServiceTimes) -> None:
         self._service_times = service_times
         self._is_slow = False
         self._slowdown = 1.0
-        """The last that was known, and when."""
+        """The last known slowdown, as of `_known_at`."""
         self._known_at = float("-inf")
         self._admitted_at = float("-inf")
 
     def is_slow(self) -> bool:
-        """Tell whether the host counts as slow, by the last judgement."""
+        """Tell whether the host counts as slow, by the last evaluation."""
         return self._is_slow
 
     def evaluate(self, now: float) -> bool:
-        """Judge the host; return True where the judgement changed."""
+        """Evaluate the host; return True where the verdict changed."""
         before = self._is_slow
         slowdown = self._service_times.slowdown(now)
         if before and self._has_recovered():
@@ -69,24 +70,24 @@
         return len(newest) == RECOVERY_REQUESTS and max(newest) < RECOVERY_FACTOR
 
     def service_seconds(self, kind: Hashable) -> float | None:
-        """Return how long a request of a kind holds a slot now, None where it is not known.
+        """Return how long a request of a kind holds a slot now, None where it is unknown.
 
-        That is by the last judgement.
+        It uses the slowdown of the last evaluation.
         """
         usual = self._service_times.baseline_seconds(kind)
         return None if usual is None else usual * self._slowdown
 
     def record_admission(self, now: float) -> None:
-        """Note that the host gets a new flow."""
+        """Record that the host gets a new flow."""
         self._admitted_at = now
 
     def refuses(
         self, kind: Hashable, busy: int, slots: int, remaining_seconds: float | None, now: float
     ) -> bool:
-        """Tell whether a new flow is kept from the host.
+        """Tell whether a new flow is refused.
 
-        `busy` counts requests under way. `remaining_seconds` is the time left until the caller
-        wants its answer, None where that is not known: then it is not to wait for a slot.
+        `busy` counts requests in flight. `remaining_seconds` is the time until the caller's
+        deadline, None where it is unknown: then the flow is not to wait for a slot.
         """
         is_trial_due = busy == 0 and now - self._admitted_at >= TRIAL_INTERVAL_SECONDS
         if not self._is_slow or is_trial_due:
@@ -96,7 +97,7 @@
         return self.expected_seconds(kind, busy, slots) > OBJECTIVE_SHARE * remaining_seconds
 
     def expected_seconds(self, kind: Hashable, busy: int, slots: int) -> float:
-        """Return how long a new request waits for a slot and holds it, 0.0 where not known."""
+        """Return how long a new request waits for a slot and holds it, 0.0 where unknown."""
         own = self.service_seconds(kind)
         typical = self.service_seconds(None)
         if own is None or typical is None:
@@ -105,7 +106,7 @@
         return own + typical * ahead / slots
 
     def reset(self) -> None:
-        """Judge anew: another host has taken the place."""
+        """Discard the verdict: another host has taken the place."""
         self._is_slow = False
         self._slowdown = 1.0
         self._known_at = float("-inf")
--- a/src/jasperwalk/scheduling/smoothed_time.py
+++ b/src/jasperwalk/scheduling/smoothed_time.py
@@ -1,4 +1,4 @@
-"""A time that is measured again and again: its average and how far single ones are from it.
+"""Smooths a repeatedly measured time: a moving average, a deviation, and a time-out from both.
 
 The weights are those of a retransmission timer (RFC 6298).
 """
@@ -10,7 +10,7 @@
 DEVIATION_WEIGHT = 0.25
 """Weight of the newest sample in the deviation."""
 DEVIATIONS = 4.0
-"""Deviations beyond the average that are waited for."""
+"""Deviations above the average at which the time-out lies."""
 
 
 class SmoothedTime:
@@ -23,7 +23,7 @@
         self._deviation = 0.0
 
     def record(self, seconds: float) -> None:
-        """Note one sample."""
+        """Record one sample."""
         if not self._mean:
             self._mean, self._deviation = seconds, seconds / 2
             return
@@ -32,7 +32,7 @@
         self._mean += NEWEST_WEIGHT * (seconds - self._mean)
 
     def reset(self) -> None:
-        """Begin anew."""
+        """Discard all samples."""
         self._mean = self._deviation = 0.0
 
     @property
@@ -41,9 +41,9 @@
         return self._mean
 
     def timeout_seconds(self, shortest: float, longest: float) -> float:
-        """Return after how long a sample is no longer expected, between the two bounds.
+        """Return after how long a sample is no longer expected, within the two bounds.
 
-        It is the longer bound while nothing has been measured.
+        Without samples it is the longer bound.
         """
         if not self._mean:
             return longest
--- a/src/jasperwalk/scheduling/upload_admission.py
+++ b/src/jasperwalk/scheduling/upload_admission.py
@@ -1,15 +1,15 @@
-"""When a balancer on a thin link opens a new upload.
+"""Admission control for uploads at a balancer on a thin link: opens, queues or sheds each.
 
-Load pattern: uploads come at random and each brings a whole window of packets as soon as it is
-open. Opened all at once they would wait for the link longer than callers wait before they send
-again, and every packet would cross the link twice. But an upload that waits for its host or for its
-caller needs nothing of the link, and a place that is kept for it is lost to the others.
+Load pattern: uploads arrive at random, and each sends a full window of packets as soon as it is
+open. Opened all at once, their packets would wait for the link longer than callers wait before they
+send again, and every packet would cross the link twice. But an upload that waits for its host or
+for its caller does not use the link, and capacity reserved for it is lost to the others.
 
-So what counts is the time that the link needs for the windows of the uploads that load it: those
-that were opened a moment ago, that sent data a moment ago, or whose data wait for the link. The
-next upload, the oldest first, is opened as soon as its own window fits in before callers send
-again. One that cannot be opened while its caller still waits is reset, so that the caller tries
-again while it can.
+So the decision rests on the time that the link needs for the windows of the uploads that load it:
+those that were opened or sent data a moment ago, or whose data wait for the link. The next upload,
+the oldest first, is opened as soon as its own window can also cross before callers send again. One
+that cannot be opened while its caller still waits is reset, so that the caller can try again in
+time.
 
 Sans-IO; times are seconds.
 """
@@ -26,21 +26,21 @@
 from jasperwalk.scheduling.link_pacer import LinkPacer
 
 MAX_QUEUEING_SHARE = 0.85
-"""Part of the callers' time before they send again that a window may wait for the link; the rest
-is the way to the host and back."""
+"""Part of the time before callers send again that a window may wait for the link; the rest is for
+the way to the host and back."""
 FIRST_DATA_SECONDS = 0.25
-"""An upload that has sent nothing for this long after it was opened is not expected to any more:
-its caller has left, or its host lets it wait."""
+"""An upload that has sent nothing for this long after its opening no longer counts: its caller has
+left, or its host lets it wait."""
 LOADING_SECONDS = 0.05
-"""An upload loads the link for this long after its last data: the next ones come within a round
-trip to the caller, 10 ms as measured where zones are 0.5 ms and callers 3 ms away."""
+"""An upload loads the link for this long after its last data: the next data follow within a round
+trip to the caller, 10 ms where zones are 0.5 ms and callers 3 ms away."""
 MAX_WAIT_SECONDS = 0.8
-"""A caller waits 1.4 s for an answer to its opening packet."""
+"""Longest wait of an upload: its caller waits 1.4 s for an answer to its opening packet."""
 MAX_WAITING_UPLOADS = 256
 
 
 class WaitingUpload(msgspec.Struct, frozen=True):
-    """An upload's opening packet that waits for room on the link."""
+    """An upload's opening packet that waits for capacity of the link."""
 
     packet: bytes
     route: RouteEntry
@@ -51,8 +51,8 @@
 class UploadAdmission:
     """Decides for one link; `link` is None where there is no limit.
 
-    `window_bytes` is what a caller may have under way, `resend_seconds` when it sends again what
-    was not acknowledged.
+    `window_bytes` is what a caller may have in flight, `resend_seconds` the time after which it
+    sends again what was not acknowledged.
     """
 
     codec: PacketCodec
@@ -60,7 +60,7 @@
     window_bytes: int
     resend_seconds: float
     _loading_until: dict[bytes, float] = field(default_factory=dict)
-    """Until when each upload loads the link, if it sends no more."""
+    """Until when each upload counts as loading the link, if it sends no more."""
     _waiting: OrderedDict[bytes, WaitingUpload] = field(default_factory=OrderedDict)
 
     def __contains__(self, key: bytes) -> bool:
@@ -88,7 +88,7 @@
         return True
 
     def record_packet(self, key: bytes, packet: bytes, now: float) -> None:
-        """Take note of a packet of an open upload: its data, or its end."""
+        """Record a packet of an open upload: its data, or its end."""
         if self.link is None:
             return
         if self.codec.is_ending(packet) or self.codec.is_reset(packet):
@@ -106,7 +106,7 @@
         return due
 
     def take_shed(self, now: float) -> list[tuple[bytes, WaitingUpload]]:
-        """Take the uploads that have waited for too long, or are too many."""
+        """Take the uploads to shed: those that waited too long, the oldest where too many wait."""
         late = []
         while self._waiting:
             oldest = next(iter(self._waiting.values()))
@@ -117,7 +117,7 @@
         return late
 
     def _has_capacity(self, link: LinkPacer, now: float) -> bool:
-        """Tell whether one more window fits in; one always does where nothing is ahead of it."""
+        """Tell whether one more window can cross in time; True where nothing is ahead of it."""
         self._remove_idle(link, now)
         windows_bytes = len(self._loading_until) * self.window_bytes
         ahead_bytes = max(link.backlog_bytes(), windows_bytes)
