--- a/src/jasperwalk/agent/datagrams/announcement_handler.py
+++ b/src/jasperwalk/agent/datagrams/announcement_handler.py
@@ -1,4 +1,4 @@
-"""Takes what hosts announce at an agent: the host beside it counts, and no other."""
+"""Handles announcements of hosts at an agent: only those of the host beside it are accepted."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class AnnouncementOutcome(enum.Enum):
-    """What became of an announcement."""
+    """Outcome of an announcement."""
 
     ACCEPTED = "taken"
     STALE = "late"
-    """Newer knowledge of the host has overtaken it: acknowledged, without effect."""
+    """Newer knowledge of the host exists: acknowledged, without effect."""
     REFUSED = "refused"
-    """It is not of the host beside this agent."""
+    """It is not from the host beside this agent."""
 
 
 class BoundedLog(Protocol):
-    """Writes lines while there is budget for them (see `DecisionLog`)."""
+    """Writes log lines within a budget (see `DecisionLog`)."""
 
     def note(self, event: str, **fields: object) -> None:
         """Write one line."""
 
 
 class AnnouncementHandler:
-    """Takes the announcements of the host beside the agent; answers hold at once."""
+    """Handles the announcements of the host beside the agent; each takes effect at once."""
 
     def __init__(
         self,
@@ -49,8 +49,9 @@
     ) -> None:
         """`service` and `address` are those of the host beside this agent, by its settings.
 
-        `log` takes the lines that anybody who reaches the agent could multiply. `on_new_host` is
-        called when another host, or another start of the same one, has taken a known one's place.
+        `log` is for the lines that anyone who reaches the agent could cause in any number.
+        `on_new_host` is called when another host, or another start of the same one, has replaced
+        a known one.
         """
         self._host = host
         self._service = service
@@ -59,10 +60,10 @@
         self._on_change = on_change
         self._on_new_host = on_new_host
         self.refused = 0
-        """Announcements that were unreadable or of a host that is not beside this agent."""
+        """Announcements that were malformed or from a host that is not beside this agent."""
 
     def announce(self, announcement: HostAnnouncement) -> AnnouncementOutcome:
-        """Take an announcement."""
+        """Handle an announcement."""
         reason = self._reason_to_refuse(announcement)
         if reason:
             self.refuse(announcement.host_id, reason)
@@ -80,14 +81,14 @@
         return AnnouncementOutcome.ACCEPTED if taken else AnnouncementOutcome.STALE
 
     def leave(self, host_id: str) -> bool:
-        """Take a host's deregistration."""
+        """Handle a host's deregistration."""
         taken = self._host.leave(host_id)
         self._log("host-leaves", self._host.call_number)
         self._on_change()
         return taken
 
     def refuse(self, host_id: str, reason: str) -> None:
-        """Note an announcement that names no host to use; what is known of the host holds."""
+        """Count a refused announcement; the known state of the host stays."""
         self.refused += 1
         self._bounded_log.note("host-announcement-refused", host=host_id, reason=reason)
 
--- a/src/jasperwalk/agent/datagrams/balancer_answers.py
+++ b/src/jasperwalk/agent/datagrams/balancer_answers.py
@@ -1,4 +1,4 @@
-"""What an agent answers to balancers: every answer tells the load and the host's slots."""
+"""Writes an agent's answers to balancers; each one reports the load and the host's slots."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class BalancerAnswers:
-    """Writes answers; `tag` names the agent's service, `load` gives requests under way."""
+    """Writes answers; `tag` identifies the agent's service, `load` returns its load in requests."""
 
     tag: int
     host: HostState
--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -1,7 +1,8 @@
-"""Packets of open flows, from balancers to the host: passed on, or held for their turn.
+"""Forwards packets of open flows from balancers to the host, or queues them.
 
 Every packet of an open flow passes here. The first packet of a request waits in the agent's queue
-where the host has no room for it; the others pass.
+where the host has no capacity for it; the others are forwarded. It also answers balancers that ask
+whether the host holds a flow.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 
 @dataclass(eq=False, repr=False)
 class CallerPackets:
-    """Carries packets of open flows; sans-IO. `idle_seconds` gives the longest rest of a flow."""
+    """Forwards packets of open flows; sans-IO. `idle_seconds` returns the idle limit of a flow."""
 
     parts: AgentParts
     knowledge: FlowKnowledge
     idle_seconds: Callable[[], float]
 
     def forward(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
-        """Take a packet of a flow that a balancer believes to be at this host."""
+        """Handle a packet of a flow that a balancer expects at this host."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
         if tag != parts.tag:
-            # The address was another service's when the balancer learned it.
+            # The balancer learned the address when it belonged to another service.
             parts.counters.other_service_drops += 1
             parts.answers.reply(FrameKind.RETURNED, 0, key, sender, now, packet)
             return
@@ -57,7 +58,7 @@
             self._send(flow, packet, now)
 
     def confirm(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
-        """Tell whether a caller has followed this host's answer up; pass its packet on if so."""
+        """Answer whether a caller has followed this host's answer up; if so, forward its packet."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
         flow = parts.table.get(key)
@@ -81,7 +82,7 @@
             self.forward(packet, tag, sender, now)
 
     def _cancel_waiting_opening(self, key: bytes) -> bool:
-        """Let a flow go that waits to be opened: its caller has an answer, of another host."""
+        """Cancel a flow that waits to be opened: another host has answered its caller."""
         waiting = self.parts.queue.get(key)
         if waiting is None or not waiting.opens_flow:
             return False
@@ -89,20 +90,20 @@
         return True
 
     def answer(self, key: bytes, tag: int, sender: SocketAddress, now: float) -> FrameKind:
-        """Return the answer to the question whether the host holds a flow."""
+        """Return the answer to a query whether the host holds a flow."""
         flow = self.parts.table.get(key)
         if tag != self.parts.tag:
             return FrameKind.NOT_HELD
         if flow is None:
             is_known = self.knowledge.knows_all_flows(self.idle_seconds(), now)
             return FrameKind.NOT_HELD if is_known else FrameKind.UNSURE
-        # Another host may have answered the caller first; a packet would tell.
+        # Another host may have answered the caller first; only its next packet shows that.
         flow.confirmed = flow.confirmed and flow.followed_up
         flow.balancer = sender
         return FrameKind.HELD if flow.confirmed else FrameKind.UNSURE
 
     def forward_waiting(self, request: WaitingRequest, now: float) -> None:
-        """Give a request that waited to the host, its packets in order."""
+        """Forward a request that waited to the host, its packets in order."""
         parts = self.parts
         flow = parts.table.get(request.key)
         if flow is None:
@@ -120,10 +121,10 @@
         for packet in request.packets:
             self._send(flow, packet, now)
 
-    # Holding
+    # Queueing
 
     def _try_hold(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> bool:
-        """Keep a packet that belongs to a request that waits, or begins one that has to."""
+        """Queue a packet of a waiting request, or one that starts a request that has to wait."""
         waiting = self.parts.queue.get(key)
         if waiting is not None:
             return self._add_to_waiting(waiting, packet)
@@ -144,9 +145,9 @@
         return True
 
     def _add_to_waiting(self, waiting: WaitingRequest, packet: bytes) -> bool:
-        """Keep a further packet of a request that waits; absorb copies; let acknowledgements pass.
+        """Add a packet to a waiting request, or absorb a copy; return False for one to forward.
 
-        A caller that resets its flow needs no answer any more, so nothing of its request may run.
+        A caller that resets its flow needs no answer any more, so its request is cancelled.
         """
         codec = self.parts.codec
         if codec.is_reset(packet):
@@ -160,10 +161,10 @@
         return True
 
     def _starts_request(self, flow: HeldFlow, packet: bytes) -> bool:
-        """Tell whether a packet begins a request that may wait.
+        """Tell whether a packet starts a request that may wait.
 
-        Whether the host holds an unconfirmed flow at all, only a packet tells; its caller, who may
-        have to begin anew, is not to wait for that.
+        Only a packet shows whether the host holds an unconfirmed flow, and its caller, which may
+        have to open another one, is not to wait for that.
         """
         if not flow.confirmed:
             return False
@@ -185,6 +186,6 @@
         self.parts.to_host(packet)
 
     def _drop_half_open(self, key: bytes, flow: HeldFlow, now: float) -> None:
-        """Forget a half-open flow whose caller chose another host."""
+        """Remove a half-open flow whose caller chose another host."""
         self.parts.counters.flows_opened_elsewhere += 1
         self.parts.table.drop(key, flow, now)
--- a/src/jasperwalk/agent/datagrams/counters.py
+++ b/src/jasperwalk/agent/datagrams/counters.py
@@ -1,4 +1,4 @@
-"""What an agent of the datagram plane counts."""
+"""Counters of an agent of the datagram plane."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PriorityCounters:
-    """What became of requests, by the priority of their routes."""
+    """Counts requests by outcome and by the priority of their routes."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, int]] = Counter()
@@ -28,17 +28,17 @@
 
 @dataclass(eq=False, repr=False)
 class AgentCounters:
-    """What the agent did since it started."""
+    """Counts since the agent started."""
 
     by_priority: PriorityCounters = field(default_factory=PriorityCounters)
     requests_held: int = 0
-    """Requests of open flows that waited for their turn."""
+    """Requests of open flows that were queued."""
     requests_expired: int = 0
     """Those of them whose limit passed."""
     requests_left: int = 0
-    """Those of them whose callers reset their flows."""
+    """Those of them that were cancelled because their callers reset the flows."""
     request_copies_absorbed: int = 0
-    """Copies of packets that waited already."""
+    """Copies of packets of waiting requests."""
     packets_in: int = 0
     packets_out: int = 0
     frames_malformed: int = 0
@@ -48,12 +48,12 @@
     flows_refused_zone_drained: int = 0
     flows_refused_warming_up: int = 0
     flows_refused_slow: int = 0
-    """Flows that a slow host would have served too late; of balancers that tell no terms they are
-    refused as by a full host and not counted here."""
+    """Flows that a slow host would have served too late. Those of balancers that send no terms are
+    refused with the reason of a full host and not counted here."""
     flows_waited: int = 0
     flows_waited_in_vain: int = 0
     flows_opened_elsewhere: int = 0
-    """Flows that several hosts had answered, whose callers chose another one."""
+    """Flows that several hosts had answered and whose callers chose another host."""
     packets_returned: int = 0
     other_service_drops: int = 0
 
@@ -65,13 +65,13 @@
         self.flows_refused_slow += reason is RefusalReason.SLOW
 
     flows_abandoned: int = 0
-    """Admitted flows whose callers had left."""
+    """Admitted flows whose callers had left before."""
     requests_answered: int = 0
-    """Requests that the host began to answer."""
+    """Requests that the host started to answer."""
     requests_broken_off: int = 0
-    """Requests whose flow the host reset before it began to answer."""
+    """Requests whose flow the host reset before it started to answer."""
     requests_unanswered: int = 0
-    """Requests that the host did not begin to answer for a second."""
+    """Requests that the host did not start to answer within a second."""
 
     def figures(self) -> dict[str, int]:
         """Return all counts by name."""
--- a/src/jasperwalk/agent/datagrams/flow_admission.py
+++ b/src/jasperwalk/agent/datagrams/flow_admission.py
@@ -1,4 +1,8 @@
-"""New flows at an agent, and the turn of what waits: who goes to the host now."""
+"""Admits, queues or refuses new flows at an agent, and starts waiting requests.
+
+An opening packet goes to the host, waits in the agent's queue, or is refused, as `HostAdmission`
+decides. Whenever the host has capacity, the next waiting requests are started.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
     def open(
         self, packet: bytes, terms: OpeningTerms, tag: int, sender: SocketAddress, now: float
     ) -> None:
-        """Take an opening packet of a balancer."""
+        """Handle an opening packet from a balancer."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
         if terms.route is not None and tag == parts.tag:
@@ -64,7 +68,7 @@
         parts.to_host(packet)
 
     def admit_waiting(self, now: float) -> None:
-        """Begin what waits while the host has room; let go what waited too long."""
+        """Start waiting requests while the host has capacity; shed those that waited too long."""
         parts = self.parts
         self._expire_half_open(now)
         if not parts.queue:
@@ -79,7 +83,7 @@
             self._start(request, now)
 
     def release_held(self, now: float) -> None:
-        """Give every request of an open flow to the host: it, or its successor, is to decide."""
+        """Forward all waiting requests of open flows: the host, or its successor, is to decide."""
         for request in self.parts.queue.take_held():
             self.waiting.forward_waiting(request, now)
 
@@ -96,7 +100,7 @@
     def _refusal(
         self, tag: int, terms: OpeningTerms, now: float, key: bytes | None = None
     ) -> RefusalReason | None:
-        """Return why a new flow is refused now, None where it is taken."""
+        """Return why a new flow is refused now, None where it is admitted."""
         if tag != self.parts.tag:
             return RefusalReason.OTHER_SERVICE
         return self.parts.admission.refusal(self.parts.requests_at_host(now), terms, now, key)
@@ -118,5 +122,5 @@
         )
 
     def _expire_half_open(self, now: float) -> None:
-        """Stop counting flows whose callers had given up before they were admitted."""
+        """Stop counting admitted flows whose callers had left before."""
         self.parts.counters.flows_abandoned += self.parts.table.expire_half_open(now)
--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -1,12 +1,12 @@
 """The agent's core: it admits new flows to its host and knows which flows the host holds.
 
-Every packet of the host passes here, both ways, so this table and the host are the truth that
-balancers ask. An agent that restarted has an empty table: it hands packets of unknown flows to
-its host, which hands back what it does not hold. Sans-IO: time is a parameter, datagrams
-leave through three senders.
+Every packet to and from the host passes here, so this table and the host are the authority that
+balancers query. An agent that restarted has an empty table: it forwards packets of unknown flows to
+its host, which returns what it does not hold. Sans-IO: time is a parameter, datagrams leave through
+three senders.
 
-The parts: `flow_admission` (new flows, and whose turn it is), `caller_packets` (open flows),
-`host_packets` (what the host sends), `waiting_requests` (what waits).
+The parts: `flow_admission` (new flows, and which waiting request starts next), `caller_packets`
+(open flows), `host_packets` (what the host sends), `waiting_requests` (the queue).
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 @dataclass(eq=False, repr=False)
 class FlowAgent:
-    """Admits, carries, answers balancers; call `sweep` every second."""
+    """Admits flows, forwards packets, answers balancers; call `sweep` every second."""
 
     codec: PacketCodec
     service: str
@@ -65,9 +65,9 @@
     flow_lifetime_seconds: float
     zone: str = ""
     warm_up_floor: float | None = None
-    """New flows a second that any cold host bears, None where the settings name none."""
+    """New flows a second that any cold host can take, None where the settings name no number."""
     least_share: float = DEFAULT_LEAST_SHARE
-    """Part of the requests begun that is left to less urgent ones while they wait."""
+    """Part of the started requests that is reserved for less urgent ones while they wait."""
     shares: GroupShares = field(default_factory=NoShares)
     """Shares the host's time between groups of callers."""
     counters: AgentCounters = field(default_factory=AgentCounters)
@@ -75,9 +75,9 @@
     """From a request's last packet to the first packet of its answer."""
     wait_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     flow_idle_seconds: float = float("inf")
-    """Longest rest of a flow that is kept."""
+    """Longest time that a flow may be idle."""
     measures_service_times: bool = True
-    """False to measure nothing of the host's pace."""
+    """False to measure no service times of the host."""
 
     def __post_init__(self) -> None:
         """Make the parts."""
@@ -138,7 +138,7 @@
     # From balancers
 
     def receive_frame(self, data: bytes, sender: SocketAddress, now: float) -> None:
-        """Take a balancer's frame."""
+        """Handle a frame from a balancer."""
         if len(data) < REQUEST_HEAD.size:
             self.counters.frames_malformed += 1
             return
@@ -158,7 +158,7 @@
             self.counters.frames_malformed += 1
 
     def _open(self, body: bytes, flags: int, tag: int, sender: SocketAddress, now: float) -> None:
-        """Take a frame with an opening packet and the terms of its flow."""
+        """Handle a frame with an opening packet and the terms of its flow."""
         try:
             request = decode_opening(flags, body)
         except MalformedMessage:
@@ -170,7 +170,7 @@
         self._flow_admission.open(request.packet, request.terms, tag, sender, now)
 
     def _find(self, keys: bytes, tag: int, sender: SocketAddress, now: float) -> None:
-        """Answer whether flows are held, one or several in a frame."""
+        """Answer a query whether flows are held, one or several in a frame."""
         asked = split_keys(keys, self.codec.flow_key_bytes)
         if not asked:
             self.counters.frames_malformed += 1
@@ -181,21 +181,22 @@
     # From the host
 
     def receive_host_packet(self, packet: bytes, now: float) -> None:
-        """Take a packet of the host beside this agent."""
+        """Handle a packet from the host beside this agent."""
         self._host_packets.receive(packet, now)
 
     def record_host_absent(self, now: float) -> None:
-        """Note that no host runs beside this agent: one that starts later starts here."""
+        """Record that no host runs beside this agent: a later one holds no unknown flows."""
         if self.knowledge.record_host_absent():
             self.log.note("host-absent", after_ms=round(1000 * (now - self.started_at)))
 
     def on_new_host(self, now: float) -> None:
-        """Doubt the flows in the table: another host has replaced the one beside this agent.
+        """Count all flows as unconfirmed: another host has replaced the one beside this agent.
 
-        The new host may have taken flows before it spoke for the first time, so the table is
-        kept, and a packet will tell. Flows that are not in it cannot be at the new host: it
-        began while this process watched. Requests that waited go to it at once: it hands back
-        what it does not hold, so that their callers learn that the host is gone.
+        The new host may have taken flows before its first announcement, so the table is kept, and
+        the next packet of each flow shows whether the host holds it. Flows that are not in the
+        table cannot be at the new host: it started while this process ran. Waiting requests of open
+        flows go to it at once: it returns what it does not hold, so that their callers learn that
+        the former host is gone.
         """
         self.knowledge.host_started_here = True
         self.monitor.on_host_replaced()
@@ -203,20 +204,20 @@
         self.table.unconfirm_all(now)
         self.release_held(now)
 
-    # The turn of what waits
+    # Waiting requests
 
     def admit_waiting(self, now: float) -> None:
-        """Begin what waits while the host has room; let go what waited too long."""
+        """Start waiting requests while the host has capacity; shed those that waited too long."""
         self._flow_admission.admit_waiting(now)
 
     def release_held(self, now: float) -> None:
-        """Give every request of an open flow that waits to the host; call before the end."""
+        """Forward all waiting requests of open flows to the host; call before the agent stops."""
         self._flow_admission.release_held(now)
 
     def zones_changed(self, zones: DrainedZones, now: float) -> None:
-        """Take the drained zones; flows that wait for a host in one of them are reset at once.
+        """Update the drained zones; flows that wait for a host in one of them are reset at once.
 
-        The hosts of a zone that is restored may have gone cold meanwhile, and not have said so.
+        The hosts of a restored zone may have become cold meanwhile without announcing it.
         """
         was_drained = self.admission.is_zone_drained()
         if not self.admission.update_zones(zones):
@@ -232,7 +233,7 @@
     # Time
 
     def sweep(self, now: float) -> None:
-        """Forget flows that ended or cannot be alive any longer; call every second."""
+        """Remove flows that ended or cannot be alive any longer; call every second."""
         self.monitor.check(now)
         self.admit_waiting(now)
         for key, flow in self.table.take_unanswered(now):
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -1,4 +1,4 @@
-"""One flow at the host, as the agent beside it sees it."""
+"""State of one flow at the host, as the agent beside it knows it."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
 
 NUMBER_SPAN = 2**32
-"""Numbers of data wrap around here."""
+"""Data numbers wrap around here."""
 NO_BALANCER: SocketAddress = ("0.0.0.0", 0)
-"""Stands for the balancer of a flow that waited, until its next packet names one."""
+"""Placeholder for the balancer of a flow that waited, until its next packet arrives."""
 ENDED_LINGER_SECONDS = 6.0
 """A flow that ended is kept this long: its last packets may be sent again."""
 STUCK_REQUEST_SECONDS = 2.5
-"""A request without a packet for this long no longer counts as under way: its caller has left, or
-the agent took the copy of a request for a new one, because it started after the answer."""
+"""A request without a packet for this long no longer counts as in flight: its caller has left, or
+the agent took the copy of a request for a new one, because it was started after the answer."""
 UNANSWERED_SECONDS = 1.0
-"""A request that the host has not begun to answer for this long counts against the host. A busy
-one has as many requests as it has slots and half as many at hand: it answers each sooner."""
+"""A request that the host has not started to answer within this time counts as failed. A busy host
+has one and a half times as many requests as slots, and answers each sooner."""
 MAX_ANSWERS = 3
-"""A caller sends its opening packet this often."""
+"""A caller sends its opening packet this many times."""
 
 
 @dataclass(slots=True, eq=False)
 class HeldFlow:
-    """A flow at the host. `confirmed` is False while only a balancer believes that it is.
+    """A flow at the host. `confirmed` is False while only a balancer expects it there.
 
     `followed_up` is False until the caller has sent more than its opening packet: several hosts
-    may have got that one, and the caller's next packet decides between them.
+    may have received that packet, and the caller's next packet decides between them.
     """
 
     balancer: SocketAddress
@@ -37,10 +37,10 @@
     requested_at: float = 0.0
     """When the caller last sent data."""
     is_long_request: bool = False
-    """True once the request under way has come in more than one packet: its caller may have left
-    in the middle of it, so that a missing answer says nothing of the host."""
+    """True once the request in flight consists of more than one packet: its caller may have left in
+    the middle of it, so that a missing answer says nothing about the host."""
     unanswered_counted: bool = False
-    """True once the request under way was counted against the host."""
+    """True once the request in flight was counted as failed."""
     confirmed: bool = True
     followed_up: bool = True
     answer_numbers: tuple[int, ...] = ()
@@ -51,13 +51,13 @@
     host_ended: bool = False
 
     def starts_request(self, number: int) -> bool:
-        """Tell whether data with this number would begin a request: nothing is under way."""
+        """Tell whether data with this number would start a request: none is in flight."""
         return not self.busy and self._ahead(number) > 0
 
     def record_data_number(self, number: int) -> bool:
-        """Take the number of data from the caller; tell whether it was not seen before.
+        """Record the number of the caller's data; return whether the data is new.
 
-        A copy of a request may come after the answer, where balancers are late: the host does
+        A copy of a request may arrive after the answer, where balancers are slow: the host does
         not answer it again.
         """
         if not self.busy:
@@ -82,7 +82,7 @@
         return ahead if ahead < NUMBER_SPAN // 2 else ahead - NUMBER_SPAN
 
     def record_answer_number(self, number: int | None) -> None:
-        """Take the number of the host's answer to an opening packet, None for other packets."""
+        """Record the number of the host's answer to an opening packet, None for other packets."""
         if number is not None and number not in self.answer_numbers:
             self.answer_numbers = (*self.answer_numbers, number)[-MAX_ANSWERS:]
 
@@ -91,24 +91,24 @@
         return any(codec.follows(packet, number) for number in self.answer_numbers)
 
     def has_request_in_flight(self) -> bool:
-        """Tell whether the caller's request has come and the host has not begun to answer it."""
+        """Tell whether a request has arrived that the host has not started to answer."""
         return self.busy and self.followed_up and not self.host_ended
 
     def is_unanswered(self, now: float) -> bool:
-        """Tell whether the host leaves a request unanswered that was not noted yet."""
+        """Tell whether the host leaves a request unanswered that was not counted yet."""
         if self.unanswered_counted or self.is_long_request or not self.has_request_in_flight():
             return False
         return now - self.requested_at > UNANSWERED_SECONDS
 
     def is_stuck(self, now: float) -> bool:
-        """Tell whether its request no longer counts as under way."""
+        """Tell whether its request no longer counts as in flight."""
         return now - self.seen_at > STUCK_REQUEST_SECONDS
 
     def is_over(self, now: float, longest_seconds: float) -> bool:
-        """Tell whether it may be forgotten: it has ended, or cannot be alive any longer."""
+        """Tell whether it may be removed: it has ended, or cannot be alive any longer."""
         idle = now - self.seen_at
         return idle > (ENDED_LINGER_SECONDS if self.has_ended() else longest_seconds)
 
     def has_ended(self) -> bool:
-        """Tell whether both sides have sent their last."""
+        """Tell whether both sides have ended the flow."""
         return self.caller_ended and self.host_ended
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -1,4 +1,4 @@
-"""The flows at the host, and how many requests they make: what `FlowAgent` decides by.
+"""The table of the flows at the host, and of their requests in flight.
 
 Sans-IO; times are seconds.
 """
@@ -19,7 +19,7 @@
 
 @dataclass(eq=False, repr=False)
 class HeldFlows:
-    """Owns the flows; `meter` counts those with a request under way.
+    """Owns the flows; `meter` counts those with a request in flight.
 
     `lifetime_seconds` is how long a flow may last.
     """
@@ -27,10 +27,10 @@
     meter: LoadMeter
     lifetime_seconds: float
     on_request_end: Callable[[HeldFlow, float], None] | None = None
-    """Told of each flow that has no request under way any more, None where nobody is."""
+    """Called with each flow whose request in flight has ended, if set."""
     half_open: HalfOpenFlows = field(default_factory=HalfOpenFlows)
     in_flight: RequestsInFlight = field(default_factory=RequestsInFlight)
-    """The requests that take a place at the host, named by their flows."""
+    """The requests that occupy a place at the host, identified by their flows."""
     _flows: dict[bytes, HeldFlow] = field(default_factory=dict)
 
     def __len__(self) -> int:
@@ -38,16 +38,16 @@
         return len(self._flows)
 
     def get(self, key: bytes) -> HeldFlow | None:
-        """Return a flow, None where it is not known."""
+        """Return a flow, None where it is unknown."""
         return self._flows.get(key)
 
     def add_unconfirmed(self, key: bytes, sender: SocketAddress, now: float) -> HeldFlow:
-        """Add a flow that only a balancer believes to be at the host."""
+        """Add a flow that only a balancer expects at the host."""
         flow = self._flows[key] = HeldFlow(sender, now, now, confirmed=False)
         return flow
 
     def admit(self, key: bytes, sender: SocketAddress, now: float) -> None:
-        """Add a flow whose opening packet goes to the host; its first request is on the way."""
+        """Add a flow whose opening packet goes to the host; it counts as a request in flight."""
         old = self._flows.get(key)
         if old is not None:
             self.set_busy(old, False, now)
@@ -56,7 +56,7 @@
         self.half_open.add(key, flow)
 
     def set_busy(self, flow: HeldFlow, busy: bool, now: float) -> None:
-        """Note whether a flow has a request under way."""
+        """Set whether a flow has a request in flight."""
         if flow.busy != busy:
             flow.busy = busy
             self.meter.change(1 if busy else -1, now)
@@ -68,7 +68,7 @@
                 self.on_request_end(flow, now)
 
     def record_request(self, flow: HeldFlow, now: float) -> None:
-        """Note that a request, or a further part of one, goes to the host."""
+        """Record that a request, or a further part of one, goes to the host."""
         flow.requested_at = now
         if flow.busy:
             self.in_flight.start(flow, now)
@@ -76,37 +76,37 @@
             self.set_busy(flow, True, now)
 
     def record_answer(self, flow: HeldFlow, now: float) -> None:
-        """Note that the host has begun to answer a request."""
+        """Record that the host has started to answer a request."""
         self.in_flight.record_answer(now - flow.requested_at)
 
     def drop(self, key: bytes, flow: HeldFlow, now: float) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         self.set_busy(flow, False, now)
         self.half_open.discard(key)
         del self._flows[key]
 
     def unconfirm_all(self, now: float) -> None:
-        """Count no flow as confirmed: another host may be there, and a packet will tell."""
+        """Count no flow as confirmed: another host may run, and only packets show what it holds."""
         for flow in self._flows.values():
             self.set_busy(flow, False, now)
             flow.confirmed = False
 
     def expire_half_open(self, now: float) -> int:
-        """Stop counting flows whose callers had given up; return how many there were."""
+        """Stop counting flows whose callers had left; return how many there were."""
         abandoned = self.half_open.take_abandoned(now)
         for flow in abandoned:
             self.set_busy(flow, False, now)
         return len(abandoned)
 
     def take_unanswered(self, now: float) -> list[tuple[bytes, HeldFlow]]:
-        """Return the flows whose host has left a request unanswered for long, each once."""
+        """Return the flows with a request that the host leaves unanswered, each request once."""
         unanswered = [each for each in self._flows.items() if each[1].is_unanswered(now)]
         for _, flow in unanswered:
             flow.unanswered_counted = True
         return unanswered
 
     def sweep(self, now: float) -> None:
-        """Forget flows that ended or cannot be alive any longer."""
+        """Remove flows that ended or cannot be alive any longer."""
         longest = self.lifetime_seconds + LIFETIME_SLACK_SECONDS
         for key, flow in list(self._flows.items()):
             if flow.is_stuck(now):
--- a/src/jasperwalk/agent/datagrams/host.py
+++ b/src/jasperwalk/agent/datagrams/host.py
@@ -1,12 +1,13 @@
-"""What an agent knows of the host beside it, from the host's own announcements.
-
-Announcements may come late and out of order; each carries a number that rises with every call of
-one start of a host. A start that has said that it leaves never becomes ready again. A host may
-start again under its ID: it knows nothing of before, and its numbers begin anew; the time at which
-it started tells its starts apart. An announcement of an earlier start, which may have crashed, may
-come after the present host has announced itself; a host that was taken for replaced and goes on
-announcing itself while the present one is silent counts again. An agent that has just started knows
-nothing, and admits nothing until the host has spoken.
+"""State of the host beside an agent, from the host's own announcements.
+
+Decides which announcement is newer knowledge. Announcements may arrive late and out of order; each
+carries a number that rises with every call of one start of a host. A start that has deregistered
+never becomes ready again. A host may be started again under its ID, without state and with new
+numbers; its start time distinguishes the starts. An announcement of an earlier start, which may
+have crashed, may arrive after the present host has announced itself; a host that was considered
+replaced and goes on announcing itself while the present one is silent becomes the present one
+again. An agent that has just started knows nothing, and admits nothing until the host has announced
+itself.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from jasperwalk.fleet.messages import HostPhase
 
 MAX_FORMER_HOSTS = 64
-"""Starts of hosts that are remembered as gone or replaced: announcements are late by seconds, and a
+"""Starts of hosts that are kept as gone or replaced: announcements are late by seconds, and a
 machine has few starts of its host in that time."""
 MIN_SILENCE_BEFORE_RETURN_SECONDS = 2.0
-"""Silence of the present host after which one that it replaced may take its place again. Hosts
-announce themselves about once a second, so a living one is not replaced by a late announcement."""
+"""Silence of the present host after which one that it replaced may become present again. Hosts
+announce themselves about once a second, so a running one is not replaced by a late announcement."""
 MIN_RETURN_SPAN_SECONDS = 1.0
-"""Time between two calls after which a host is taken to go on announcing itself. Calls that a cut
-has held up come in together, however long their sender is gone."""
+"""Time between two calls from which a host counts as still running. Calls that were delayed by a
+network partition arrive together, however long their sender has been gone."""
 MAX_NEW_HOST_CALL_NUMBER = 10
-"""Highest number of a call by which another host is taken for one that has just started: an agent
-that runs hears a new host from its first calls on."""
+"""Highest call number of another host that counts as just started: a running agent receives the
+first calls of a new host."""
 
 
 class HostStart(msgspec.Struct, frozen=True):
-    """One start of a host; `unix_ms` is when it started by its own clock, 0 where not known."""
+    """One start of a host; `unix_ms` is its start time by its own clock, 0 where unknown."""
 
     host_id: str = ""
     unix_ms: int = 0
@@ -49,24 +50,24 @@
     slow_start_seconds: float
     call_number: int
     zone: str = ""
-    """Where the host is, empty where it does not say."""
+    """Where the host is, empty where not announced."""
     started_unix_ms: int = 0
-    """When the host started, by its own clock; 0 where it does not say."""
+    """When the host started, by its own clock; 0 where not announced."""
     service: str = ""
-    """What the host serves, empty where it does not say."""
+    """What the host serves, empty where not announced."""
     address: Endpoint | None = None
-    """Where the host takes packets, None where it does not say."""
+    """Where the host receives packets, None where not announced."""
 
 
 class UnconfirmedCall(msgspec.Struct, frozen=True):
-    """The first of the calls by which a start asks for the present one's place."""
+    """The first call of a start that may replace the present one if it goes on calling."""
 
     number: int
     at: float
 
 
 class HostSummary(msgspec.Struct, frozen=True):
-    """What others learn of a host; a change of it is announced at once."""
+    """The announced state of a host; a change of it is announced at once."""
 
     start: HostStart
     phase: HostPhase
@@ -79,25 +80,25 @@
     """The host as last announced."""
 
     host_id: str = ""
-    """The present host, empty where none has spoken."""
+    """The present host, empty where none has announced itself."""
     started_unix_ms: int = 0
-    """When it started, by its own clock; 0 where not known."""
+    """When it started, by its own clock; 0 where unknown."""
     phase: HostPhase = HostPhase.UNKNOWN
     capacity: int = 1
     zone: str = ""
     slow_until: float = 0.0
     _earliest_slow_until: float = 0.0
-    """The same, of all announcements the one that was least late."""
+    """The same by the announcement with the least delay, which is the earliest value."""
     call_number: int = -1
     announced_at: float = 0.0
     _left: dict[str, int] = field(default_factory=dict)
-    """Hosts that have said that they leave, and when the last of their starts that did so began."""
+    """Hosts that have deregistered, and the time of their last start that did."""
     _replaced: dict[HostStart, int] = field(default_factory=dict)
-    """Starts whose place another one has taken, and the number of their last call."""
+    """Starts that another one has replaced, and the number of their last call."""
     _unconfirmed: dict[HostStart, UnconfirmedCall] = field(default_factory=dict)
-    """Starts that may be gone and whose calls came since the present one's last."""
+    """Starts that may be gone and that called since the present one's last call."""
     _is_confirmed: bool = False
-    """Whether the present host has spoken more than once, and so was not itself a late call."""
+    """Whether the present host has called more than once, and so was not itself a late call."""
 
     @property
     def start(self) -> HostStart:
@@ -105,7 +106,7 @@
         return HostStart(self.host_id, self.started_unix_ms)
 
     def announce(self, announcement: HostAnnouncement, now: float) -> bool:
-        """Take an announcement; return False for one that newer knowledge has overtaken."""
+        """Handle an announcement; return False for a stale one, which is ignored."""
         start = self._start_of(announcement)
         if self._has_deregistered(start):
             return False
@@ -130,7 +131,7 @@
         return True
 
     def _start_of(self, announcement: HostAnnouncement) -> HostStart:
-        """Return the start that speaks; one that names no time is taken for the known one."""
+        """Return the start that called; one without a start time counts as the known one."""
         if announcement.host_id == self.host_id and not announcement.started_unix_ms:
             return self.start
         return HostStart(announcement.host_id, announcement.started_unix_ms)
@@ -140,7 +141,7 @@
         return is_same_host and self.started_unix_ms in (0, start.unix_ms)
 
     def _has_deregistered(self, start: HostStart) -> bool:
-        """Tell whether this start of the host, or a later one, has said that it leaves."""
+        """Tell whether this start of the host, or a later one, has deregistered."""
         left = self._left.get(start.host_id)
         return left is not None and (left == 0 or start.unix_ms <= left)
 
@@ -156,7 +157,7 @@
             self._earliest_slow_until = min(known, self.slow_until)
 
     def started_at(self, slow_start_seconds: float) -> float | None:
-        """Return when the present host started, None where it has not been in slow start here.
+        """Return when the present host started, None where it was not seen in slow start.
 
         `slow_start_seconds` is how long hosts of its service are slow after a start.
         """
@@ -167,9 +168,9 @@
     def _may_replace(self, start: HostStart, call_number: int, now: float) -> bool:
         """Tell whether an announcement of another start is newer than the present one's.
 
-        A start that was replaced, or that began earlier, speaks late, and so does one that is not
-        new and was never heard here: it counts only where it goes on speaking while the present one
-        is silent. Its clock may have been set back since.
+        A call of a start that was replaced or started earlier is late, and so is one of a start
+        that is not new and never called before: it counts only if the start goes on calling while
+        the present one is silent. Its clock may have been set back since.
         """
         last_call_number = self._replaced.get(start)
         is_earlier = 0 < start.unix_ms < self.started_unix_ms
@@ -185,7 +186,7 @@
         return self._is_repeated(start, call_number, now) and is_silent
 
     def _is_repeated(self, start: HostStart, call_number: int, now: float) -> bool:
-        """Note a doubted call; tell whether it follows an earlier one that came well before it."""
+        """Record an unconfirmed call; tell whether it follows one that arrived well before it."""
         first = self._unconfirmed.setdefault(start, UnconfirmedCall(call_number, now))
         _drop_oldest(self._unconfirmed)
         return call_number > first.number and now - first.at >= MIN_RETURN_SPAN_SECONDS
@@ -201,7 +202,7 @@
         _drop_oldest(self._left)
 
     def leave(self, host_id: str) -> bool:
-        """Note that a host is ending; return False where it is not the present one."""
+        """Record that a host deregistered; return False where it is not the present one."""
         if self.host_id not in ("", host_id):
             self._record_left(self._last_replaced(host_id))
             return False
@@ -212,12 +213,12 @@
         return True
 
     def _last_replaced(self, host_id: str) -> HostStart:
-        """Return the last known start of a host whose place another one has taken."""
+        """Return the last known start of a host that another one has replaced."""
         times = [each.unix_ms for each in self._replaced if each.host_id == host_id]
         return HostStart(host_id, max(times, default=0))
 
     def has_left(self) -> bool:
-        """Tell whether the present host has said that it is gone."""
+        """Tell whether the present host has deregistered."""
         return self._has_deregistered(self.start)
 
     def is_leaving(self) -> bool:
@@ -225,20 +226,20 @@
         return self.phase is HostPhase.DRAINING and not self.has_left()
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return what a log line tells of the host: who, its last call, and that call's age."""
+        """Return the log fields of the host: its ID, its last call, and that call's age."""
         age_ms = round(1000 * (now - self.announced_at))
         return {"host": self.host_id, "host_call": self.call_number, "host_announced_ms": age_ms}
 
     def summary(self, now: float) -> HostSummary:
-        """Return what is announced."""
+        """Return the announced state."""
         return HostSummary(self.start, self.phase, self.zone, now < self.slow_until)
 
     def slow_start_seconds(self, now: float) -> float:
-        """Return how much longer the host is slow from its start."""
+        """Return how much longer the host is in slow start."""
         return max(0.0, self.slow_until - now)
 
 
 def _drop_oldest(former: dict[Any, Any]) -> None:
-    """Keep a record of former hosts within its bound."""
+    """Bound a record of former hosts."""
     while len(former) > MAX_FORMER_HOSTS:
         del former[next(iter(former))]
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -1,4 +1,8 @@
-"""Whether the host beside an agent takes a new flow now."""
+"""Admission control for the host beside an agent: whether it gets a new flow now, or why not.
+
+The decision rests on the announced phase, drained zones, outlier detection, the requests in flight
+and the limit of a cold host.
+"""
 
 from __future__ import annotations
 
@@ -16,22 +20,22 @@
 COPY_EXEMPT_REFUSALS = frozenset(
     (RefusalReason.FULL, RefusalReason.RETURNED, RefusalReason.FAILING, RefusalReason.SLOW)
 )
-"""Refusals that keep new flows from a host, but not copies of the opening of one that it has."""
+"""Refusals of new flows that do not apply to copies of an admitted flow's opening packet."""
 QUEUEABLE_REFUSALS = frozenset((RefusalReason.FULL, RefusalReason.WARMING_UP))
-"""Refusals that pass by themselves: the host ends a request, or a second ends."""
+"""Refusals after which a flow may wait, because they end soon: with a request or with a second."""
 QUEUED_FLOW_TERMS = OpeningTerms(waits=True, repeatable=False, age_seconds=0.0)
-"""Terms of a flow that has waited here: no other agent had room for it."""
+"""Terms of a flow from this agent's queue: no other agent had capacity for it."""
 NO_ZONES = DrainedZones()
 
 
 def max_requests(capacity: int) -> int:
-    """Return how many requests may be under way at a host with this many slots."""
+    """Return how many requests may be in flight at a host with this many slots."""
     return math.ceil(FULL_LOAD_PER_SLOT * capacity)
 
 
 @dataclass(eq=False, repr=False)
 class HostAdmission:
-    """What decides about new flows of one host; sans-IO, times are seconds.
+    """Decides about new flows of one host; sans-IO, times are seconds.
 
     `own_zone` is the agent's zone, which is its host's unless the host says otherwise.
     """
@@ -45,22 +49,22 @@
     _drained: DrainedZones = field(default=NO_ZONES)
 
     def update_zones(self, zones: DrainedZones) -> bool:
-        """Take the drained zones; return False for what newer knowledge has overtaken."""
+        """Update the drained zones; return False for a revision that is not newer."""
         if zones.revision <= self._drained.revision:
             return False
         self._drained = zones
         return True
 
     def is_zone_drained(self) -> bool:
-        """Tell whether the host's zone takes no new flows."""
+        """Tell whether the host's zone is drained."""
         return (self.host.zone or self.own_zone) in self._drained.zones
 
     def refusal(
         self, busy: int, terms: OpeningTerms, now: float, flow_key: bytes | None = None
     ) -> RefusalReason | None:
-        """Return why the host does not take a new flow, None where it does.
+        """Return why the host refuses a new flow, None where it takes it.
 
-        `busy` counts requests under way. `flow_key` tells the kind of request, where it is known.
+        `busy` counts requests in flight. `flow_key` gives the kind of request, where it is known.
         """
         host = self.host
         if host.phase is HostPhase.DRAINING:
@@ -79,7 +83,7 @@
             return RefusalReason.SILENT
         if self.response.refuses_after_returns(now):
             return RefusalReason.RETURNED
-        # A flow that may wait has found no other host: a failing one is better than none.
+        # A flow that may wait found no other host: a failing one is better than none.
         if not terms.waits and self.requests.refuses(terms.repeatable, now):
             return RefusalReason.FAILING
         reason = self.service_times.refusal(flow_key, busy, terms, now)
@@ -91,5 +95,5 @@
         return RefusalReason.WARMING_UP if is_reached else None
 
     def accepts_none(self) -> bool:
-        """Tell whether flows that wait have no hope: the host or its zone takes no more."""
+        """Tell whether no waiting flow can be admitted: the host or its zone takes none."""
         return self.host.phase is not HostPhase.READY or self.is_zone_drained()
--- a/src/jasperwalk/agent/datagrams/host_monitor.py
+++ b/src/jasperwalk/agent/datagrams/host_monitor.py
@@ -1,4 +1,4 @@
-"""What an agent notes of its host's behaviour: one log line for each change of belief."""
+"""Monitors the host's behaviour: feeds outlier detection and logs each change of its verdicts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HostMonitor:
-    """Passes on what the host does, to `response`, `requests` and `service_times`; sans-IO.
+    """Passes observations to `response`, `requests` and `service_times`; sans-IO.
 
     Times are seconds.
     """
@@ -25,18 +25,18 @@
         self.requests = RequestOutcomes()
 
     def record_admission(self, now: float) -> None:
-        """Note that the host gets an opening packet."""
+        """Record that the host gets an opening packet."""
         self.response.record_opening(now)
         self.requests.record_admission(now)
         self.service_times.record_admission(now)
 
     def record_answer(self, now: float) -> None:
-        """Note that the host began to answer a request."""
+        """Record that the host started to answer a request."""
         if self.requests.record_answer(now):
             self._log.note("host-serves-again", **self._host.describe(now))
 
     def record_failure(self, now: float) -> None:
-        """Note that the host broke a request off, or leaves it unanswered."""
+        """Record that the host reset the flow of a request, or leaves it unanswered."""
         if self.requests.record_failure(now):
             counts = self.requests.counts(now)
             self._log.note(
@@ -48,28 +48,28 @@
             )
 
     def record_packet(self, now: float) -> None:
-        """Note a packet of the host."""
+        """Record a packet from the host."""
         self.response.record_packet()
         self.check(now)
 
     def record_opening_returned(self, now: float) -> None:
-        """Note that the host handed an opening packet back."""
+        """Record that the host returned an opening packet."""
         if self.response.record_returned():
             self._log.note("host-returns-openings", **self._host.describe(now))
 
     def record_opening_taken(self, now: float) -> None:
-        """Note that the host answered an opening packet."""
+        """Record that the host answered an opening packet."""
         if self.response.record_taken():
             self._log.note("host-takes-openings", **self._host.describe(now))
 
     def on_host_replaced(self) -> None:
-        """Note that another host has taken the place of this one."""
+        """Discard the observations: another host has taken the place of this one."""
         self.response.record_taken()
         self.requests.reset()
         self.service_times.on_host_replaced()
 
     def check(self, now: float) -> None:
-        """Log that the host no longer answers, or does again; call every second."""
+        """Log whether the host became silent or slow, or recovered; call every second."""
         self.service_times.check(now)
         if self.response.has_silence_changed(now):
             event = "host-silent" if self.response.is_silent(now) else "host-answers-again"
--- a/src/jasperwalk/agent/datagrams/host_packets.py
+++ b/src/jasperwalk/agent/datagrams/host_packets.py
@@ -1,4 +1,8 @@
-"""Packets of the host beside an agent, on their way to callers: what they tell of its requests."""
+"""Forwards packets of the host to callers, and records what they show of its requests.
+
+An answer, a reset or a returned packet changes the state of the flow and the counts of requests in
+flight, so waiting requests are started after each packet.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +16,13 @@
 
 @dataclass(eq=False, repr=False)
 class HostPackets:
-    """Passes the host's packets on; sans-IO, times are seconds."""
+    """Forwards the host's packets; sans-IO, times are seconds."""
 
     parts: AgentParts
     flow_admission: FlowAdmission
 
     def receive(self, packet: bytes, now: float) -> None:
-        """Take a packet of the host."""
+        """Handle a packet from the host."""
         parts = self.parts
         if not parts.codec.is_complete(packet):
             parts.counters.host_packets_malformed += 1
@@ -58,7 +62,7 @@
         """Count a request as ended, by the answer's first packet.
 
         A host that closes after its answer sends the end right after the data, and the network may
-        swap the two: by their data alone one of ten answers was counted.
+        reorder the two: counted by their data alone, only one of ten answers was seen.
         """
         parts = self.parts
         if flow.has_request_in_flight():
@@ -79,12 +83,12 @@
         parts.table.set_busy(flow, False, now)
 
     def _handle_returned(self, packet: bytes, now: float) -> None:
-        """Give a packet that the host does not hold back to the balancer."""
+        """Return a packet of a flow that the host does not hold to the balancer."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
         flow = parts.table.get(key)
         is_opening = parts.codec.is_opening(packet)
-        # A copy of an opening that the host has answered: it holds the flow half open.
+        # A returned copy of an opening that the host has answered: it holds the flow half open.
         if flow is None or (is_opening and flow.answer_numbers):
             return
         parts.table.drop(key, flow, now)
--- a/src/jasperwalk/agent/datagrams/host_presence.py
+++ b/src/jasperwalk/agent/datagrams/host_presence.py
@@ -1,8 +1,8 @@
-"""Whether any host runs beside an agent that has just started, or is about to stop.
+"""Probes whether any host runs beside an agent that has just started or is about to stop.
 
-After a loss of power the machine of a host that had left before comes back for a moment, without
-its host. Its agent cannot tell that from a host that is merely silent, unless it looks: nobody
-listens at the host's address, and the machine itself refuses the connection at once.
+After a loss of power the machine of a host that had deregistered starts again for a moment, without
+its host. Its agent cannot distinguish that from a silent host by waiting, but by a connection
+attempt: no process listens at the host's address, so the machine refuses the connection at once.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from jasperwalk.addresses import Endpoint
 
 CONNECT_TIMEOUT_SECONDS = 0.2
-"""Longest wait for the connection; on one machine it stands or is refused within a millisecond."""
+"""Longest wait for the connection; on one machine it is made or refused within a millisecond."""
 
 logger = structlog.get_logger(__name__)
 
 
 async def is_host_absent(host: Endpoint) -> bool:
-    """Tell whether nothing listens at the host's address; False where that is not sure.
+    """Tell whether no process listens at the host's address; False where that is uncertain.
 
-    Nothing is sent on the connection. The kernel connects for a host that stands still.
+    Nothing is sent on the connection. The kernel accepts it also for a host that hangs.
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
--- a/src/jasperwalk/agent/datagrams/learned_terms.py
+++ b/src/jasperwalk/agent/datagrams/learned_terms.py
@@ -1,4 +1,7 @@
-"""The terms of routes as balancers have told them, by listener, and their groups of callers."""
+"""Learns the terms of routes and the groups of callers from balancers' opening packets.
+
+Packets of open flows carry no terms, so the agent takes them from here to schedule requests.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +18,18 @@
 
 
 class LearnedTerms:
-    """Remembers what the last opening packet of each listener and of each balancer told."""
+    """Keeps the terms of each listener's, and the group of each balancer's, last opening packet."""
 
     def __init__(self) -> None:
         self._terms: OrderedDict[bytes, CarriedTerms] = OrderedDict()
         self._groups: OrderedDict[SocketAddress, int] = OrderedDict()
 
     def __bool__(self) -> bool:
-        """Tell whether any terms are known: whether requests differ at all."""
+        """Tell whether any terms are known, and so whether requests may differ."""
         return bool(self._terms)
 
     def record(self, listener: bytes, balancer: SocketAddress, terms: CarriedTerms) -> None:
-        """Take the terms of a listener's route, and the group of a balancer's callers."""
+        """Record the terms of a listener's route and the group of a balancer's callers."""
         self._terms[listener] = terms
         self._terms.move_to_end(listener)
         self._groups[balancer] = terms.group
@@ -37,7 +40,7 @@
             self._groups.popitem(last=False)
 
     def find(self, listener: bytes, balancer: SocketAddress) -> CarriedTerms | None:
-        """Return the terms of a request, None where its listener's are not known."""
+        """Return the terms of a request, None where those of its listener are unknown."""
         terms = self._terms.get(listener)
         if terms is None:
             return None
--- a/src/jasperwalk/agent/datagrams/load.py
+++ b/src/jasperwalk/agent/datagrams/load.py
@@ -1,17 +1,17 @@
-"""How busy a host is: requests under way, counted from the packets that pass the agent."""
+"""Measures a host's load: requests in flight, counted from the packets that pass the agent."""
 
 from __future__ import annotations
 
 import math
 
 AVERAGE_SECONDS = 1.0
-"""Time constant of the average: long flows bring requests that no new flow announces."""
+"""Time constant of the average; long flows cause requests that no opening packet announces."""
 CURRENT_SHARE = 0.6
-"""Share of the present count in the load; the rest is the average."""
+"""Weight of the current count in the load; the rest is the average."""
 
 
 class LoadMeter:
-    """The count of requests under way and its moving average."""
+    """The number of requests in flight and its moving average."""
 
     __slots__ = ("_average", "_changed_at", "busy")
 
@@ -21,7 +21,7 @@
         self._changed_at = now
 
     def change(self, difference: int, now: float) -> None:
-        """Count requests that began or ended."""
+        """Count requests that started or ended."""
         self._settle(now)
         self.busy = max(0, self.busy + difference)
 
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent's core share: its host, its flows, what waits, and where to send."""
+"""The components that the parts of an agent's core share: host, flows, queue and senders."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
 PHASES_WITH_CAPACITY = frozenset((HostPhase.READY, HostPhase.DRAINING))
-"""Phases of a host that has said how many slots it has."""
+"""Phases of a host that has announced its number of slots."""
 
 
 @dataclass(eq=False, repr=False)
 class AgentParts:
-    """Sans-IO; `tag` names the agent's service."""
+    """Shared components; sans-IO; `tag` identifies the agent's service."""
 
     codec: PacketCodec
     tag: int
@@ -50,26 +50,26 @@
     learned: LearnedTerms = field(default_factory=LearnedTerms)
 
     def schedules_requests(self) -> bool:
-        """Tell whether requests wait for their turn by the terms of their routes.
+        """Tell whether requests are scheduled by the terms of their routes.
 
-        They do where terms are told, and the host has said how much it can do at once.
+        They are where balancers send terms and the host has announced its number of slots.
         """
         return bool(self.learned) and self.host.phase in PHASES_WITH_CAPACITY
 
     def requests_at_host(self, now: float) -> int:
-        """Return how many requests keep a place at the host."""
+        """Return how many requests occupy a place at the host."""
         return self.table.in_flight.count(now) if self.schedules_requests() else self.meter.busy
 
     def has_capacity(self, now: float) -> bool:
-        """Tell whether the host has room for one more request."""
+        """Tell whether the host has capacity for one more request."""
         return self.requests_at_host(now) < max_requests(self.host.capacity)
 
     def record_started(self, terms: CarriedTerms, now: float) -> None:
-        """Note a request that went to the host without waiting."""
+        """Record a request that went to the host without waiting."""
         self.queue.record_started(terms, self.table.in_flight.mean_seconds, now)
 
     def load(self, now: float) -> float:
-        """Return the load that balancers are told: requests at the host and waiting for it."""
+        """Return the load reported to balancers: requests at the host and waiting for it."""
         if self.monitor.response.is_unavailable(now):
             return self.monitor.response.unavailable_load(self.host.capacity)
         return self.meter.load(now) + len(self.queue)
--- a/src/jasperwalk/agent/datagrams/planned_stop.py
+++ b/src/jasperwalk/agent/datagrams/planned_stop.py
@@ -1,7 +1,7 @@
-"""The planned stop of an agent whose host is still leaving.
+"""Delays the planned stop of an agent while its host still drains.
 
-The host's flows pass through its agent, so an agent that stops first would cut them.
-It serves on until the host has deregistered, for as long as the grace of the stop allows.
+The host's flows pass through its agent, so an agent that stops first would cut them. It goes on
+serving until the host has deregistered, within the grace period of the stop.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 POLL_SECONDS = 0.05
 DEREGISTRATION_MARGIN_SECONDS = 1.0
-"""Part of the grace that is kept for the agent's own end."""
+"""Part of the grace period that is reserved for the agent's own stop."""
 
 logger = structlog.get_logger(__name__)
 
 
 async def wait_for_deregistration(host: HostState, grace_seconds: float) -> None:
-    """Return once the host has left, at once where it does not leave, or when grace runs out."""
+    """Return once the host has deregistered or grace runs out; at once if it does not drain."""
     if not host.is_leaving():
         return
     logger.info("stop-waits-for-host", host=host.host_id, grace_seconds=grace_seconds)
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -1,4 +1,4 @@
-"""The agent process of the datagram plane: sockets, the host's calls, the link home."""
+"""The agent process of the datagram plane: sockets, the host's calls, the home link."""
 
 from __future__ import annotations
 
@@ -46,15 +46,15 @@
 
 SWEEP_SECONDS = 1.0
 QUEUE_CHECK_INTERVAL_SECONDS = 0.025
-"""Pace of looking at waiting flows while no packet of the host gives the occasion."""
+"""Time between checks of the queue while no packet from the host triggers one."""
 DEREGISTRATION_SECONDS = 0.05
-"""Time for the last announcement to leave before the process ends."""
+"""Time for sending the last announcement before the process ends."""
 
 logger = structlog.get_logger(__name__)
 
 
 HostInterface = Callable[[AnnouncementHandler], HttpHandler]
-"""Makes the handler of the host's calls."""
+"""Creates the handler of the host's calls."""
 
 
 def _shares(settings: AgentNodeSettings) -> GroupShares:
@@ -63,7 +63,7 @@
 
 
 class AgentProcess:
-    """Owns an agent's parts; `run` serves until its stop event is set."""
+    """Owns an agent's components; `run` serves until its stop event is set."""
 
     def __init__(
         self,
@@ -212,7 +212,7 @@
         self._host_packets.close()
 
     async def _deregister(self) -> None:
-        """Tell the home where the host is gone, so that its flows are not waited for."""
+        """Announce to the home replica that the host is gone, so that its flows are not awaited."""
         if not self.host.has_left() and not await self._is_without_host():
             return
         self._gone = True
@@ -220,7 +220,7 @@
         await asyncio.sleep(DEREGISTRATION_SECONDS)
 
     async def _check_host_presence(self) -> None:
-        """Learn at once that there is no host; where there is one, wait for its announcement."""
+        """Announce at once if no host runs; one that runs announces itself."""
         if await self._is_without_host():
             self.core.record_host_absent(time.monotonic())
             self._link.announce()
@@ -264,10 +264,10 @@
                 self.helper.sweep(now)
 
     def _on_link_change(self, _on_link_change: bool) -> None:
-        """Do nothing: the answers to the host hold without the link."""
+        """Do nothing: answers to the host do not depend on the link."""
 
     def _on_home_message(self, message: HomeMessage) -> None:
-        """Learn of other agents, of drained zones, of what the service's hosts bear."""
+        """Handle updates of other agents, drained zones and the warm-up limits of the service."""
         now = time.monotonic()
         if isinstance(message, FleetUpdate):
             self.helper.fleet_changed(message, now)
@@ -279,7 +279,7 @@
             self._handle_status(message)
 
     def _handle_status(self, message: HomeStatus) -> None:
-        """Learn how long a flow may rest; the longest time received counts."""
+        """Update how long a flow may be idle; the longest time received counts."""
         if message.flow_idle_ms:
             idle_seconds = message.flow_idle_ms / 1000
             known = self.core.flow_idle_seconds
--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -1,8 +1,8 @@
-"""Searches of flows that this agent runs on balancers' behalf.
+"""Runs searches of flows on behalf of balancers.
 
-An agent's link and processor carry the questions that a thin balancer's do not. The balancer
-sends one packet of the flow; the agent that holds the flow gets it from here, and the balancer
-is notified who that is. Sans-IO: datagrams leave through `send`, times are seconds.
+An agent has the link and processor capacity for queries that a thin balancer lacks. The balancer
+sends one packet of the flow; the agent that holds the flow gets the packet from here, and the
+balancer is notified of the holder. Sans-IO: datagrams leave through `send`, times are seconds.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 @dataclass(eq=False, repr=False)
 class HelperCounters(SearchCounters):
-    """What this agent did for balancers."""
+    """Counts of searches on behalf of balancers."""
 
     locate_frames: int = 0
     locate_frames_malformed: int = 0
     locate_frames_refused: int = 0
-    """Asked before the directory had come."""
+    """Requested before the directory had arrived."""
     replies_unexpected: int = 0
 
 
 @dataclass(eq=False, repr=False)
 class SearchHelper:
-    """Takes balancers' questions and other agents' answers; call `tick` while it has searches."""
+    """Handles balancers' requests and other agents' answers; call `tick` while it has searches."""
 
     codec: PacketCodec
     pool: TargetPool
@@ -48,10 +48,10 @@
     log: DecisionLog
     counters: HelperCounters = field(default_factory=HelperCounters)
     _balancers: dict[bytes, SocketAddress] = field(default_factory=dict)
-    """Who wants to know where a flow is held."""
+    """The balancer that gets the verdict of each search."""
 
     def __post_init__(self) -> None:
-        """Prepare the searches."""
+        """Create the searches."""
         self.searches = FlowSearches(
             codec=self.codec,
             pool=self.pool,
@@ -66,11 +66,11 @@
         return bool(self.searches)
 
     def fleet_changed(self, update: FleetUpdate, now: float) -> None:
-        """Take the directory's news in."""
+        """Apply an update of the directory."""
         self.pool.update(update, now)
 
     def locate(self, data: bytes, balancer: SocketAddress, now: float) -> None:
-        """Take a balancer's question."""
+        """Handle a balancer's request to locate a flow."""
         self.counters.locate_frames += 1
         try:
             request = decode_locate(data)
@@ -99,7 +99,7 @@
             self._end(key, LocateVerdict.UNABLE)
 
     def receive_reply(self, data: bytes, sender: SocketAddress, now: float) -> None:
-        """Take another agent's answer."""
+        """Handle another agent's answer."""
         target = self.pool.at(sender)
         for reply in self.searches.read_replies(data):
             key, kind = reply.flow_key, reply.kind
@@ -108,29 +108,29 @@
         self.searches.flush()
 
     def tick(self, now: float) -> None:
-        """Go on with searches whose agents did not answer."""
+        """Continue searches whose agents did not answer."""
         self.searches.tick(now)
         self.searches.flush()
 
     def sweep(self, now: float) -> None:
-        """Forget agents that left long ago; call every second."""
+        """Remove agents that left long ago; call every second."""
         self.searches.sweep(now)
         self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
 
     # Verdicts
 
     def on_search_found(self, search: Search, holder: Target, _now: float) -> None:
-        """Pass the packets on, and tell the balancer where the flow's later ones belong."""
+        """Forward the packets, and send the balancer the address for the flow's later ones."""
         for packet in search.packets[search.first_is_forwarded :]:
             self.send(holder.carry_head + packet, holder.address)
         self._end(search.key, LocateVerdict.FOUND, holder.record.endpoint.pack())
 
     def on_search_held_nowhere(self, search: Search, _now: float) -> None:
-        """Tell the balancer that the flow is held nowhere."""
+        """Notify the balancer that no agent holds the flow."""
         self._end(search.key, LocateVerdict.NOWHERE)
 
     def on_search_inconclusive(self, search: Search, _now: float) -> None:
-        """Tell the balancer that some agents did not answer."""
+        """Notify the balancer that some agents did not answer."""
         self._end(search.key, LocateVerdict.UNKNOWN)
 
     def _end(self, key: bytes, verdict: LocateVerdict, holder: bytes = b"") -> None:
--- a/src/jasperwalk/agent/datagrams/service_time_monitor.py
+++ b/src/jasperwalk/agent/datagrams/service_time_monitor.py
@@ -1,4 +1,4 @@
-"""What an agent makes of its host's pace: log lines, what balancers learn, what is refused."""
+"""Monitors the host's service times: refuses flows of a slow host, reports them to balancers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class ServiceTimeMonitor:
     """Measures the host's requests by their listener; sans-IO, times are seconds.
 
-    With `is_enabled` False it measures nothing, tells nothing and refuses nothing.
+    With `is_enabled` False it measures, reports and refuses nothing.
     """
 
     codec: PacketCodec
@@ -28,19 +28,19 @@
     service_times: HostServiceTimes = field(default_factory=HostServiceTimes)
 
     def __post_init__(self) -> None:
-        """Prepare the judgement."""
+        """Create the detection of a slow host."""
         self.slow_host = SlowHost(self.service_times)
 
     def record_request(self, flow: HeldFlow, packet: bytes, now: float) -> None:
-        """Note that a packet with a request, or with a further part of it, goes to the host."""
+        """Record that a packet with a request, or a further part of it, goes to the host."""
         if self.is_enabled:
             listener = self.codec.listener_of(self.codec.flow_key(packet))
             self.service_times.record_request(flow, listener, self.host.capacity, now)
 
     def record_answer(self, flow: HeldFlow, now: float) -> None:
-        """Note that the host began to answer a request.
+        """Record that the host started to answer a request.
 
-        A host that is slow from its start says so itself; what it takes then is not usual.
+        A host announces its slow start itself; its service times then are not typical and not used.
         """
         if not self.is_enabled:
             return
@@ -51,21 +51,21 @@
         self.check(now)
 
     def record_end(self, flow: HeldFlow, now: float) -> None:
-        """Note that a flow has no request under way any more."""
+        """Record that a flow has no request in flight any more."""
         if self.is_enabled:
             self.service_times.record_end(flow, self.host.capacity, now)
 
     def record_admission(self, now: float) -> None:
-        """Note that the host gets a new flow."""
+        """Record that the host gets a new flow."""
         self.slow_host.record_admission(now)
 
     def on_host_replaced(self) -> None:
-        """Note that another host has taken the place of this one."""
+        """Discard the measurements: another host has taken the place of this one."""
         self.service_times.reset()
         self.slow_host.reset()
 
     def check(self, now: float) -> None:
-        """Log that the host turned slow, or is as usual again."""
+        """Evaluate the host; log where it became slow or recovered."""
         if not self.is_enabled or not self.slow_host.evaluate(now):
             return
         self.log.note(
@@ -83,11 +83,11 @@
         return -1 if age_seconds is None else round(1000 * age_seconds)
 
     def service_time_ms(self) -> float:
-        """Return what a typical request takes now, in milliseconds; 0.0 where it is not known."""
+        """Return the service time of a typical request now, in milliseconds; 0.0 where unknown."""
         return round(1000 * (self.slow_host.service_seconds(None) or 0.0), 1)
 
     def encoded_service_time(self, flow_key: bytes, now: float) -> int:
-        """Return the pace as a balancer learns it with the acceptance of this flow."""
+        """Return the service time as encoded in the answer that accepts this flow."""
         if not self.is_enabled:
             return UNKNOWN_SERVICE_TIME
         self.check(now)
@@ -96,9 +96,9 @@
     def refusal(
         self, flow_key: bytes | None, busy: int, terms: OpeningTerms, now: float
     ) -> RefusalReason | None:
-        """Return why a slow host does not take a new flow, None where it does.
+        """Return why a slow host refuses a new flow, None where it takes it.
 
-        A balancer that tells terms knows the reason `SLOW`; for others the host is full.
+        Balancers that send terms know the reason `SLOW`; for others the host is full.
         """
         self.check(now)
         if terms.waits or not self.slow_host.is_slow():
@@ -111,7 +111,7 @@
 
 
 def _remaining_seconds(terms: OpeningTerms) -> float | None:
-    """Return the time until the caller wants its answer, None where its route names none."""
+    """Return the time until the caller's deadline, None where its route names no objective."""
     if terms.route is None or not terms.route.objective_seconds:
         return None
     return terms.route.objective_seconds - terms.age_seconds
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -1,4 +1,9 @@
-"""What waits at the agent for its host, and what becomes of what waits in vain."""
+"""Decides which new flows wait at the agent for its host, and sheds those that wait in vain.
+
+A new flow that found no free host is queued if it can be answered in time, by the requests that are
+ahead of it and the host's service time. Flows that are shed are reset, so that their callers try
+again; requests of open flows expire at their limit or are forwarded.
+"""
 
 from __future__ import annotations
 
@@ -13,29 +18,29 @@
 from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 WAITING_SHARE = 0.5
-"""Part of its objective within which a new flow has to expect its answer in order to wait: the
-other part is for more urgent requests that come later, and for what takes longer than usual."""
+"""A new flow waits only if its answer is expected within this part of its objective; the rest is
+for more urgent requests that arrive later, and for requests that take longer than usual."""
 
 MAX_BURST_SECONDS = MAX_WAIT_SECONDS
-"""A crowd that lasts no longer than its flows may wait is worked off while they wait."""
+"""A burst that is no longer than its flows may wait is served while they wait."""
 
 
 @dataclass(eq=False, repr=False)
 class WaitingRequests:
-    """Fills and clears the agent's queue; sans-IO, times are seconds.
+    """Queues, sheds and expires requests; sans-IO, times are seconds.
 
-    `forward_waiting` gives a request of an open flow to the host.
+    `forward_waiting` forwards a request of an open flow to the host.
     """
 
     parts: AgentParts
     forward_waiting: Callable[[WaitingRequest, float], None]
     _overloaded_since: float | None = None
-    """When the first flow came that would be late, None where the last one would not be."""
+    """Arrival of the first flow that would be late, None once a flow would not be."""
 
     def try_enqueue(self, key: bytes, packet: bytes, terms: OpeningTerms, now: float) -> bool:
-        """Put a flow that found no free host into the queue, where it may be served in time.
+        """Queue a flow that found no free host if it may be in time; return whether it waits.
 
-        A full queue lets the flow go that is least likely to be.
+        A full queue sheds the flow that is least likely to be served in time.
         """
         queue = self.parts.queue
         if key in queue:
@@ -54,10 +59,10 @@
     def _is_refused_at_once(self, terms: OpeningTerms, now: float) -> bool:
         """Tell whether a flow is refused because it would be late, as those before it were.
 
-        After an outage all callers come back together, late already, and the host has worked them
-        off before their time is over: while a crowd is that young, its flows wait. One that
-        is more urgent than a flow that waits here waits as well: it is not refused for want of
-        time that the other one gets.
+        After an outage all callers return together, late already, and the host serves them before
+        their wait limit: for the first `MAX_BURST_SECONDS` of a burst, its flows wait. A flow that
+        is more urgent than one that waits here waits as well: it is not refused for want of time
+        that the other one gets.
         """
         route = terms.route
         if route is None or not self._would_be_late(route, terms.age_seconds):
@@ -70,11 +75,11 @@
         return not self.parts.queue.order.has_less_urgent_opening(route.priority)
 
     def _would_be_late(self, route: CarriedTerms, age_seconds: float) -> bool:
-        """Tell whether a flow would not be answered in time: as much comes before it.
+        """Tell whether a flow would be answered too late, by the requests that are ahead of it.
 
-        Its caller learns so at once and comes again while an answer may still be in time. One
-        that waited until its time has passed would come again all the same, be late for certain,
-        and take the place of a caller that is not.
+        A caller that is refused at once can try again while an answer may still be in time. One
+        that waited past its deadline would try again all the same, be late for certain, and take
+        the place of a caller that is not.
         """
         parts = self.parts
         ahead = parts.queue.order.count_ahead(route.priority)
@@ -89,7 +94,7 @@
         return self.parts.queue.max_openings(admission.host.capacity, max_per_second)
 
     def shed_expired(self, now: float) -> None:
-        """Let go what waited too long, and all new flows where the host takes none any more."""
+        """Shed what waited too long, and all new flows where the host takes none any more."""
         if self.parts.admission.accepts_none():
             self._refuse(self.parts.queue.take_openings(), now)
         expired = self.parts.queue.take_expired(now)
@@ -99,7 +104,7 @@
                 self._expire(request, now)
 
     def _expire(self, request: WaitingRequest, now: float) -> None:
-        """Let a request of an open flow go: its caller has left, if its limit is known."""
+        """Drop a request of an open flow whose limit has passed; forward one without a limit."""
         if not request.terms.limit_seconds:
             self.forward_waiting(request, now)
             return
--- a/src/jasperwalk/agent/datagrams/warm_up.py
+++ b/src/jasperwalk/agent/datagrams/warm_up.py
@@ -1,8 +1,9 @@
-"""How many new flows a cold host gets: an exact bound for every second.
+"""Slow start: limits the new flows of a cold host exactly, in every second.
 
 A host is cold after its start, and so are the hosts of a zone that was drained for a while. Every
-opening packet to the host passes its agent, so the times of the last ones keep the bound for all
-balancers together. A token bucket would not: a full bucket and its refill fall into one second.
+opening packet to the host passes its agent, so a log of the last second's packets enforces the
+limit for all balancers together. A token bucket would not: a full bucket and its refill could fall
+into one second.
 
 Sans-IO; times are seconds.
 """
@@ -15,43 +16,43 @@
 from jasperwalk.fleet.messages import WarmUp
 
 WINDOW_SECONDS = 1.05
-"""The bound holds for a second; the rest is for packets that the host gets unevenly late."""
+"""The limit is per second; the rest is for packets that reach the host with varying delay."""
 
 
 @dataclass(eq=False, repr=False)
 class WarmUpLimit:
-    """Bounds the new flows of one host while it is cold.
+    """Limits the new flows of one host while it is cold.
 
-    `floor` is how many flows a second any cold host bears, None where the settings do not say.
-    An agent that has just started does not know what its predecessor passed on, so its first
-    second counts as spent.
+    `floor` is how many flows a second any cold host can take, None where the settings name no
+    number. An agent that has just started does not know what its predecessor forwarded, so the
+    limit of its first second counts as used up.
     """
 
     floor: float | None
     started_at: float
     _warm_up: WarmUp | None = None
-    """What the configuration says of the service, None before it has come."""
+    """Warm-up of the service by the configuration, None before it has arrived."""
     _version: int = 0
     _zone_restored_at: float = float("-inf")
     _passed_at: deque[float] = field(default_factory=deque)
 
     def configure(self, version: int, warm_up: WarmUp) -> None:
-        """Take what a version of the configuration says; an older version changes nothing."""
+        """Apply a version of the configuration; an older version changes nothing."""
         if version >= self._version:
             self._version = version
             self._warm_up = warm_up
 
     def on_zone_restored(self, now: float) -> None:
-        """Count the host as cold from now on, though it may not have said so yet."""
+        """Count the host as cold from now on, though it may not have announced it yet."""
         self._zone_restored_at = now
 
     def record_opening(self, now: float) -> None:
-        """Count an opening packet that goes to the host; a copy reaches it as well."""
+        """Count an opening packet that goes to the host, also a copy."""
         self._passed_at.append(now)
         self._forget_old(now)
 
     def is_reached(self, slow_until: float, now: float) -> bool:
-        """Tell whether the host bears no more now; it says that it is cold until `slow_until`."""
+        """Tell whether the limit is reached; the host announced to be cold until `slow_until`."""
         most = self.bound(slow_until, now)
         if most is None:
             return False
@@ -62,11 +63,11 @@
 
     @property
     def slow_start_seconds(self) -> float:
-        """How long a host of the service is cold after its start, 0 where that is not known."""
+        """How long a host of the service is cold after its start, 0 where unknown."""
         return 0.0 if self._warm_up is None else self._warm_up.seconds
 
     def bound(self, slow_until: float, now: float) -> float | None:
-        """Return how many new flows the host gets in a second now, None where nothing limits it."""
+        """Return how many new flows a second the host may get now, None where there is no limit."""
         if not self._is_cold(slow_until, now):
             return None
         if self._warm_up is None:
--- a/src/jasperwalk/scheduling/host_service_times.py
+++ b/src/jasperwalk/scheduling/host_service_times.py
@@ -190,5 +190,5 @@
 
 
 def _median(values: list[float]) -> float:
-    """Return the median, the lower one of two, so that a host in doubt does not count as slow."""
+    """Return the median, the lower one of two, so that an uncertain host counts as not slow."""
     return sorted(values)[(len(values) - 1) // 2]
