--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -58,7 +58,7 @@
 delays a process by a few hundred milliseconds, which must not look like a lost leader."""
 SNAPSHOT_INTERVAL_ENTRIES = 1024
 """Applied entries after which the state is written as a snapshot."""
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """Longest sleep between two ticks of the core."""
 TRANSFER_POLL_SECONDS = 0.01
 DISK_ID_BYTES = 16
@@ -240,7 +240,7 @@
         while self.leader_id in (None, own_id) and time.monotonic() < deadline:
             await asyncio.sleep(TRANSFER_POLL_SECONDS)
 
-    def take(self, sender: int, message: RaftPayload) -> None:
+    def handle_message(self, sender: int, message: RaftPayload) -> None:
         """Hand a peer's message to the core; malformed ones are counted and dropped."""
         try:
             decoded = RAFT_DECODER.decode(message.payload)
@@ -265,11 +265,11 @@
             if self._failure is not None:
                 raise self._failure
             self._node.tick(time.monotonic())
-            await self._work_off()
+            await self._process_ready()
             self._warn_when_displaced()
             wait_seconds = self._node.next_deadline() - time.monotonic()
             try:
-                async with asyncio.timeout(min(max(wait_seconds, 0.0), LONGEST_WAIT_SECONDS)):
+                async with asyncio.timeout(min(max(wait_seconds, 0.0), MAX_WAIT_SECONDS)):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -290,7 +290,7 @@
                 "under a new replica_id",
             )
 
-    async def _work_off(self) -> None:
+    async def _process_ready(self) -> None:
         while not (ready := self._node.ready()).is_empty():
             if ready.persist is not None:
                 await self._persist(ready.persist)
@@ -302,7 +302,7 @@
         loop = asyncio.get_running_loop()
         write: Callable[[PersistBatch], None] = self._storage.persist
         if self._storage_faults is not None:
-            write = self._storage_faults.around(write)
+            write = self._storage_faults.wrap(write)
         await loop.run_in_executor(self._disk, write, batch)
         self._node.persisted()
 
--- a/src/jasperwalk/control/state/fleet_keys.py
+++ b/src/jasperwalk/control/state/fleet_keys.py
@@ -27,16 +27,16 @@
 )
 from jasperwalk.control.state.outcomes import LimitReached
 
-HIGHEST_ROTATION = 6
+MAX_ROTATION = 6
 """Rotation 7 is reserved by the QUIC-LB draft for connection IDs that are not routable."""
 
 CONNECTION_ID_SECRET_LENGTH = 16
 """Bytes of an AES-128 key."""
 
-SHORTEST_SECRET = 16
-LONGEST_SECRET = 64
+MIN_SECRET_LENGTH = 16
+MAX_SECRET_LENGTH = 64
 
-KEYS_PER_PURPOSE = HIGHEST_ROTATION + 1
+KEYS_PER_PURPOSE = MAX_ROTATION + 1
 
 SPARE_KEYS = 1
 """Keys of a purpose that wait while no rotation is in progress."""
@@ -158,11 +158,11 @@
 
 
 def _is_valid(command: InstallKey) -> bool:
-    if not 0 <= command.rotation <= HIGHEST_ROTATION:
+    if not 0 <= command.rotation <= MAX_ROTATION:
         return False
     if command.purpose is KeyPurpose.CONNECTION_ID:
         return len(command.secret) == CONNECTION_ID_SECRET_LENGTH
-    return SHORTEST_SECRET <= len(command.secret) <= LONGEST_SECRET
+    return MIN_SECRET_LENGTH <= len(command.secret) <= MAX_SECRET_LENGTH
 
 
 def _deactivate_others(
--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -16,7 +16,7 @@
 from jasperwalk.config.table_entries import MemberEntry
 from jasperwalk.control.state.change_register import (
     DEFAULT_CHANGE_LIMIT,
-    LONGEST_CHANGE_ID,
+    MAX_CHANGE_ID_LENGTH,
     ChangeRecord,
     ChangeRegister,
     fingerprint_of,
@@ -115,7 +115,7 @@
     def apply(self, index: int, command: Command, plan: Plan | Outcome | None = None) -> Outcome:
         """Apply one command; raise `CommandOutOfOrder` for an index already applied.
 
-        `plan` is what the job of `long_plan` returned, for this command and this very state.
+        `plan` is what the job of `background_plan` returned, for this command and this very state.
         """
         if index <= self.last_index:
             raise CommandOutOfOrder(index=index, last_index=self.last_index)
@@ -143,7 +143,7 @@
             return MalformedCommand(reason=error.reason)
         return self.apply(index, command, plan)
 
-    def long_plan(self, index: int, data: bytes) -> PlanJob | None:
+    def background_plan(self, index: int, data: bytes) -> PlanJob | None:
         """Return the part of a command that may take long, None where there is none.
 
         Its result goes to `apply_encoded` with the same command. It only reads, so that it may
@@ -240,8 +240,8 @@
         self, index: int, command: OperatorCommand, plan: Plan | Outcome | None
     ) -> Outcome:
         """Apply an operator's change, or repeat the first outcome of its change ID."""
-        if not 1 <= len(command.change_id) <= LONGEST_CHANGE_ID:
-            mend = f"use 1 to {LONGEST_CHANGE_ID} characters"
+        if not 1 <= len(command.change_id) <= MAX_CHANGE_ID_LENGTH:
+            mend = f"use 1 to {MAX_CHANGE_ID_LENGTH} characters"
             return InvalidIdentifier(subject="change ID", text=command.change_id[:80], mend=mend)
         fingerprint = fingerprint_of(command)
         known = self._changes.find(command.change_id)
@@ -265,13 +265,13 @@
             case ApplyTemplate():
                 if plan is None:
                     plan = self._configuration.plan_template(command, index, claims)
-                return self._carry_out(plan, index, subject_revision=index)
+                return self._execute_plan(plan, index, subject_revision=index)
             case SetTenant():
                 plan = self._configuration.plan_tenant(command, index, claims)
-                return self._carry_out(plan, index, subject_revision=index)
+                return self._execute_plan(plan, index, subject_revision=index)
             case RemoveTenant():
                 plan = self._configuration.plan_removal(command)
-                outcome = self._carry_out(plan, index, subject_revision=0)
+                outcome = self._execute_plan(plan, index, subject_revision=0)
                 if outcome.accepted:
                     del self._configuration.tenants[command.name]
                 return outcome
@@ -281,11 +281,11 @@
                 refusal = rotate_key(self.table, command, index)
                 return self._accepted() if refusal is None else refusal
 
-    def _carry_out(self, plan: Plan | Outcome, index: int, subject_revision: int) -> Outcome:
+    def _execute_plan(self, plan: Plan | Outcome, index: int, subject_revision: int) -> Outcome:
         """Store and install a plan; pass a refusal on."""
         if not isinstance(plan, Plan):
             return plan
-        if not self._installer.has_room_for(plan.renderings):
+        if not self._installer.can_allocate_ids(plan.renderings):
             return ServiceIdsExhausted()
         self._configuration.store(plan)
         self._installer.install(plan.renderings, index)
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -106,7 +106,7 @@
     assert harness.resets == []
 
 
-def test_an_upload_that_rests_makes_room_though_it_has_not_ended():
+def test_an_idle_upload_frees_capacity_though_it_has_not_ended():
     harness = full(waiting=(3,))
     receive(harness, 1.1, 1, 0, b"data")
     harness.core.tick(1.1 + LOADING_SECONDS)
@@ -115,7 +115,7 @@
     assert opened(harness) == [3]
 
 
-def test_an_upload_whose_data_waits_for_the_link_makes_no_room():
+def test_an_upload_whose_data_waits_for_the_link_frees_no_capacity():
     harness = full(waiting=(3,))
     keep_the_link_full(harness, 1.1)
     resting = 1.11 + FIRST_DATA_SECONDS
@@ -162,7 +162,7 @@
     assert opened(harness) == [3]
 
 
-def test_packets_without_data_make_no_room():
+def test_packets_without_data_free_no_capacity():
     harness = full(waiting=(3,))
     for number in (1, 2):
         receive(harness, 1.1, number)
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -20,10 +20,10 @@
 
 
 class Dialer:
-    """Stands for `connect`: the attempts before the peer's power is back do what `dark` says."""
+    """Stands for `connect`: the attempts before the peer's power is back do what `dial_without_power` says."""
 
-    def __init__(self, real, dark):
-        self.real, self.dark = real, dark
+    def __init__(self, real, dial_without_power):
+        self.real, self.dial_without_power = real, dial_without_power
         self.has_power = False
         self.attempts = 0
 
@@ -31,7 +31,7 @@
         self.attempts += 1
         if self.has_power:
             return await self.real(*arguments)
-        return await self.dark()
+        return await self.dial_without_power()
 
 
 async def hang():
@@ -49,8 +49,8 @@
 
 
 @pytest.mark.parametrize("dark", [hang, refuse])
-def test_a_peer_that_dials_is_dialled_back_at_once(monkeypatch, dark):
-    dialer = Dialer(peer_links.connect, dark)
+def test_a_peer_that_dials_is_dialled_back_at_once(monkeypatch, dial_without_power):
+    dialer = Dialer(peer_links.connect, dial_without_power)
     monkeypatch.setattr(peer_links, "connect", dialer)
     times = peer_links.LinkTimes(connect_timeout=NEVER, reconnect=NEVER)
 
@@ -107,8 +107,8 @@
     """Two replicas; the first one reaches the second through a relay."""
 
     def __init__(self, times):
-        self.taken = []
-        self.signs_of_life = 0
+        self.received = []
+        self.keepalives = 0
         self.networks = {
             each: PeerNetwork(f"c{each}", each, "zagreb", self.take, times=times) for each in (1, 2)
         }
@@ -123,9 +123,9 @@
 
     def take(self, sender, message):
         if isinstance(message, LinkAlive):
-            self.signs_of_life += 1
+            self.keepalives += 1
         else:
-            self.taken.append((sender, message))
+            self.received.append((sender, message))
 
     async def __aenter__(self):
         for server in self.servers.values():
@@ -146,10 +146,10 @@
         await self.relay.close()
 
     def served(self):
-        return set(self.networks[2]._served)
+        return set(self.networks[2]._accepted)
 
 
-QUICK = LinkTimes(reconnect=0.01, alive_interval=0.02, silence_limit=0.2)
+QUICK = LinkTimes(reconnect=0.01, keepalive_interval=0.02, silence_limit=0.2)
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
             peers.relay.silence_standing(forth, back)
             await until(lambda: peers.served() and not peers.served() & before)
             await until(lambda: peers.networks[1].send(2, ReportWanted()))
-            await until(lambda: peers.taken == [(1, ReportWanted())])
+            await until(lambda: peers.received == [(1, ReportWanted())])
 
     asyncio.run(scenario())
 
@@ -172,6 +172,6 @@
 def test_a_link_without_messages_carries_signs_of_life():
     async def scenario():
         async with Peers(QUICK) as peers:
-            await until(lambda: peers.signs_of_life)
+            await until(lambda: peers.keepalives)
 
     asyncio.run(scenario())
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -127,7 +127,7 @@
             await wait_for(lambda: all(each.fresh() for each in balancers))
             cut_endpoint = running.endpoints[cut_id]
             assert any(each.core.replica == cut_endpoint for each in balancers)
-            heal = running.cut(cut_id)
+            reconnect = running.cut(cut_id)
             replica = running.processes[cut_id].replica
             await wait_for(lambda: replica.runner.quorum_age() > 2.0)
             read = await running.call("GET", TENANT, cut_id)
@@ -142,7 +142,7 @@
             await wait_for(lambda: all(each.table.revision >= revision for each in balancers))
             await wait_for(lambda: all(each.fresh() for each in balancers))
             assert all(each.core.replica != cut_endpoint for each in balancers)
-            heal()
+            reconnect()
             await wait_for(lambda: replica.state.revision >= revision)
             await running.leader()
             again = await running.accept("PUT", TENANT, replica_id=cut_id, **change)
@@ -181,12 +181,12 @@
         async with cluster() as running:
             await running.configure()
             leader_id = await running.leader()
-            asked, unheard = (each for each in running.processes if each != leader_id)
-            running.cut_link(unheard, asked)
-            balancer = running.subscribe_balancer(6001, [unheard])
+            queried_id, cut_off_id = (each for each in running.processes if each != leader_id)
+            running.cut_link(cut_off_id, queried_id)
+            balancer = running.subscribe_balancer(6001, [cut_off_id])
             await wait_for(balancer.fresh)
             await running.accept("PUT", TENANT, change_id="c", body=new_tenant(weight=1))
-            found = await running.call("GET", "/v1/changes/c/in-force?wait_ms=30000", asked)
+            found = await running.call("GET", "/v1/changes/c/in-force?wait_ms=30000", queried_id)
             assert (found.body["complete"], found.body["balancers"]) == (True, 1)
 
     run(scenario())
@@ -213,13 +213,13 @@
             await running.configure()
             leader_id = await running.leader()
             others = [each for each in running.processes if each != leader_id]
-            heal = running.cut(leader_id)
+            reconnect = running.cut(leader_id)
             change = {"change_id": "lost", "body": new_tenant(weight=5)}
             unknown = await running.call("PUT", TENANT, leader_id, **change)
             assert (unknown.status, unknown.body["kind"]) == (504, "outcome-unknown")
             assert unknown.body["change_id"] == "lost"
             settled = await running.accept("PUT", TENANT, replica_id=others[0], **change)
-            heal()
+            reconnect()
             await running.leader()
             again = await running.accept("PUT", TENANT, replica_id=leader_id, **change)
             assert again.body == settled.body
@@ -402,21 +402,27 @@
                 new = old + 3
                 await running.start(new)
                 body = {"replica_id": new, "address": str(running.endpoints[new])}
-                await change(running, "POST", body, learner=[new], asked=old)
+                await change(running, "POST", body, learner=[new], queried_id=old)
                 await change(
-                    running, "POST", {"replica_id": new, "promote": True}, learner=[], asked=old
+                    running,
+                    "POST",
+                    {"replica_id": new, "promote": True},
+                    learner=[],
+                    queried_id=old,
                 )
-                await remove(running, old, asked=new)
+                await remove(running, old, queried_id=new)
                 await running.kill(old)
                 await running.leader()
             accepted = await running.accept("PUT", TENANT, replica_id=4, body=new_tenant(weight=17))
             await wait_for(lambda: balancer.table.revision >= accepted.body["revision"])
             await wait_for(balancer.fresh)
 
-    async def remove(running, replica_id, asked):
+    async def remove(running, replica_id, queried_id):
         while True:
-            await running.call("DELETE", f"/v1/replicas/{replica_id}", asked)
-            listed = (await running.call("GET", "/v1/replicas", asked)).body.get("replicas", [])
+            await running.call("DELETE", f"/v1/replicas/{replica_id}", queried_id)
+            listed = (await running.call("GET", "/v1/replicas", queried_id)).body.get(
+                "replicas", []
+            )
             if listed and replica_id not in {each["replica_id"] for each in listed}:
                 return
             await asyncio.sleep(0.1)
@@ -424,11 +430,11 @@
     run(scenario())
 
 
-async def change(running, method, body, learner, asked=1):
+async def change(running, method, body, learner, queried_id=1):
     """Repeat until there are four replicas and these learners: one has to catch up first."""
     while True:
-        await running.call(method, "/v1/replicas", asked, body=body)
-        listed = await running.call("GET", "/v1/replicas", asked)
+        await running.call(method, "/v1/replicas", queried_id, body=body)
+        listed = await running.call("GET", "/v1/replicas", queried_id)
         replicas = listed.body.get("replicas", [])
         learners = [each["replica_id"] for each in replicas if not each["voter"]]
         if len(replicas) == 4 and learners == learner:
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -182,7 +182,7 @@
     play(scenario, homes=2)
 
 
-def test_every_node_is_told_at_once_that_its_home_became_current(play):
+def test_every_node_is_notified_at_once_that_its_home_became_current(play):
     async def scenario(homes, start):
         (home,) = homes
         home.current = False
@@ -247,7 +247,7 @@
     play(scenario)
 
 
-def test_a_replica_that_gets_power_during_an_attempt_is_dialled_anew_at_once(play, monkeypatch):
+def test_a_replica_that_gets_power_during_an_attempt_is_dialled_again_at_once(play, monkeypatch):
     """A connection whose first packet was dropped hangs, though the replica is there by now."""
     waited = []
     real_connect = home_link.connect
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -58,7 +58,7 @@
     assert {chosen(made) for _ in range(20)} == {"agent-2"}
 
 
-def test_a_busy_agent_of_the_own_zone_is_passed_over():
+def test_a_busy_agent_of_the_own_zone_is_not_chosen():
     made = pool(record(1, zone="b"), record(2, zone="a"))
     load(made, 2, 3.0)
     assert chosen(made) == "agent-1"
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("capacity", [1, 2, 4])
-def test_a_flow_that_stays_near_does_not_leave_a_zone_with_room(capacity):
+def test_a_flow_that_prefers_its_own_zone_stays_while_it_has_capacity(capacity):
     busy = FREE_LOAD_PER_SLOT * capacity
     made = two_zones(0.99 * busy, capacity)
     assert {chosen(made) for _ in range(20)} == {"agent-1"}
@@ -98,7 +98,7 @@
     assert 9 <= drawn.count("agent-1") <= 11
 
 
-def test_a_flow_that_stays_near_leaves_agents_that_refuse_or_do_not_answer():
+def test_a_flow_that_prefers_its_own_zone_avoids_agents_that_refuse_or_do_not_answer():
     for held in ("suspect_until", "refuses_until"):
         made = two_zones(0.0)
         endpoint = address_of(2)
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize("age", [0.0, LOAD_FRESH_SECONDS])
-def test_a_fresh_figure_counts_whole(age):
+def test_a_fresh_load_counts_fully(age):
     made = pool(record(1, capacity=1), record(2, capacity=1))
     load(made, 1, 0.5, now=5.0 - age)
     load(made, 2, 0.4, now=5.0)
