--- a/tests/agent/datagrams/support.py
+++ b/tests/agent/datagrams/support.py
@@ -31,7 +31,7 @@
 
 
 class Harness:
-    """An agent, its host's state, and what left it."""
+    """An agent, its host's state, and what the agent sent."""
 
     def __init__(self, phase=HostPhase.READY, started_at=0.0, warm_up_floor=None, shares=None):
         self.host_packets, self.replies, self.caller_packets = [], [], []
@@ -67,7 +67,7 @@
         return self.replies[-1][0]
 
     def fill(self):
-        """Bring the host to its limit; return the callers."""
+        """Admit flows up to the host's limit; return the callers."""
         ports = range(1, 1 + max_requests(CAPACITY))
         callers = [Endpoint("100.64.0.9", port) for port in ports]
         for caller in callers:
@@ -76,7 +76,7 @@
         return callers
 
     def fill_at(self, now):
-        """Bring the host to its limit at this time."""
+        """Admit flows up to the host's limit at this time."""
         for port in range(1, 1 + max_requests(CAPACITY)):
             caller = Endpoint("100.64.0.9", port)
             assert self.open(now, caller).kind is FrameKind.ACCEPTED
--- a/tests/agent/datagrams/test_announcement_handler.py
+++ b/tests/agent/datagrams/test_announcement_handler.py
@@ -1,4 +1,4 @@
-"""What an agent takes of what is announced to it: the host beside it, and no other."""
+"""An agent accepts announcements of the host beside it, and of no other."""
 
 import pytest
 
@@ -64,7 +64,7 @@
 
 
 def test_a_start_under_the_same_id_is_another_host():
-    """The flows that the agent knows were the earlier start's: each is asked for anew."""
+    """The flows that the agent knows belonged to the earlier start, so they become unconfirmed."""
     handler, _, recorder = handler_and_state()
     handler.announce(announcement(7, born=1000))
     handler.announce(announcement(1, born=2000))
--- a/tests/agent/datagrams/test_confirmed_flows.py
+++ b/tests/agent/datagrams/test_confirmed_flows.py
@@ -1,4 +1,4 @@
-"""Several hosts may have answered a caller; its next packet tells whom it has chosen."""
+"""Several hosts may have answered a caller; its next packet shows which one it has chosen."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def half_open(answered=True):
-    """Return an agent that admitted a flow, whose host has answered the caller or not yet."""
+    """Return an agent that admitted a flow; its host has `answered` the caller or not yet."""
     harness = Harness()
     harness.open()
     if answered:
--- a/tests/agent/datagrams/test_failing_host.py
+++ b/tests/agent/datagrams/test_failing_host.py
@@ -1,4 +1,4 @@
-"""A host that takes flows and fails their requests, as its agent sees it."""
+"""An agent detects a host that takes flows and fails their requests."""
 
 import pytest
 
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -1,4 +1,4 @@
-"""Which new flows an agent admits, refuses or lets wait."""
+"""Which new flows an agent admits, refuses or queues."""
 
 import pytest
 
@@ -68,7 +68,7 @@
 
 
 def test_a_host_that_does_not_answer_gets_no_more_flows():
-    """It has crashed: its last announcement still says that it is ready."""
+    """A host that crashed: its last announcement still says that it is ready."""
     harness = Harness()
     assert harness.open(1.0).kind is FrameKind.ACCEPTED
     later = 1.01 + HOST_SILENCE_SECONDS
@@ -236,7 +236,7 @@
 
 
 def hand_back(harness, count, now=1.0):
-    """Let the host hand back the openings of this many callers."""
+    """Let the host return the opening packets of this many callers."""
     for port in range(1, count + 1):
         caller = Endpoint("100.64.0.8", port)
         harness.open(now, caller)
@@ -244,7 +244,7 @@
 
 
 def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
-    """It answers at once and looks idle: without this it would draw all new flows."""
+    """Such a host answers at once and looks idle, so it would attract all new flows."""
     harness = Harness()
     hand_back(harness, MAX_CONSECUTIVE_RETURNS)
     assert harness.agent.log.names()[-2] == "host-returns-openings"
@@ -286,7 +286,7 @@
 
 
 def test_callers_that_left_are_detected_by_the_follow_up_time_of_others():
-    """After an outage most waiting callers have left; their places are not kept for 0.25 s each."""
+    """After an outage most waiting callers have left; each must not keep its place for 0.25 s."""
     harness = Harness()
     for number in range(20):
         caller = Endpoint("100.64.0.8", 1 + number)
--- a/tests/agent/datagrams/test_flow_agent.py
+++ b/tests/agent/datagrams/test_flow_agent.py
@@ -1,4 +1,4 @@
-"""Packets pass the agent both ways; requests under way are counted."""
+"""The agent forwards packets both ways and counts requests in flight."""
 
 import pytest
 
--- a/tests/agent/datagrams/test_held_flows.py
+++ b/tests/agent/datagrams/test_held_flows.py
@@ -1,4 +1,4 @@
-"""What an agent answers to balancers that look for a flow."""
+"""What an agent answers to balancers that search a flow."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def test_a_flow_is_unconfirmed_until_its_caller_follows_up():
-    """Another host may have answered the caller first; the host tells by handing back."""
+    """Another host may have answered the caller first; then this host returns the packet."""
     harness = Harness()
     harness.open()
     harness.agent.receive_host_packet(from_host(0, b"hello"), 1.01)
@@ -135,7 +135,7 @@
 
 
 def cold_host(harness, left_seconds, now, number=4, host="h1"):
-    """Announce a host that is slow for so much longer."""
+    """Announce a host that stays in slow start for `left_seconds`."""
     announcement = HostAnnouncement(host, HostPhase.READY, CAPACITY, left_seconds, number)
     harness.host.announce(announcement, now)
     harness.agent.warm_up.configure(1, WarmUp(COLD_SECONDS, 0.0))
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -181,7 +181,7 @@
 
 
 def registered_again(now=0.0):
-    """Return a host that has taken the place of a former one, and spoke last at `now`."""
+    """Return a host that replaced a former one and announced itself last at `now`."""
     state = HostState()
     state.announce(FORMER, now - 2.0)
     state.announce(call(2, host="present"), now - 1.0)
@@ -190,7 +190,7 @@
 
 
 def known_alone(now=0.0):
-    """Return the same to an agent that was restarted, and never heard of the former one."""
+    """Return the same at an agent that was restarted and never knew the former one."""
     state = HostState()
     state.announce(call(2, host="present"), now - 1.0)
     state.announce(PRESENT, now)
@@ -254,7 +254,7 @@
 
 
 def test_a_host_that_spoke_once_may_itself_have_been_late():
-    """An agent that has just started hears a late call first, then the host that is there."""
+    """An agent that has just started receives a late call first, then one of the present host."""
     state = state_after(call(20, host="former"))
     assert state.announce(call(12, host="present"), 10.5)
     assert state.host_id == "present"
--- a/tests/agent/datagrams/test_host_presence.py
+++ b/tests/agent/datagrams/test_host_presence.py
@@ -1,4 +1,4 @@
-"""Looking whether a host is there at all, on real sockets."""
+"""The probe for a running host, on real sockets."""
 
 import asyncio
 
--- a/tests/agent/datagrams/test_planned_stop.py
+++ b/tests/agent/datagrams/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""An agent that is told to stop while its host still leaves."""
+"""The planned stop of an agent while its host still drains."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def pauses_before_stop(monkeypatch, state, leaves_after=None):
-    """Return after how many pauses the agent goes on to stop."""
+    """Return the pauses before the agent goes on to stop."""
     pauses = []
 
     async def sleep(seconds):
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -1,7 +1,8 @@
-"""Requests of open flows and new flows at one agent: who waits, who goes first, what is never lost.
+"""Scheduling of requests of open flows and of new flows at one agent: queueing, order, shedding.
 
-The load: a rush of urgent requests, each with a flow of its own, at a host whose open flows go on
-asking. Requests of open flows used to reach the host at once, so that the urgent ones paid alone.
+The load is a burst of urgent requests, each with a flow of its own, at a host whose open flows go
+on sending requests. The failure to guard against: requests of open flows reach the host at once,
+and only the urgent new flows wait or are refused.
 """
 
 import random
@@ -42,7 +43,7 @@
 
 
 class Host(Harness):
-    """The agent's bench with flows of two routes whose terms differ."""
+    """The agent's harness with flows of two routes whose terms differ."""
 
     def open_with(self, port, listener, terms, now, waits=False):
         caller = Endpoint("100.64.0.9", port)
@@ -52,7 +53,7 @@
         return self.replies[-1][0].kind
 
     def feed(self, port, now=0.5):
-        """Open a flow that rests: its first request has been answered."""
+        """Open a flow that is idle: its first request has been answered."""
         assert self.open_with(port, FEEDS, FEED_TERMS, now) is FrameKind.ACCEPTED
         caller = Endpoint("100.64.0.9", port)
         greeting = from_host(0, GREETING + b"h1", caller=caller, listener=FEEDS)
@@ -154,7 +155,7 @@
 
 
 def test_further_packets_of_a_started_request_are_not_held():
-    """The next packets of a request whose first was passed on follow it."""
+    """Packets of a request whose first one was forwarded follow it at once."""
     host = overloaded_host()
     host.started()
     host.ask(1, 3, 1.01)
@@ -184,7 +185,7 @@
 
 
 def test_no_reset_is_ever_sent_on_an_open_flow():
-    """A reset of an open flow would promise nothing, and its host is alive."""
+    """A reset would not prove to the caller that nothing of its request ran; its host is alive."""
     host = overloaded_host()
     for port in range(100, 200):
         host.open_with(port, HOLDS, HOLD_TERMS, 1.01, waits=True)
@@ -197,7 +198,7 @@
 
 
 def test_requests_wait_for_no_host_that_was_replaced():
-    """Its successor hands them back, so that their callers learn it."""
+    """The successor returns them, so that their callers learn of the replacement."""
     host = overloaded_host()
     host.started()
     host.agent.on_new_host(1.1)
@@ -218,7 +219,7 @@
 
 
 def test_an_agent_that_restarted_passes_requests_on_until_terms_are_told():
-    """Nothing is lost by a restart: callers send again what was held."""
+    """A restart loses nothing: callers send again what was queued."""
     host = Host()
     for port in range(1, FULL + 4):
         host.ask(port, 2, 1.0)
@@ -226,7 +227,7 @@
 
 
 def test_a_packet_of_a_flow_that_the_host_may_not_hold_is_not_held_back():
-    """After a loss of power callers go on asking on flows that are lost; the host says so."""
+    """After a loss of power callers go on sending on lost flows; only the host can return them."""
     host = overloaded_host()
     host.started()
     for port in range(60, 70):
@@ -303,7 +304,7 @@
 
 
 class Burst:
-    """40 urgent flows and 60 requests of open flows in a second, at a host that bears 50."""
+    """40 urgent flows and 60 requests of open flows in a second, at a host that can serve 50."""
 
     def __init__(self, seed, has_terms):
         drawn = random.Random(seed)
@@ -344,7 +345,7 @@
         self._take_in(now)
 
     def _take_in(self, now):
-        """Let the host take what has reached it; callers follow their flows' openings up."""
+        """Let the host accept what has reached it; callers follow their opening packets up."""
         while started := self.host.started():
             for port, listener in started:
                 if listener == HOLDS.port and port not in self.answered_at:
@@ -365,13 +366,13 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_in_a_burst_urgent_flows_are_not_delayed_by_open_ones(seed):
-    """Without terms requests of open flows reach the host at once, and new flows alone wait."""
+    """Without terms requests of open flows reach the host at once, and only new flows wait."""
     assert Burst(seed, has_terms=False).play() <= 10
     assert Burst(seed, has_terms=True).play() >= 30
 
 
 def test_a_burst_of_one_group_of_callers_affects_that_group_only():
-    """Ten flows of callers that rush, and one of another group that comes last but one."""
+    """Ten flows of a group with a burst, and one of another group that comes last but one."""
     host = Host(shares=FairShares())
     rushing = CarriedTerms(1, 0.4, 3.0, group=1)
     calm = CarriedTerms(1, 0.4, 3.0, group=2)
@@ -396,7 +397,7 @@
 
 
 def test_a_short_burst_waits_and_a_lasting_one_is_refused_at_once():
-    """After an outage all callers come back together, and are worked off within their time."""
+    """After an outage all callers return together and are served within their wait limit."""
     host = overloaded_host(FULL + 20)
     assert host.open_with(90, FEEDS, FEED_TERMS, 1.01, waits=True) is FrameKind.ACCEPTED
     at_end = 1.01 + MAX_BURST_SECONDS
@@ -416,7 +417,7 @@
 
 
 def test_no_urgent_flow_is_refused_while_a_less_urgent_one_waits():
-    """The less urgent one would be begun later at the host that had no time for the urgent one."""
+    """Else the host would later start the less urgent one, having refused the urgent one."""
     host = overloaded_host(FULL + 1)
     host.open_with(89, FEEDS, FEED_TERMS, 1.01, waits=True)
     for port in range(90, 100):
--- a/tests/agent/datagrams/test_search_helper.py
+++ b/tests/agent/datagrams/test_search_helper.py
@@ -1,4 +1,4 @@
-"""An agent that searches on balancers' behalf."""
+"""An agent that runs searches on behalf of balancers."""
 
 import random
 
@@ -112,7 +112,7 @@
 
 
 def test_the_balancer_that_asked_last_gets_the_verdict():
-    """Its caller's packets go there now; what it sent joins the search that is under way."""
+    """The caller's packets go to that balancer now; its packet joins the search in progress."""
     other = ("10.0.9.2", 7601)
     harness = Helper(record(1))
     harness.locate()
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -1,4 +1,4 @@
-"""A host that turns slow, as its agent sees it and tells it."""
+"""An agent detects a slow host, refuses flows for it and reports its service time."""
 
 import pytest
 
--- a/tests/agent/datagrams/test_warm_up.py
+++ b/tests/agent/datagrams/test_warm_up.py
@@ -1,4 +1,4 @@
-"""A cold host gets no more new flows in any second than it bears."""
+"""A cold host gets no more new flows in any second than its limit."""
 
 import itertools
 
--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -1,4 +1,4 @@
-"""An agent keeps new flows from a host whose zone is drained; open flows go on."""
+"""An agent refuses new flows for a host whose zone is drained; open flows go on."""
 
 import pytest
 
--- a/tests/scheduling/burst_replay.py
+++ b/tests/scheduling/burst_replay.py
@@ -1,4 +1,4 @@
-"""Callers of several zones at hosts with slots: a small stand-in for the queue of an agent."""
+"""A small model of agents' queues: groups of callers send requests to hosts with slots."""
 
 import heapq
 import random
@@ -14,7 +14,7 @@
 
 
 class FirstGroup:
-    """No shares: the request that the queue names first, whatever its group."""
+    """Shares nothing: serves and sheds the first group that the queue names."""
 
     def record_served(self, group, seconds, now):
         pass
@@ -27,7 +27,7 @@
 
 
 class Host:
-    """Slots and a queue, newest first within a group; a full queue lets an oldest request go."""
+    """Slots and a queue, newest first within a group; a full queue sheds the oldest of a group."""
 
     def __init__(self, shares, slots, source):
         self.shares, self.slots, self.source = shares, slots, source
@@ -39,7 +39,7 @@
         return (self.busy + len(self.waiting)) / self.slots
 
     def arrive(self, group, now):
-        """Return the requests that are let go: (group, arrived at)."""
+        """Return the requests that are shed: (group, arrived at)."""
         self.waiting.append((group, now))
         if len(self.waiting) <= WAITING_PER_SLOT * self.slots or self.busy < self.slots:
             return []
@@ -50,7 +50,7 @@
         return [gone]
 
     def start_waiting(self, now):
-        """Return the requests begun with their ends, and those that waited too long."""
+        """Return the started requests with their ends, and those that waited too long."""
         expired = [each for each in self.waiting if now - each[1] > MAX_WAIT_SECONDS]
         self.waiting = [each for each in self.waiting if each not in expired]
         started = []
@@ -66,10 +66,10 @@
 
 
 class Replay:
-    """Plays arrivals of groups at hosts; `rates` are arrivals a second outside the rush.
+    """Simulates arrivals of groups at hosts; `rates` are arrivals a second outside the burst.
 
-    `burst` names how many times the rates of some groups come in the rush. `came` and `in_time`
-    count requests by group, of those that came during the rush.
+    `burst` gives the factor by which the rates of some groups rise during the burst. `came` and
+    `in_time` count requests by group, of those that came during the burst.
     """
 
     def __init__(self, make_shares, rates, burst, hosts=1, slots=4, seed=1):
--- a/tests/scheduling/slow_hosts_model.py
+++ b/tests/scheduling/slow_hosts_model.py
@@ -1,8 +1,8 @@
-"""A model of one service under load on virtual time, some of whose hosts are slow for a while.
+"""Simulates one service under load in virtual time, with some hosts slow for a while.
 
 The product's own cores run in it: balancers that choose, agents that admit. Hosts have slots and a
-queue; callers open a flow for each request, or keep one for many. Everything is drawn from one
-seed. Each request counts what it was worth to its caller: whole in time, a part late.
+queue; callers open a flow for each request, or keep one for many. All random values come from one
+seed. Each request counts by its worth to the caller: 1 when answered in time, less when late.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 TICK_SECONDS = 0.02
 SWEEP_SECONDS = 1.0
 PAUSE_SECONDS = 0.25
-"""Of a caller between two requests on one flow."""
+"""Time of a caller between two requests on one flow."""
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
     in_time: int = 0
     late: int = 0
     taken: dict[int, int] = field(default_factory=dict)
-    """Requests that each host began to work on."""
+    """Requests that each host started to work on."""
     chosen: list[int] = field(default_factory=list)
     """The host of each request, in the order in which they reached one."""
 
@@ -123,7 +123,7 @@
 
 
 class Caller:
-    """Opens a flow and makes its requests; what is not answered is worth nothing."""
+    """Opens a flow and sends its requests; an unanswered request counts nothing."""
 
     def __init__(self, world, kind, endpoint, balancer):
         self.world, self.kind, self.endpoint, self.balancer = world, kind, endpoint, balancer
@@ -250,7 +250,7 @@
             reads_terms=True,
         )
 
-    # What passes
+    # Packets
 
     def _agent_frame(self, to, data, sender):
         self.by_address[to].agent.receive_frame(data, sender, self.now)
@@ -270,7 +270,7 @@
         if caller is not None:
             caller.receive(packet)
 
-    # What is counted
+    # Counts
 
     def kind_of(self, key):
         return self.kinds[key[6:12]]
--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a host between groups: a rush of one group, weights, groups that come and go."""
+"""Fair shares of a host between groups: a burst of one group, weights, groups that come and go."""
 
 import random
 
@@ -18,9 +18,9 @@
 BURSTING, CALM = 1, (2, 3, 4)
 GROUPS = (BURSTING, *CALM)
 ONE_HOST, SEVERAL_HOSTS = (1, 4), (12, 2)
-"""How many hosts, and slots of each."""
+"""Number of hosts, and slots of each."""
 CALM_SHARE = 0.2
-"""Of the hosts' time, what each group asks for outside a rush."""
+"""Part of the hosts' time that each group needs outside a burst."""
 
 SEEDS = range(6)
 
@@ -30,7 +30,7 @@
 
 
 def served(simulations, groups):
-    """Return the share of these groups' requests that was answered in time, in all plays."""
+    """Return the part of these groups' requests that was answered in time, in all simulations."""
     came = sum(each.came[group] for each in simulations for group in groups)
     return sum(each.in_time[group] for each in simulations for group in groups) / came
 
@@ -40,7 +40,7 @@
     return Replay(make_shares, rates(hosts, slots), burst, hosts, slots, seed).run()
 
 
-# A rush
+# A burst
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
@@ -77,7 +77,7 @@
 
 def test_agents_that_restart_are_fair_again_at_once():
     class RestartingShares(FairShares):
-        """An agent that is restarted every now and then."""
+        """Shares of an agent that is restarted now and then."""
 
         def record_served(self, group, seconds, now):
             if random.Random(f"{now}").random() < 0.02:
@@ -95,7 +95,7 @@
         assert played.started[group] / played.started.total() == pytest.approx(1 / 6, abs=0.04)
 
 
-# Whose turn it is
+# Which group is served
 
 
 def test_a_single_group_is_always_served():
@@ -183,7 +183,7 @@
     assert shares.group_to_serve([1, 2], 1.0) == 2
 
 
-# Whose request is let go
+# Which group's request is shed
 
 
 def test_a_group_with_a_burst_loses_its_own_requests_first():
--- a/tests/scheduling/test_host_service_times.py
+++ b/tests/scheduling/test_host_service_times.py
@@ -1,4 +1,4 @@
-"""The pace of one host: what makes it slow, and what does not."""
+"""Service times of one host: when it counts as slow, and which flows a slow host refuses."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 class HostSimulation:
-    """One host that is kept busy; each slot works on one request after the other."""
+    """One host that is always busy; each slot works on one request after the other."""
 
     def __init__(self, slots=2, kinds=(("kind", WORK_SECONDS),), long_share=0.0, seed=5):
         self.random = random.Random(seed)
--- a/tests/scheduling/test_link_pacer.py
+++ b/tests/scheduling/test_link_pacer.py
@@ -1,4 +1,4 @@
-"""A thin link: what a burst of uploads loses there, and what leaves first once it is paced."""
+"""A thin link: what a burst of uploads loses without pacing, and the order with it."""
 
 import pytest
 
@@ -16,18 +16,18 @@
 MEGABITS = 2.0
 RATE = link_bytes_per_second(MEGABITS)
 BUFFER_SECONDS = 0.04
-"""What the link itself keeps; more is lost."""
+"""What the link's own buffer holds; more is lost."""
 WINDOW = 16
 DATAGRAM_BYTES = 1238
 ARRIVAL_SECONDS = 0.0005
-"""Between two packets of a window at the balancer."""
+"""Time between two packets of a window at the balancer."""
 CALLERS_RESEND_SECONDS = 0.2
 AGENT = ("10.0.0.1", 7602)
 STEP_SECONDS = 0.001
 
 
 class BoundedLink:
-    """A link that loses what its buffer does not hold, and when each datagram was across."""
+    """A link that loses what its buffer does not hold; records when each datagram was across."""
 
     def __init__(self):
         self.now, self.free_at = 0.0, 0.0
@@ -148,7 +148,7 @@
 
 def test_however_thin_the_link_one_datagram_leaves_and_the_next_one_has_its_time():
     pacer, left = sent_at_once(100.0, 3, bulk=True)
-    assert len(left) == 2  # the least burst, and the datagram that overdraws it
+    assert len(left) == 2  # the smallest burst, and the datagram that exceeds it
     assert pacer.pause() == pytest.approx(
         (2 * (DATAGRAM_BYTES + HEADER_BYTES) - MIN_BURST_BYTES) / 100.0
     )
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -1,4 +1,4 @@
-"""Whose turn it is at a host, and who is let go, while more is asked than it can do."""
+"""Which request an overloaded host starts next, and which one is shed."""
 
 import random
 
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize(("share", "least"), [(0.1, 10), (0.25, 25), (0.0, 0)])
 def test_less_urgent_requests_keep_their_least_share(share, least):
-    """A rush of urgent requests for as long as 100 of them last."""
+    """While 100 urgent requests are served, less urgent ones keep their share."""
     waiting = scheduler(share)
     for number in range(200):
         add(waiting, f"u{number}", URGENT)
--- a/tests/scheduling/test_request_outcomes.py
+++ b/tests/scheduling/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Hosts that fail their requests: how many they get before and after they are judged."""
+"""Detection of hosts that fail requests: how many requests are lost, and how a host recovers."""
 
 import random
 
@@ -17,7 +17,7 @@
 )
 
 FLOWS_PER_SECOND = 17.0
-"""What one of 34 hosts gets of 580 a second."""
+"""The flows that one of 34 hosts gets of 580 a second."""
 NOT_REPEATABLE_SHARE = 0.22
 SERVICE_SECONDS = 0.05
 FAILS_FROM, FAILS_UNTIL, PLAYED_UNTIL = 5.0, 10.3, 20.0
@@ -25,7 +25,7 @@
 
 
 class HostSimulation:
-    """Flows come to one host that fails some requests for a while; counts what is lost."""
+    """Flows arrive at one host that fails some requests for a while; counts what is lost."""
 
     def __init__(self, seed, judged=True, share=FAILING_SHARE_PLAYED):
         self.random = random.Random(seed)
@@ -78,7 +78,7 @@
 
 
 def failing(now=1.0):
-    """Return a host that was just judged to fail."""
+    """Return a host that was just found to be failing."""
     outcomes = RequestOutcomes()
     told = [outcomes.record_failure(now) for _ in range(MIN_FAILURES)]
     assert told == [False] * (MIN_FAILURES - 1) + [True]
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -1,4 +1,4 @@
-"""How many requests keep a place at a host."""
+"""How many requests count as in flight at a host."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 def test_a_request_that_is_never_answered_stops_counting_after_a_while():
-    """A host that leaves some of its requests unanswered would soon have no place left."""
+    """A host that leaves some of its requests unanswered would soon have no free place."""
     requests = measured(0.03)
     requests.start("lost", 1.0)
     requests.start("new", 1.19)
--- a/tests/scheduling/test_slot_use.py
+++ b/tests/scheduling/test_slot_use.py
@@ -1,4 +1,4 @@
-"""How long requests held a slot, where more of them are under way than the host has slots."""
+"""How long requests held a slot, where more of them are in flight than the host has slots."""
 
 import random
 
--- a/tests/scheduling/test_slow_hosts.py
+++ b/tests/scheduling/test_slow_hosts.py
@@ -1,4 +1,4 @@
-"""A service some of whose hosts turn slow, or are slow always: what callers get."""
+"""A service with some hosts that become slow, or always are: how many requests are late."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 SLOW_FROM, SLOW_UNTIL, PLAYED_UNTIL = 4.0, 9.0, 12.0
 SEEDS = range(3)
 MANY_SEEDS = range(8)
-"""For what differs more between seeds than by what is tested: which requests are long."""
+"""For results that vary with the seed more than with the tested rule: which requests are long."""
 
 
 def kinds(flows_per_second, long_share=0.03):
