--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -235,8 +235,8 @@
     return from_host(0, GREETING + b"h1", caller=caller)
 
 
-def hand_back(harness, count, now=1.0):
-    """Let the host return the opening packets of this many callers."""
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
+    harness.agent.on_new_host(1.1)
     for port in range(1, count + 1):
         caller = Endpoint("100.64.0.8", port)
         harness.open(now, caller)
@@ -246,7 +246,7 @@
 def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
     """Such a host answers at once and looks idle, so it would attract all new flows."""
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
     assert harness.agent.log.names()[-2] == "host-returns-openings"
     answer = harness.open(1.1, Endpoint("100.64.0.9", 1))
     assert (answer.kind, answer.flags) == (FrameKind.REFUSED, RefusalReason.RETURNED)
@@ -260,11 +260,11 @@
 
 def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
     harness.open(1.1, taken)
     harness.agent.receive_host_packet(greeting(taken), 1.1)
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
     assert harness.open(1.3, Endpoint("100.64.0.9", 2)).kind is FrameKind.ACCEPTED
 
 
@@ -280,8 +280,13 @@
 
 def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
+<<<<<<< HEAD
     hand_back(harness, MAX_CONSECUTIVE_RETURNS)
     harness.agent.on_new_host(1.1)
+=======
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
+    harness.agent.on_host_replaced(1.1)
+>>>>>>> 534b14364ea32e0143982f068819ca6d724ec4fe
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
 
@@ -299,7 +304,7 @@
     assert harness.open(4.01 + MIN_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
-def test_the_time_that_callers_take_is_bounded_both_ways():
+def test_the_follow_up_timeout_is_bounded_both_ways():
     times = FollowUpTime()
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
     times.record(0.0001)
@@ -309,7 +314,7 @@
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
-def test_callers_that_take_longer_are_waited_for_longer():
+def test_slower_callers_raise_the_follow_up_timeout():
     times = FollowUpTime()
     for _ in range(100):
         times.record(0.05)
