--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -263,7 +263,7 @@
                 self.core.sweep(now)
                 self.helper.sweep(now)
 
-    def _on_link_change(self, _on_link_change: bool) -> None:
+    def _on_link_change(self, _is_linked: bool) -> None:
         """Do nothing: answers to the host do not depend on the link."""
 
     def _on_home_message(self, message: HomeMessage) -> None:
