--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -235,8 +235,8 @@
     return from_host(0, GREETING + b"h1", caller=caller)
 
 
-    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
-    harness.agent.on_new_host(1.1)
+def return_openings(harness, count, now=1.0):
+    """Let the host return the opening packets of this many callers."""
     for port in range(1, count + 1):
         caller = Endpoint("100.64.0.8", port)
         harness.open(now, caller)
@@ -280,13 +280,8 @@
 
 def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
-<<<<<<< HEAD
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
-    harness.agent.on_new_host(1.1)
-=======
     return_openings(harness, MAX_CONSECUTIVE_RETURNS)
-    harness.agent.on_host_replaced(1.1)
->>>>>>> 534b14364ea32e0143982f068819ca6d724ec4fe
+    harness.agent.on_new_host(1.1)
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
 
