--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -97,7 +97,7 @@
     assert harness.agent.meter.busy == 1
 
 
-def test_an_opening_packet_that_the_host_hands_back_is_a_refusal():
+def test_an_opening_packet_that_the_host_returns_is_a_refusal():
     harness = Harness()
     harness.open()
     harness.agent.receive_host_packet(from_caller(OPENING | RETURNED), 1.1)
@@ -172,7 +172,7 @@
     assert [to for _, to in harness.caller_packets if _[12] == RESET] == [("100.64.0.10", 1)]
 
 
-def test_a_flow_that_waited_and_is_handed_back_by_the_host_is_reset():
+def test_a_flow_that_waited_and_is_returned_by_the_host_is_reset():
     harness = Harness()
     callers = harness.fill()
     waiting = harness.wait(1)
@@ -243,7 +243,7 @@
         harness.agent.receive_host_packet(from_caller(OPENING | RETURNED, caller=caller), now)
 
 
-def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
+def test_a_host_that_returns_every_opening_gets_only_trials():
     """Such a host answers at once and looks idle, so it would attract all new flows."""
     harness = Harness()
     return_openings(harness, MAX_CONSECUTIVE_RETURNS)
@@ -258,7 +258,7 @@
     assert harness.open(1.61, Endpoint("100.64.0.9", 3)).kind is FrameKind.ACCEPTED
 
 
-def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
+def test_a_host_that_returns_some_openings_goes_on_getting_flows():
     harness = Harness()
     return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
