--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -37,7 +37,7 @@
 class HostAdmission:
     """Decides about new flows of one host; sans-IO, times are seconds.
 
-    `own_zone` is the agent's zone, which is its host's unless the host says otherwise.
+    `own_zone` is the agent's zone, which is its host's unless the host announces another.
     """
 
     host: HostState
--- a/src/jasperwalk/scheduling/slow_host.py
+++ b/src/jasperwalk/scheduling/slow_host.py
@@ -30,8 +30,8 @@
 """Newest requests that, if all took about the usual time, end the verdict, however far apart they
 are: a host that gets only trials has too few requests for a slowdown."""
 VERDICT_LIFETIME_SECONDS = 6.0
-"""A verdict that no request has confirmed for this long expires: the host may have recovered long
-before, and a trial that finds it slow costs one late answer."""
+"""A verdict that no request has confirmed for this long expires: by then others have long treated
+the host as usual again, and a trial that finds it slow costs one late answer."""
 
 
 class SlowHost:
