--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -50,7 +50,7 @@
     original = StaleOrderGuard.admit
     monkeypatch.setattr(
         StaleOrderGuard,
-        "take",
+        "admit",
         lambda self, order, leadership, _waits, now: original(self, order, leadership, True, now),
     )
     assert finds_violation()
