--- a/src/jasperwalk/agent/backend.py
+++ b/src/jasperwalk/agent/backend.py
@@ -40,8 +40,8 @@
 CONNECT_TIMEOUT_SECONDS = 1.0
 READ_BUFFER_BYTES = 32_768
 """Response bytes read ahead of a slow caller."""
-LONGEST_HEADER_FIELD = 16_384
-LONGEST_RETRY_AFTER_DIGITS = 5
+MAX_HEADER_FIELD_BYTES = 16_384
+MAX_RETRY_AFTER_DIGITS = 5
 DEFAULT_RETRY_AFTER_MS = 1000
 CLIENT_MADE_FIELDS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """Fields that aiohttp would add by itself."""
@@ -60,7 +60,7 @@
             auto_decompress=False,
             skip_auto_headers=CLIENT_MADE_FIELDS,
             read_bufsize=READ_BUFFER_BYTES,
-            max_field_size=LONGEST_HEADER_FIELD,
+            max_field_size=MAX_HEADER_FIELD_BYTES,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
             middlewares=(_send_once,),
         )
@@ -119,7 +119,7 @@
             if not request.deadline_by_caller:
                 timeout.reschedule(None)
             on_head()
-            return await self._pass_on(response, sink, progress)
+            return await self._forward_response(response, sink, progress)
         finally:
             response.close()
 
@@ -133,7 +133,7 @@
             allow_redirects=False,
         )
 
-    async def _pass_on(
+    async def _forward_response(
         self, response: aiohttp.ClientResponse, sink: ResponseSink, progress: AnswerProgress
     ) -> Outcome:
         progress.head_sent = True
@@ -195,5 +195,5 @@
 
 def _retry_after_ms(response: aiohttp.ClientResponse) -> int:
     text = response.headers.get("retry-after", "")
-    valid = text.isascii() and text.isdigit() and len(text) <= LONGEST_RETRY_AFTER_DIGITS
+    valid = text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS
     return int(text) * 1000 if valid else DEFAULT_RETRY_AFTER_MS
--- a/src/jasperwalk/agent/background.py
+++ b/src/jasperwalk/agent/background.py
@@ -9,8 +9,8 @@
 from jasperwalk.agent.current_view import CurrentView
 from jasperwalk.agent.datagram_port import DatagramPort
 from jasperwalk.agent.endpoint import AgentEndpoint
+from jasperwalk.agent.graceful_close import GracefulClose
 from jasperwalk.agent.health import BackendHealth
-from jasperwalk.agent.planned_end import PlannedEnd
 from jasperwalk.distribution.runner import FollowerRunner
 
 REPORT_SECONDS = 0.1
@@ -56,18 +56,18 @@
         await asyncio.sleep(REPORT_SECONDS)
 
 
-async def take_up_moves(current: CurrentView, planned_end: PlannedEnd) -> None:
+async def apply_moves(current: CurrentView, graceful_close: GracefulClose) -> None:
     """Serve the service that this member was moved to, once its open requests have ended.
 
     The flows that are left rest; their callers are told at once that they ended.
     """
     while True:
-        if current.move_waits:
-            await planned_end.wait_until_idle()
+        if current.move_pending:
+            await graceful_close.wait_until_idle()
         # The member may have been moved back, or the agent stopped, in the meantime.
-        if current.move_waits:
-            planned_end.close_flows()
-            current.take_up_move()
+        if current.move_pending:
+            graceful_close.close_flows()
+            current.apply_move()
         await asyncio.sleep(MOVE_POLL_SECONDS)
 
 
@@ -75,9 +75,9 @@
     follower: FollowerRunner, endpoint: AgentEndpoint, port: DatagramPort
 ) -> None:
     """Tell open flows of a drain, move them to the active keys, report their oldest keys."""
-    upkeep = endpoint.upkeep
+    maintenance = endpoint.maintenance
     while True:
-        while upkeep.renew_some_flows() | upkeep.send_some_go_aways():
+        while maintenance.renew_some_flows() | maintenance.send_some_go_aways():
             port.schedule()
             await asyncio.sleep(RENEWAL_PAUSE_SECONDS)
         oldest = endpoint.oldest_keys()
--- a/src/jasperwalk/agent/borrower.py
+++ b/src/jasperwalk/agent/borrower.py
@@ -16,21 +16,21 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admitted, Queued, Refused
 from jasperwalk.agent.allocator import SlotAllocator
-from jasperwalk.agent.lending import SlotAsk, SlotRefusal
+from jasperwalk.agent.lending import SlotRefusal, SlotRequest
 from jasperwalk.agent.peers import PeerSlots
 from jasperwalk.agent.requests import NotRun, NotRunReason
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import BorrowedSlot, SlotAsker
-from jasperwalk.agent.slot_search import AskBudget, Pause, SlotSearch
+from jasperwalk.agent.slot_asker import BorrowedSlot, LendingClient
+from jasperwalk.agent.slot_search import Pause, SlotRequestBudget, SlotSearch
 from jasperwalk.config.table_entries import Objective
 
 BORROWING_REASONS = frozenset(
     {NotRunReason.QUEUE_FULL, NotRunReason.DEADLINE_TOO_SHORT, NotRunReason.SHEDDING}
 )
 """Refusals of the own admission that a free slot elsewhere makes up for."""
-PATIENCE_SECONDS = 0.25
+OWN_SLOT_WAIT_SECONDS = 0.25
 """Time for which a request waits for its own slot alone where broken flows weigh most."""
-REFUSED_SEARCH_SECONDS = 0.1
+MAX_SEARCH_AFTER_REFUSAL_SECONDS = 0.1
 """Longest search for a request that is refused otherwise: its answer may not come late."""
 
 
@@ -50,19 +50,19 @@
     def __init__(
         self,
         allocator: SlotAllocator,
-        asker: SlotAsker,
+        lending_client: LendingClient,
         peers: PeerSlots,
         view: Callable[[], ServiceView],
         clock: Callable[[], float],
         enabled: bool,
     ) -> None:
         self._allocator = allocator
-        self._asker = asker
+        self._lending_client = lending_client
         self._peers = peers
         self._view = view
         self._clock = clock
         self._enabled = enabled
-        self._budget = AskBudget()
+        self._budget = SlotRequestBudget()
         self.asked = 0
         self.borrowed = 0
 
@@ -75,73 +75,73 @@
             case Queued():
                 return await self._wait(request_id)
             case Refused(not_run=not_run):
-                return await self._instead(not_run, deadline_at)
+                return await self._search_after_refusal(not_run, deadline_at)
 
     async def _wait(self, request_id: str) -> Slot | NotRun:
         """Wait for the own slot and look for another one."""
         if not self._enabled:
-            return _own(request_id, await self._allocator.wait(request_id))
+            return _own_slot(request_id, await self._allocator.wait(request_id))
         waiter = self._allocator.waiter(request_id)
         searching = asyncio.ensure_future(self._search())
         try:
             await asyncio.wait((waiter, searching), return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
-            self._allocator.leave(request_id)
-            _give_up(searching)
+            self._allocator.withdraw(request_id)
+            _cancel_search(searching)
             raise
         # From here to the return nothing is awaited, so only one of the slots is ever used.
         if waiter.done():
-            _give_up(searching)
-            return _own(request_id, waiter.result())
-        self._allocator.leave(request_id)
+            _cancel_search(searching)
+            return _own_slot(request_id, waiter.result())
+        self._allocator.withdraw(request_id)
         return searching.result()
 
-    async def _instead(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
+    async def _search_after_refusal(self, not_run: NotRun, deadline_at: float) -> Slot | NotRun:
         """Look once, and shortly, for a slot for a request that the own queue refused."""
         remaining = deadline_at - self._clock()
         if not self._enabled or remaining <= 0 or not_run.reason not in BORROWING_REASONS:
             return not_run
         try:
-            async with asyncio.timeout(min(remaining, REFUSED_SEARCH_SECONDS)):
-                found = await self._ask_in_a_row(self._new_search())
+            async with asyncio.timeout(min(remaining, MAX_SEARCH_AFTER_REFUSAL_SECONDS)):
+                found = await self._request_from_peers(self._new_search())
         except TimeoutError:
             return not_run
         return not_run if isinstance(found, Pause) else found
 
     async def _search(self) -> BorrowedSlot:
-        await asyncio.sleep(self._patience_seconds())
+        await asyncio.sleep(self._own_slot_wait_seconds())
         search = self._new_search()
         while True:
-            found = await self._ask_in_a_row(search)
+            found = await self._request_from_peers(search)
             if isinstance(found, BorrowedSlot):
                 return found
             await asyncio.sleep(found.seconds)
 
-    def _patience_seconds(self) -> float:
+    def _own_slot_wait_seconds(self) -> float:
         service = self._view().service
         if service is None or service.objective is Objective.LEAST_IMBALANCE:
             return 0.0
-        return PATIENCE_SECONDS
+        return OWN_SLOT_WAIT_SECONDS
 
     def _new_search(self) -> SlotSearch:
         return SlotSearch(self._peers, self._budget)
 
-    async def _ask_in_a_row(self, search: SlotSearch) -> BorrowedSlot | Pause:
+    async def _request_from_peers(self, search: SlotSearch) -> BorrowedSlot | Pause:
         while True:
             step = search.next(self._view().other_members(), self._clock())
             if isinstance(step, Pause):
                 return step
-            slot = await self._ask(step.member)
+            slot = await self._request_slot(step.member)
             if slot is not None:
                 return slot
 
-    async def _ask(self, member: Endpoint) -> BorrowedSlot | None:
+    async def _request_slot(self, member: Endpoint) -> BorrowedSlot | None:
         view = self._view()
         if view.service is None:
             return None
         self.asked += 1
-        ask = SlotAsk(view.service.service_id, view.address.pack())
-        answer = await self._asker.ask(member, ask)
+        ask = SlotRequest(view.service.service_id, view.address.pack())
+        answer = await self._lending_client.ask(member, ask)
         now = self._clock()
         match answer:
             case None:
@@ -155,11 +155,11 @@
         return None
 
 
-def _own(request_id: str, not_run: NotRun | None) -> Slot | NotRun:
+def _own_slot(request_id: str, not_run: NotRun | None) -> Slot | NotRun:
     return OwnSlot(request_id) if not_run is None else not_run
 
 
-def _give_up(searching: asyncio.Future[BorrowedSlot]) -> None:
+def _cancel_search(searching: asyncio.Future[BorrowedSlot]) -> None:
     """End a search; a slot that it has found goes back to its lender."""
     searching.cancel()
     searching.add_done_callback(_give_back)
--- a/src/jasperwalk/agent/current_view.py
+++ b/src/jasperwalk/agent/current_view.py
@@ -47,7 +47,7 @@
         return self._view
 
     @property
-    def move_waits(self) -> bool:
+    def move_pending(self) -> bool:
         """Tell whether this member was moved to a service that it does not serve yet."""
         moved = self._view.removed and self._newest.service is not None
         return moved and not self._view.stopping
@@ -68,11 +68,11 @@
         if incarnation != self._view.incarnation:
             self._replace(dataclasses.replace(self._view, incarnation=incarnation))
 
-    def begin_stop(self) -> None:
+    def set_stopping(self) -> None:
         """Take no new work from here on."""
         self._replace(dataclasses.replace(self._view, stopping=True))
 
-    def take_up_move(self) -> None:
+    def apply_move(self) -> None:
         """Serve the service that this member was moved to."""
         incarnation = self._view.incarnation
         self._replace(dataclasses.replace(self._newest, incarnation=incarnation))
@@ -83,7 +83,7 @@
         self._endpoint.set_view(view)
         self._peers.keep_only(view.members)
         self._apply_limits()
-        self._begin_slow_start()
+        self._start_slow_start()
         _log_changes(before, view)
 
     def _apply_limits(self) -> None:
@@ -96,12 +96,12 @@
         self._allocator.apply(self._allocator.admission.set_limits(limits, self._clock()))
         self._health.failures_to_offline = service.health_monitor.failures_to_offline
 
-    def _begin_slow_start(self) -> None:
+    def _start_slow_start(self) -> None:
         """Begin a slow start when control first calls this incarnation online."""
         view = self._view
         if view.online and view.incarnation != self._online_incarnation:
             self._online_incarnation = view.incarnation
-            self._endpoint.slow_start.begin(self._clock())
+            self._endpoint.slow_start.start(self._clock())
 
 
 def _log_changes(before: ServiceView, after: ServiceView) -> None:
--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -25,7 +25,7 @@
     knowledge: FlowKnowledge
     idle_seconds: Callable[[], float]
 
-    def carry(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
+    def forward(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
         """Take a packet of a flow that a balancer believes to be at this host."""
         parts = self.parts
         key = parts.codec.flow_key(packet)
@@ -45,7 +45,7 @@
             and flow.answer_numbers
             and not flow.is_followed(packet, parts.codec)
         ):
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             parts.answers.reply(FrameKind.RETURNED, 0, key, sender, now, packet)
             return
         flow.balancer = sender
@@ -53,7 +53,7 @@
         flow.followed_up = True
         parts.table.half_open.record_follow_up(key, now)
         parts.counters.packets_in += 1
-        if not self._holds(key, flow, packet, now):
+        if not self._try_hold(key, flow, packet, now):
             self._send(flow, packet, now)
 
     def confirm(self, packet: bytes, tag: int, sender: SocketAddress, now: float) -> None:
@@ -66,9 +66,9 @@
         elif flow.is_followed(packet, parts.codec):
             answer = FrameKind.HELD
         else:
-            self._let_go(key, flow, now)
+            self._drop_half_open(key, flow, now)
             answer = FrameKind.NOT_HELD
-        if tag == parts.tag and self._forgets_waiting_opening(key):
+        if tag == parts.tag and self._cancel_waiting_opening(key):
             answer = FrameKind.NOT_HELD
         parts.log.note(
             "flow-confirmed" if answer is FrameKind.HELD else "flow-not-confirmed",
@@ -78,9 +78,9 @@
         )
         parts.answers.reply(answer, 0, key, sender, now)
         if answer is FrameKind.HELD:
-            self.carry(packet, tag, sender, now)
+            self.forward(packet, tag, sender, now)
 
-    def _forgets_waiting_opening(self, key: bytes) -> bool:
+    def _cancel_waiting_opening(self, key: bytes) -> bool:
         """Let a flow go that waits to be opened: its caller has an answer, of another host."""
         waiting = self.parts.queue.get(key)
         if waiting is None or not waiting.opens_flow:
@@ -101,7 +101,7 @@
         flow.balancer = sender
         return FrameKind.HELD if flow.confirmed else FrameKind.UNSURE
 
-    def pass_on(self, request: WaitingRequest, now: float) -> None:
+    def forward_waiting(self, request: WaitingRequest, now: float) -> None:
         """Give a request that waited to the host, its packets in order."""
         parts = self.parts
         flow = parts.table.get(request.key)
@@ -122,18 +122,18 @@
 
     # Holding
 
-    def _holds(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> bool:
+    def _try_hold(self, key: bytes, flow: HeldFlow, packet: bytes, now: float) -> bool:
         """Keep a packet that belongs to a request that waits, or begins one that has to."""
         waiting = self.parts.queue.get(key)
         if waiting is not None:
-            return self._joins(waiting, packet)
-        if not self.parts.orders_requests() or not self._begins_request(flow, packet):
+            return self._add_to_waiting(waiting, packet)
+        if not self.parts.schedules_requests() or not self._starts_request(flow, packet):
             return False
         listener = self.parts.codec.listener_of(key)
         terms = self.parts.learned.find(listener, flow.balancer)
         if terms is None:
             return False
-        if not self.parts.queue and self.parts.has_room(now):
+        if not self.parts.queue and self.parts.has_capacity(now):
             self.parts.record_started(terms, now)
             return False
         number = self.parts.codec.data_number(packet)
@@ -143,7 +143,7 @@
         self.parts.counters.by_priority.note("held", terms.priority)
         return True
 
-    def _joins(self, waiting: WaitingRequest, packet: bytes) -> bool:
+    def _add_to_waiting(self, waiting: WaitingRequest, packet: bytes) -> bool:
         """Keep a further packet of a request that waits; absorb copies; let acknowledgements pass.
 
         A caller that resets its flow needs no answer any more, so nothing of its request may run.
@@ -155,11 +155,11 @@
             return False
         if not codec.payload_bytes(packet) and not codec.is_ending(packet):
             return False
-        if not waiting.take_packet(packet, codec.data_number(packet)):
+        if not waiting.add_packet(packet, codec.data_number(packet)):
             self.parts.counters.request_copies_absorbed += 1
         return True
 
-    def _begins_request(self, flow: HeldFlow, packet: bytes) -> bool:
+    def _starts_request(self, flow: HeldFlow, packet: bytes) -> bool:
         """Tell whether a packet begins a request that may wait.
 
         Whether the host holds an unconfirmed flow at all, only a packet tells; its caller, who may
@@ -170,11 +170,11 @@
         codec = self.parts.codec
         if not codec.payload_bytes(packet) or codec.is_opening(packet):
             return False
-        return flow.begins_request(codec.data_number(packet))
+        return flow.starts_request(codec.data_number(packet))
 
     def _send(self, flow: HeldFlow, packet: bytes, now: float) -> None:
         codec = self.parts.codec
-        if codec.payload_bytes(packet) and flow.is_new_data(codec.data_number(packet)):
+        if codec.payload_bytes(packet) and flow.record_data_number(codec.data_number(packet)):
             self.parts.pace.record_request(flow, packet, now)
             self.parts.table.record_request(flow, now)
         if codec.is_ending(packet) or codec.is_reset(packet):
@@ -184,7 +184,7 @@
             self.parts.table.set_busy(flow, False, now)
         self.parts.to_host(packet)
 
-    def _let_go(self, key: bytes, flow: HeldFlow, now: float) -> None:
+    def _drop_half_open(self, key: bytes, flow: HeldFlow, now: float) -> None:
         """Forget a half-open flow whose caller chose another host."""
         self.parts.counters.flows_opened_elsewhere += 1
         self.parts.table.drop(key, flow, now)
--- a/src/jasperwalk/agent/datagrams/half_open.py
+++ b/src/jasperwalk/agent/datagrams/half_open.py
@@ -5,11 +5,11 @@
 from jasperwalk.agent.datagrams.held_flow import HeldFlow
 from jasperwalk.scheduling.smoothed_time import SmoothedTime
 
-LONGEST_EXPECTED_SECONDS = 0.25
+MAX_FOLLOW_UP_SECONDS = 0.25
 """A caller that still waits follows its opening packet up within a round trip; after this an
 admitted flow without any further packet no longer counts as a request under way, however slow the
 others are. It holds while nothing has been measured."""
-SHORTEST_EXPECTED_SECONDS = 0.03
+MIN_FOLLOW_UP_SECONDS = 0.03
 """The same, however fast the others are: a round trip within a country, and a busy balancer."""
 
 
@@ -29,9 +29,9 @@
         """Note one caller's time."""
         self._time.note(seconds)
 
-    def longest_expected(self) -> float:
+    def timeout_seconds(self) -> float:
         """Return after how long a caller is taken to have left."""
-        return self._time.longest_expected(SHORTEST_EXPECTED_SECONDS, LONGEST_EXPECTED_SECONDS)
+        return self._time.timeout_seconds(MIN_FOLLOW_UP_SECONDS, MAX_FOLLOW_UP_SECONDS)
 
 
 class HalfOpenFlows:
@@ -59,7 +59,7 @@
     def take_abandoned(self, now: float) -> list[HeldFlow]:
         """Take the flows whose callers had given up before they were admitted."""
         abandoned = []
-        longest = self.follow_up_time.longest_expected()
+        longest = self.follow_up_time.timeout_seconds()
         while self._flows:
             key, flow = next(iter(self._flows.items()))
             if now - flow.opened_at <= longest:
--- a/src/jasperwalk/agent/datagrams/held_flow.py
+++ b/src/jasperwalk/agent/datagrams/held_flow.py
@@ -18,7 +18,7 @@
 UNANSWERED_SECONDS = 1.0
 """A request that the host has not begun to answer for this long counts against the host. A busy
 one has as many requests as it has slots and half as many at hand: it answers each sooner."""
-MAXIMUM_ANSWERS = 3
+MAX_ANSWERS = 3
 """A caller sends its opening packet this often."""
 
 
@@ -39,7 +39,7 @@
     is_long_request: bool = False
     """True once the request under way has come in more than one packet: its caller may have left
     in the middle of it, so that a missing answer says nothing of the host."""
-    unanswered_noted: bool = False
+    unanswered_counted: bool = False
     """True once the request under way was counted against the host."""
     confirmed: bool = True
     followed_up: bool = True
@@ -50,11 +50,11 @@
     caller_ended: bool = False
     host_ended: bool = False
 
-    def begins_request(self, number: int) -> bool:
+    def starts_request(self, number: int) -> bool:
         """Tell whether data with this number would begin a request: nothing is under way."""
         return not self.busy and self._ahead(number) > 0
 
-    def is_new_data(self, number: int) -> bool:
+    def record_data_number(self, number: int) -> bool:
         """Take the number of data from the caller; tell whether it was not seen before.
 
         A copy of a request may come after the answer, where balancers are late: the host does
@@ -68,7 +68,7 @@
         if ahead <= 0:
             return False
         self.data_number = number
-        self.unanswered_noted = False
+        self.unanswered_counted = False
         return True
 
     def _ahead(self, number: int) -> int:
@@ -84,7 +84,7 @@
     def record_answer_number(self, number: int | None) -> None:
         """Take the number of the host's answer to an opening packet, None for other packets."""
         if number is not None and number not in self.answer_numbers:
-            self.answer_numbers = (*self.answer_numbers, number)[-MAXIMUM_ANSWERS:]
+            self.answer_numbers = (*self.answer_numbers, number)[-MAX_ANSWERS:]
 
     def is_followed(self, packet: bytes, codec: PacketCodec) -> bool:
         """Tell whether a packet shows that the caller of this half-open flow chose this host."""
@@ -96,7 +96,7 @@
 
     def is_unanswered(self, now: float) -> bool:
         """Tell whether the host leaves a request unanswered that was not noted yet."""
-        if self.unanswered_noted or self.is_long_request or not self.has_request_in_flight():
+        if self.unanswered_counted or self.is_long_request or not self.has_request_in_flight():
             return False
         return now - self.requested_at > UNANSWERED_SECONDS
 
--- a/src/jasperwalk/agent/datagrams/held_flows.py
+++ b/src/jasperwalk/agent/datagrams/held_flows.py
@@ -85,7 +85,7 @@
         self.half_open.discard(key)
         del self._flows[key]
 
-    def doubt_all(self, now: float) -> None:
+    def unconfirm_all(self, now: float) -> None:
         """Count no flow as confirmed: another host may be there, and a packet will tell."""
         for flow in self._flows.values():
             self.set_busy(flow, False, now)
@@ -102,7 +102,7 @@
         """Return the flows whose host has left a request unanswered for long, each once."""
         unanswered = [each for each in self._flows.items() if each[1].is_unanswered(now)]
         for _, flow in unanswered:
-            flow.unanswered_noted = True
+            flow.unanswered_counted = True
         return unanswered
 
     def sweep(self, now: float) -> None:
--- a/src/jasperwalk/agent/datagrams/host_admission.py
+++ b/src/jasperwalk/agent/datagrams/host_admission.py
@@ -24,7 +24,7 @@
 NO_ZONES = DrainedZones()
 
 
-def most_requests(capacity: int) -> int:
+def max_requests(capacity: int) -> int:
     """Return how many requests may be under way at a host with this many slots."""
     return math.ceil(FULL_LOAD_PER_SLOT * capacity)
 
@@ -44,7 +44,7 @@
     pace: ServiceTimeMonitor
     _drained: DrainedZones = field(default=NO_ZONES)
 
-    def take_zones(self, zones: DrainedZones) -> bool:
+    def update_zones(self, zones: DrainedZones) -> bool:
         """Take the drained zones; return False for what newer knowledge has overtaken."""
         if zones.revision <= self._drained.revision:
             return False
@@ -85,11 +85,11 @@
         reason = self.pace.refusal(flow_key, busy, terms, now)
         if reason is not None:
             return reason
-        if busy >= most_requests(host.capacity):
+        if busy >= max_requests(host.capacity):
             return RefusalReason.FULL
         is_reached = self.warm_up.is_reached(host.slow_until, now)
         return RefusalReason.WARMING_UP if is_reached else None
 
-    def takes_none(self) -> bool:
+    def accepts_none(self) -> bool:
         """Tell whether flows that wait have no hope: the host or its zone takes no more."""
         return self.host.phase is not HostPhase.READY or self.is_zone_drained()
--- a/src/jasperwalk/agent/datagrams/parts.py
+++ b/src/jasperwalk/agent/datagrams/parts.py
@@ -9,7 +9,7 @@
 from jasperwalk.agent.datagrams.counters import AgentCounters
 from jasperwalk.agent.datagrams.held_flows import HeldFlows
 from jasperwalk.agent.datagrams.host import HostState
-from jasperwalk.agent.datagrams.host_admission import HostAdmission, most_requests
+from jasperwalk.agent.datagrams.host_admission import HostAdmission, max_requests
 from jasperwalk.agent.datagrams.host_monitor import HostMonitor
 from jasperwalk.agent.datagrams.learned_terms import LearnedTerms
 from jasperwalk.agent.datagrams.load import LoadMeter
@@ -22,7 +22,7 @@
 from jasperwalk.observability.latency import LatencyHistogram
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
-KNOWN_PHASES = frozenset((HostPhase.READY, HostPhase.DRAINING))
+PHASES_WITH_CAPACITY = frozenset((HostPhase.READY, HostPhase.DRAINING))
 """Phases of a host that has said how many slots it has."""
 
 
@@ -40,7 +40,7 @@
     meter: LoadMeter
     table: HeldFlows
     queue: RequestScheduler
-    watch: HostMonitor
+    monitor: HostMonitor
     pace: ServiceTimeMonitor
     warm_up: WarmUpLimit
     admission: HostAdmission
@@ -49,20 +49,20 @@
     wait_latency: LatencyHistogram
     learned: LearnedTerms = field(default_factory=LearnedTerms)
 
-    def orders_requests(self) -> bool:
+    def schedules_requests(self) -> bool:
         """Tell whether requests wait for their turn by the terms of their routes.
 
         They do where terms are told, and the host has said how much it can do at once.
         """
-        return bool(self.learned) and self.host.phase in KNOWN_PHASES
+        return bool(self.learned) and self.host.phase in PHASES_WITH_CAPACITY
 
     def requests_at_host(self, now: float) -> int:
         """Return how many requests keep a place at the host."""
-        return self.table.in_flight.count(now) if self.orders_requests() else self.meter.busy
+        return self.table.in_flight.count(now) if self.schedules_requests() else self.meter.busy
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Tell whether the host has room for one more request."""
-        return self.requests_at_host(now) < most_requests(self.host.capacity)
+        return self.requests_at_host(now) < max_requests(self.host.capacity)
 
     def record_started(self, terms: CarriedTerms, now: float) -> None:
         """Note a request that went to the host without waiting."""
@@ -70,6 +70,6 @@
 
     def load(self, now: float) -> float:
         """Return the load that balancers are told: requests at the host and waiting for it."""
-        if self.watch.response.is_unavailable(now):
-            return self.watch.response.unavailable_load(self.host.capacity)
+        if self.monitor.response.is_unavailable(now):
+            return self.monitor.response.unavailable_load(self.host.capacity)
         return self.meter.load(now) + len(self.queue)
--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -19,7 +19,6 @@
 from jasperwalk.agent.datagrams.planned_stop import outlast_leaving_host
 from jasperwalk.agent.datagrams.search_helper import SearchHelper
 from jasperwalk.fleet.bound_sockets import AgentSockets, bind_agent
-from jasperwalk.fleet.figures import ProcessMetrics, metrics_server
 from jasperwalk.fleet.home_link import HomeLink
 from jasperwalk.fleet.messages import (
     DrainedZones,
@@ -32,7 +31,8 @@
     WarmUpUpdate,
 )
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTimer
+from jasperwalk.fleet.process_metrics import ProcessMetrics, metrics_server
+from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import AgentNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
@@ -117,7 +117,7 @@
         self._link = HomeLink(
             self._record, lambda: reload().replicas(), self._news, self._linked, self._random
         )
-        desk = AnnouncementHandler(
+        handler = AnnouncementHandler(
             self.host,
             settings.service,
             self._host_endpoint,
@@ -126,7 +126,7 @@
             self._host_changed,
         )
         self._host_calls = HttpServer(
-            Endpoint.parse(settings.host_calls_listen), host_interface(desk)
+            Endpoint.parse(settings.host_calls_listen), host_interface(handler)
         )
         self._readiness = HttpServer(
             Endpoint.parse(settings.readiness_listen), readiness_interface(lambda: not self._gone)
@@ -137,7 +137,7 @@
             counters=lambda: {
                 **self.core.counters.figures(),
                 **vars(self.helper.counters),
-                "host_announcements_refused": desk.refused,
+                "host_announcements_refused": handler.refused,
             },
             gauges={
                 "flows": lambda: len(self.core),
@@ -145,7 +145,7 @@
                 "flows_waiting": lambda: self.core.queue.openings,
                 "requests_waiting": lambda: len(self.core.queue),
                 "zone_drained": self.core.admission.is_zone_drained,
-                "host_failing": self.core.watch.requests.is_failing,
+                "host_failing": self.core.monitor.requests.is_failing,
                 "host_slow": self.core.pace.slow_host.is_slow,
                 "host_pace_ms": self.core.pace.pace_ms,
                 "host_ready": lambda: self.host.phase is HostPhase.READY,
--- a/src/jasperwalk/agent/datagrams/search_helper.py
+++ b/src/jasperwalk/agent/datagrams/search_helper.py
@@ -115,13 +115,13 @@
     def sweep(self, now: float) -> None:
         """Forget agents that left long ago; call every second."""
         self.searches.sweep(now)
-        self.pool.forget_old(now, FLOW_LIFETIME_SECONDS)
+        self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
 
     # Verdicts
 
     def on_search_found(self, search: Search, holder: Target, _now: float) -> None:
         """Pass the packets on, and tell the balancer where the flow's later ones belong."""
-        for packet in search.packets[search.first_is_passed_on :]:
+        for packet in search.packets[search.first_is_forwarded :]:
             self.send(holder.carry_head + packet, holder.address)
         self._end(search.key, LocateVerdict.FOUND, holder.record.endpoint.pack())
 
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from jasperwalk.agent.datagrams.host_admission import most_requests
+from jasperwalk.agent.datagrams.host_admission import max_requests
 from jasperwalk.agent.datagrams.parts import AgentParts
 from jasperwalk.flows.frames import OpeningTerms
 from jasperwalk.flows.terms import CarriedTerms
-from jasperwalk.scheduling.request_scheduler import LONGEST_AGE_SECONDS, LONGEST_WAIT_SECONDS
+from jasperwalk.scheduling.request_scheduler import MAX_AGE_SECONDS, MAX_WAIT_SECONDS
 from jasperwalk.scheduling.waiting_request import DEFAULT_TERMS, WaitingRequest
 
 WAITING_SHARE = 0.5
 """Part of its objective within which a new flow has to expect its answer in order to wait: the
 other part is for more urgent requests that come later, and for what takes longer than usual."""
 
-MAX_BURST_SECONDS = LONGEST_WAIT_SECONDS
+MAX_BURST_SECONDS = MAX_WAIT_SECONDS
 """A crowd that lasts no longer than its flows may wait is worked off while they wait."""
 
 
@@ -24,11 +24,11 @@
 class WaitingRequests:
     """Fills and clears the agent's queue; sans-IO, times are seconds.
 
-    `pass_on` gives a request of an open flow to the host.
+    `forward_waiting` gives a request of an open flow to the host.
     """
 
     parts: AgentParts
-    pass_on: Callable[[WaitingRequest, float], None]
+    forward_waiting: Callable[[WaitingRequest, float], None]
     _overloaded_since: float | None = None
     """When the first flow came that would be late, None where the last one would not be."""
 
@@ -44,7 +44,7 @@
             return False
         route = terms.route or DEFAULT_TERMS
         request = queue.add_opening(key, packet, route, terms.age_seconds, now)
-        shed = queue.shed_openings(self._most(now), now)
+        shed = queue.shed_openings(self._max_openings(now), now)
         self._refuse([each for each in shed if each is not request], now)
         if request in shed:
             return False
@@ -79,18 +79,18 @@
         parts = self.parts
         ahead = parts.queue.order.count_ahead(route.priority)
         answer_seconds = parts.table.in_flight.mean_seconds
-        wait_seconds = (ahead + 1) * answer_seconds / most_requests(parts.host.capacity)
-        longest = WAITING_SHARE * route.objective_seconds or LONGEST_AGE_SECONDS
+        wait_seconds = (ahead + 1) * answer_seconds / max_requests(parts.host.capacity)
+        longest = WAITING_SHARE * route.objective_seconds or MAX_AGE_SECONDS
         return age_seconds + wait_seconds + answer_seconds > longest
 
-    def _most(self, now: float) -> int:
+    def _max_openings(self, now: float) -> int:
         admission = self.parts.admission
-        most_per_second = admission.warm_up.bound(admission.host.slow_until, now)
-        return self.parts.queue.opening_room(admission.host.capacity, most_per_second)
+        max_per_second = admission.warm_up.bound(admission.host.slow_until, now)
+        return self.parts.queue.max_openings(admission.host.capacity, max_per_second)
 
-    def clear(self, now: float) -> None:
+    def shed_expired(self, now: float) -> None:
         """Let go what waited too long, and all new flows where the host takes none any more."""
-        if self.parts.admission.takes_none():
+        if self.parts.admission.accepts_none():
             self._refuse(self.parts.queue.take_openings(), now)
         expired = self.parts.queue.take_expired(now)
         self._refuse([each for each in expired if each.opens_flow], now)
@@ -101,7 +101,7 @@
     def _expire(self, request: WaitingRequest, now: float) -> None:
         """Let a request of an open flow go: its caller has left, if its limit is known."""
         if not request.terms.limit_seconds:
-            self.pass_on(request, now)
+            self.forward_waiting(request, now)
             return
         self.parts.counters.requests_expired += 1
         self._log("request-expired", request, now)
--- a/src/jasperwalk/agent/endpoint.py
+++ b/src/jasperwalk/agent/endpoint.py
@@ -20,24 +20,24 @@
 from jasperwalk.agent.datagram_guard import (
     AdmittedDatagram,
     DatagramDropped,
-    DatagramGuard,
+    DatagramFilter,
     DropReason,
 )
 from jasperwalk.agent.flow import Flow
 from jasperwalk.agent.flow_table import FlowTable
-from jasperwalk.agent.flow_upkeep import FlowUpkeep
+from jasperwalk.agent.flow_upkeep import FlowMaintenance
 from jasperwalk.agent.handover import (
-    MOST_HOPS,
-    AgentState,
-    HandOn,
+    MAX_HOPS,
     Handover,
+    HandOverTo,
+    PlacementContext,
     Refuse,
-    Take,
+    TakeHere,
 )
 from jasperwalk.agent.http3 import HeaderList, Http3Flow, RequestEvent, StreamReference
 from jasperwalk.agent.key_renewal import OldestKeys, oldest_keys
 from jasperwalk.agent.outgoing import Outgoing, ToAgent, ToFabric
-from jasperwalk.agent.packets import SHORTEST_INITIAL_DATAGRAM, PacketHead
+from jasperwalk.agent.packets import MIN_INITIAL_DATAGRAM_BYTES, PacketHead
 from jasperwalk.agent.rate_limit import RateLimit
 from jasperwalk.agent.service_view import ServiceView
 from jasperwalk.agent.slow_start import SlowStart
@@ -49,7 +49,7 @@
 from jasperwalk.messages.proxy_protocol import destination_of, source_of
 from jasperwalk.routing.connection_ids import RoutableId
 
-MOST_FLOWS = 8_192
+MAX_FLOWS = 8_192
 VERSION_NEGOTIATIONS_PER_SECOND = 200
 
 
@@ -61,19 +61,19 @@
         configuration: QuicConfiguration,
         view: ServiceView,
         source: random.Random,
-        most_flows: int = MOST_FLOWS,
+        max_flows: int = MAX_FLOWS,
     ) -> None:
         self._configuration = configuration
-        self._most_flows = most_flows
+        self._max_flows = max_flows
         self.slow_start = SlowStart()
         self.table_fresh = False
         """Set by the adapter: the view was the newest of a quorum just now."""
-        self.prefers: Callable[[Endpoint], bool] = lambda _: False
+        self.prefers_peer: Callable[[Endpoint], bool] = lambda _: False
         """Set by the process: a new flow is better off at another member."""
         self._handover = Handover(self.slow_start)
-        self._guard = DatagramGuard()
+        self._filter = DatagramFilter()
         self._flows = FlowTable()
-        self.upkeep = FlowUpkeep(self._flows)
+        self.maintenance = FlowMaintenance(self._flows)
         self._connection_ids = ConnectionIdFactory(view, source)
         self._outgoing: list[Outgoing] = []
         self._strays = StrayPackets(source)
@@ -100,10 +100,10 @@
 
     def set_view(self, view: ServiceView) -> None:
         """Take a new revision of the service, its members and the keys."""
-        self.upkeep.view_changed(self._view, view)
+        self.maintenance.view_changed(self._view, view)
         self._view = view
         self._connection_ids.view_changed(view)
-        self._guard.seal = DatagramSeal(view.keys_for(KeyPurpose.DATAGRAM))
+        self._filter.seal = DatagramSeal(view.keys_for(KeyPurpose.DATAGRAM))
         self._handover.view_changed(view)
         self._strays.view_changed(view)
 
@@ -118,7 +118,7 @@
     def datagram_received(self, data: bytes, now: float) -> None:
         """Take one datagram from a balancer or another agent."""
         try:
-            self._receive(self._guard.admit(data, self._view), now)
+            self._receive(self._filter.admit(data, self._view), now)
         except DatagramDropped as dropped:
             self.drops[dropped.reason] += 1
 
@@ -211,7 +211,7 @@
             raise DatagramDropped(DropReason.UNKNOWN_FLOW)
 
     def _negotiate_version(self, admitted: AdmittedDatagram, now: float) -> None:
-        large_enough = len(admitted.datagram.payload) >= SHORTEST_INITIAL_DATAGRAM
+        large_enough = len(admitted.datagram.payload) >= MIN_INITIAL_DATAGRAM_BYTES
         if large_enough and self._negotiations.allows(now):
             negotiation = encode_quic_version_negotiation(
                 source_cid=admitted.head.destination,
@@ -224,32 +224,32 @@
     def _new_flow(self, admitted: AdmittedDatagram, now: float) -> None:
         head, datagram = admitted.head, admitted.datagram
         remembered = self._handover.remembered(head.destination, now)
-        if remembered is not None and datagram.hops < MOST_HOPS:
-            self._hand_on(remembered, datagram)
+        if remembered is not None and datagram.hops < MAX_HOPS:
+            self._hand_over(remembered, datagram)
             return
-        if not head.initial or len(datagram.payload) < SHORTEST_INITIAL_DATAGRAM:
+        if not head.initial or len(datagram.payload) < MIN_INITIAL_DATAGRAM_BYTES:
             raise DatagramDropped(DropReason.NOT_ROUTABLE)
         can_accept = self._view.serving and self._connection_ids.codec.can_encode
-        state = AgentState(self._view, can_accept, self.table_fresh, self.prefers)
+        state = PlacementContext(self._view, can_accept, self.table_fresh, self.prefers_peer)
         match self._handover.place(head.destination, datagram, state, now):
-            case HandOn() as chosen:
-                self._hand_on(chosen, datagram)
+            case HandOverTo() as chosen:
+                self._hand_over(chosen, datagram)
             case Refuse():
                 removed = self._view.removed
                 raise DatagramDropped(DropReason.REMOVED if removed else DropReason.NO_TARGET)
-            case Take():
-                if len(self._flows) >= self._most_flows:
+            case TakeHere():
+                if len(self._flows) >= self._max_flows:
                     raise DatagramDropped(DropReason.OVERLOAD)
                 self._accept(head, datagram, now)
 
-    def _hand_on(self, chosen: HandOn, datagram: ForwardedDatagram) -> None:
+    def _hand_over(self, chosen: HandOverTo, datagram: ForwardedDatagram) -> None:
         handed = msgspec.structs.replace(
             datagram,
             revision=chosen.revision,
             hops=datagram.hops + 1,
             candidates=list(chosen.candidates),
         )
-        self._outgoing.append(ToAgent(chosen.target, self._guard.seal.seal(encode(handed))))
+        self._outgoing.append(ToAgent(chosen.target, self._filter.seal.seal(encode(handed))))
         self.handed_over += 1
 
     def _accept(self, head: PacketHead, datagram: ForwardedDatagram, now: float) -> None:
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -17,7 +17,7 @@
 it takes no new work, tries the other candidate. If the silent target comes back to life, the
 caller keeps to whichever answered first (RFC 9000, section 7.2).
 
-Loops: each hand-over raises `hops`, which ends at `MOST_HOPS`. The second hand-over is made
+Loops: each hand-over raises `hops`, which ends at `MAX_HOPS`. The second hand-over is made
 only by an agent whose table is newer than the first one's, or that remembers its choice.
 """
 
@@ -41,18 +41,18 @@
 
 Callers repeat it sooner too, and their first flight may be more than one datagram.
 """
-MOST_REMEMBERED = 20_000
-MOST_HOPS = 2
+MAX_REMEMBERED = 20_000
+MAX_HOPS = 2
 """Hand-overs between agents that one datagram may take."""
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class TakeHere:
     """The agent that got the flow takes it."""
 
 
 @dataclass(frozen=True, slots=True)
-class HandOn:
+class HandOverTo:
     """`target` gets the flow, with the revision and the candidates that it was chosen by."""
 
     target: Endpoint
@@ -65,30 +65,30 @@
     """Nobody whom this agent knows may take the flow."""
 
 
-Placement = Take | HandOn | Refuse
+Placement = TakeHere | HandOverTo | Refuse
 
 
 @dataclass(frozen=True, slots=True)
-class _Handed:
+class _RememberedChoice:
     """A flow that was handed on `at` some time (seconds)."""
 
     at: float
-    chosen: HandOn
+    chosen: HandOverTo
 
 
 @dataclass(frozen=True, slots=True)
-class AgentState:
+class PlacementContext:
     """What the choice depends on beside the flow.
 
     `can_accept` tells whether the agent has what it needs to open a flow; `table_fresh`
-    whether its table was the newest of a quorum just now; `prefers` whether a flow is better
+    whether its table was the newest of a quorum just now; `prefers_peer` whether a flow is better
     off at another member because of the load.
     """
 
     view: ServiceView
     can_accept: bool
     table_fresh: bool
-    prefers: Callable[[Endpoint], bool]
+    prefers_peer: Callable[[Endpoint], bool]
 
 
 class Handover:
@@ -97,41 +97,41 @@
     def __init__(self, slow_start: SlowStart) -> None:
         self._slow_start = slow_start
         self._index = CandidateIndex(ServiceView(address=Endpoint("0.0.0.0", 0)))
-        self._remembered: OrderedDict[bytes, _Handed] = OrderedDict()
+        self._remembered: OrderedDict[bytes, _RememberedChoice] = OrderedDict()
 
     def view_changed(self, view: ServiceView) -> None:
         """Take a new revision of the service's members."""
         self._index.table_changed(view)
 
-    def remembered(self, connection_id: bytes, now: float) -> HandOn | None:
+    def remembered(self, connection_id: bytes, now: float) -> HandOverTo | None:
         """Return where this Initial was handed; None too when nobody has answered it there."""
-        self._forget(now)
+        self._discard_expired(now)
         handed = self._remembered.get(connection_id)
         if handed is None or now - handed.at >= ANSWER_SECONDS:
             return None
         return handed.chosen
 
     def place(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext, now: float
     ) -> Placement:
         """Place the flow that `datagram`, whose first packet is an Initial, opens."""
         view = state.view
         earlier = self._remembered.pop(connection_id, None)
         silent = None if earlier is None else earlier.chosen.target
-        wanted = state.can_accept and self._is_wanted(connection_id, datagram, state)
-        if wanted and (silent or not self._passes_on(connection_id, datagram, state, now)):
-            return Take()
-        chosen = self._other(connection_id, datagram, view, silent)
-        if chosen is not None and _may_hand_on(datagram, view):
-            self._remembered[connection_id] = _Handed(now, chosen)
+        acceptable = state.can_accept and self._accepts(connection_id, datagram, state)
+        if acceptable and (silent or not self._prefers_other(connection_id, datagram, state, now)):
+            return TakeHere()
+        chosen = self._choose_other(connection_id, datagram, view, silent)
+        if chosen is not None and _may_hand_over(datagram, view):
+            self._remembered[connection_id] = _RememberedChoice(now, chosen)
             return chosen
         # A removed member's service may be gone, or its listener may be another service's.
-        if not state.can_accept or (view.removed and not wanted):
+        if not state.can_accept or (view.removed and not acceptable):
             return Refuse()
-        return Take()
+        return TakeHere()
 
-    def _is_wanted(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState
+    def _accepts(
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext
     ) -> bool:
         view = state.view
         if view.stopping:
@@ -144,36 +144,36 @@
             return view.address in self._candidates(connection_id, view)
         return True
 
-    def _passes_on(
-        self, connection_id: bytes, datagram: ForwardedDatagram, state: AgentState, now: float
+    def _prefers_other(
+        self, connection_id: bytes, datagram: ForwardedDatagram, state: PlacementContext, now: float
     ) -> bool:
         # A flow that was handed over stays: two cold or busy agents would only swap their flows.
         if datagram.hops > 0 or state.view.service is None:
             return False
         seconds = state.view.service.limits.slow_start_ms / 1000
-        if self._slow_start.passes_on(connection_id, seconds, now):
+        if self._slow_start.diverts(connection_id, seconds, now):
             return True
-        other = self._other(connection_id, datagram, state.view)
-        return other is not None and state.prefers(other.target)
+        other = self._choose_other(connection_id, datagram, state.view)
+        return other is not None and state.prefers_peer(other.target)
 
-    def _other(
+    def _choose_other(
         self,
         connection_id: bytes,
         datagram: ForwardedDatagram,
         view: ServiceView,
         silent: Endpoint | None = None,
-    ) -> HandOn | None:
+    ) -> HandOverTo | None:
         if datagram.revision > view.revision:
             # Only a newer table may name members that this agent doesn't know (any more).
             target = _first_other(_unpack(datagram.candidates), view.address, silent)
             if target is not None:
-                return HandOn(target, datagram.revision, tuple(datagram.candidates))
+                return HandOverTo(target, datagram.revision, tuple(datagram.candidates))
         candidates = self._candidates(connection_id, view)
         target = _first_other(candidates, view.address, silent)
         if target is None:
             return None
         packed = tuple(candidate.pack() for candidate in candidates)
-        return HandOn(target, view.revision, packed)
+        return HandOverTo(target, view.revision, packed)
 
     def _candidates(self, connection_id: bytes, view: ServiceView) -> list[Endpoint]:
         if view.service is None:
@@ -184,19 +184,19 @@
         contenders = (pair.first, pair.second)
         return [contender.address for contender in contenders if contender is not None]
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         while self._remembered:
             connection_id, handed = next(iter(self._remembered.items()))
             expired = now - handed.at >= REMEMBERED_SECONDS
-            if not expired and len(self._remembered) <= MOST_REMEMBERED:
+            if not expired and len(self._remembered) <= MAX_REMEMBERED:
                 return
             del self._remembered[connection_id]
 
 
-def _may_hand_on(datagram: ForwardedDatagram, view: ServiceView) -> bool:
+def _may_hand_over(datagram: ForwardedDatagram, view: ServiceView) -> bool:
     if datagram.hops == 0:
         return True
-    return datagram.hops < MOST_HOPS and view.revision > datagram.revision
+    return datagram.hops < MAX_HOPS and view.revision > datagram.revision
 
 
 def _first_other(
--- a/src/jasperwalk/agent/local_run.py
+++ b/src/jasperwalk/agent/local_run.py
@@ -10,7 +10,7 @@
 from jasperwalk.agent.requests import NotRun, NotRunReason, Outcome, Request, ResponseSink
 
 
-class LocalRun:
+class LocalRunner:
     """Runs requests at the back end, frees their slots and learns from their outcomes."""
 
     def __init__(
@@ -40,10 +40,10 @@
             outcome = await self._backend.run(request, deadline_at, sink, head_arrived)
         finally:
             self._allocator.release(slot_id)
-        self._learn(outcome)
+        self._record_outcome(outcome)
         return outcome
 
-    def _learn(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         if not isinstance(outcome, NotRun):
             return
         if outcome.reason is NotRunReason.SHEDDING:
--- a/src/jasperwalk/agent/lost_hosts.py
+++ b/src/jasperwalk/agent/lost_hosts.py
@@ -20,60 +20,60 @@
 """Time for which an answer spares the next question."""
 SILENCE_HOLDS_SECONDS = 5.0
 """Time for which silence counts, until the question is put again."""
-MOST_WAITING = 200
+MAX_WAITING_PACKETS = 200
 """Packets kept for one agent while the question is out."""
 
 
-class Verdict(enum.Enum):
+class ProbeState(enum.Enum):
     """What is known of an agent."""
 
-    ASK = enum.auto()
+    PROBE_NOW = enum.auto()
     """Nothing: the caller of this module has to ask now."""
-    ASKED = enum.auto()
-    LIVES = enum.auto()
+    PROBING = enum.auto()
+    ALIVE = enum.auto()
     LOST = enum.auto()
 
 
 @dataclass(slots=True)
-class _Home:
-    verdict: Verdict = Verdict.ASK
+class _ProbedAgent:
+    state: ProbeState = ProbeState.PROBE_NOW
     holds_until: float = 0.0
     waiting: list[AdmittedDatagram] = field(default_factory=list)
 
 
-class LostHosts:
+class LostAgents:
     """Keeps, for agents that control calls offline, what they answered. Times in seconds."""
 
     def __init__(self) -> None:
-        self._homes: dict[Endpoint, _Home] = {}
+        self._agents: dict[Endpoint, _ProbedAgent] = {}
 
     def keep_only(self, addresses: Container[Endpoint]) -> None:
         """Forget agents that are no members of the service any more."""
-        for address in [known for known in self._homes if known not in addresses]:
-            del self._homes[address]
+        for address in [known for known in self._agents if known not in addresses]:
+            del self._agents[address]
 
-    def judge(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> Verdict:
+    def check(self, address: Endpoint, packet: AdmittedDatagram, now: float) -> ProbeState:
         """Judge the home of a packet, and keep the packet while that is not known.
 
-        After `ASK` the caller has to see to it that `probe_ended` is called.
+        After `PROBE_NOW` the caller has to see to it that `probe_ended` is called.
         """
-        home = self._homes.setdefault(address, _Home())
-        if home.verdict is not Verdict.ASKED and now >= home.holds_until:
-            home.verdict = Verdict.ASKED
-            home.waiting.append(packet)
-            return Verdict.ASK
-        if home.verdict is Verdict.ASKED and len(home.waiting) < MOST_WAITING:
-            home.waiting.append(packet)
-        return home.verdict
+        agent = self._agents.setdefault(address, _ProbedAgent())
+        if agent.state is not ProbeState.PROBING and now >= agent.holds_until:
+            agent.state = ProbeState.PROBING
+            agent.waiting.append(packet)
+            return ProbeState.PROBE_NOW
+        if agent.state is ProbeState.PROBING and len(agent.waiting) < MAX_WAITING_PACKETS:
+            agent.waiting.append(packet)
+        return agent.state
 
     def probe_ended(self, address: Endpoint, answered: bool, now: float) -> list[AdmittedDatagram]:
         """Take the answer, or silence; return the kept packets, whose flows are now lost."""
-        home = self._homes.get(address)
-        if home is None:
+        agent = self._agents.get(address)
+        if agent is None:
             return []
-        waiting, home.waiting = home.waiting, []
+        waiting, agent.waiting = agent.waiting, []
         if answered:
-            home.verdict, home.holds_until = Verdict.LIVES, now + ANSWER_HOLDS_SECONDS
+            agent.state, agent.holds_until = ProbeState.ALIVE, now + ANSWER_HOLDS_SECONDS
             return []
-        home.verdict, home.holds_until = Verdict.LOST, now + SILENCE_HOLDS_SECONDS
+        agent.state, agent.holds_until = ProbeState.LOST, now + SILENCE_HOLDS_SECONDS
         return waiting
--- a/src/jasperwalk/agent/planned_end.py
+++ b/src/jasperwalk/agent/planned_end.py
@@ -12,13 +12,13 @@
 from jasperwalk.agent.lender import SlotLender
 from jasperwalk.agent.runner import RequestRunner
 
-LONGEST_DELIVERY_SECONDS = 5.0
+MAX_DELIVERY_SECONDS = 5.0
 """Time for callers to acknowledge the last answers before a planned end of their flows."""
 IDLE_POLL_SECONDS = 0.1
 """Interval at which the end of the last request is looked for."""
 
 
-class PlannedEnd:
+class GracefulClose:
     """Waits for the work in progress, and closes the flows. `clock` is in seconds."""
 
     def __init__(
@@ -42,19 +42,19 @@
 
         Returns False where that was not so within `grace_seconds`.
         """
-        began_at = self._clock()
-        patient_until = began_at + LONGEST_DELIVERY_SECONDS
+        started_at = self._clock()
+        deliver_until = started_at + MAX_DELIVERY_SECONDS
         while True:
             now = self._clock()
-            if now - began_at >= grace_seconds:
+            if now - started_at >= grace_seconds:
                 return False
-            if self._dispatcher.open_requests + self._open_for_others():
-                patient_until = now + LONGEST_DELIVERY_SECONDS
-            elif not self._endpoint.has_undelivered_answers or now >= patient_until:
+            if self._dispatcher.open_requests + self._open_peer_requests():
+                deliver_until = now + MAX_DELIVERY_SECONDS
+            elif not self._endpoint.has_undelivered_answers or now >= deliver_until:
                 return True
             await asyncio.sleep(IDLE_POLL_SECONDS)
 
-    def cut_requests(self) -> None:
+    def cancel_requests(self) -> None:
         """End the requests in progress, at the very end of a stop."""
         self._dispatcher.cancel_all()
 
@@ -63,6 +63,6 @@
         self._endpoint.close_all()
         self._port.flush()
 
-    def _open_for_others(self) -> int:
+    def _open_peer_requests(self) -> int:
         """Count the requests in progress that came from other agents."""
         return self._runner.open_relayed + self._lender.open_slots
--- a/src/jasperwalk/agent/runner.py
+++ b/src/jasperwalk/agent/runner.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
-from jasperwalk.agent.local_run import LocalRun
+from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import RelayRequest
 from jasperwalk.agent.requests import (
@@ -26,7 +26,7 @@
 from jasperwalk.agent.ticket_desk import TicketService
 from jasperwalk.agent.tickets import TICKET_PATH
 
-MOST_RELAY_TARGETS = 2
+MAX_RELAY_TARGETS = 2
 """Members that are asked for one request of a draining agent."""
 RETRIED_REASONS = frozenset(
     {NotRunReason.BACKEND_UNREACHABLE, NotRunReason.SHEDDING, NotRunReason.QUEUE_FULL}
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        local_run: LocalRun,
+        local_runner: LocalRunner,
         allocator: SlotAllocator,
         borrower: SlotBorrower,
         relay: RelayClient,
@@ -48,7 +48,7 @@
         clock: Callable[[], float],
         source: random.Random,
     ) -> None:
-        self._local_run = local_run
+        self._local_runner = local_runner
         self._allocator = allocator
         self._borrower = borrower
         self._relay = relay
@@ -108,7 +108,7 @@
             case NotRun() as not_run:
                 return not_run
             case OwnSlot(slot_id=slot_id):
-                return await self._local_run.run(slot_id, request, deadline_at, sink)
+                return await self._local_runner.run(slot_id, request, deadline_at, sink)
             case BorrowedSlot() as slot:
                 return await self._run_borrowed(slot, request, deadline_at, sink)
 
@@ -122,7 +122,7 @@
         slot_id = request.request_id
         if await self._allocator.acquire(slot_id, deadline_at) is not None:
             return outcome
-        return await self._local_run.run(slot_id, request, deadline_at, sink)
+        return await self._local_runner.run(slot_id, request, deadline_at, sink)
 
     async def _retry(
         self, request: Request, deadline_at: float, sink: ResponseSink, first: NotRun
@@ -140,7 +140,7 @@
     ) -> Outcome:
         """Run a request of a draining agent's flow at another member."""
         outcome: Outcome = NotRun(NotRunReason.DRAINING)
-        for target in self._targets()[:MOST_RELAY_TARGETS]:
+        for target in self._targets()[:MAX_RELAY_TARGETS]:
             outcome = await self._relay_to(target, request, deadline_at, sink)
             if not isinstance(outcome, NotRun):
                 return outcome
--- a/src/jasperwalk/agent/slow_start.py
+++ b/src/jasperwalk/agent/slow_start.py
@@ -10,7 +10,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-LARGEST_SHARE = 0.95
+MAX_DIVERTED_SHARE = 0.95
 """Share passed on at the very start: some flows have to warm the host up."""
 HASH_SEED = 0x736C6F77
 """Makes the hash independent of the one by which balancers choose candidates."""
@@ -21,16 +21,16 @@
     """Decides by a hash of the connection ID, so that retransmissions agree."""
 
     def __init__(self) -> None:
-        self._began_at = -math.inf
+        self._started_at = -math.inf
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Note that this agent came online just now; `now` is in seconds."""
-        self._began_at = now
+        self._started_at = now
 
-    def passes_on(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
+    def diverts(self, connection_id: bytes, duration_seconds: float, now: float) -> bool:
         """Tell whether the flow that this Initial opens goes to the other candidate."""
-        elapsed = now - self._began_at
+        elapsed = now - self._started_at
         if elapsed >= duration_seconds:
             return False
-        share = LARGEST_SHARE * (1 - elapsed / duration_seconds)
+        share = MAX_DIVERTED_SHARE * (1 - elapsed / duration_seconds)
         return xxh3_64_intdigest(connection_id, HASH_SEED) < share * HASH_SPAN
--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -13,16 +13,16 @@
 import msgspec
 
 from jasperwalk.balancer.datagrams.counters import FlowCounters
-from jasperwalk.fleet.search import MAXIMUM_HELD_PACKETS
+from jasperwalk.fleet.search import MAX_HELD_PACKETS
 from jasperwalk.fleet.target import SUSPECT_SECONDS, Target
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import DatagramSender
 from jasperwalk.flows.frames import encode_locate, service_tag
 from jasperwalk.observability.latency import LatencyHistogram
 
-ANSWER_SECONDS = 0.8
+ANSWER_TIMEOUT_SECONDS = 0.8
 """An agent has its verdict after its rounds and the pause between them, or not at all."""
-MAXIMUM_DELEGATIONS = 4096
+MAX_DELEGATIONS = 4096
 
 
 class Delegation(msgspec.Struct, eq=False):
@@ -42,7 +42,7 @@
     send: DatagramSender
     counters: FlowCounters
     latency: LatencyHistogram
-    is_wanted: bool
+    is_enabled: bool
     _open: dict[bytes, Delegation] = field(default_factory=dict)
 
     def __len__(self) -> int:
@@ -54,13 +54,13 @@
         delegation = self._open.get(key)
         if delegation is None:
             return False
-        if len(delegation.packets) < MAXIMUM_HELD_PACKETS:
+        if len(delegation.packets) < MAX_HELD_PACKETS:
             delegation.packets.append(packet)
         return True
 
     def start(self, key: bytes, packet: bytes, services: list[str], now: float) -> bool:
         """Let an agent search; False where there is none to ask."""
-        if not self.is_wanted or len(self._open) >= MAXIMUM_DELEGATIONS:
+        if not self.is_enabled or len(self._open) >= MAX_DELEGATIONS:
             return False
         helper = self.pool.helper(key, now)
         if helper is None:
@@ -82,7 +82,7 @@
     def tick(self, now: float) -> None:
         """Give up agents that do not answer: the caller's next packet goes to another one."""
         for key, delegation in list(self._open.items()):
-            if now - delegation.started_at < ANSWER_SECONDS:
+            if now - delegation.started_at < ANSWER_TIMEOUT_SECONDS:
                 break
             delegation.helper.suspect_until = now + SUSPECT_SECONDS
             self.counters.searches_unanswered += 1
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -79,7 +79,7 @@
             send=self.send,
             counters=self.counters,
             latency=self.search_latency,
-            is_wanted=self.delegates_searches,
+            is_enabled=self.delegates_searches,
         )
         self.opener = FlowOpener(
             codec=self.codec,
@@ -145,9 +145,9 @@
             return
         opening = flow.opening
         if opening is not None:
-            possible = self.opener.follow_up(key, flow, now)
-            if possible:
-                self._search(key, packet, opening.route, now, possible)
+            possible_holders = self.opener.follow_up(key, flow, now)
+            if possible_holders:
+                self._search(key, packet, opening.route, now, possible_holders)
                 return
         self._forward(key, flow, packet)
 
@@ -189,7 +189,7 @@
 
     def _process_waiting_uploads(self, now: float) -> None:
         """Open uploads that have waited for room, and reset those that came too late."""
-        for key, upload in self.uploads.take_late(now):
+        for key, upload in self.uploads.take_shed(now):
             self.reject(key, upload.packet, "link-full")
         for key, upload in self.uploads.take_due(now):
             loading, waiting = self.uploads.counts()
@@ -254,22 +254,22 @@
         packet: bytes,
         route: RouteEntry,
         now: float,
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
     ) -> None:
-        """Look for the holder of a flow; `possible` are the agents that may have taken it."""
+        """Look for the holder of a flow; `possible_holders` are the agents that may have taken it."""
         if key in self.searches:
             self.searches.hold(key, packet)
         elif not self.delegated.hold(key, packet):
             services = sorted(route.past_services)
             regions = route.allowed_regions
             # A helper shows the packet to hosts wherever they are.
-            is_delegated = not possible and not regions
+            is_delegated = not possible_holders and not regions
             if not is_delegated or not self.delegated.start(key, packet, services, now):
-                self.searches.start(key, packet, services, now, possible, regions)
+                self.searches.start(key, packet, services, now, possible_holders, regions)
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
         """Carry the packets that waited."""
-        self._set_holder(search.key, holder, search.packets[search.first_is_passed_on :], now)
+        self._set_holder(search.key, holder, search.packets[search.first_is_forwarded :], now)
 
     def on_search_held_nowhere(self, search: Search, _now: float) -> None:
         """Tell the caller to begin anew."""
@@ -371,4 +371,4 @@
         for key in [key for key, flow in self._flows.items() if flow.seen_at < oldest]:
             self.opener.forget(key)
         self.searches.sweep(now)
-        self.pool.forget_old(now, FLOW_LIFETIME_SECONDS)
+        self.pool.remove_old(now, FLOW_LIFETIME_SECONDS)
--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -16,11 +16,11 @@
 from jasperwalk.balancer.datagrams.arrived_packet import ArrivedPacket
 from jasperwalk.balancer.datagrams.flow_balancer import FlowBalancer
 
-OPENINGS_AT_ONCE = 8
+OPENINGS_PER_BATCH = 8
 """New flows taken between two looks at the sockets."""
-LONGEST_INTAKE_SECONDS = 0.4
+MAX_INTAKE_SECONDS = 0.4
 """A new flow that has not been taken by then is reset."""
-MAXIMUM_WAITING = 1024
+MAX_WAITING_OPENINGS = 1024
 
 
 @dataclass(eq=False, repr=False)
@@ -30,12 +30,12 @@
     core: FlowBalancer
     _openings: OrderedDict[bytes, ArrivedPacket] = field(default_factory=OrderedDict)
 
-    def has_work(self) -> bool:
-        """Tell whether new flows wait for `work`."""
+    def has_waiting(self) -> bool:
+        """Tell whether new flows wait for `open_waiting`."""
         return bool(self._openings)
 
     def take(self, packet: bytes, now: float) -> None:
-        """Take a packet; new flows wait for `work`."""
+        """Take a packet; new flows wait for `open_waiting`."""
         core = self.core
         key = core.key_of(packet)
         if key is None:
@@ -45,23 +45,23 @@
             return
         if key in self._openings:
             return
-        if len(self._openings) >= MAXIMUM_WAITING:
+        if len(self._openings) >= MAX_WAITING_OPENINGS:
             self._reject_oldest()
         self._openings[key] = ArrivedPacket(packet, now)
 
-    def work(self, now: float) -> None:
+    def open_waiting(self, now: float) -> None:
         """Open some of the waiting flows, the newest first, and reset those that are too old."""
-        self._reject_late(now)
-        for _ in range(OPENINGS_AT_ONCE):
+        self._reject_expired(now)
+        for _ in range(OPENINGS_PER_BATCH):
             if not self._openings:
                 return
             _, opening = self._openings.popitem(last=True)
             self.core.open(opening.packet, opening.arrived_at, now)
 
-    def _reject_late(self, now: float) -> None:
+    def _reject_expired(self, now: float) -> None:
         while self._openings:
             oldest = next(iter(self._openings.values()))
-            if now - oldest.arrived_at <= LONGEST_INTAKE_SECONDS:
+            if now - oldest.arrived_at <= MAX_INTAKE_SECONDS:
                 return
             self._reject_oldest()
 
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -28,7 +28,7 @@
 )
 from jasperwalk.fleet.metrics import ProcessMetrics, metrics_server
 from jasperwalk.fleet.node import ReadinessInterface, draw_incarnation
-from jasperwalk.fleet.search_ticks import SearchTimer
+from jasperwalk.fleet.search_timer import SearchTimer
 from jasperwalk.fleet.settings import BalancerNodeSettings
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.codec import PacketCodec, SocketAddress
@@ -40,7 +40,7 @@
 from jasperwalk.transport.http_server import HttpServer, serving
 
 SWEEP_SECONDS = 4.0
-LEAVING_SECONDS = 1.6
+DRAINING_SECONDS = 1.6
 """After a stop signal the balancer is not ready but carries packets until the fabric, which
 asks twice a second and wants two misses, sends it none."""
 
@@ -83,8 +83,8 @@
             uses_service_times=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
-        self._callers = DatagramSocket(bound.callers, self._packet, self._take_in)
-        self._frames = DatagramSocket(bound.frames, self._frame)
+        self._callers = DatagramSocket(bound.callers, self._on_packet, self._open_waiting)
+        self._frames = DatagramSocket(bound.frames, self._on_frame)
         self._callers_port = Endpoint.parse(settings.callers_listen).port
         self._decisions = DecisionLog(
             time.monotonic, affordable_lines_per_second(settings.processors)
@@ -105,10 +105,14 @@
             caller_resend_seconds=settings.caller_resend_ms / 1000,
         )
         self._intake = PacketIntake(self.core)
-        self._taking_in = False
+        self._is_opening_scheduled = False
         self._search_timer = SearchTimer(self._frames, self.core.has_pending, self.core.tick)
         self._link = HomeLink(
-            self._record, lambda: reload().replicas(), self._news, self._linked, self._random
+            self._record,
+            lambda: reload().replicas(),
+            self._on_home_message,
+            self._on_link_change,
+            self._random,
         )
         self._http = HttpServer(Endpoint.parse(settings.readiness_listen), interface(self.is_ready))
 
@@ -169,7 +173,7 @@
         await stop.wait()
         self._stopping = True
         logger.info("balancer-stopping", flows=len(self.core))
-        await asyncio.sleep(min(LEAVING_SECONDS, self._settings.stop_grace_ms / 2000))
+        await asyncio.sleep(min(DRAINING_SECONDS, self._settings.stop_grace_ms / 2000))
         for job in jobs:
             job.cancel()
         await asyncio.gather(*jobs, return_exceptions=True)
@@ -178,22 +182,22 @@
 
     # Datagrams
 
-    def _packet(self, data: bytes, _sender: SocketAddress) -> None:
+    def _on_packet(self, data: bytes, _sender: SocketAddress) -> None:
         self._intake.take(data, time.monotonic())
 
-    def _take_in(self) -> None:
+    def _open_waiting(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
-        self._intake.work(time.monotonic())
-        if self._intake.has_work() and not self._taking_in:
-            self._taking_in = True
-            asyncio.get_running_loop().call_soon(self._take_in_more)
+        self._intake.open_waiting(time.monotonic())
+        if self._intake.has_waiting() and not self._is_opening_scheduled:
+            self._is_opening_scheduled = True
+            asyncio.get_running_loop().call_soon(self._continue_opening)
         self._search_timer.ensure_scheduled()
 
-    def _take_in_more(self) -> None:
-        self._taking_in = False
-        self._take_in()
+    def _continue_opening(self) -> None:
+        self._is_opening_scheduled = False
+        self._open_waiting()
 
-    def _frame(self, data: bytes, sender: SocketAddress) -> None:
+    def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         self.core.receive_reply(data, sender, time.monotonic())
         self._search_timer.ensure_scheduled()
 
@@ -207,12 +211,12 @@
 
     # The home's news
 
-    def _linked(self, linked: bool) -> None:
+    def _on_link_change(self, linked: bool) -> None:
         if linked:
             self._link_routes = {}
             self._link_version = 0
 
-    def _news(self, message: HomeMessage) -> None:
+    def _on_home_message(self, message: HomeMessage) -> None:
         if isinstance(message, FleetUpdate):
             self._fleet_changed(message)
         elif isinstance(message, RoutesUpdate):
@@ -220,7 +224,7 @@
         elif isinstance(message, DrainedZones):
             self._zones_changed(message)
         elif isinstance(message, HomeStatus) and message.current:
-            self._home_is_current(message)
+            self._on_home_current(message)
 
     def _fleet_changed(self, update: FleetUpdate) -> None:
         self._has_agents = True
@@ -274,7 +278,7 @@
                 home=str(self._link.home),
             )
 
-    def _home_is_current(self, status: HomeStatus) -> None:
+    def _on_home_current(self, status: HomeStatus) -> None:
         """Put the first routes of this life in force, from a home that is surely current.
 
         Not before the drained zones have come too: what was acknowledged before a loss of all
--- a/src/jasperwalk/balancer/forwarding.py
+++ b/src/jasperwalk/balancer/forwarding.py
@@ -18,7 +18,7 @@
 from jasperwalk.messages.codec import PROTOCOL_VERSION
 from jasperwalk.messages.datagrams import ADDRESS_BLOCK_LENGTH
 
-LARGEST_PAYLOAD: Final = 2048
+MAX_PAYLOAD_BYTES: Final = 2048
 """Largest caller's datagram, in bytes, that is forwarded; QUIC paths carry some 1500."""
 
 DATAGRAM_TAG: Final = 1
@@ -30,14 +30,14 @@
 BYTE_STRING: Final = 2
 ARRAY: Final = 4
 MAJOR_TYPE_SHIFT: Final = 5
-LARGEST_IMMEDIATE: Final = 23
+MAX_IMMEDIATE: Final = 23
 ARGUMENT_SIZES: Final = ((24, 1), (25, 2), (26, 4), (27, 8))
 """Additional information and bytes of the arguments that do not fit the first octet."""
 
 
 def cbor_head(major_type: int, argument: int) -> bytes:
     """Return the shortest CBOR head of a major type (0 to 7) and an argument below 2**64."""
-    if argument <= LARGEST_IMMEDIATE:
+    if argument <= MAX_IMMEDIATE:
         return bytes([major_type << MAJOR_TYPE_SHIFT | argument])
     for additional, size in ARGUMENT_SIZES:
         if argument < 1 << 8 * size:
@@ -65,7 +65,7 @@
 
 
 PAYLOAD_HEADS: Final = tuple(
-    cbor_head(BYTE_STRING, length) for length in range(LARGEST_PAYLOAD + 1)
+    cbor_head(BYTE_STRING, length) for length in range(MAX_PAYLOAD_BYTES + 1)
 )
 """Heads of the payload's byte string, by its length."""
 
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -9,8 +9,8 @@
 from jasperwalk.balancer.routes import RoutingTable
 from jasperwalk.routing.candidates import CandidateIndex
 from jasperwalk.routing.quic_packets import (
-    SHORTEST_INITIAL_CONNECTION_ID,
-    SMALLEST_INITIAL_DATAGRAM,
+    MIN_INITIAL_CONNECTION_ID_BYTES,
+    MIN_INITIAL_PAYLOAD_BYTES,
     PacketHeader,
     PacketKind,
 )
@@ -26,7 +26,7 @@
 
     def __init__(self, table: RoutingTable, flows_per_second: float, now: float) -> None:
         self.accepted = False
-        """Whether new flows are taken at all; see `BalancerCore.follower_was_fresh`."""
+        """Whether new flows are taken at all; see `BalancerCore.accept_new_flows`."""
         burst = max(1.0, flows_per_second * NEW_FLOW_BURST_SECONDS)
         self._limit = TokenBucket(flows_per_second, burst, now)
         self.index = CandidateIndex(table)
@@ -39,14 +39,14 @@
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
         """Take the hint that nothing listened at an agent's address a moment ago."""
-        self._refusals.note(agent, now)
+        self._refusals.record(agent, now)
 
     def refuse(self, payload_length: int, header: PacketHeader, now: float) -> DropReason | None:
         """Return why a packet of this length, in bytes, may not open a flow; None if it may."""
-        if payload_length < SMALLEST_INITIAL_DATAGRAM:
+        if payload_length < MIN_INITIAL_PAYLOAD_BYTES:
             return DropReason.SMALL_INITIAL
         is_initial = header.kind is PacketKind.INITIAL
-        if is_initial and len(header.connection_id) < SHORTEST_INITIAL_CONNECTION_ID:
+        if is_initial and len(header.connection_id) < MIN_INITIAL_CONNECTION_ID_BYTES:
             return DropReason.SHORT_CONNECTION_ID
         if not self.accepted:
             return DropReason.NO_FRESH_TABLE
@@ -69,6 +69,6 @@
                 return pair
         return self.index.candidates(service_id, flow_key)
 
-    def witness(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
+    def substitute(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
         """Return members that may stand in for a flow's own agent, which is offline."""
         return self.index.candidates(service_id, flow_key)
--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -16,10 +16,10 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.agent_sockets import AgentSockets
-from jasperwalk.balancer.core import LARGEST_DATAGRAM
+from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES
 from jasperwalk.balancer.outcomes import DropReason, Forward, Outcomes, SocketAddress
 from jasperwalk.balancer.queues import DatagramQueues, QueueDrop
-from jasperwalk.balancer.segments import runs_of, send_run
+from jasperwalk.balancer.segments import send_run, split_runs
 
 DATAGRAMS_PER_WAKE_UP: Final = 128
 """After so many datagrams the event loop gets a turn, for heartbeats and metrics."""
@@ -27,7 +27,7 @@
 OPENINGS_PER_WAKE_UP: Final = 32
 """The same for datagrams that open flows, each of which costs several established ones."""
 
-RECEIVE_BYTES: Final = LARGEST_DATAGRAM + 1
+RECEIVE_BYTES: Final = MAX_DATAGRAM_BYTES + 1
 """One byte more than the largest datagram, so that a longer one is seen to be longer."""
 
 ERRORS_OF_EARLIER_SEND: Final = frozenset((errno.ECONNREFUSED, errno.EHOSTUNREACH))
@@ -65,7 +65,7 @@
         self._clock = clock
         self._queues = DatagramQueues(listen, separate_openings=separate_openings)
         self._agents = AgentSockets(self._queues.established)
-        self._established_wait = False
+        self._established_waiting = False
         self.endpoint = self._queues.endpoint
 
     def start(self, handler: DatagramHandler) -> None:
@@ -94,7 +94,7 @@
 
     def drain(self, handler: DatagramHandler) -> None:
         """Handle the datagrams of established flows that wait, as many as a wake-up may."""
-        self._established_wait = self._take(
+        self._established_waiting = self._handle_batch(
             self._queues.established, DATAGRAMS_PER_WAKE_UP, handler
         )
 
@@ -104,10 +104,10 @@
         Whatever a flood brings, established ones wait for `OPENINGS_PER_WAKE_UP` at most.
         """
         self.drain(handler)
-        if not self._established_wait and self._queues.opening is not None:
-            self._take(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
+        if not self._established_waiting and self._queues.opening is not None:
+            self._handle_batch(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
 
-    def _take(self, queue: socket.socket, most: int, handler: DatagramHandler) -> bool:
+    def _handle_batch(self, queue: socket.socket, limit: int, handler: DatagramHandler) -> bool:
         """Handle at most so many datagrams of a queue; return whether more may wait.
 
         Packets of established flows are sent at the end, those to one agent together.
@@ -115,7 +115,7 @@
         receive = queue.recv
         datagrams: list[bytes] = []
         try:
-            while len(datagrams) < most:
+            while len(datagrams) < limit:
                 datagrams.append(receive(RECEIVE_BYTES))
         except OSError:
             # Nothing waits any more, or a pending ICMP error, which recv has now cleared.
@@ -127,7 +127,7 @@
         for outcome in outcomes.others:
             if isinstance(outcome, Forward):
                 self._send(outcome, handler, now)
-        return len(datagrams) == most
+        return len(datagrams) == limit
 
     def _send_together(
         self,
@@ -138,7 +138,7 @@
     ) -> None:
         """Send datagrams to one agent with as few calls as may be."""
         sender = self._agents.connected.get(destination)
-        for run in runs_of(datagrams):
+        for run in split_runs(datagrams):
             if sender is not None and len(run) > 1:
                 try:
                     send_run(sender, run)
--- a/src/jasperwalk/consensus/leadership.py
+++ b/src/jasperwalk/consensus/leadership.py
@@ -66,9 +66,9 @@
             return MembershipRefused(RefusalReason.LEADER_NOT_SETTLED)
         if state.members.latest_index > state.commit_index:
             return MembershipRefused(RefusalReason.CHANGE_IN_PROGRESS)
-        wanted = max(state.log.last_index - state.config.promotion_lag_entries, 1)
+        min_match_index = max(state.log.last_index - state.config.promotion_lag_entries, 1)
         progress = self.progress.get(change.replica_id)
-        changed = change_members(state.membership, change, progress, wanted)
+        changed = change_members(state.membership, change, progress, min_match_index)
         if isinstance(changed, RefusalReason):
             return MembershipRefused(changed)
         entry = state.append(state.term, EntryKind.MEMBERSHIP, encode_membership(changed))
@@ -123,8 +123,8 @@
             return
         while self._may_send_entries(progress):
             self._send_entries(replica_id, progress)
-        news = progress.sent_commit_index < self._state.commit_index
-        if news and progress.mode is ProgressMode.REPLICATE:
+        commit_advanced = progress.sent_commit_index < self._state.commit_index
+        if commit_advanced and progress.mode is ProgressMode.REPLICATE:
             self._send_append(replica_id, progress, progress.next_index, 0)
 
     def _may_send_entries(self, progress: Progress) -> bool:
@@ -132,8 +132,8 @@
             return not progress.awaiting_reply
         in_flight = progress.next_index - progress.match_index - 1
         has_entries = progress.next_index <= self._state.log.last_index
-        has_room = in_flight < self._state.config.max_in_flight_entries
-        return progress.mode is ProgressMode.REPLICATE and has_entries and has_room
+        has_capacity = in_flight < self._state.config.max_in_flight_entries
+        return progress.mode is ProgressMode.REPLICATE and has_entries and has_capacity
 
     def _send_entries(self, replica_id: int, progress: Progress) -> None:
         limit = self._state.config.max_batch_entries
@@ -262,6 +262,6 @@
         if not matches:
             return
         matches.sort(reverse=True)
-        held = matches[state.membership.quorum_size() - 1]
-        if held > state.commit_index and state.log.term_at(held) == state.term:
-            state.commit_to(held)
+        quorum_index = matches[state.membership.quorum_size() - 1]
+        if quorum_index > state.commit_index and state.log.term_at(quorum_index) == state.term:
+            state.commit_to(quorum_index)
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -25,11 +25,11 @@
 from jasperwalk.fleet.targets import TargetPool
 from jasperwalk.flows.frames import FrameKind
 
-ANSWER_SECONDS = 0.06
+ANSWER_TIMEOUT_SECONDS = 0.06
 """How long a round waits for agents that do not answer."""
-CONFIRM_SECONDS = 0.15
+CONFIRM_TIMEOUT_SECONDS = 0.15
 """How long the agents that may have taken a flow may take to say which of them has it."""
-PROBE_SECONDS = 0.06
+PROBE_TIMEOUT_SECONDS = 0.06
 """How long one host may take to hand a packet back."""
 ROUND_PAUSE_SECONDS = 0.04
 """Least pause between the first round and the second: late answers come meanwhile."""
@@ -37,12 +37,12 @@
 """No second round begins earlier after the directory was received first: agents may be missing."""
 ROUND_GRID_SECONDS = 0.02
 """Second rounds begin at multiples of this."""
-MAXIMUM_HELD_PACKETS = 16
+MAX_HELD_PACKETS = 16
 ROUNDS = 2
 REPEAT_SECONDS = 0.06
 """Pace of asking again those whose silence would settle the search; they are few."""
 REPEATED_ROUNDS = 4
-"""Rounds beyond the second at most: enough for `SILENT_QUESTIONS` in `SILENT_SECONDS`."""
+"""Rounds beyond the second at most: enough for `SILENT_QUERIES` in `SILENT_SECONDS`."""
 
 
 class Query(msgspec.Struct, frozen=True):
@@ -89,12 +89,12 @@
         services: list[str],
         now: float,
         returned: frozenset[Target] = frozenset(),
-        possible: Sequence[Target] = (),
+        possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> None:
         """Begin with one packet; `returned` are agents whose hosts handed one back before.
 
-        `possible` are the agents that may have taken the flow when it was opened: they are given
+        `possible_holders` are the agents that may have taken the flow when it was opened: they are given
         the packet first, and the one whose host the caller has chosen passes it on. Packets are
         shown to hosts in `regions` only, where any are named; questions hold no packet.
         """
@@ -105,7 +105,7 @@
         self.rounds = 0
         self.verdict = SearchVerdict.OPEN
         self.holder: Target | None = None
-        self.asked: dict[Target, FrameKind | None] = {}
+        self.queried: dict[Target, FrameKind | None] = {}
         self._services = services
         self._regions = regions
         self._probed: set[Target] = set(returned)
@@ -114,15 +114,15 @@
         self._pausing = False
         # Ordered: the same answers have to lead to the same questions.
         self._candidates: dict[Target, None] = {}
-        self._asked_all = False
-        self._possible = tuple(possible)
+        self._queried_all = False
+        self._possible_holders = tuple(possible_holders)
         self._confirming = False
-        self.first_is_passed_on = False
+        self.first_is_forwarded = False
         """True once the holder has got the first packet with the question."""
 
     def hold(self, packet: bytes) -> None:
         """Keep another packet of the flow."""
-        if len(self.packets) < MAXIMUM_HELD_PACKETS:
+        if len(self.packets) < MAX_HELD_PACKETS:
             self.packets.append(packet)
 
     def record_answer(self, target: Target, kind: FrameKind) -> None:
@@ -130,14 +130,14 @@
         if kind is FrameKind.HELD:
             self.holder = target
             self.verdict = SearchVerdict.FOUND
-            self.first_is_passed_on = self._confirming
+            self.first_is_forwarded = self._confirming
             return
         if kind is FrameKind.RETURNED:
             self._probed.add(target)
             self._returned.add(target)
             if self._probing is target:
                 self._probing = None
-        self.asked[target] = kind
+        self.queried[target] = kind
 
     @property
     def returned(self) -> frozenset[Target]:
@@ -146,31 +146,31 @@
 
     def unanswered(self) -> list[str]:
         """Return the names of the agents that did not answer."""
-        return [target.record.name for target, kind in self.asked.items() if kind is None]
+        return [target.record.name for target, kind in self.queried.items() if kind is None]
 
     def advance(self, pool: TargetPool, now: float) -> list[SearchStep]:
         """Go on as far as answers and time allow; the second round begins by another call."""
         if self.verdict is not SearchVerdict.OPEN or self._pausing:
             return []
-        if self._possible:
-            return self._ask_possible(now)
+        if self._possible_holders:
+            return self._confirm_possible_holders(now)
         if self._confirming:
             if self.unanswered() and now < self.deadline:
                 return []
             self._confirming = False
         if self.rounds == 0:
-            return self._ask_candidates(pool, now)
+            return self._query_candidates(pool, now)
         waits = self._probing is not None or self.unanswered()
         if waits and now < self.deadline:
             return []
         return self._probe_next(now) or self._end_round(pool, now)
 
     def is_second_round_due(self, now: float) -> bool:
-        """Tell whether `begin_second_round` is to be called."""
+        """Tell whether `start_second_round` is to be called."""
         return self._pausing and now >= self.deadline
 
-    def begin_second_round(
-        self, pool: TargetPool, asks_everyone: bool, now: float
+    def start_second_round(
+        self, pool: TargetPool, queries_all: bool, now: float
     ) -> list[SearchStep]:
         """Ask everyone, or only the candidates again where the budget does not allow more.
 
@@ -178,32 +178,32 @@
         when the search began, and an agent that does not know denies nothing as a candidate.
         """
         self._pausing = False
-        self._asked_all = asks_everyone
+        self._queried_all = queries_all
         self._candidates |= dict.fromkeys(self._find_candidates(pool))
-        asked = [each for each in self._candidates if not each.departed]
-        if asks_everyone:
-            asked += [each for each in pool.all_targets() if each not in self._candidates]
-        return self._begin_round(asked, now)
+        queried = [each for each in self._candidates if not each.departed]
+        if queries_all:
+            queried += [each for each in pool.all_targets() if each not in self._candidates]
+        return self._start_round(queried, now)
 
-    def _ask_possible(self, now: float) -> list[SearchStep]:
-        possible, self._possible = self._possible, ()
+    def _confirm_possible_holders(self, now: float) -> list[SearchStep]:
+        possible_holders, self._possible_holders = self._possible_holders, ()
         self._confirming = True
-        self.deadline = now + CONFIRM_SECONDS
-        self.asked = dict.fromkeys(possible)
-        return [Confirm(target, self.packets[0]) for target in possible]
+        self.deadline = now + CONFIRM_TIMEOUT_SECONDS
+        self.queried = dict.fromkeys(possible_holders)
+        return [Confirm(target, self.packets[0]) for target in possible_holders]
 
-    def _ask_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
+    def _query_candidates(self, pool: TargetPool, now: float) -> list[SearchStep]:
         candidates = self._find_candidates(pool)
         self._candidates = dict.fromkeys(candidates)
-        return self._begin_round(candidates, now)
+        return self._start_round(candidates, now)
 
     def _find_candidates(self, pool: TargetPool) -> list[Target]:
         return pool.candidates(self._services, self.key, self._regions)
 
-    def _begin_round(self, targets: list[Target], now: float) -> list[SearchStep]:
+    def _start_round(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
-        self.deadline = now + ANSWER_SECONDS
-        self.asked = dict.fromkeys(targets)
+        self.deadline = now + ANSWER_TIMEOUT_SECONDS
+        self.queried = dict.fromkeys(targets)
         return [Query(target) for target in targets]
 
     def _probe_next(self, now: float) -> list[SearchStep]:
@@ -212,14 +212,14 @@
         Not while a candidate's answer is missing: it may hold the flow, and the packets would
         go to other hosts meanwhile.
         """
-        if any(self._is_missing(target, kind, now) for target, kind in self.asked.items()):
+        if any(self._is_missing(target, kind, now) for target, kind in self.queried.items()):
             return []
-        for target, kind in self.asked.items():
+        for target, kind in self.queried.items():
             may_hold = kind is FrameKind.UNSURE and target in self._candidates
             if may_hold and target not in self._probed and not target.departed:
                 self._probed.add(target)
                 self._probing = target
-                self.deadline = now + PROBE_SECONDS
+                self.deadline = now + PROBE_TIMEOUT_SECONDS
                 return [Probe(target, self.packets[0])]
         return []
 
@@ -231,30 +231,30 @@
             earliest = max(now + ROUND_PAUSE_SECONDS, (since or now) + SETTLING_SECONDS)
             self.deadline = math.ceil(earliest / ROUND_GRID_SECONDS) * ROUND_GRID_SECONDS
             return []
-        doubtful = self._doubtful(now)
-        if doubtful and self.rounds < ROUNDS + REPEATED_ROUNDS:
-            return self._ask_again(doubtful, now)
-        denied = all(self._has_denied(target, kind, now) for target, kind in self.asked.items())
-        is_nowhere = denied and self._asked_all and bool(self.asked)
+        unconfirmed = self._unconfirmed_denials(now)
+        if unconfirmed and self.rounds < ROUNDS + REPEATED_ROUNDS:
+            return self._query_again(unconfirmed, now)
+        denied = all(self._has_denied(target, kind, now) for target, kind in self.queried.items())
+        is_nowhere = denied and self._queried_all and bool(self.queried)
         self.verdict = SearchVerdict.NOWHERE if is_nowhere else SearchVerdict.UNKNOWN
         return []
 
-    def _doubtful(self, now: float) -> list[Target]:
+    def _unconfirmed_denials(self, now: float) -> list[Target]:
         """Return the agents that would deny the flow by a longer silence."""
-        if not self._asked_all:
+        if not self._queried_all:
             return []
         return [
             target
-            for target, kind in self.asked.items()
-            if kind is None and self._denies_by_silence(target) and not target.is_silent(now)
+            for target, kind in self.queried.items()
+            if kind is None and self._silence_means_denial(target) and not target.is_silent(now)
         ]
 
-    def _ask_again(self, targets: list[Target], now: float) -> list[SearchStep]:
+    def _query_again(self, targets: list[Target], now: float) -> list[SearchStep]:
         self.rounds += 1
         self.deadline = now + REPEAT_SECONDS
         return [Query(target) for target in targets]
 
-    def _denies_by_silence(self, target: Target) -> bool:
+    def _silence_means_denial(self, target: Target) -> bool:
         """Tell whether an agent's silence says as much as its answer would.
 
         One that never saw its host could only answer that it does not know, which rules it out
@@ -264,7 +264,7 @@
         """
         if target in self._candidates or target.departed:
             return False
-        return target.never_saw_its_host()
+        return target.host_never_announced()
 
     def _has_denied(self, target: Target, kind: FrameKind | None, now: float) -> bool:
         """Tell whether an agent's answer rules it out.
@@ -274,7 +274,7 @@
         """
         if kind is FrameKind.UNSURE and target not in self._candidates:
             return True
-        if kind is None and self._denies_by_silence(target) and target.is_silent(now):
+        if kind is None and self._silence_means_denial(target) and target.is_silent(now):
             return True
         if kind is None and target.is_lost(now):
             return True
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from jasperwalk.fleet.host_paces import MAX_SLOWDOWN, slowdown_at_age
+from jasperwalk.fleet.host_service_times import MAX_SLOWDOWN, slowdown_at_age
 from jasperwalk.fleet.messages import HostPhase, NodeRecord
 from jasperwalk.flows.codec import SocketAddress
 from jasperwalk.flows.frames import (
@@ -27,13 +27,13 @@
 LOST_AFTER_SECONDS = 2.0
 """An agent without a control link for this long that does not answer either is lost, or cut off
 from everybody: its callers are reset, so that they try again while they still can."""
-LEAVING_LOST_AFTER_SECONDS = 10.0
+DRAINING_LOST_AFTER_SECONDS = 10.0
 """The same for an agent whose host was leaving and has not deregistered: the host may serve its
 last flows for many seconds yet, and they are not to be reset."""
 SILENT_SECONDS = 0.2
 """An agent that has answered no question for this long is silent; a working one answers within a
 few milliseconds, also in the second after a loss of all power."""
-SILENT_QUESTIONS = 3
+SILENT_QUERIES = 3
 """Questions in a row that have to be unanswered as well: were one in a hundred datagrams lost,
 three in a row would be one in a million."""
 SUSPECT_SECONDS = 1.0
@@ -79,7 +79,7 @@
     sent_at: float = 0.0
     suspect_until: float = float("-inf")
     refuses_until: float = float("-inf")
-    pace_factor: float = 1.0
+    slowdown: float = 1.0
     """How many times as long as usual its host takes for a request, and `slowdown_at` when told."""
     slowdown_at: float = float("-inf")
     zone_drained: bool = False
@@ -88,9 +88,9 @@
     unlisted_since: float | None = None
     silent_since: float | None = None
     """When the first question was asked that has had no answer yet, None where there is none."""
-    questions_unanswered: int = 0
+    unanswered_queries: int = 0
     """Questions asked since then, several at the same moment counted once."""
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
     departed: bool = False
     """True once the agent said that there is no host, or another process took its address."""
 
@@ -115,36 +115,36 @@
 
     def record_slow_refusal(self) -> None:
         """Note that the agent refused a new flow because its host is slow."""
-        self.pace_factor = MAX_SLOWDOWN
+        self.slowdown = MAX_SLOWDOWN
 
-    def is_passed_over(self, now: float) -> bool:
+    def is_avoided(self, now: float) -> bool:
         """Tell whether the agent is chosen only if no other is left: it was silent, or refused."""
         return now < max(self.suspect_until, self.refuses_until)
 
     def was_slow(self) -> bool:
         """Tell whether the host was slow by the last that its agent told, however long ago."""
-        return self.pace_factor > 1.0
+        return self.slowdown > 1.0
 
     def record_query(self, now: float) -> None:
         """Note that the agent was asked whether it holds a flow."""
         if self.silent_since is None:
             self.silent_since = now
-        if now > self.asked_at:
-            self.asked_at = now
-            self.questions_unanswered += 1
+        if now > self.queried_at:
+            self.queried_at = now
+            self.unanswered_queries += 1
 
     def record_answer(self) -> None:
         """Note that the agent answered a question."""
         self.silent_since = None
-        self.questions_unanswered = 0
+        self.unanswered_queries = 0
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the agent has left several questions unanswered for a while."""
-        if self.silent_since is None or self.questions_unanswered < SILENT_QUESTIONS:
+        if self.silent_since is None or self.unanswered_queries < SILENT_QUERIES:
             return False
         return now - self.silent_since >= SILENT_SECONDS
 
-    def never_saw_its_host(self) -> bool:
+    def host_never_announced(self) -> bool:
         """Tell whether the host beside the agent's present process has not announced itself.
 
         Such an agent holds no flow that it has admitted. Its host may hold flows that an earlier
@@ -159,14 +159,14 @@
         again otherwise, for only an answer replaces its figure.
         """
         capacity = max(self.record.capacity, UNKNOWN_CAPACITY)
-        load = self.load * _worth_at_age(now - self.load_at)
-        sent = self.sent_since * _worth_at_age(now - self.sent_at)
+        load = self.load * _load_weight_at_age(now - self.load_at)
+        sent = self.sent_since * _load_weight_at_age(now - self.sent_at)
         load = (load + sent) / capacity
         return (load + 1.0 / capacity) * SLOW_START_FACTOR if now < self.slow_until else load
 
     def current_slowdown(self, now: float) -> float:
         """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
-        return slowdown_at_age(self.pace_factor, now - self.slowdown_at)
+        return slowdown_at_age(self.slowdown, now - self.slowdown_at)
 
     def expected_wait(self, now: float) -> float:
         """Return the expected wait, counted in requests of usual length for each slot.
@@ -175,7 +175,7 @@
         pace is as usual this is the relative load.
         """
         load = self.relative_load(now)
-        if self.pace_factor == 1.0:
+        if self.slowdown == 1.0:
             return load
         weight = self.current_slowdown(now)
         return load if weight == 1.0 else (load + 1.0) * weight - 1.0
@@ -185,10 +185,10 @@
         if self.unlisted_since is None:
             return False
         is_leaving = self.record.phase is HostPhase.DRAINING
-        longest = LEAVING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
+        longest = DRAINING_LOST_AFTER_SECONDS if is_leaving else LOST_AFTER_SECONDS
         return now - self.unlisted_since >= longest
 
-    def may_help(self, now: float) -> bool:
+    def can_search(self, now: float) -> bool:
         """Tell whether the agent may be asked to search."""
         return not self.departed and self.unlisted_since is None and now >= self.suspect_until
 
@@ -216,7 +216,7 @@
     )
 
 
-def _worth_at_age(age_seconds: float) -> float:
+def _load_weight_at_age(age_seconds: float) -> float:
     """Return how much of a figure about an agent's load still counts."""
     if age_seconds <= LOAD_FRESH_SECONDS:
         return 1.0
--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -1,8 +1,8 @@
 import pytest
 
 from jasperwalk.agent.datagrams.host import (
-    MOST_FORMER_HOSTS,
-    NEW_HOST_CALLS,
+    MAX_FORMER_HOSTS,
+    MAX_NEW_HOST_CALL_NUMBER,
     RETURN_SECONDS,
     RETURN_SPAN_SECONDS,
     HostAnnouncement,
@@ -17,9 +17,9 @@
     return HostAnnouncement(host, phase, 4, 0.0, number)
 
 
-def state_after(*news):
+def state_after(*announcement):
     host = HostState()
-    for each in news:
+    for each in announcement:
         host.leave(each) if isinstance(each, str) else host.announce(each, 10.0)
     return host
 
@@ -51,8 +51,8 @@
         "a late call of the host before",
     ],
 )
-def test_the_newest_word_of_the_present_host_counts(news, phase):
-    assert state_after(*news).phase is phase
+def test_the_newest_word_of_the_present_host_counts(announcement, phase):
+    assert state_after(*announcement).phase is phase
 
 
 def test_a_late_call_is_told_apart():
@@ -168,11 +168,11 @@
 
 def test_former_hosts_are_remembered_within_a_bound():
     state = HostState()
-    for number in range(3 * MOST_FORMER_HOSTS):
+    for number in range(3 * MAX_FORMER_HOSTS):
         state.announce(call(1, host=f"h{number}"), float(number))
         state.leave(f"other-{number}")
-    assert len(state._left) <= MOST_FORMER_HOSTS
-    assert len(state._replaced) <= MOST_FORMER_HOSTS
+    assert len(state._left) <= MAX_FORMER_HOSTS
+    assert len(state._replaced) <= MAX_FORMER_HOSTS
 
 
 LONG_SILENCE = 3 * RETURN_SECONDS
@@ -247,7 +247,7 @@
 
 def test_another_host_that_has_just_started_counts_from_its_first_call():
     state = known_alone()
-    assert state.announce(call(NEW_HOST_CALLS, host="next"), 0.1)
+    assert state.announce(call(MAX_NEW_HOST_CALL_NUMBER, host="next"), 0.1)
     assert state.host_id == "next"
 
 
--- a/tests/agent/test_go_away.py
+++ b/tests/agent/test_go_away.py
@@ -9,7 +9,7 @@
 from aioquic.quic.events import StreamDataReceived
 
 from jasperwalk.agent import go_away
-from jasperwalk.agent.go_away import GoAways
+from jasperwalk.agent.go_away import PendingGoAways
 from jasperwalk.agent.http3 import GO_AWAY_STREAM_ID, RequestHeaders
 from jasperwalk.config.table_entries import AdminState
 
@@ -66,10 +66,10 @@
     stream_id = caller.request("GET", "/stream")
     events = []
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or events))
-    assert not endpoint.upkeep.send_some_go_aways()
+    assert not endpoint.maintenance.send_some_go_aways()
     for _ in range(2):  # the same drain, seen again, is told once
         endpoint.set_view(STARTS_OF_A_DRAIN[case](view))
-        endpoint.upkeep.send_some_go_aways()
+        endpoint.maintenance.send_some_go_aways()
     later = caller.request("GET", "/lookup")
     assert network.run(lambda: bool(events.extend(endpoint.take_events()) or len(events) > 1))
     assert [type(event) for event in events] == [RequestHeaders] * 2
@@ -86,7 +86,7 @@
 def test_flows_are_told_in_bounded_turns_and_not_after_the_drain_ended(kit, monkeypatch):
     monkeypatch.setattr(go_away, "FLOWS_PER_TURN", 2)
     view = kit.make_view(kit.member_entry(kit.AGENT))
-    go_aways = GoAways()
+    go_aways = PendingGoAways()
     go_aways.view_changed(view, view, [1, 2, 3])
     assert go_aways.take() == []
     go_aways.view_changed(view, draining(view), [1, 2, 3])
--- a/tests/agent/test_neighbours.py
+++ b/tests/agent/test_neighbours.py
@@ -12,13 +12,13 @@
     PeerSlots,
 )
 from jasperwalk.agent.slot_search import (
-    ASKS_IN_A_ROW,
-    FIRST_PAUSE_SECONDS,
-    LONGEST_PAUSE_SECONDS,
-    MOST_SAVED_ASKS,
-    Ask,
-    AskBudget,
+    INITIAL_PAUSE_SECONDS,
+    MAX_CONSECUTIVE_REQUESTS,
+    MAX_PAUSE_SECONDS,
+    MAX_SAVED_REQUESTS,
     Pause,
+    RequestSlot,
+    SlotRequestBudget,
     SlotSearch,
 )
 
@@ -65,26 +65,26 @@
 
 def test_a_search_asks_some_members_once_each_then_pauses_longer_and_longer(kit):
     members = _members(kit, 5)
-    search = SlotSearch(PeerSlots(random.Random(SEED)), AskBudget())
+    search = SlotSearch(PeerSlots(random.Random(SEED)), SlotRequestBudget())
     pauses = []
     for _ in range(5):
-        steps = [search.next(members, 0.0) for _ in range(ASKS_IN_A_ROW + 1)]
-        asked = {step.member for step in steps[:-1] if isinstance(step, Ask)}
-        assert len(asked) == ASKS_IN_A_ROW
+        steps = [search.next(members, 0.0) for _ in range(MAX_CONSECUTIVE_REQUESTS + 1)]
+        asked = {step.member for step in steps[:-1] if isinstance(step, RequestSlot)}
+        assert len(asked) == MAX_CONSECUTIVE_REQUESTS
         assert isinstance(steps[-1], Pause)
         pauses.append(steps[-1].seconds)
-    assert (pauses[0], pauses[-1]) == (FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS)
+    assert (pauses[0], pauses[-1]) == (INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
     assert pauses == sorted(pauses)
 
 
 def test_the_searches_of_an_agent_share_a_budget_that_arrivals_fill(kit):
-    members, budget = _members(kit, 3), AskBudget()
+    members, budget = _members(kit, 3), SlotRequestBudget()
     peers = PeerSlots(random.Random(SEED))
 
     def asks():
         steps = [SlotSearch(peers, budget).next(members, 0.0) for _ in range(100)]
-        return sum(isinstance(step, Ask) for step in steps)
+        return sum(isinstance(step, RequestSlot) for step in steps)
 
-    assert asks() == MOST_SAVED_ASKS
+    assert asks() == MAX_SAVED_REQUESTS
     budget.earn()
     assert asks() == 2
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -4,7 +4,7 @@
 
 from jasperwalk.agent.requests import Request
 from jasperwalk.agent.tickets import (
-    MOST_ANSWER_BYTES,
+    MAX_ANSWER_BYTES,
     InvalidTicket,
     StoredAnswer,
     Ticket,
@@ -108,7 +108,7 @@
 
 
 def test_a_full_store_refuses_and_forgets_nothing(kit):
-    store = TicketStore(most_tickets=2)
+    store = TicketStore(max_tickets=2)
     names = [
         type(store.use(_ticket(kit, bytes([number]) * 12), ONE, 0.0)).__name__
         for number in (1, 2, 3, 1)
@@ -122,7 +122,7 @@
 
 def test_an_answer_is_kept_whole_or_not_at_all():
     answer = StoredAnswer(200, [])
-    answer.append(b"x" * MOST_ANSWER_BYTES)
+    answer.append(b"x" * MAX_ANSWER_BYTES)
     assert not answer.cut
     answer.append(b"x")
     assert answer.cut
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -2,8 +2,8 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.early_packets import (
-    LONGEST_HOLD_SECONDS,
-    MAXIMUM_PACKETS,
+    MAX_HOLD_SECONDS,
+    MAX_PACKETS,
     EarlyPackets,
 )
 from jasperwalk.fleet.messages import HostPhase
@@ -61,7 +61,7 @@
 
 def test_packets_that_are_too_old_are_dropped():
     bench = early(SYN)
-    routes_come(bench, now=1.01 + LONGEST_HOLD_SECONDS)
+    routes_come(bench, now=1.01 + MAX_HOLD_SECONDS)
     assert bench.take_sent() == []
 
 
@@ -70,7 +70,7 @@
     bench.learn(record(1, HostPhase.UNKNOWN), now=1.4)
     routes_come(bench)
     assert bench.core.has_pending()
-    bench.core.tick(1.01 + LONGEST_HOLD_SECONDS)
+    bench.core.tick(1.01 + MAX_HOLD_SECONDS)
     assert len(bench.resets) == 1
 
 
@@ -85,9 +85,9 @@
 
 def test_a_full_store_keeps_the_newest():
     store = EarlyPackets()
-    for number in range(MAXIMUM_PACKETS + 1):
+    for number in range(MAX_PACKETS + 1):
         store.hold(number.to_bytes(4, "big"), 1.0)
     taken = store.take(1.0)
-    assert len(taken) == MAXIMUM_PACKETS
+    assert len(taken) == MAX_PACKETS
     assert taken[0].packet == (1).to_bytes(4, "big")
     assert len(store) == 0
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -6,16 +6,16 @@
 from jasperwalk.flows.frames import FrameKind
 from jasperwalk.flows.routes import FlowRoute, RouteBackend, RouteSet
 from jasperwalk.scheduling.link_pacer import (
-    LONGEST_BULK_SECONDS,
+    MAX_BULK_SECONDS,
     PACED_SHARE,
     LinkPacer,
     link_bytes_per_second,
 )
 from jasperwalk.scheduling.upload_admission import (
-    EXPECTED_SECONDS,
+    FIRST_DATA_SECONDS,
     LOADING_SECONDS,
-    LONGEST_WAIT_SECONDS,
-    MAXIMUM_WAITING,
+    MAX_WAIT_SECONDS,
+    MAX_WAITING_UPLOADS,
     UploadAdmission,
 )
 from tests.balancer.datagrams.support import Bench, record
@@ -118,7 +118,7 @@
 def test_an_upload_whose_data_waits_for_the_link_makes_no_room():
     bench = full(waiting=(3,))
     keep_the_link_full(bench, 1.1)
-    resting = 1.11 + EXPECTED_SECONDS
+    resting = 1.11 + FIRST_DATA_SECONDS
     bench.core.tick(resting)
     assert opened(bench) == []
     for step in range(35):
@@ -146,19 +146,19 @@
 
 def test_an_upload_that_waits_for_too_long_is_reset_before_its_caller_gives_up():
     bench = full(waiting=(3,))
-    for step in range(int(LONGEST_WAIT_SECONDS / 0.1) + 2):
+    for step in range(int(MAX_WAIT_SECONDS / 0.1) + 2):
         now = 1.0 + step * 0.1
         keep_the_link_full(bench, now)
         bench.core.tick(now)
     assert [to for _, to in bench.resets] == [("100.64.0.9", 3)]
     assert not bench.core.uploads.has_waiting()
-    assert bench.core.link.backlog_seconds() < LONGEST_BULK_SECONDS + RESEND_SECONDS
+    assert bench.core.link.backlog_seconds() < MAX_BULK_SECONDS + RESEND_SECONDS
 
 
 def test_an_upload_that_sends_nothing_is_not_expected_any_more():
     bench = full(waiting=(3,))
-    receive(bench, 1.0 + EXPECTED_SECONDS, 2, 0, b"data")
-    bench.core.tick(1.01 + EXPECTED_SECONDS)
+    receive(bench, 1.0 + FIRST_DATA_SECONDS, 2, 0, b"data")
+    bench.core.tick(1.01 + FIRST_DATA_SECONDS)
     assert opened(bench) == [3]
 
 
@@ -173,9 +173,9 @@
 def test_waiting_uploads_are_bounded():
     admission = UploadAdmission(PlainCodec(), pacer_of(MEGABITS, print), WINDOW_BYTES, 0.0)
     assert admission.take(b"first", b"", None, 1.0, 1.0)
-    for number in range(MAXIMUM_WAITING + 3):
+    for number in range(MAX_WAITING_UPLOADS + 3):
         assert not admission.take(bytes((number >> 8, number & 255)), b"", None, 1.0, 1.0)
-    assert len(admission.take_late(1.0)) == 3
+    assert len(admission.take_shed(1.0)) == 3
 
 
 def test_other_flows_and_links_of_unknown_rate_are_not_limited():
--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk.balancer.core import LARGEST_DATAGRAM, BalancerCore
+from jasperwalk.balancer.core import MAX_DATAGRAM_BYTES, BalancerCore
 from jasperwalk.balancer.outcomes import DropReason, Forward
 from jasperwalk.balancer.refusals import REFUSAL_SECONDS
 from jasperwalk.config.table_entries import (
@@ -90,7 +90,7 @@
     networks = [IPv4Network("127.0.0.0/8")]
     core = BalancerCore(table or make_table(), networks, new_flows_per_second, NOW)
     if fresh:
-        core.follower_was_fresh()
+        core.accept_new_flows()
     return core
 
 
@@ -222,7 +222,7 @@
     ("TCP", GOOD[:13] + b"\x11" + GOOD[14:], DropReason.BAD_PROXY_HEADER),
     ("LOCAL command", GOOD[:12] + b"\x20" + GOOD[13:], DropReason.BAD_PROXY_HEADER),
     ("with extensions", GOOD[:15] + b"\x0f" + GOOD[16:], DropReason.BAD_PROXY_HEADER),
-    ("too long", GOOD.ljust(LARGEST_DATAGRAM + 1, b"x"), DropReason.OVERSIZED),
+    ("too long", GOOD.ljust(MAX_DATAGRAM_BYTES + 1, b"x"), DropReason.OVERSIZED),
     (
         "unknown VIP",
         wrap(short(connection_id()), Endpoint("127.1.0.9", 443)),
@@ -303,7 +303,7 @@
     core = make_core(fresh=False)
     assert core.handle(wrap(long()), NOW) is DropReason.NO_FRESH_TABLE
     assert isinstance(core.handle(GOOD, NOW), Forward)
-    core.follower_was_fresh()
+    core.accept_new_flows()
     assert isinstance(core.handle(wrap(long()), NOW), Forward)
 
 
--- a/tests/fleet/test_host_paces.py
+++ b/tests/fleet/test_host_service_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jasperwalk.fleet.host_paces import (
+from jasperwalk.fleet.host_service_times import (
     FULL_WEIGHT_SECONDS,
     MAX_KINDS,
     MAX_SAMPLE_AGE_SECONDS,
@@ -20,7 +20,11 @@
 )
 from jasperwalk.fleet.messages import FleetUpdate
 from jasperwalk.fleet.targets import TargetPool
-from jasperwalk.flows.pace import MAX_SERVICE_TIME_CODE, UNKNOWN_SERVICE_TIME, encode_service_time
+from jasperwalk.flows.service_time import (
+    MAX_SERVICE_TIME_CODE,
+    UNKNOWN_SERVICE_TIME,
+    encode_service_time,
+)
 from tests.balancer.datagrams.support import SEED, address_of, record
 from tests.flows.support import LISTENER
 
@@ -144,7 +148,7 @@
         bench.tell_usual(numbers=range(max(slow) + 1, HOSTS + 1))
     for number in slow:
         bench.tell(number, 8 * USUAL)
-    assert all(bench.target(number).pace_factor == MAX_SLOWDOWN for number in slow)
+    assert all(bench.target(number).slowdown == MAX_SLOWDOWN for number in slow)
     assert bench.chosen() == plain.chosen()
 
 
@@ -154,7 +158,7 @@
         bench.tell(number, USUAL)
     for number in range(1, HOSTS + 1):
         bench.tell(number, 20 * USUAL, 1.2, OTHER_KIND)
-    assert {bench.target(number).pace_factor for number in range(1, HOSTS + 1)} == {1.0}
+    assert {bench.target(number).slowdown for number in range(1, HOSTS + 1)} == {1.0}
 
 
 def test_nothing_is_compared_with_few_or_old_figures():
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -9,7 +9,12 @@
     LOAD_HALF_LIFE_SECONDS,
     UNLISTED_USABLE_SECONDS,
 )
-from jasperwalk.fleet.targets import CANDIDATES, NEAR_LOAD_PER_SLOT, SEARCHED_CANDIDATES, TargetPool
+from jasperwalk.fleet.targets import (
+    CANDIDATE_COUNT,
+    FREE_LOAD_PER_SLOT,
+    SEARCHED_CANDIDATE_COUNT,
+    TargetPool,
+)
 from tests.balancer.datagrams.support import SEED, address_of, record
 
 KEY = b"flow key"
@@ -67,13 +72,13 @@
 
 
 def chosen_near(made, excluded=(), now=1.0):
-    target = made.choose("web", KEY, excluded, now, stays_near=True)
+    target = made.choose("web", KEY, excluded, now, prefers_own_zone=True)
     return None if target is None else target.record.name
 
 
 @pytest.mark.parametrize("capacity", [1, 2, 4])
 def test_a_flow_that_stays_near_does_not_leave_a_zone_with_room(capacity):
-    busy = NEAR_LOAD_PER_SLOT * capacity
+    busy = FREE_LOAD_PER_SLOT * capacity
     made = two_zones(0.99 * busy, capacity)
     assert {chosen(made) for _ in range(20)} == {"agent-1"}
     assert {chosen_near(made) for _ in range(20)} == {"agent-2"}
@@ -84,10 +89,10 @@
     made = two_zones(0.0)
     drawn = []
     for _ in range(20):
-        target = made.choose("web", KEY, (), 1.0, stays_near=True)
+        target = made.choose("web", KEY, (), 1.0, prefers_own_zone=True)
         target.record_sent(1.0)
         drawn.append(target.record.name)
-    room = round(4 * NEAR_LOAD_PER_SLOT)
+    room = round(4 * FREE_LOAD_PER_SLOT)
     assert set(drawn[:room]) == {"agent-2"}
     assert "agent-1" in drawn[room : room + 2]
     assert 9 <= drawn.count("agent-1") <= 11
@@ -152,9 +157,9 @@
 def test_agents_that_left_are_forgotten_after_the_longest_flow():
     made = pool(record(1))
     made.update(FleetUpdate(False, [], [address_of(1)]), 1.0)
-    made.forget_old(50.0, 60.0)
+    made.remove_old(50.0, 60.0)
     assert len(made) == 1
-    made.forget_old(62.0, 60.0)
+    made.remove_old(62.0, 60.0)
     assert len(made) == 0
 
 
@@ -167,9 +172,9 @@
             target = made.choose("web", key, (), 1.0)
             target.sent_since += 1
             drawn.add(target.record.name)
-        assert len(drawn) == CANDIDATES
+        assert len(drawn) == CANDIDATE_COUNT
         searched = {each.record.name for each in other.candidates(["web"], key)}
-        assert len(searched) == SEARCHED_CANDIDATES
+        assert len(searched) == SEARCHED_CANDIDATE_COUNT
         assert drawn < searched
 
 
--- a/tests/scheduling/test_requests_in_flight.py
+++ b/tests/scheduling/test_requests_in_flight.py
@@ -3,9 +3,9 @@
 import pytest
 
 from jasperwalk.scheduling.requests_in_flight import (
-    LONGEST_OVERDUE_SECONDS,
-    ORDINARY_SECONDS,
-    SHORTEST_OVERDUE_SECONDS,
+    DEFAULT_ANSWER_SECONDS,
+    MAX_OVERDUE_SECONDS,
+    MIN_OVERDUE_SECONDS,
     RequestsInFlight,
 )
 
@@ -33,13 +33,13 @@
     requests = measured(0.03)
     requests.start("lost", 1.0)
     requests.start("new", 1.19)
-    assert requests.count(0.99 + SHORTEST_OVERDUE_SECONDS) == 2
-    assert requests.count(1.01 + SHORTEST_OVERDUE_SECONDS) == 1
+    assert requests.count(0.99 + MIN_OVERDUE_SECONDS) == 2
+    assert requests.count(1.01 + MIN_OVERDUE_SECONDS) == 1
 
 
 @pytest.mark.parametrize(
     ("seconds", "overdue"),
-    [(0.001, SHORTEST_OVERDUE_SECONDS), (30.0, LONGEST_OVERDUE_SECONDS)],
+    [(0.001, MIN_OVERDUE_SECONDS), (30.0, MAX_OVERDUE_SECONDS)],
 )
 def test_the_time_is_bounded_both_ways(seconds, overdue):
     assert measured(seconds).overdue_seconds() == overdue
@@ -47,12 +47,12 @@
 
 def test_a_host_of_which_nothing_is_known_is_waited_for():
     requests = RequestsInFlight()
-    assert requests.overdue_seconds() == LONGEST_OVERDUE_SECONDS
-    assert requests.mean_seconds == ORDINARY_SECONDS
+    assert requests.overdue_seconds() == MAX_OVERDUE_SECONDS
+    assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
 
 
 def test_another_host_is_measured_anew():
     requests = measured(0.5)
     assert requests.mean_seconds == pytest.approx(0.5)
     requests.reset_times()
-    assert requests.mean_seconds == ORDINARY_SECONDS
+    assert requests.mean_seconds == DEFAULT_ANSWER_SECONDS
