--- a/src/jasperwalk/agent/dispatcher.py
+++ b/src/jasperwalk/agent/dispatcher.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     sink: StreamSink
     task: asyncio.Task[None]
 
@@ -73,7 +73,7 @@
         self._view = view
         self._host = host
         self._flush = flush
-        self._open: dict[StreamReference, _Open] = {}
+        self._open: dict[StreamReference, _OpenRequest] = {}
         self._blocked: set[StreamSink] = set()
         self.outcomes: Counter[OutcomeLabel] = Counter()
         self.cancelled = 0
@@ -89,9 +89,9 @@
         deadline_ms = DEFAULT_DEADLINE_MS if service is None else service.limits.request_deadline_ms
         for event in self._endpoint.take_events():
             for assembled in self._assembler.handle(event, deadline_ms):
-                self._act(assembled)
+                self._handle(assembled)
         for sink in list(self._blocked):
-            sink.progressed()
+            sink.resume_if_possible()
 
     def cancel_all(self) -> None:
         """End every request, at the very end of a stop."""
@@ -99,7 +99,7 @@
             opened.sink.cancel()
             opened.task.cancel()
 
-    def _act(self, assembled: Assembled) -> None:
+    def _handle(self, assembled: Assembled) -> None:
         match assembled:
             case RequestReady(stream=stream, request=request):
                 self._start(stream, request)
@@ -121,7 +121,7 @@
         return StreamSink(self._endpoint, stream, self._flush, self._blocked)
 
     def _track(self, stream: StreamReference, sink: StreamSink, task: asyncio.Task[None]) -> None:
-        self._open[stream] = _Open(sink, task)
+        self._open[stream] = _OpenRequest(sink, task)
         task.add_done_callback(lambda _: self._open.pop(stream, None))
 
     def _cancel(self, stream: StreamReference) -> None:
@@ -140,7 +140,7 @@
         with contextlib.suppress(CallerGone):
             outcome = await self._run(request, sink)
             self._count(outcome)
-            await self._conclude(outcome, sink)
+            await self._send_outcome(outcome, sink)
 
     async def _run(self, request: Request, sink: StreamSink) -> Outcome:
         try:
@@ -152,7 +152,7 @@
             logger.exception("request-failed", request_id=request.request_id)
             return Unknown(UnknownReason.BACKEND_FAILED)
 
-    async def _conclude(self, outcome: Outcome, sink: StreamSink) -> None:
+    async def _send_outcome(self, outcome: Outcome, sink: StreamSink) -> None:
         if isinstance(outcome, Answered):
             return
         if sink.head_sent:
--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -35,7 +35,7 @@
     def __init__(self):
         self.heard = []
         self.refused = []
-        self.outcome = AnnouncementOutcome.TAKEN
+        self.outcome = AnnouncementOutcome.ACCEPTED
 
     def refuse(self, host_id, reason):
         self.refused.append((host_id, reason))
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize(
     ("outcome", "status"),
-    [(AnnouncementOutcome.LATE, 200), (AnnouncementOutcome.REFUSED, 400)],
+    [(AnnouncementOutcome.STALE, 200), (AnnouncementOutcome.REFUSED, 400)],
 )
 def test_only_a_heartbeat_of_the_host_beside_the_agent_is_acknowledged(outcome, status):
     desk = Desk()
