--- a/bench/agent.py
+++ b/bench/agent.py
@@ -20,9 +20,9 @@
 
 from bench.agent_servers import (
     run_bare_server,
+    run_control_and_backend,
     run_fabric,
     run_measured_agent,
-    run_surroundings,
 )
 from bench.callers import CallerPlan, CallerResult, Workload, run_caller
 from bench.harness import MICROSECONDS, Figure, spawning
@@ -38,7 +38,7 @@
 """Requests on each connection; `HTTP1_REQUESTS_AT_A_TIME` makes up for the connections."""
 HTTP1_REQUESTS_AT_A_TIME = 32
 HELD_BATCHES = (50, 400)
-LONGEST_WAIT_SECONDS = 60.0
+MAX_REPLY_WAIT_SECONDS = 60.0
 KIBIBYTE = 1024
 
 
@@ -160,13 +160,16 @@
 
 
 def _start_agent(stack: contextlib.ExitStack, files: CertificateFiles) -> tuple[Server, Server]:
-    surroundings, process = stack.enter_context(_process(run_surroundings))
-    replica, backend = _receive_endpoint(surroundings), _receive_endpoint(surroundings)
+    control_and_backend, process = stack.enter_context(_process(run_control_and_backend))
+    replica, backend = (
+        _receive_endpoint(control_and_backend),
+        _receive_endpoint(control_and_backend),
+    )
     fabric, _ = stack.enter_context(_process(run_fabric))
     arguments = (replica, backend, _receive_endpoint(fabric), files)
     measured = stack.enter_context(_started(run_measured_agent, *arguments))
     agent = Server(
-        psutil.Process(measured.pid), _receive_endpoint(surroundings), through_balancer=True
+        psutil.Process(measured.pid), _receive_endpoint(control_and_backend), through_balancer=True
     )
     return agent, Server(psutil.Process(process.pid), backend, through_balancer=False)
 
@@ -199,7 +202,7 @@
 
 
 def _receive(control: Connection) -> object:
-    if not control.poll(LONGEST_WAIT_SECONDS):
+    if not control.poll(MAX_REPLY_WAIT_SECONDS):
         raise TimeoutError("a process of the benchmark did not answer")
     return control.recv()
 
--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -53,7 +53,7 @@
 BODY = b"b" * 200
 HEARTBEAT_SECONDS = 0.1
 REVISION = 1
-LARGEST_ANSWER_BYTES = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
 
 def agent_entries(agent: Endpoint) -> list[TableEntry]:
@@ -76,13 +76,13 @@
     return core
 
 
-def run_surroundings(control: Connection) -> None:
+def run_control_and_backend(control: Connection) -> None:
     """Run control and a back end; send their end points, then that of the agent."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_surround(control))
+        runner.run(_run_control_and_backend(control))
 
 
-async def _surround(control: Connection) -> None:
+async def _run_control_and_backend(control: Connection) -> None:
     async def publish(connection: FramedConnection) -> None:
         subscribe = FROM_SUBSCRIBER_DECODER.decode(await connection.receive())
         assert isinstance(subscribe, Subscribe)
@@ -117,7 +117,7 @@
     listener.bind((ANY_PORT.host, ANY_PORT.port))
     control.send(Endpoint(*listener.getsockname()))
     while True:
-        data = listener.recv(LARGEST_ANSWER_BYTES)
+        data = listener.recv(MAX_DATAGRAM_BYTES)
         caller = Endpoint.unpack(destination_of(data[ADDRESS_BLOCK_START:HEADER_LENGTH]))
         listener.sendto(data[HEADER_LENGTH:], (caller.host, caller.port))
 
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -136,19 +136,19 @@
 
 
 async def _work(control: Connection, plan: CallerPlan) -> None:
-    opener = _Opener(plan)
+    opener = _ConnectionOpener(plan)
     if plan.workload is Workload.HOLD:
         await _hold(control, plan, opener)
         return
     if plan.workload is Workload.HTTP1_REQUESTS:
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
-            await _repeat(control, plan, [lambda: _ask_http1(session, plan.target)])
+            await _repeat(control, plan, [lambda: _request_http1(session, plan.target)])
         return
     if plan.workload is Workload.HANDSHAKES:
-        await _repeat(control, plan, [opener.shake_hands])
+        await _repeat(control, plan, [opener.complete_handshake])
         return
     connections = [await opener.open() for _ in range(CONNECTIONS)]
-    await _repeat(control, plan, [_asker(connection) for connection in connections])
+    await _repeat(control, plan, [_request_step(connection) for connection in connections])
 
 
 async def _repeat(
@@ -169,7 +169,7 @@
     control.send(CallerResult(completed=counts[True], failed=counts[False], seconds=seconds))
 
 
-async def _hold(control: Connection, plan: CallerPlan, opener: _Opener) -> None:
+async def _hold(control: Connection, plan: CallerPlan, opener: _ConnectionOpener) -> None:
     """Open the batches, each at a word, and tell when one stands."""
     held: list[_Caller] = []
     control.send(None)
@@ -183,7 +183,7 @@
         connection.end()
 
 
-class _Opener:
+class _ConnectionOpener:
     """Opens connections to the plan's target."""
 
     def __init__(self, plan: CallerPlan) -> None:
@@ -209,7 +209,7 @@
         quic = QuicConnection(configuration=self._configuration)
         return _Caller(quic, self._core, self._destination)
 
-    async def shake_hands(self) -> bool:
+    async def complete_handshake(self) -> bool:
         """Open one connection and end it; tell whether it came about."""
         try:
             caller = await self.open()
@@ -219,7 +219,7 @@
         return True
 
 
-def _asker(connection: _Caller) -> Callable[[], Awaitable[bool]]:
+def _request_step(connection: _Caller) -> Callable[[], Awaitable[bool]]:
     async def ask() -> bool:
         exchange, broken = await connection.exchange(HEADERS, b"", TIMEOUT_SECONDS)
         return broken is None and exchange.status == HTTPStatus.OK
@@ -227,7 +227,7 @@
     return ask
 
 
-async def _ask_http1(session: aiohttp.ClientSession, backend: Endpoint) -> bool:
+async def _request_http1(session: aiohttp.ClientSession, backend: Endpoint) -> bool:
     async with session.get(f"http://{backend}/lookup") as response:
         await response.read()
         return response.status == HTTPStatus.OK
--- a/src/jasperwalk/agent/handover.py
+++ b/src/jasperwalk/agent/handover.py
@@ -181,8 +181,12 @@
         pair = self._index.candidates(view.service.service_id, connection_id)
         if pair is None:
             return []
-        contenders = (pair.first, pair.second)
-        return [contender.address for contender in contenders if contender is not None]
+        prepared_members = (pair.first, pair.second)
+        return [
+            prepared_member.address
+            for prepared_member in prepared_members
+            if prepared_member is not None
+        ]
 
     def _discard_expired(self, now: float) -> None:
         while self._remembered:
--- a/src/jasperwalk/agent/process.py
+++ b/src/jasperwalk/agent/process.py
@@ -13,7 +13,6 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.assembly import RequestAssembler
 from jasperwalk.agent.backend import Backend
 from jasperwalk.agent.background import (
@@ -32,15 +31,16 @@
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.health_report import AgentHealth
 from jasperwalk.agent.lender import SlotLender
+from jasperwalk.agent.lending_client import LendingClient
 from jasperwalk.agent.local_runner import LocalRunner
 from jasperwalk.agent.metrics import AgentCollector
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.ports import AgentPorts, open_ports
 from jasperwalk.agent.quic_settings import server_configuration
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.runner import RequestRunner
 from jasperwalk.agent.service_view import ServiceView
-from jasperwalk.agent.slot_asker import LendingClient
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tasks import cancel, first_of
 from jasperwalk.distribution.follower import FollowerCore
 from jasperwalk.distribution.follower_events import FollowerConfig, SubscriberFacts
@@ -138,7 +138,7 @@
                 admin=str(admin.endpoint),
                 links=describe_links(self._tls),
             )
-            await self._until_stopped(dispatcher, follower, graceful_close)
+            await self._wait_until_stopped(dispatcher, follower, graceful_close)
 
     def stop(self) -> None:
         """Stop as on a signal: end the requests in progress first."""
@@ -224,7 +224,7 @@
             self._certificate.run(self.endpoint),
         )
 
-    async def _until_stopped(
+    async def _wait_until_stopped(
         self, dispatcher: Dispatcher, follower: FollowerRunner, graceful_close: GracefulClose
     ) -> None:
         signalled = stop_event()
--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -5,8 +5,8 @@
 import pytest
 
 from jasperwalk.agent.admission import Admission, AdmissionLimits, Admitted, Queued, Refused
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.requests import NotRunReason
+from jasperwalk.agent.slot_allocator import SlotAllocator
 
 LIMITS = AdmissionLimits(slots=2, queue_length=2, queue_wait_ms=500)
 
@@ -20,7 +20,7 @@
     return named
 
 
-def _play(steps):
+def _run_steps(steps):
     admission = Admission(LIMITS)
     decided = []
     for now, action, *arguments in steps:
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_decisions(case):
     steps, expected = CASES[case]
-    admission, decided = _play(steps)
+    admission, decided = _run_steps(steps)
     assert decided == expected
     assert admission.waiting <= LIMITS.queue_length
 
--- a/tests/agent/test_retry_budget.py
+++ b/tests/agent/test_retry_budget.py
@@ -31,7 +31,7 @@
     assert 2 <= sum(budget.spend() for _ in range(100)) <= 3
 
 
-class FakeParts:
+class FakeDependencies:
     """Borrower, back end and relay in one: every request fails here with `outcome`."""
 
     def __init__(self, outcome, elsewhere):
@@ -49,23 +49,25 @@
         return self.elsewhere
 
 
-MOST_RETRIES = MAX_TOKENS + REQUESTS * RETRIES_PER_REQUEST
+MAX_RETRIES = MAX_TOKENS + REQUESTS * RETRIES_PER_REQUEST
 CASES = {
     # outcome here, outcome elsewhere, least and most retries
-    "did not run, and not elsewhere": (UNREACHABLE, UNREACHABLE, 1, MOST_RETRIES),
-    "did not run, elsewhere it did": (UNREACHABLE, Answered(200), 1, MOST_RETRIES),
+    "did not run, and not elsewhere": (UNREACHABLE, UNREACHABLE, 1, MAX_RETRIES),
+    "did not run, elsewhere it did": (UNREACHABLE, Answered(200), 1, MAX_RETRIES),
     "deadline too short: not retried": (NotRun(NotRunReason.DEADLINE_TOO_SHORT), UNREACHABLE, 0, 0),
     "may have run: not retried": (Unknown(UnknownReason.BACKEND_FAILED), UNREACHABLE, 0, 0),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_retries_keep_to_the_budget(kit, case):
+def test_retries_keep_to_the_budget(helpers, case):
     outcome, elsewhere, least, most = CASES[case]
-    view = kit.make_view(kit.member_entry(kit.AGENT), kit.member_entry(kit.OTHER_AGENT))
+    view = helpers.make_view(
+        helpers.member_entry(helpers.AGENT), helpers.member_entry(helpers.OTHER_AGENT)
+    )
 
     async def main():
-        parts, clock = FakeParts(outcome, elsewhere), asyncio.get_running_loop().time
+        parts, clock = FakeDependencies(outcome, elsewhere), asyncio.get_running_loop().time
         runner = RequestRunner(
             parts, None, parts, parts, lambda: view, clock, random.Random(REQUESTS)
         )
