--- a/src/jasperwalk/agent/datagrams/process.py
+++ b/src/jasperwalk/agent/datagrams/process.py
@@ -105,7 +105,7 @@
             warm_up_floor=settings.warm_up_floor,
             least_share=settings.least_share,
             shares=_shares(settings),
-            measures_pace=settings.policies.host_pace,
+            measures_service_times=settings.policies.host_pace,
         )
         self.helper = SearchHelper(
             codec=codec,
@@ -127,7 +127,7 @@
             self._host_endpoint,
             decisions,
             self._link.announce,
-            self._on_host_changed,
+            self._on_host_replaced,
         )
         self._host_calls = HttpServer(
             Endpoint.parse(settings.host_calls_listen), host_interface(handler)
@@ -150,8 +150,8 @@
                 "requests_waiting": lambda: len(self.core.queue),
                 "zone_drained": self.core.admission.is_zone_drained,
                 "host_failing": self.core.monitor.requests.is_failing,
-                "host_slow": self.core.pace.slow_host.is_slow,
-                "host_pace_ms": self.core.pace.pace_ms,
+                "host_slow": self.core.service_times.slow_host.is_slow,
+                "host_pace_ms": self.core.service_times.service_time_ms,
                 "host_ready": lambda: self.host.phase is HostPhase.READY,
                 "agents": lambda: len(self.helper.pool),
                 "searches": lambda: len(self.helper.searches),
@@ -229,8 +229,8 @@
         is_unknown = self.host.phase is HostPhase.UNKNOWN
         return is_unknown and await is_host_absent(self._host_endpoint)
 
-    def _on_host_changed(self) -> None:
-        self.core.host_changed(time.monotonic())
+    def _on_host_replaced(self) -> None:
+        self.core.on_host_replaced(time.monotonic())
 
     def _on_frame(self, data: bytes, sender: SocketAddress) -> None:
         now = time.monotonic()
--- a/src/jasperwalk/fleet/home_link.py
+++ b/src/jasperwalk/fleet/home_link.py
@@ -102,7 +102,7 @@
             else:
                 self._connect_seconds = FIRST_CONNECT_SECONDS
                 self.home = dialled.replica
-                await self._use(dialled.connection, dialled.replica)
+                await self._serve_connection(dialled.connection, dialled.replica)
             # A home that ends every link at once must not be dialled in a tight loop.
             elapsed = time.monotonic() - started_at
             await asyncio.sleep(max(0.0, RETRY_SECONDS - elapsed))
@@ -131,7 +131,7 @@
             logger.debug("home-not-reached", home=str(replica), kind=error.kind)
             raise
 
-    async def _use(self, connection: FramedConnection, replica: Endpoint) -> None:
+    async def _serve_connection(self, connection: FramedConnection, replica: Endpoint) -> None:
         self._connection = connection
         self._current_at = time.monotonic()
         logger.info("home-linked", home=str(replica))
@@ -142,7 +142,7 @@
             while True:
                 async with asyncio.timeout(SILENCE_SECONDS):
                     payload = await connection.receive()
-                self._take(HOME_DECODER.decode(payload))
+                self._handle_message(HOME_DECODER.decode(payload))
         except TimeoutError:
             logger.info("home-lost", home=str(replica), kind="silent")
         except JasperwalkError as error:
@@ -159,7 +159,7 @@
             await asyncio.sleep(PING_SECONDS)
             await connection.send(codec.encode(NodePing(self._zones_revision)))
 
-    def _take(self, message: HomeMessage) -> None:
+    def _handle_message(self, message: HomeMessage) -> None:
         now = time.monotonic()
         if isinstance(message, DrainedZones):
             self._zones_revision = max(self._zones_revision, message.revision)
--- a/tests/agent/test_handover.py
+++ b/tests/agent/test_handover.py
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("case", TRUSTED)
-def test_whose_table_counts(helpers, certificate, case):
+def test_which_table_is_followed(helpers, certificate, case):
     changes, ports, revision, fresh, hops, expected = TRUSTED[case]
     members = _members(helpers, 2, **TAKES_NO_NEW_WORK.get(changes, {}))
     endpoint = _endpoint(helpers, certificate, members, fresh=fresh)
@@ -189,7 +189,7 @@
     assert sum(endpoint.open_flows for endpoint in endpoints.values()) == 20
 
 
-def test_slow_start_passes_on_a_share_that_falls_and_never_refuses(helpers, certificate):
+def test_slow_start_diverts_a_falling_share_and_never_refuses(helpers, certificate):
     members = _members(helpers, 3)
     endpoint = _endpoint(helpers, certificate, members, slow_start_ms=10_000)
     endpoint.slow_start.start(100.0)
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(("count", "others"), [(2, 1), (5, 2)])
-def test_an_agent_that_takes_none_tries_the_other_candidate_when_the_first_is_silent(
+def test_a_draining_agent_tries_the_other_candidate_when_the_first_is_silent(
     helpers, certificate, count, others
 ):
     members = _members(helpers, count, admin_state=AdminState.DRAINING)
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -271,7 +271,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_large_answers_of_many_streams_are_whole(helpers, certificate):
+def test_large_answers_of_many_streams_are_complete(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         responses = await asyncio.gather(*(ask(caller, "GET", "/download") for _ in range(4)))
@@ -374,7 +374,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_host_ends_its_streams_and_gets_no_new_work(helpers, certificate):
+def test_a_draining_host_completes_its_streams_and_gets_no_new_work(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -394,7 +394,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_member_taken_out_of_its_pool_ends_its_streams(helpers, certificate):
+def test_a_member_removed_from_its_pool_completes_its_streams(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
