--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -134,8 +134,8 @@
         for agent in agents[1:]:
             agent.close()
         await until(lambda: home.directory.counts()["agent"] == 1)
-        whole, first = balancer.updates()
-        assert whole.whole
+        snapshot, first = balancer.updates()
+        assert snapshot.is_snapshot
         assert len(first.records) == 1
 
     run(scenario, NEVER_SECONDS)
