--- a/tests/scheduling/test_fair_shares.py
+++ b/tests/scheduling/test_fair_shares.py
@@ -13,10 +13,10 @@
     RESCALE_HALF_LIVES,
     FairShares,
 )
-from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstOfAll, Replay
+from tests.scheduling.burst_replay import SERVICE_SECONDS, FirstGroup, Replay
 
-RUSHING, CALM = 1, (2, 3, 4)
-GROUPS = (RUSHING, *CALM)
+BURSTING, CALM = 1, (2, 3, 4)
+GROUPS = (BURSTING, *CALM)
 ONE_HOST, SEVERAL_HOSTS = (1, 4), (12, 2)
 """How many hosts, and slots of each."""
 CALM_SHARE = 0.2
@@ -29,13 +29,13 @@
     return dict.fromkeys(GROUPS, share * hosts * slots / SERVICE_SECONDS)
 
 
-def served(plays, groups):
+def served(simulations, groups):
     """Return the share of these groups' requests that was answered in time, in all plays."""
-    came = sum(each.came[group] for each in plays for group in groups)
-    return sum(each.in_time[group] for each in plays for group in groups) / came
+    came = sum(each.came[group] for each in simulations for group in groups)
+    return sum(each.in_time[group] for each in simulations for group in groups) / came
 
 
-def play(make_shares, size, burst, seed):
+def simulate(make_shares, size, burst, seed):
     hosts, slots = size
     return Replay(make_shares, rates(hosts, slots), burst, hosts, slots, seed).run()
 
@@ -46,37 +46,37 @@
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 @pytest.mark.parametrize("times", [4.0, 6.0])
 def test_a_burst_of_one_group_does_not_affect_the_others(size, times):
-    burst = {RUSHING: times}
-    without = [play(FirstOfAll, size, burst, seed) for seed in SEEDS]
-    fair = [play(FairShares, size, burst, seed) for seed in SEEDS]
+    burst = {BURSTING: times}
+    without = [simulate(FirstGroup, size, burst, seed) for seed in SEEDS]
+    fair = [simulate(FairShares, size, burst, seed) for seed in SEEDS]
     assert served(without, CALM) < 0.75
     assert served(fair, CALM) > 0.94
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_throughput_is_the_same_as_without_shares(size):
-    burst = {RUSHING: 5.0}
-    fair = play(FairShares, size, burst, 1)
-    without = play(FirstOfAll, size, burst, 1)
-    assert fair.begun.total() >= 0.98 * without.begun.total()
+    burst = {BURSTING: 5.0}
+    fair = simulate(FairShares, size, burst, 1)
+    without = simulate(FirstGroup, size, burst, 1)
+    assert fair.started.total() >= 0.98 * without.started.total()
 
 
 def test_capacity_that_others_leave_goes_to_the_group_with_the_burst():
     hosts, slots = ONE_HOST
-    fair = play(FairShares, ONE_HOST, {RUSHING: 8.0}, 1)
+    fair = simulate(FairShares, ONE_HOST, {BURSTING: 8.0}, 1)
     left = (1.0 - len(CALM) * CALM_SHARE) * hosts * slots / SERVICE_SECONDS
-    assert fair.begun[RUSHING] > 0.85 * left * 4.0
+    assert fair.started[BURSTING] > 0.85 * left * 4.0
 
 
 @pytest.mark.parametrize("size", [ONE_HOST, SEVERAL_HOSTS])
 def test_a_burst_of_all_groups_affects_all_equally(size):
-    fair = play(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
+    fair = simulate(FairShares, size, dict.fromkeys(GROUPS, 3.0), 1)
     in_time = [served([fair], [group]) for group in GROUPS]
     assert max(in_time) - min(in_time) < 0.1
 
 
 def test_agents_that_restart_are_fair_again_at_once():
-    class Forgetful(FairShares):
+    class RestartingShares(FairShares):
         """An agent that is restarted every now and then."""
 
         def record_served(self, group, seconds, now):
@@ -84,15 +84,15 @@
                 self.__init__()
             super().record_served(group, seconds, now)
 
-    assert served([play(Forgetful, SEVERAL_HOSTS, {RUSHING: 5.0}, 1)], CALM) > 0.9
+    assert served([simulate(RestartingShares, SEVERAL_HOSTS, {BURSTING: 5.0}, 1)], CALM) > 0.9
 
 
 def test_weights_divide_a_host_that_all_groups_overload():
     burst = dict.fromkeys(GROUPS, 15.0)
-    played = play(lambda: FairShares({RUSHING: 3.0}), ONE_HOST, burst, 1)
-    assert played.begun[RUSHING] / played.begun.total() == pytest.approx(0.5, abs=0.05)
+    played = simulate(lambda: FairShares({BURSTING: 3.0}), ONE_HOST, burst, 1)
+    assert played.started[BURSTING] / played.started.total() == pytest.approx(0.5, abs=0.05)
     for group in CALM:
-        assert played.begun[group] / played.begun.total() == pytest.approx(1 / 6, abs=0.04)
+        assert played.started[group] / played.started.total() == pytest.approx(1 / 6, abs=0.04)
 
 
 # Whose turn it is
@@ -158,13 +158,13 @@
     early, late = FairShares(), FairShares()
     late.record_served(9, 1.0, 0.0)
     source = random.Random(1)
-    begun_at = 3.7 * RESCALE_HALF_LIVES * HALF_LIFE_SECONDS
+    started_at = 3.7 * RESCALE_HALF_LIVES * HALF_LIFE_SECONDS
     for step in range(3000):
         group, now = source.randrange(4), 0.1 * step
         early.record_served(group, 0.1, now)
-        late.record_served(group, 0.1, begun_at + now)
+        late.record_served(group, 0.1, started_at + now)
         order = [0, 1, 2, 3]
-        assert early.group_to_serve(order, now) == late.group_to_serve(order, begun_at + now)
+        assert early.group_to_serve(order, now) == late.group_to_serve(order, started_at + now)
 
 
 def test_a_clock_that_steps_back_does_no_harm():
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -83,8 +83,8 @@
     for number in range(200):
         add(waiting, f"u{number}", URGENT)
         hold(waiting, f"o{number}", ORDINARY)
-    begun = [waiting.take_next(True, WORK_SECONDS, 0.0).key[:1] for _ in range(100)]
-    assert begun.count(b"o") == pytest.approx(least, abs=1)
+    started = [waiting.take_next(True, WORK_SECONDS, 0.0).key[:1] for _ in range(100)]
+    assert started.count(b"o") == pytest.approx(least, abs=1)
 
 
 def test_of_several_less_urgent_kinds_none_starves():
@@ -94,11 +94,11 @@
         add(waiting, f"a{number}", URGENT, number / 1000)
         for name, terms in kinds.items():
             hold(waiting, f"{name}{number}", terms, number / 1000)
-    begun = [waiting.take_next(True, WORK_SECONDS, 0.1).key[:1] for _ in range(50)]
-    assert min(begun.count(b"b"), begun.count(b"c")) >= 4
+    started = [waiting.take_next(True, WORK_SECONDS, 0.1).key[:1] for _ in range(50)]
+    assert min(started.count(b"b"), started.count(b"c")) >= 4
 
 
-def test_a_full_queue_lets_the_least_urgent_go_and_of_these_the_one_that_is_late():
+def test_a_full_queue_sheds_the_least_urgent_and_of_these_the_late_one():
     waiting = scheduler()
     add(waiting, "urgent", URGENT, 0.0)
     add(waiting, "old", ORDINARY, 0.1)
@@ -110,7 +110,7 @@
     assert b"urgent" in waiting
 
 
-def test_requests_of_open_flows_are_never_let_go_for_want_of_room():
+def test_requests_of_open_flows_are_never_shed_for_want_of_capacity():
     waiting = scheduler()
     hold(waiting, "open", ORDINARY)
     assert waiting.shed_openings(0, 0.0) == []
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_nothing_is_lost_and_nothing_is_begun_twice(seed):
+def test_nothing_is_lost_and_nothing_is_started_twice(seed):
     drawn = random.Random(seed)
     waiting = scheduler(0.1)
     added, gone = set(), []
