--- a/src/jasperwalk/control/fleet/applier.py
+++ b/src/jasperwalk/control/fleet/applier.py
@@ -1,4 +1,4 @@
-"""Feeds the committed log to the versioned state, on the event loop.
+"""Applies the committed log to the versioned state, on the event loop.
 
 An entry takes microseconds and a state has some kilobytes, so no thread is needed.
 """
@@ -28,7 +28,7 @@
         self._snapshot_index = 0
 
     def bind(self, take_snapshot: Callable[[int, bytes], None]) -> None:
-        """Learn where serialised states go."""
+        """Set the function that receives serialised states."""
         self._take_snapshot = take_snapshot
 
     def load(self, snapshot: SnapshotData) -> None:
@@ -38,12 +38,12 @@
         self.applied.skip_to(snapshot.index)
 
     def submit_snapshot(self, snapshot: SnapshotData) -> None:
-        """Go on from a leader's snapshot."""
+        """Continue from a leader's snapshot."""
         self.load(snapshot)
         self._on_change()
 
     def submit(self, entries: Sequence[LogEntry]) -> None:
-        """Apply committed entries and answer those who wait for them."""
+        """Apply committed entries and wake up the callers that wait for them."""
         position = self.state.position()
         for entry in entries:
             is_command = entry.kind is EntryKind.COMMAND
@@ -70,4 +70,4 @@
         await asyncio.Event().wait()
 
     def close(self) -> None:
-        """Nothing to let go of."""
+        """There are no resources to release."""
--- a/src/jasperwalk/control/fleet/autopilot.py
+++ b/src/jasperwalk/control/fleet/autopilot.py
@@ -1,13 +1,13 @@
-"""Keeps the replicas' member list right without an operator.
+"""Decides changes of the replicas' member list, without an operator.
 
-A replica whose disk was lost, or a machine that replaces another, comes with a new replica
-ID and asks to join. It becomes a learner at once. It gets a vote when the system is founded,
+A replica whose disk was lost, or a machine that replaces another, starts with a new replica
+ID and requests to join. It becomes a learner at once. It gets a vote when the system is founded,
 or when it replaces a voter: one with the same address (whose disk is gone), or one that has
-been silent for a while. Only then is the replaced voter removed: the number of disks that
-hold what was committed never falls below what it was. A silent voter without a successor
-keeps its place, because a smaller quorum would put entries on fewer disks.
+been silent for a while. Only then is the replaced voter removed, so that the number of disks that
+hold committed entries never decreases. A silent voter without a successor stays a member, because
+a smaller quorum would put entries on fewer disks.
 
-Replicas beyond the voters stay learners and stand by.
+Replicas beyond the voters stay learners, as spares.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from jasperwalk.control.fleet.messages import JoinRequest
 
 REPLACE_AFTER_SECONDS = 4.0
-"""A voter without contact for this long may be replaced by a learner that stands by."""
+"""A voter without contact for this long may be replaced by a spare learner."""
 REQUEST_LIFETIME_SECONDS = 3.0
-"""A joining replica repeats its request; one that has not for this long is gone."""
+"""A joining replica repeats its request; one that has not for this long counts as gone."""
 ODD_DIVISOR = 2
 
 
 @dataclass
 class JoiningReplica:
-    """A replica that asked to join, and when it last did."""
+    """A replica that requested to join, and when it last did."""
 
     request: JoinRequest
     asked_at: float
@@ -46,13 +46,13 @@
     joining: dict[int, JoiningReplica] = field(default_factory=dict)
 
     def record_request(self, request: JoinRequest, now: float) -> None:
-        """Remember a replica that joins."""
+        """Record a replica's request to join, or its repetition."""
         self.joining[request.replica_id] = JoiningReplica(request, now)
 
     def next_change(
         self, membership: Membership, contact_ages: Mapping[int, float], now: float
     ) -> MembershipChange | None:
-        """Return the next change, None where the list is right.
+        """Return the next change, None where none is needed.
 
         `contact_ages` holds the seconds since the last contact with each replica.
         """
@@ -92,7 +92,7 @@
     def _replaceable(
         self, membership: Membership, contact_ages: Mapping[int, float]
     ) -> list[Member]:
-        """Return the voters that a successor may replace; the surely lost ones come first."""
+        """Return the voters that a successor may replace; those with a lost disk come first."""
         voters = [member for member in membership.members if member.voting]
         moved = [member for member in voters if self._has_new_replica_at(member, membership)]
         silent = [
@@ -103,7 +103,7 @@
         return moved + silent
 
     def _has_new_replica_at(self, voter: Member, membership: Membership) -> bool:
-        """Tell whether a replica joins from the voter's address: the voter's disk is gone."""
+        """Return whether a new replica joins from the voter's address: its old disk is gone."""
         for replica_id, joining_replica in self.joining.items():
             same_address = str(joining_replica.request.address) == voter.address
             if replica_id != voter.replica_id and same_address:
@@ -115,8 +115,8 @@
     ) -> RemoveReplica | None:
         """Remove a replaced voter.
 
-        Numbers of voters are odd but for the time of a replacement; an even number with a
-        silent voter protects no better than the odd one below it.
+        The number of voters is odd except during a replacement; an even number with a silent
+        voter tolerates no more failures than the odd number below it.
         """
         if len(membership.voter_ids()) % ODD_DIVISOR:
             return None
--- a/src/jasperwalk/control/fleet/committing.py
+++ b/src/jasperwalk/control/fleet/committing.py
@@ -1,4 +1,4 @@
-"""How a replica takes an operator's command: commit it, refer to the leader, or say that it cannot.
+"""How a replica answers an operator's command: it commits it, names the leader, or is unavailable.
 
 An acknowledgement is given only for a command that a quorum of the replicas has on disk.
 """
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Unavailable:
-    """No answer can be given for sure now; nothing is promised about the change."""
+    """No certain answer is possible now; the change may or may not be committed later."""
 
     kind: ClassVar[str] = "unavailable"
     reason: str
 
 
 def refer_to_leader(replica: FleetReplica) -> AskLeader | Unavailable:
-    """Return where the leader is, as far as this replica knows."""
+    """Return the leader's end point, or `Unavailable` where this replica knows no leader."""
     address = replica.leader_address()
     return Unavailable("no leader") if address is None else AskLeader(address)
 
--- a/src/jasperwalk/control/fleet/configurations.py
+++ b/src/jasperwalk/control/fleet/configurations.py
@@ -1,4 +1,8 @@
-"""Operators' changes and reads of the configuration, on any replica."""
+"""Operators' changes and reads of the configuration, as any replica handles them.
+
+Only the leader commits a change or answers a read, so that a read returns every acknowledged
+change; other replicas name the leader.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +23,8 @@
 from jasperwalk.observability.latency import LatencyHistogram
 
 READ_QUORUM_SECONDS = 0.5
-"""Oldest quorum contact of a leader that answers reads; less than an election timeout, so
-that no other leader can have acknowledged anything since."""
+"""Maximum age of the quorum contact of a leader that answers reads. Less than an election timeout,
+so that no other leader can have acknowledged anything since."""
 
 logger = structlog.get_logger(__name__)
 
@@ -48,7 +52,7 @@
 
 
 class ConfigurationService:
-    """Takes and returns configurations; `replica` gives the replica's current life."""
+    """Commits and returns configurations; `replica` returns the replica that runs now, if any."""
 
     def __init__(self, replica: Callable[[], FleetReplica | None]) -> None:
         self._replica = replica
@@ -90,7 +94,7 @@
         return outcome if isinstance(outcome, Unavailable) else Unavailable("malformed command")
 
     def read(self) -> ReadResult:
-        """Return the newest configuration, if this replica can be sure of it."""
+        """Return the newest configuration, if this replica certainly holds it."""
         replica = self._replica()
         if replica is None:
             return Unavailable("replica is starting")
--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -1,8 +1,8 @@
-"""The directory of nodes on one control replica: who is linked where in the fleet.
+"""The directory of nodes on one control replica: all linked nodes of the fleet, by home.
 
 The nodes themselves are the source of truth. Each is linked to one replica, its home, and the
-homes tell each other; nothing of it is in the replicated log. Two homes may claim the same
-node for a moment (its old link is not known to be dead yet): the newest claim counts.
+homes notify each other of their nodes; the replicated log holds none of it. Two homes may claim
+the same node for a moment, while its old link is not known to be dead: the newest claim counts.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from jasperwalk.fleet.messages import HOSTLESS_PHASES, FleetUpdate, NodeRecord, NodeRole
 
 CLAIM_LIFETIME_SECONDS = 6.0
-"""A silent replica's claims are kept this long: its nodes find another home meanwhile."""
+"""How long a silent replica's claims are kept: its nodes find another home meanwhile."""
 LOST_NODE_RETENTION_SECONDS = 5.0
-"""An agent that left without deregistering is still listed to balancers that link up for this
-long: it may only be restarting, and its host holds flows meanwhile."""
+"""How long an agent that left without deregistering is still listed to nodes that connect: it may
+only be restarting, and its host holds flows meanwhile."""
 OWN_ID = 0
-"""Key of this replica's own claims; a replica ID is never 0, and may change in a life."""
+"""Key of this replica's own claims. No replica ID is 0, and this replica's own may change."""
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
 @dataclass
 class HomeClaims:
-    """What one replica says of the nodes linked to it."""
+    """The nodes that one replica reports as linked to it."""
 
     process_incarnation: int
     sequence: int
@@ -57,7 +57,7 @@
         return self._claims[OWN_ID].sequence
 
     def announce(self, record: NodeRecord) -> HomedNodes:
-        """Take a linked node's record; return the news for the other replicas."""
+        """Record a linked node; return the change for the other replicas."""
         own = self._claims[OWN_ID]
         own.records[record.endpoint] = record
         self._merge(record)
@@ -65,7 +65,7 @@
         return HomedNodes(self._process_incarnation, own.sequence, False, [record], [])
 
     def unlink(self, record: NodeRecord, now: float) -> HomedNodes | None:
-        """Note that a node's link ended; None if a newer process took its place."""
+        """Remove a node whose link ended; returns None if a newer process replaced it."""
         own = self._claims[OWN_ID]
         held = own.records.get(record.endpoint)
         if held is None or held.incarnation != record.incarnation:
@@ -83,7 +83,7 @@
         )
 
     def on_heartbeat(self, sender: int, heartbeat: ReplicaHeartbeat, now: float) -> bool:
-        """Take a replica's sign of life; return True if its nodes must be asked for."""
+        """Record a replica's heartbeat; return True if its nodes must be requested."""
         claims = self._claims.get(sender)
         if claims is None:
             claims = self._claims[sender] = HomeClaims(0, 0, now)
@@ -94,7 +94,7 @@
         )
 
     def merge_nodes(self, sender: int, update: HomedNodes, now: float) -> bool:
-        """Take another replica's news; return True if a change before it was missed."""
+        """Merge another replica's nodes; return True if an earlier change was missed."""
         claims = self._claims.setdefault(sender, HomeClaims(0, 0, now))
         claims.last_contact_at = now
         if not update.is_snapshot:
@@ -118,7 +118,7 @@
         return False
 
     def expire(self, now: float) -> None:
-        """Forget the claims of replicas that have been silent for too long, and lost nodes."""
+        """Remove the claims of replicas that have been silent for too long, and old lost nodes."""
         for endpoint, lost in list(self._lost.items()):
             if now - lost.lost_at > LOST_NODE_RETENTION_SECONDS:
                 del self._lost[endpoint]
@@ -141,7 +141,7 @@
             self._changed[record.endpoint] = None
 
     def _remove_claim(self, endpoint: Endpoint, record: NodeRecord, now: float) -> None:
-        """Forget a claim; another home's claim of the same node takes its place."""
+        """Remove a claim; another home's claim of the same node, if any, takes its place."""
         held = self._merged.get(endpoint)
         if held is None or held.incarnation != record.incarnation:
             return
@@ -156,7 +156,7 @@
             self._lost[endpoint] = LostNode(held, now)
 
     def agents(self, now: float) -> FleetUpdate:
-        """Return every agent for a balancer that links up, those lost lately as removed."""
+        """Return every agent, for a node that connects; recently lost ones also as removed."""
         lost = [each for each in self._lost.values() if each.record.role is NodeRole.AGENT]
         held = [each for each in self._merged.values() if each.role is NodeRole.AGENT]
         return FleetUpdate(
@@ -167,11 +167,11 @@
         )
 
     def has_changes(self) -> bool:
-        """Tell whether `take_changes` would have something to look at."""
+        """Return whether any node changed since the last call of `take_changes`."""
         return bool(self._changed)
 
     def take_changes(self) -> FleetUpdate | None:
-        """Return the agents that changed since the last call, None where there is nothing."""
+        """Return the agents that changed since the last call, None where none did."""
         changed, self._changed = self._changed, {}
         held = [self._merged[each] for each in changed if each in self._merged]
         records = [record for record in held if record.role is NodeRole.AGENT]
@@ -181,7 +181,7 @@
         return FleetUpdate(is_snapshot=False, records=records, removed=removed)
 
     def zones(self) -> set[str]:
-        """Return the zones that nodes and hosts are in."""
+        """Return the zones of all nodes and of their hosts."""
         records = self._merged.values()
         return {zone for record in records for zone in (record.zone, record.zone_of_host())}
 
--- a/src/jasperwalk/control/fleet/home_links.py
+++ b/src/jasperwalk/control/fleet/home_links.py
@@ -1,7 +1,9 @@
 """The links that balancers and agents open to this replica, their home.
 
-A link that is silent for too long is closed; the node's record leaves the directory with it, unless
-the node has linked up again meanwhile.
+A node announces its record on its link; the home enters it in the directory and sends the node
+drained zones, routes, warm-ups and the agents of the fleet, and then their changes. A link that is
+silent for too long is closed; the node's record leaves the directory with it, unless the node has
+connected again meanwhile.
 """
 
 from __future__ import annotations
@@ -36,13 +38,13 @@
 from jasperwalk.transport.framed import FramedConnection
 
 NODE_SILENCE_SECONDS = 1.6
-"""A node pings several times in this span; without any message its link is closed."""
+"""A node pings several times within this time; without any message its link is closed."""
 FLEET_INTERVAL_SECONDS = 0.05
-"""Least time between two updates of the agents to the linked nodes. Many nodes change at once when
-a replica is cut off or power returns: an update for each of them to each of the others would be
-some ten thousand messages from a replica with forty links, and on a balancer with a sixth of a
-processor its cost comes before callers' packets. A flow's opening that goes to an agent which has
-just left costs 0.1 s, so half of that is no loss."""
+"""Minimum time between two updates of the agents to the linked nodes. Many nodes change at once
+when a replica is cut off or power returns: an update for each change to each node would be some ten
+thousand messages from a replica with forty links, and would delay callers' packets on a balancer
+with a sixth of a processor. An opening packet that is sent to an agent which has just left costs
+0.1 s, so a delay of half of that is acceptable."""
 
 NO_DRAINED_ZONES = DrainedZones()
 NO_WARM_UP = WarmUp()
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True)
 class HomeView:
-    """What a home publishes of itself."""
+    """What a home publishes to its nodes: whether it is current, and its replicated state."""
 
     current: bool
     routes: RouteSet
@@ -62,7 +64,7 @@
     warm_ups: Mapping[str, WarmUp] = field(default_factory=dict)
 
     def status(self) -> HomeStatus:
-        """Return what nodes are sent regularly."""
+        """Return the status message for the linked nodes."""
         return HomeStatus(
             self.current,
             self.routes.version,
@@ -74,7 +76,7 @@
 
 @dataclass(eq=False)
 class NodeLink:
-    """One linked node and what it was sent."""
+    """One linked node, and the state that it was sent."""
 
     connection: FramedConnection
     record: NodeRecord | None = None
@@ -82,15 +84,15 @@
     sent_routes: dict[Endpoint, FlowRoute] = field(default_factory=dict)
     sent_zones_revision: int = 0
     zones_revision: int = 0
-    """What the node says that it goes by."""
+    """Revision of the drained zones that the node reports to apply."""
     sent_warm_up: WarmUp | None = None
 
     def send(self, message: HomeMessage) -> None:
-        """Queue a message; raises as `FramedConnection.write` does."""
+        """Queue a message; raises what `FramedConnection.write` raises."""
         self.connection.write(codec.encode(message))
 
     def send_routes(self, routes: RouteSet) -> None:
-        """Send what changed since the last version that was sent."""
+        """Send the difference to the version that was sent last, where there is a newer one."""
         if routes.version <= self.sent_version:
             return
         listed = {route.listener: route for route in routes.routes}
@@ -107,7 +109,7 @@
             self.sent_zones_revision = zones.revision
 
     def send_warm_up(self, version: int, warm_ups: Mapping[str, WarmUp]) -> None:
-        """Send an agent what its own service's hosts bear while they are cold."""
+        """Send an agent the warm-up (slow start) of its own service, where it changed."""
         if self.record is None or self.record.role is not NodeRole.AGENT or not version:
             return
         warm_up = warm_ups.get(self.record.service, NO_WARM_UP)
@@ -118,16 +120,16 @@
 
 @dataclass
 class HomeCounters:
-    """What a home has sent its nodes about the fleet."""
+    """Updates about the fleet that a home has sent its nodes."""
 
     fleet_updates: int = 0
     """Updates, each of which went to every linked node."""
     fleet_records: int = 0
-    """Agents in them that changed or left."""
+    """Agents in these updates that changed or left."""
 
 
 class HomeLinks:
-    """Serves the nodes' links; `notify_replicas` passes news of them on."""
+    """Serves the nodes' links; `notify_replicas` sends changes of them to the other replicas."""
 
     def __init__(
         self,
@@ -198,7 +200,7 @@
         self.publish_fleet()
 
     def _send_initial_state(self, link: NodeLink, record: NodeRecord, view: HomeView) -> None:
-        """Send a node that links up what it goes by: the zones come before what they restrict."""
+        """Send a new node its state; drained zones before the routes and agents they restrict."""
         link.send_zones(view.zones)
         link.send_warm_up(view.routes.version, view.warm_ups)
         if record.role is NodeRole.BALANCER:
@@ -214,9 +216,9 @@
         ]
 
     def _close_previous_links(self, record: NodeRecord) -> None:
-        """End the links that the same process opened before: it has given them up.
+        """Close the links that the same process opened before and has replaced.
 
-        Their end must not unlist the node, nor may they still change its record.
+        Their end must not remove the node, and they may not change its record any more.
         """
         for former in self._links_at(record.endpoint):
             if former.record is not None and former.record.incarnation == record.incarnation:
@@ -236,16 +238,16 @@
         self.publish_fleet()
 
     def _announce_remaining_link(self, endpoint: Endpoint) -> None:
-        """List the process whose link stands at an unlisted end point.
+        """Announce the process that still has a link at the end point that was just removed.
 
-        Another process's announcement that came late had taken its place.
+        A delayed announcement of another process had replaced its record.
         """
         for standing in self._links_at(endpoint):
             if standing.record is not None:
                 self._notify_replicas(self._directory.announce(standing.record))
 
     def publish_status(self) -> None:
-        """Notify every node at once when this home has become current, or no longer is."""
+        """Notify every node at once when this home becomes current, or no longer is."""
         view = self._view()
         if view.current == self._published_current:
             return
@@ -253,10 +255,10 @@
         self._send_to_all(list(self._links), view.status())
 
     def publish_fleet(self) -> None:
-        """Send the linked nodes what changed in the directory: all of them look for flows.
+        """Send the linked nodes what changed in the directory: all of them search for flows.
 
-        At once where nothing was sent lately; otherwise together with what changes until the
-        interval has passed.
+        The update is sent at once if none was sent within the interval; otherwise at its end,
+        with all changes until then.
         """
         if self._fleet_publication is not None or not self._directory.has_changes():
             return
@@ -284,12 +286,12 @@
         self._send_each_balancer(lambda link: link.send_routes(routes))
 
     def zones_in_force(self) -> int:
-        """Return the zones' revision that every linked node goes by, or a newer one."""
+        """Return the lowest revision of drained zones that the linked nodes apply."""
         revisions = [link.zones_revision for link in self._links if link.record is not None]
         return min(revisions, default=self._view().zones.revision)
 
     def publish_restrictions(self) -> None:
-        """Send every linked node the drained zones, and agents what cold hosts bear."""
+        """Send every linked node the drained zones, and agents their service's warm-up."""
         view = self._view()
         position = (view.routes.version, view.zones.revision)
         if position == self._published_position:
@@ -322,10 +324,10 @@
                 self._drop_link(link, error)
 
     def _drop_link(self, link: NodeLink, error: JasperwalkError) -> None:
-        """End a link that takes nothing more; `serve` then forgets its node.
+        """Abort a link that accepts no more messages; `serve` then removes its node.
 
-        It leaves the set at once: when many links end together, what is published about the
-        first of them must not be tried on all the others.
+        It leaves the set at once: when many links end together, the update about the first of
+        them must not be tried on all the others.
         """
         self._links.discard(link)
         name = "" if link.record is None else link.record.name
--- a/src/jasperwalk/control/fleet/identity.py
+++ b/src/jasperwalk/control/fleet/identity.py
@@ -1,9 +1,9 @@
-"""Which replica this process is: the data folder of its current life in the cluster.
+"""The replica's identity in the cluster: its replica ID and its data folder.
 
-A replica ID belongs to one data folder. The founders' IDs follow from their addresses, so that
-all of them name each other alike; any other ID is drawn at random. A replica that the cluster
-has removed starts again in a new folder under a new ID. Folders are numbered, the highest
-counts.
+A replica ID belongs to one data folder. The founders' IDs are derived from their addresses, so
+that all founders agree on them; any other ID is drawn at random. A replica that the cluster has
+removed starts again in a new folder under a new ID. Folders are numbered; the one with the highest
+number is used.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def _random_id() -> int:
-    """Draw an ID; the bit above an address's 48 keeps it apart from every founder's."""
+    """Draw an ID; its highest bit lies above an address's 48, so that no founder has the same."""
     return secrets.randbits(RANDOM_ID_BITS) | (1 << (RANDOM_ID_BITS - 1))
 
 
--- a/src/jasperwalk/control/fleet/joining.py
+++ b/src/jasperwalk/control/fleet/joining.py
@@ -1,4 +1,4 @@
-"""How a replica that is no member asks to be taken in, and how the others answer."""
+"""How a replica that is not a member requests to join, and how the others answer."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 async def request_to_join(
     request: JoinRequest, name: str, cluster_id: str, addresses: Sequence[Endpoint]
 ) -> JoinReply | None:
-    """Ask the replicas one after the other, and the leader that one names.
+    """Ask the replicas one after the other, and next the leader that one of them names.
 
-    A replica that knows no leader (it may be as new as this one) settles nothing. Returns the
+    An answer without a leader is skipped: that replica may be as new as this one. Returns the
     leader's answer, or None where no leader was found.
     """
     asked: set[Endpoint] = set()
@@ -59,13 +59,13 @@
 
 
 class JoinRequestHandler:
-    """Answers join requests; `decide` looks at the member list and notes the request."""
+    """Answers join requests; `decide` checks the member list and records the request."""
 
     def __init__(self, decide: Callable[[JoinRequest], JoinReply]) -> None:
         self._decide = decide
 
     async def serve(self, connection: FramedConnection) -> None:
-        """Answer one request; raises `MalformedMessage`, or `RequestTimeout` where none comes."""
+        """Answer one request; raises `MalformedMessage`, or `RequestTimeout` without one."""
         request = JOIN_DECODER.decode(await connection.receive_request(ANSWER_TIMEOUT_SECONDS))
         if not isinstance(request, JoinRequest):
             raise MalformedMessage(reason="expected a join request")
--- a/src/jasperwalk/control/fleet/messages.py
+++ b/src/jasperwalk/control/fleet/messages.py
@@ -1,4 +1,8 @@
-"""Messages of the datagram plane's control replicas among each other."""
+"""Messages that control replicas of the datagram plane exchange.
+
+Three groups: between linked replicas, requests of a replica to join the cluster, and operators'
+requests to drain, restore and list zones.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 
 
 class ReplicaHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=311):
-    """A replica to all others, at a steady pace.
+    """Sent by each replica to all others, periodically.
 
-    `process_incarnation` names the sender's process. `leading` tells that it leads and has committed an
-    entry of its own term; `version` is the configuration it holds, `zones_revision` the drained
-    zones, `zones_in_force` what every node that is linked to it goes by. `sequence` numbers the
-    changes of those nodes.
+    `process_incarnation` identifies the sender's process. `leading` is True when the sender leads
+    and has committed an entry of its own term. `version` is the version of its configuration,
+    `zones_revision` the revision of its drained zones, `zones_in_force` the revision that every
+    node linked to it applies. `sequence` numbers the changes of those nodes.
     """
 
     process_incarnation: int
@@ -30,7 +34,7 @@
 
 
 class HomedNodes(msgspec.Struct, frozen=True, array_like=True, tag=312):
-    """A replica's linked nodes: all of them (`is_snapshot`), or the one change before `sequence`."""
+    """A replica's linked nodes: all of them (`is_snapshot`), or the change numbered `sequence`."""
 
     process_incarnation: int
     sequence: int
@@ -40,7 +44,7 @@
 
 
 class HomedNodesRequest(msgspec.Struct, frozen=True, array_like=True, tag=313):
-    """A replica missed a change: send all linked nodes."""
+    """Asks a replica for all its linked nodes, after a change was missed."""
 
 
 ReplicaMessage = RaftPayload | LinkAlive | ReplicaHeartbeat | HomedNodes | HomedNodesRequest
@@ -48,9 +52,9 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, array_like=True, tag=321):
-    """A replica to any other: am I a member, and if not, take me in.
+    """A replica's request to any other to be added to the members, if it is not one of them.
 
-    `founding` tells that the whole system starts for the first time.
+    `founding` is True when the whole system starts for the first time.
     """
 
     replica_id: int
@@ -75,7 +79,7 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True, array_like=True, tag=322):
-    """The answer; `leader` is where to ask instead, where the asked replica knows it.
+    """The answer; `leader` is the end point to ask instead, where the asked replica knows it.
 
     `replicas` are the members: a joining replica has to reach them before its log names them.
     """
@@ -89,18 +93,18 @@
 
 
 class ZoneOrderRequest(msgspec.Struct, frozen=True, array_like=True, tag=331):
-    """An operator's command to any replica: drain a zone, or restore it."""
+    """An operator's request to any replica to drain a zone, or to restore it."""
 
     zone: str
     drained: bool
 
 
 class ZoneListRequest(msgspec.Struct, frozen=True, array_like=True, tag=332):
-    """An operator's command to any replica: which zones are there, and which are drained."""
+    """An operator's request to any replica to list the zones and which of them are drained."""
 
 
 class ZoneOrderReply(msgspec.Struct, frozen=True, array_like=True, tag=333):
-    """What an order came to: a kind of `ZoneResult`, and where to ask where that is known."""
+    """The outcome of an order: a kind of `ZoneResult`, and the leader to ask where it is known."""
 
     outcome: str
     reason: str
@@ -116,7 +120,7 @@
 
 
 class ZoneListReply(msgspec.Struct, frozen=True, array_like=True, tag=334):
-    """The zones; `in_force` is the revision that every linked node goes by."""
+    """The zones; `in_force` is the revision that every linked node applies."""
 
     outcome: str
     reason: str
--- a/src/jasperwalk/control/fleet/operator_requests.py
+++ b/src/jasperwalk/control/fleet/operator_requests.py
@@ -1,4 +1,4 @@
-"""Answers the operators' commands that the product's own command line sends to a replica."""
+"""Answers the requests for zones that the product's own command line sends to a replica."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from jasperwalk.transport.framed import FramedConnection
 
 REQUEST_TIMEOUT_SECONDS = 2.0
-"""Time within which an operator's command names what it wants."""
+"""Time within which a connected operator sends the request."""
 
 
 class OperatorRequestHandler:
-    """Serves one request a connection."""
+    """Serves one request per connection."""
 
     def __init__(self, zone_orders: ZoneOrders) -> None:
         self._zone_orders = zone_orders
 
     async def serve(self, connection: FramedConnection) -> None:
-        """Answer a request; raises `MalformedMessage`, or `RequestTimeout` where none comes."""
+        """Answer a request; raises `MalformedMessage`, or `RequestTimeout` without one."""
         request = OPERATOR_REQUEST_DECODER.decode(
             await connection.receive_request(REQUEST_TIMEOUT_SECONDS)
         )
--- a/src/jasperwalk/control/fleet/process.py
+++ b/src/jasperwalk/control/fleet/process.py
@@ -1,4 +1,9 @@
-"""The control process of the datagram plane: a replica's lives, its port, its operators."""
+"""The control process of the datagram plane.
+
+It runs one replica at a time and opens another one after a disk failure or a removal from the
+cluster. It also serves the replica port (replicas, nodes, operators' command line), the operators'
+HTTP interface and metrics; these outlive a single replica.
+"""
 
 from __future__ import annotations
 
@@ -35,18 +40,18 @@
 from jasperwalk.transport.server import FramedServer
 
 REOPEN_DELAY_SECONDS = 0.4
-"""Pause before a replica whose disk failed opens it again."""
+"""Pause before a replica is opened again, after a disk failure or a removal."""
 INCARNATION_BITS = 62
 TRANSFER_TIMEOUT_SECONDS = 1.0
 
 OperatorHandlerFactory = Callable[[ConfigurationService, ZoneOrders, int], HttpHandler]
-"""Makes the handler of operators' calls; the number is the port at which all replicas listen."""
+"""Makes the HTTP handler for operators; the number is the operators' port of all replicas."""
 
 logger = structlog.get_logger(__name__)
 
 
 class FleetControl:
-    """Owns everything of one control process; `run` serves until its stop event is set."""
+    """Owns the parts of one control process; `run` serves until its stop event is set."""
 
     def __init__(self, settings: FleetControlSettings, interface: OperatorHandlerFactory) -> None:
         self._settings = settings
@@ -141,7 +146,7 @@
             logger.warning("leadership-not-handed-over", replica_id=replica.replica_id)
 
     async def _run_replicas(self) -> None:
-        """Run one life after the other."""
+        """Run replicas one after the other; each failure or removal ends one of them."""
         while True:
             try:
                 replica = self._open_replica()
@@ -214,7 +219,7 @@
         )
 
     def _known_zones(self) -> set[str]:
-        """Return the zones that the settings or any node names."""
+        """Return the zones that the settings or any node name."""
         return {*self._settings.zones, *self.directory.zones()}
 
     def _voter_count(self) -> float:
@@ -237,6 +242,6 @@
 
 
 class ReplicaNotOpen(JasperwalkError):
-    """The replica's log is not open now; the caller tries again."""
+    """The replica's log is not open now; the connecting replica tries again."""
 
     kind = "replica-not-open"
--- a/src/jasperwalk/control/fleet/replica.py
+++ b/src/jasperwalk/control/fleet/replica.py
@@ -1,7 +1,7 @@
-"""One life of a control replica: its log, its links to the others, its membership.
+"""A control replica: its log, its links to the other replicas, its membership.
 
-A life ends when its disk fails or when the cluster has removed the replica; the process then
-begins another one (see `process`). The directory of nodes outlives it.
+A replica ends when its disk fails or when the cluster has removed it; the process then opens
+another one (see `process`). The directory of nodes outlives it.
 """
 
 from __future__ import annotations
@@ -49,14 +49,14 @@
 ELECTION_TIMEOUT_SECONDS = 0.7
 FIRST_ELECTION_SECONDS = 0.4
 REPLICA_HEARTBEAT_SECONDS = 0.25
-"""Pace of the replicas' signs of life to each other."""
+"""Interval of the heartbeats that replicas send each other."""
 MAX_CONTACT_AGE_SECONDS = 1.0
-"""Age of the leader's sign of life, and of its quorum contact, up to which a replica counts
-as holding all that was acknowledged."""
+"""Maximum age of the leader's heartbeat, and of a quorum contact, with which a replica counts as
+current: it holds all that was acknowledged."""
 STATE_CHECK_SECONDS = 0.05
-"""Pace of looking whether leadership or being current has changed."""
+"""Interval of the check whether leadership, or being current, has changed."""
 FIRST_JOIN_PAUSES_SECONDS = (0.1, 0.15, 0.15, 0.15, 0.3)
-"""Pauses before the first join requests: after a loss of power the leader is soon there."""
+"""Pauses before the first join requests; short, as a leader is elected soon after a power loss."""
 JOIN_INTERVAL_SECONDS = 0.5
 AUTOPILOT_INTERVAL_SECONDS = 0.1
 
@@ -64,14 +64,14 @@
 
 
 class ReplicaRemoved(JasperwalkError):
-    """The cluster has removed this replica; it has to begin anew under another ID."""
+    """The cluster has removed this replica; it has to start again under another ID."""
 
     kind = "replica-removed"
 
 
 @dataclass
 class LeaderHeartbeat:
-    """The last sign of life of a replica that leads."""
+    """The last heartbeat of a replica that leads."""
 
     replica_id: int = 0
     version: int = 0
@@ -81,14 +81,14 @@
 
 @dataclass(frozen=True)
 class ZonesInForce:
-    """The zones' revision that the nodes of another replica go by, and when it said so."""
+    """The revision of drained zones that all nodes of another replica apply, as it reported."""
 
     revision: int
     received_at: float
 
 
 class FleetReplica:
-    """Runs one life; `run` ends by cancellation or with the failure that ended the life."""
+    """Runs one replica; `run` ends by cancellation, or with the failure that ended the replica."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         own_zones_in_force: Callable[[], int] = lambda: 0,
         storage_faults: StorageFaults | None = None,
     ) -> None:
-        """Read the log; raises `StorageError`. `storage_faults` is for trials of failures."""
+        """Read the log; raises `StorageError`. `storage_faults` is for failure tests."""
         self._identity = identity
         self._name = name
         self._address = address
@@ -155,7 +155,7 @@
 
     @property
     def replica_id(self) -> int:
-        """The ID of this life."""
+        """The replica's ID in the cluster."""
         return self._identity.replica_id
 
     async def run(self) -> None:
@@ -175,7 +175,7 @@
         self.runner.close()
 
     def is_current(self) -> bool:
-        """Tell whether this replica surely holds all that was acknowledged."""
+        """Return whether this replica certainly holds all that was acknowledged."""
         if self.runner.quorum_age() > MAX_CONTACT_AGE_SECONDS:
             return False
         if self.runner.is_leader:
@@ -193,12 +193,12 @@
         return None if leader_id is None else self.runner.endpoints().get(leader_id)
 
     def leads_since(self) -> float:
-        """Return when this leader's term began as far as is known, now where it only begins."""
+        """Return when this leader's term was seen to start; now, if that was not recorded yet."""
         is_recorded = self._led_term == self.runner.term
         return self._leads_since if is_recorded else time.monotonic()
 
     def zones_in_force(self) -> int:
-        """Return the zones' revision that every node linked to a living replica goes by."""
+        """Return the oldest revision of drained zones that a node of a running replica applies."""
         now = time.monotonic()
         fresh = [
             each.revision
@@ -208,7 +208,7 @@
         return min([self._own_zones_in_force(), *fresh])
 
     def notify_replicas(self, update: HomedNodes) -> None:
-        """Pass news of the linked nodes on."""
+        """Send changes of the linked nodes to the other replicas."""
         for replica_id in self.network.connected_ids():
             self.network.send(replica_id, update)
 
@@ -258,7 +258,7 @@
             self.network.send(replica_id, heartbeat)
 
     async def _monitor_state(self) -> None:
-        """Tell the others at once of a change that nodes may be waiting for."""
+        """Notify others at once of a change that nodes may be waiting for."""
         while True:
             await asyncio.sleep(STATE_CHECK_SECONDS)
             if self.runner.is_settled and self.runner.term != self._led_term:
@@ -275,7 +275,7 @@
                 self._on_change()
 
     def _position(self) -> dict[str, int | float]:
-        """Return what being current rests on, for the log."""
+        """Return what decides whether this replica is current, for the log."""
         version, zones_revision = self.applier.state.position()
         return {
             "version": version,
@@ -288,12 +288,12 @@
     # Membership
 
     def is_voter(self) -> bool:
-        """Tell whether this replica votes, as far as its log tells."""
+        """Return whether this replica is a voter, according to its log."""
         member = self.runner.membership.find(self.replica_id)
         return member is not None and member.voting
 
     async def _join(self) -> None:
-        """Ask to be taken in while this replica has no vote; learn of a removal."""
+        """Request to join while this replica has no vote or no quorum; detect its removal."""
         pauses = chain(FIRST_JOIN_PAUSES_SECONDS, repeat(JOIN_INTERVAL_SECONDS))
         for pause_seconds in pauses:
             await asyncio.sleep(pause_seconds)
@@ -337,7 +337,7 @@
         return JoinStatus.PENDING if member is None else JoinStatus.MEMBER
 
     async def _manage_members(self) -> None:
-        """On the leader, keep the member list right."""
+        """On the leader, make the changes of the member list that `Autopilot` decides."""
         while True:
             await asyncio.sleep(AUTOPILOT_INTERVAL_SECONDS)
             if not self.runner.is_settled:
--- a/src/jasperwalk/control/fleet/settings.py
+++ b/src/jasperwalk/control/fleet/settings.py
@@ -11,8 +11,8 @@
 class FleetControlSettings(msgspec.Struct, frozen=True, kw_only=True):
     """A settings file's content; end points are `IPV4:PORT`.
 
-    `seeds` are replicas as they stood when the file was written; all of them found the
-    system at its first start, which `founding` marks.
+    `seeds` are the replicas known when the file was written. At the first start of the system,
+    which `founding` marks, they form the cluster.
     """
 
     name: str
@@ -21,14 +21,14 @@
     operators_listen: str
     replica_listen: str
     replica_advertised: str = ""
-    """Where others reach `replica_listen`, where that differs: behind a relay or a translation."""
+    """End point at which others reach `replica_listen`, where it differs (relay, translation)."""
     storage_faults: str = ""
-    """File that says how the storage is to misbehave, for trials of failures; see
-    `jasperwalk.control.storage_faults`. Empty on every real machine."""
+    """File that describes storage faults to inject in failure tests; see
+    `jasperwalk.control.storage_faults`. Empty in production."""
     seeds: list[str] = []
     founding: bool = False
     zones: list[str] = []
-    """Every zone of the installation; more are known from the nodes that announce themselves."""
+    """Every zone of the installation; zones that nodes announce are known as well."""
     orders_repeat_ms: float = 6_000.0
     """How long an operator repeats an order that had no answer, milliseconds."""
     metrics_listen: str = ""
@@ -36,15 +36,15 @@
     log_level: str = "info"
 
     def operators_endpoint(self) -> Endpoint:
-        """Return where operators call; raises `InvalidAddress`."""
+        """Return the end point of the operators' interface; raises `InvalidAddress`."""
         return Endpoint.parse(self.operators_listen)
 
     def replica_endpoint(self) -> Endpoint:
-        """Return where replicas and nodes connect; raises `InvalidAddress`."""
+        """Return the end point on which replicas and nodes connect; raises `InvalidAddress`."""
         return Endpoint.parse(self.replica_listen)
 
     def advertised_endpoint(self) -> Endpoint:
-        """Return where others connect to the replica; raises `InvalidAddress`."""
+        """Return the end point at which others reach the replica; raises `InvalidAddress`."""
         return Endpoint.parse(self.replica_advertised or self.replica_listen)
 
     def seed_endpoints(self) -> list[Endpoint]:
--- a/src/jasperwalk/control/fleet/stale_orders.py
+++ b/src/jasperwalk/control/fleet/stale_orders.py
@@ -1,14 +1,17 @@
-"""Keeps an order that arrives late from undoing a newer one.
+"""Prevents a stale copy of an order from reversing a newer order.
 
-Orders to drain or restore a zone carry no number, so the order in which they arrive is all that
-tells the newer from the older. An operator without an answer sends an order again, to another
-replica; the first copy may lie in a socket of a replica that stands still, or behind a link that
-loses packets, and come after the opposite order was acknowledged. Its sender has closed that
-connection long ago, and the close comes right behind it. So an order counts only while its caller
-waits, and one that reverses a new order pauses first, for the close to come. One that pauses is
-overtaken by its opposite, which came later, even where that one changes nothing.
+Orders to drain or restore a zone carry no number, so only their arrival tells the newer from the
+older. An operator without an answer sends an order again, to another replica. The first copy may
+be held up in a socket of a suspended replica or behind a lossy link, and arrive after the opposite
+order was acknowledged. Its sender has closed that connection by then, and the close arrives right
+after the copy. Therefore:
 
-Sans-IO; times are seconds.
+- An order is accepted only while its sender's connection is open.
+- An order that reverses a recent one pauses first, so that the close can arrive.
+- An order that pauses is refused if its opposite is accepted meanwhile: that one was sent later,
+  even where it changes nothing.
+
+Sans-IO; times are in seconds.
 """
 
 from __future__ import annotations
@@ -19,23 +22,23 @@
 import msgspec
 
 REVERSAL_PAUSE_SECONDS = 0.3
-"""Pause of an order that reverses a new one: a lost packet comes again after 0.2 s, and operators
-wait a second for an answer."""
+"""Pause of an order that reverses a recent one. Longer than the 0.2 s after which a lost packet is
+retransmitted, and shorter than the second for which operators wait for an answer."""
 
 
 class OrderRefusal(enum.StrEnum):
-    """Why an order does not count now; the operator sends it again."""
+    """Why an order is not accepted now; the operator sends it again."""
 
     NOT_SETTLED = "not-settled"
-    """What an earlier leader has acknowledged may not be applied here yet."""
+    """Orders that an earlier leader acknowledged may not be applied here yet."""
     CALLER_LEFT = "caller-left"
-    """Nobody waits for the answer: a copy that was sent again elsewhere."""
+    """The sender has disconnected: this is a copy of an order that was sent again elsewhere."""
     OVERTAKEN = "overtaken"
-    """The opposite order was taken while this one paused."""
+    """The opposite order was accepted while this one paused."""
 
 
 class Leadership(msgspec.Struct, frozen=True):
-    """A replica's leadership; `leads_since` is when the term began, as far as it knows."""
+    """A replica's leadership; `leads_since` is when it saw its term start."""
 
     term: int
     is_settled: bool
@@ -43,7 +46,7 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """An order, when it came, and the zone's committed state: None before any order for it."""
+    """An order, its arrival time, and the zone's committed state: None before any order for it."""
 
     zone: str
     drained: bool
@@ -53,20 +56,20 @@
 
 @dataclass(eq=False, repr=False)
 class StaleOrderGuard:
-    """What one replica knows of the orders that it has taken as a leader.
+    """Decides whether orders are accepted, from those that this replica accepted as leader.
 
-    `repeat_seconds` is how long operators repeat an order: a copy may be as late as that.
+    `repeat_seconds` is how long operators repeat an order: a copy may be delayed by as much.
     """
 
     repeat_seconds: float
     _term: int = 0
     _newest: dict[str, bool] = field(default_factory=dict)
-    """Each zone's newest order of this term, committed or not yet."""
+    """Each zone's newest accepted order of this term, committed or not yet."""
     _accepted_at: dict[str, float] = field(default_factory=dict)
-    """When that order, or a repetition of it, was taken last."""
+    """When that order, or a repetition of it, was last accepted."""
 
     def pause_seconds(self, order: ZoneOrder, leadership: Leadership, now: float) -> float:
-        """Return how long the order pauses before `admit`; 0 where it reverses no new one."""
+        """Return how long the order pauses before `admit`; 0 where it reverses no recent one."""
         self._enter_term(leadership)
         newest = self._newest.get(order.zone, order.held)
         if newest is None or newest == order.drained:
@@ -77,7 +80,7 @@
     def admit(
         self, order: ZoneOrder, leadership: Leadership, caller_waits: bool, now: float
     ) -> OrderRefusal | None:
-        """Return why the order does not count; where it does, None, and it is the newest now."""
+        """Return why the order is refused, or None where it is accepted and is now the newest."""
         self._enter_term(leadership)
         if not leadership.is_settled:
             return OrderRefusal.NOT_SETTLED
@@ -91,7 +94,7 @@
         return None
 
     def _enter_term(self, leadership: Leadership) -> None:
-        """Forget the orders of an earlier term: another leader may have taken newer ones."""
+        """Reset in a new term: another leader may have accepted newer orders meanwhile."""
         if leadership.term != self._term:
             self._term = leadership.term
             self._newest.clear()
--- a/src/jasperwalk/control/fleet/versioned_state.py
+++ b/src/jasperwalk/control/fleet/versioned_state.py
@@ -1,11 +1,11 @@
-"""The replicated state machine: one whole configuration, and which zones are drained.
+"""The replicated state machine: one complete configuration, and which zones are drained.
 
-Operators number their configurations. Of all that were committed the one with the highest
+Operators number their configurations. Of all that were committed, the one with the highest
 version is held; a version that is not above the held one is acknowledged and changes nothing,
-so that an operator who lost an answer may send again. The operator's own text is kept beside
+so that an operator who lost an answer may send it again. The operator's own text is kept beside
 the routes, because a read returns it as it was sent.
 
-Orders to drain or restore a zone carry no number: they count in the order of the log.
+Orders to drain or restore a zone carry no number: they apply in the order of the log.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class PutConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=401):
     """The command: hold this configuration if its version is the highest.
 
-    `warm_ups` has the services whose hosts bear few new flows after their start.
+    `warm_ups` has the services whose hosts are given few new flows after their start (slow start).
     """
 
     version: int
@@ -34,19 +34,19 @@
 
 
 class HeldConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=402):
-    """What is held; version 0 means nothing yet. Snapshots had this form before `StateImage`."""
+    """The held configuration; version 0 means none yet. Snapshots were this before `StateImage`."""
 
     kind: ClassVar[str] = "held"
     version: int
     source: bytes
     routes: list[FlowRoute]
     flow_idle_ms: int = 0
-    """Longest rest of a flow that is kept, milliseconds; 0 where the operator names none."""
+    """Longest idle time for which a flow is kept, milliseconds; 0 where the operator sets none."""
     warm_ups: dict[str, WarmUp] = {}
 
 
 class PutOutcome(msgspec.Struct, frozen=True, array_like=True, tag=403):
-    """What a command came to; `changed` is False where a higher or equal version was held."""
+    """The outcome of a command; `changed` is False where a higher or equal version was held."""
 
     version: int
     held_version: int
@@ -61,7 +61,7 @@
 
 
 class ZoneOutcome(msgspec.Struct, frozen=True, array_like=True, tag=405):
-    """What an order came to; `changed` is False where the zone was in that state already."""
+    """The outcome of an order; `changed` is False where the zone was in that state already."""
 
     zone: str
     drained: bool
@@ -70,7 +70,7 @@
 
 
 class ZoneStates(msgspec.Struct, frozen=True, array_like=True):
-    """Every zone that was ever ordered, and whether it is drained.
+    """Every zone for which an order was committed, and whether it is drained.
 
     `revision` counts the orders that changed something.
     """
@@ -79,7 +79,7 @@
     drained: dict[str, bool] = {}
 
     def drained_zones(self) -> DrainedZones:
-        """Return what nodes are sent."""
+        """Return the message about drained zones that nodes are sent."""
         return DrainedZones(
             self.revision, sorted(z for z, is_drained in self.drained.items() if is_drained)
         )
@@ -157,8 +157,8 @@
         return PutOutcome(command.version, self.held.version, changed)
 
     def _order_zone(self, command: OrderZone) -> ZoneOutcome:
-        # A zone's first order is noted even where it restores what was never drained: a copy of an
-        # older order must be known as the one that it would reverse.
+        # A zone's first order is recorded even where it restores what was never drained: a later
+        # copy of an older order must be recognised as its reversal.
         changed = self.zones.drained.get(command.zone) != command.drained
         if changed:
             drained = {**self.zones.drained, command.zone: command.drained}
--- a/src/jasperwalk/control/fleet/zone_orders.py
+++ b/src/jasperwalk/control/fleet/zone_orders.py
@@ -1,4 +1,8 @@
-"""Operators' orders to drain and restore zones, on any replica."""
+"""Operators' orders to drain and restore zones, as any replica handles them.
+
+Only the leader accepts an order; other replicas name the leader. The leader checks that the zone is
+known and that the order is not stale (see `stale_orders`), then commits it to the replicated log.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 from jasperwalk.observability.latency import LatencyHistogram
 
 MAX_ZONE_NAME_CHARACTERS = 200
-"""A longer name is no zone's; it is cut in logs and answers."""
+"""Longer names are truncated in logs and answers; no zone has one."""
 
 logger = structlog.get_logger(__name__)
 
@@ -57,7 +61,7 @@
 class ZonesListed:
     """Every known zone, by name; `revision` counts the orders that changed something.
 
-    `in_force` is the revision that every node linked to a living replica goes by.
+    `in_force` is the revision that every node linked to a running replica applies.
     """
 
     kind: ClassVar[str] = "zones-listed"
@@ -77,15 +81,17 @@
     zone_orders_acknowledged: int = 0
     zone_orders_unknown: int = 0
     zone_orders_abandoned: int = 0
-    """Orders whose callers had left before they could be taken."""
+    """Orders whose senders had disconnected before the orders could be accepted."""
     zone_orders_paused: int = 0
-    """Orders that reversed a new one and paused to see whether their callers still wait."""
+    """Orders that reversed a recent one and paused to see whether their senders still wait."""
 
 
 class ZoneOrders:
-    """Takes orders; `replica` gives the replica's current life, `known_zones` names zones.
+    """Handles orders and lists zones.
 
-    `repeat_seconds` is how long operators repeat an order that had no answer.
+    `replica` returns the replica that runs now, None while it is not open; `known_zones` returns
+    the zones that settings and nodes name. `repeat_seconds` is how long operators repeat an order
+    that had no answer.
     """
 
     def __init__(
@@ -105,7 +111,7 @@
     ) -> ZoneResult:
         """Drain or restore a zone; acknowledged only once a quorum has the order on disk.
 
-        `caller_waits` tells whether the operator's connection still stands.
+        `caller_waits` returns whether the operator's connection is still open.
         """
         started_at = time.monotonic()
         result = await self._order(zone, drained, caller_waits)
@@ -161,7 +167,7 @@
         return ZoneAcknowledged(outcome.zone, outcome.drained, outcome.revision)
 
     def list(self) -> ZoneListResult:
-        """Return every known zone, if this replica is sure to hold the newest orders."""
+        """Return every known zone, if this replica certainly holds the newest orders."""
         replica = self._replica()
         if replica is None:
             return Unavailable("replica is starting")
