--- a/src/jasperwalk/distribution/follower.py
+++ b/src/jasperwalk/distribution/follower.py
@@ -1,8 +1,8 @@
 """The sans-IO core of a subscriber: follows one replica at a time.
 
-It keeps a copy of the table that only moves forward, over replicas, reconnects and
-publishers that are behind. It leaves a replica that is silent, that has lost its quorum, or
-that stays behind the revision held here.
+It keeps a copy of the table whose revision never decreases, also when it changes replicas,
+reconnects, or follows a replica that is behind. It leaves a replica that is silent, that has lost
+its quorum, or that stays behind the revision of this copy.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class FollowerPhase(enum.Enum):
-    """Where a follower stands with its replica."""
+    """State of a follower's connection to its replica."""
 
     WAITING = enum.auto()
     CONNECTING = enum.auto()
@@ -55,7 +55,7 @@
 class FollowerCore:
     """Follows replicas; every method returns the effects that the adapter carries out.
 
-    Set `healthy` and `open_flows` at any time: the next acknowledgement carries them.
+    `healthy` and `open_flows` may be set at any time: the next acknowledgement has them.
     Times are in seconds of one monotonic clock. Raises `ValueError` without replicas.
     """
 
@@ -92,11 +92,11 @@
 
     @property
     def phase(self) -> FollowerPhase:
-        """Where this follower stands with its replica."""
+        """State of the connection to the replica."""
         return self._phase
 
     def fresh(self, now: float) -> bool:
-        """Tell whether the table was the newest of a quorum within the stale limit."""
+        """Return whether the table was a quorum's newest one within the stale limit."""
         if self._phase is FollowerPhase.REPLACED:
             return False
         return self._contact.freshness_age(now) <= self._config.replica_stale_seconds
@@ -132,7 +132,7 @@
         return []
 
     def connected(self, replica: Endpoint, now: float) -> list[FollowerEffect]:
-        """Subscribe on the connection to `replica`, which now stands."""
+        """Subscribe on the connection to `replica`, which is now open."""
         if self._phase is not FollowerPhase.CONNECTING or replica != self.replica:
             return []
         self._enter(FollowerPhase.FOLLOWING, now)
@@ -157,12 +157,12 @@
         return []
 
     def message(self, message: FromPublisher, now: float) -> list[FollowerEffect]:
-        """Take in one message of the replica."""
+        """Handle one message of the replica."""
         if self._phase is not FollowerPhase.FOLLOWING:
             return []
         if not self._contact.record_message(now):
-            # This process stood still: what waited in the socket may be arbitrarily old, and
-            # taking it for news would make a thawed process believe that it is fresh.
+            # This process was suspended: what waited in the socket may be arbitrarily old, and
+            # must not make the resumed process consider its table fresh.
             return self._leave(LeaveReason.SILENT, now)
         return self._handle_message(message, now)
 
@@ -211,14 +211,14 @@
         return []
 
     def _settle(self, now: float) -> None:
-        """End the doubling of pauses once a fresh replica has served for a while."""
+        """Reset the pauses and the spread once a fresh replica has served for a while."""
         if now - self._phase_since >= self._config.settled_seconds and self.fresh(now):
             self._choice.record_settled()
             self._leave_spread_seconds = self._config.leave_spread_seconds
 
     def _delta(self, delta: Delta, now: float) -> list[FollowerEffect]:
-        # Both checks keep the revision from going back. A base below ours is sound, for the
-        # delta holds the state at `revision` of everything that changed since that base.
+        # Both checks keep the revision from decreasing. A base below ours is safe, because the
+        # delta has the state at `revision` of everything that changed since that base.
         if delta.revision <= self.table.revision:
             return []
         if delta.base_revision > self.table.revision:
@@ -232,7 +232,7 @@
         entries = self._assembly.take()
         if entries is None or snapshot.revision < self.table.revision:
             return []
-        # A snapshot of the very revision held here is taken: its scope may be a new one.
+        # A snapshot of the current revision is applied as well: its scope may be a new one.
         self.table.replace(snapshot.revision, entries)
         return self._on_table_changed(now)
 
@@ -274,7 +274,7 @@
         return [Disconnect(reason=reason)]
 
     def _back_off(self, now: float, wait_seconds: float = 0.0, spread_seconds: float = 0.0) -> None:
-        # Parts of a snapshot are worth nothing on another connection.
+        # Parts of a snapshot cannot be continued on another connection.
         self._assembly.reset()
         if self.replica is not None:
             self._choice.record_failure(self.replica, now, wait_seconds, spread_seconds)
--- a/src/jasperwalk/distribution/follower_events.py
+++ b/src/jasperwalk/distribution/follower_events.py
@@ -18,13 +18,13 @@
 
     `replica_stale_seconds` bounds a replica's silence, its quorum age, and the time that it
     may stay behind this follower's revision. The back-off doubles from `backoff_base_seconds`
-    up to `backoff_cap_seconds`, and each wait is drawn between half of it and the whole.
+    up to `backoff_cap_seconds`, and each wait is drawn between half of it and all of it.
 
-    A replica that lost its quorum is kept for a random part of `leave_spread_seconds` more,
-    for a leader is mostly elected meanwhile; the part doubles up to `backoff_cap_seconds` with
-    each time that this follower found no fresh replica. One that fell silent is left at once,
-    and the next is asked at a random moment of as long a spread. A replica that served well
-    for `settled_seconds` ends the doubling.
+    A replica that lost its quorum is kept for a random part of `leave_spread_seconds` longer,
+    because a leader is usually elected meanwhile. A replica that fell silent is left at once, and
+    the next one is tried after a random part of the same spread. The spread doubles, up to
+    `backoff_cap_seconds`, each time that a replica is left for either reason, until a fresh replica
+    has served for `settled_seconds`.
     """
 
     replica_stale_seconds: float = 2.0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class SubscriberFacts:
-    """What a subscriber says of itself; `boot_id` is drawn once per process start."""
+    """A subscriber's description of itself; `boot_id` is drawn once per process start."""
 
     name: str
     role: SubscriberRole
@@ -83,14 +83,14 @@
 
 @dataclass(frozen=True)
 class TableChanged:
-    """The table now stands at `revision`."""
+    """The table is now at `revision`."""
 
     revision: int
 
 
 @dataclass(frozen=True)
 class Replaced:
-    """A newer process has this agent's address: act on no right any more, and stop."""
+    """A newer process has this agent's address: give up all rights of the agent, and stop."""
 
     detail: str
 
--- a/src/jasperwalk/distribution/follower_table.py
+++ b/src/jasperwalk/distribution/follower_table.py
@@ -1,4 +1,4 @@
-"""A subscriber's copy of the routing table, with the indexes that lookups need."""
+"""A subscriber's copy of the routing table, with indexes for lookups."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FollowerTable:
-    """Entries at `revision`; an update touches only the entries that it names."""
+    """The entries at `revision`; an update changes only the entries that it names."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -74,7 +74,7 @@
         return [*self._services.values(), *self._members.values(), *keys]
 
     def replace(self, revision: int, entries: Iterable[TableEntry]) -> None:
-        """Take over a whole table."""
+        """Replace all entries by those of a complete table."""
         self._services.clear()
         self._services_by_listener.clear()
         self._members.clear()
--- a/src/jasperwalk/distribution/join_admission.py
+++ b/src/jasperwalk/distribution/join_admission.py
@@ -1,8 +1,9 @@
-"""How many subscribers may begin with a snapshot at once, and when refused ones come back.
+"""Admission control of subscribers that need a snapshot, with retry times for refused ones.
 
-Snapshots take a replica's processor for much longer than anything else that a subscriber asks
-for. A fleet that arrives at once is told to come in turn, else it would keep consensus from the
-event loop, the quorum would be lost, and the fleet would leave and arrive again.
+Snapshots take far more of a replica's processor time than anything else that a subscriber needs.
+If a whole fleet joined at once, consensus would be starved of the event loop, the quorum would be
+lost, and the fleet would leave and join again. So the number of joins at one time is limited, and
+refused subscribers are given retry times one after the other.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class JoinAdmission:
-    """Joins in progress by subscriber ID, and the turns of those that were refused.
+    """Joins in progress by subscriber ID, and the next retry time for a refused one.
 
     A join ends with the first acknowledgement, with the connection, or after
     `join_seconds`. Times are in seconds of one monotonic clock.
@@ -27,26 +28,26 @@
         self._next_retry_at = 0.0
 
     def has_capacity(self, now: float) -> bool:
-        """Tell whether one more may join now."""
+        """Return whether one more subscriber may join now."""
         self._remove_overdue(now)
         return len(self._started_at) < self._config.join_limit
 
     def start(self, subscriber_id: int, now: float) -> None:
-        """Note that a subscriber joins."""
+        """Record that a subscriber joins."""
         self._started_at[subscriber_id] = now
 
     def end(self, subscriber_id: int) -> None:
-        """Note that a subscriber has joined, or is gone."""
+        """Record that a subscriber has joined, or is gone."""
         self._started_at.pop(subscriber_id, None)
 
     def retry_after_ms(self, now: float) -> int:
-        """Return when one that is refused may come back: a turn of its own, in milliseconds."""
+        """Return after how many milliseconds a refused subscriber may retry, a time of its own."""
         config = self._config
         earliest = now + config.retry_after_ms / MILLISECONDS_PER_SECOND
         latest = now + config.max_retry_after_ms / MILLISECONDS_PER_SECOND
         retry_at = max(self._next_retry_at, earliest)
         if retry_at > latest:
-            # Turns beyond the horizon begin anew: late ones share the moments of early ones.
+            # Past the latest time they start over: late subscribers share times with early ones.
             retry_at = earliest
         self._next_retry_at = retry_at + 1 / config.retries_per_second
         return round((retry_at - now) * MILLISECONDS_PER_SECOND)
--- a/src/jasperwalk/distribution/publisher.py
+++ b/src/jasperwalk/distribution/publisher.py
@@ -1,8 +1,10 @@
-"""The sans-IO core of a replica's publishing side: sends the table to its subscribers.
+"""The sans-IO publisher core of a replica: sends the routing table to its subscribers.
 
-Every message is encoded once for all subscribers of a scope. A subscriber that is slow to
-acknowledge, or whose link has used up its budget, gets no queue: what changed meanwhile goes
-out as one delta from the revision that it was last sent.
+Subscribers are balancers and agents. The core admits or refuses them, sends heartbeats, snapshots
+and deltas, and proposes the registration of agents. Every message is encoded once for all
+subscribers of a scope. A subscriber that is slow to acknowledge, or whose link has used up its
+byte budget, has no queue: what changed meanwhile is sent as one delta from the revision that it
+was last sent.
 """
 
 from __future__ import annotations
@@ -46,9 +48,9 @@
 
 
 class PublisherCore:
-    """Publishes one table; every method returns the effects that the host carries out.
+    """Publishes one table; every method returns the effects that its adapter carries out.
 
-    `subscriber_id` is the host's number for a connection, not used twice. Times are seconds
+    `subscriber_id` is the adapter's number for a connection, not used twice. Times are seconds
     of one monotonic clock, `quorum_age` is in seconds, infinite when unknown.
     """
 
@@ -65,7 +67,7 @@
         self._quorum_contact_at = -math.inf
         self._ticked_at = -math.inf
         self._silence_counted_from = -math.inf
-        """Silence of subscribers counts from here at the earliest."""
+        """Time from which the silence of subscribers is counted at the earliest."""
         self._replicas: ReplicaEndpoints | None = None
 
     @property
@@ -88,7 +90,7 @@
     def subscriber_opened(
         self, subscriber_id: int, subscribe: Subscribe, now: float
     ) -> list[PublisherEffect]:
-        """Take in a subscriber, or refuse it."""
+        """Admit a subscriber, or refuse it."""
         refusal = self._refusal(subscribe, now)
         if refusal is not None:
             return self._refuse(subscriber_id, refusal, self._retry_after_ms(refusal, now))
@@ -107,7 +109,7 @@
     def message(
         self, subscriber_id: int, message: FromSubscriber, now: float
     ) -> list[PublisherEffect]:
-        """Take in a message of a subscriber."""
+        """Handle a message of a subscriber."""
         link = self._subscribers.find(subscriber_id)
         if link is None:
             return []
@@ -120,25 +122,25 @@
                 return self._close(link, CloseReason.SUBSCRIBED_TWICE)
 
     def subscriber_closed(self, subscriber_id: int) -> None:
-        """Forget a subscriber whose connection ended."""
+        """Remove a subscriber whose connection ended."""
         link = self._subscribers.find(subscriber_id)
         if link is not None:
             self._forget(link)
 
     def table_advanced(self, now: float) -> list[PublisherEffect]:
-        """Publish what changed in the table, to the first slice now and at `tick` to others."""
+        """Publish changes of the table: to the first slice now, to the others at `tick`."""
         self._encoder.advance()
         self._flushes.add(self._subscribers.all())
         return self._flush_slice(now)
 
     def table_replaced(self, source: VersionedTable, now: float) -> list[PublisherEffect]:
-        """Go on with another table object, such as one restored from a snapshot."""
+        """Continue with another table object, such as one restored from a snapshot."""
         self._encoder.replace_table(source)
         self._flushes.add(self._subscribers.all())
         return self._flush_slice(now)
 
     def replicas_changed(self, index: int, endpoints: list[Endpoint]) -> list[PublisherEffect]:
-        """Tell all subscribers of the voting replicas as committed at log index `index`."""
+        """Notify all subscribers of the voting replicas as committed at log index `index`."""
         if self._replicas is not None and self._replicas.endpoints == endpoints:
             return []
         self._replicas = ReplicaEndpoints(index=index, endpoints=endpoints)
@@ -148,13 +150,13 @@
         return effects
 
     def record_quorum_age(self, now: float, quorum_age: float) -> None:
-        """Take in the seconds since contact with a quorum, by which new subscribers are judged."""
+        """Record the seconds since contact with a quorum; a stale replica refuses subscribers."""
         self._quorum_contact_at = now - quorum_age
 
     def tick(self, now: float, quorum_age: float) -> list[PublisherEffect]:
-        """Send what is due: heartbeats, and updates that waited for their turn or budget.
+        """Send what is due: heartbeats, and updates that waited for their slice or byte budget.
 
-        One call sends a slice of it; `next_deadline` tells that more is due at once.
+        One call sends one slice; if more is due, `next_deadline` returns -inf.
         """
         self.record_quorum_age(now, quorum_age)
         self._record_own_stall(now)
@@ -165,7 +167,7 @@
         return effects
 
     def _record_own_stall(self, now: float) -> None:
-        # What subscribers sent while this process stood still has not been read yet.
+        # What subscribers sent while this process was suspended has not been read yet.
         if now - self._ticked_at > self._config.silent_seconds / 2:
             self._silence_counted_from = now
         self._ticked_at = now
@@ -196,9 +198,9 @@
     def agent_registered(
         self, address: Endpoint, boot_id: str, incarnation: int, now: float
     ) -> list[PublisherEffect]:
-        """Take in a committed registration; every replica is notified of every one.
+        """Handle a committed registration; every replica is notified of every one.
 
-        Its agent is notified at once. An older process at the same address is refused.
+        Its agent is notified at once. An older process at the same address is closed.
         """
         self._registrations.register(address, boot_id, incarnation)
         effects: list[PublisherEffect] = []
@@ -208,7 +210,7 @@
             elif 0 < max(link.subscribe.incarnation, link.incarnation) <= incarnation:
                 effects.extend(self._close_replaced(link))
             else:
-                # A former process may be reported only now: the log names it first.
+                # The registration may be of a former process: the log has it first.
                 effects.extend(self._check_registration(link, now))
         return effects
 
@@ -244,7 +246,7 @@
         ]
 
     def _retry_after_ms(self, reason: CloseReason, now: float) -> int:
-        # A replaced process does not come back and takes no turn from others.
+        # A replaced process does not retry, so it needs no retry time of its own.
         if reason is CloseReason.REPLACED:
             return self._config.retry_after_ms
         return self._admission.retry_after_ms(now)
@@ -264,7 +266,7 @@
         return [CloseSubscriber(subscriber_id=link.subscriber_id, reason=reason)]
 
     def _close_former_connection(self, link: SubscriberLink) -> list[PublisherEffect]:
-        # A process that lost its connection comes back before this side notices the loss.
+        # A process that lost its connection may reconnect before this side notices the loss.
         former = self._subscribers.find_same_process(link)
         return [] if former is None else self._close(former, CloseReason.RECONNECTED)
 
@@ -295,7 +297,7 @@
         return [self._send(link, codec.encode(self._replicas))]
 
     def _quorum_age_ms(self, now: float) -> int:
-        # Aged since the last tick: a process that stood still must not pass for fresh.
+        # Counted up to now, not to the last tick: a suspended process must not appear fresh.
         milliseconds = (now - self._quorum_contact_at) * MILLISECONDS_PER_SECOND
         return int(min(max(milliseconds, 0.0), MAX_QUORUM_AGE_MS))
 
@@ -336,7 +338,7 @@
         return effects
 
     def _flush(self, link: SubscriberLink, now: float) -> list[PublisherEffect]:
-        """Send what the link's budget and its outstanding updates allow."""
+        """Send as many updates as the link's byte budget and outstanding limit allow."""
         self._selector.follow_scope(link, now)
         effects: list[PublisherEffect] = []
         while self._selector.has_update(link):
--- a/src/jasperwalk/distribution/publisher_events.py
+++ b/src/jasperwalk/distribution/publisher_events.py
@@ -12,16 +12,17 @@
 class PublisherConfig:
     """Timing in seconds, sizes in bytes.
 
-    A link carries `link_bytes_per_second` in the long run and `link_burst_bytes` at once.
+    A link is limited to `link_bytes_per_second` on average and `link_burst_bytes` at once.
     A replica whose quorum age is over `stale_seconds` refuses new subscribers.
     `outstanding_limit` bounds the updates that a subscriber has not acknowledged yet; beyond
-    it, changes wait at the source and go out as one delta.
-
-    `join_limit` subscribers may begin with a snapshot at once, each for `join_seconds` at most;
-    those with a table that a delta brings up to date aren't counted. Others are refused at
-    once, to come back in turn: after `retry_after_ms`, at `retries_per_second`, and after
-    `max_retry_after_ms` at the latest.
-    `slice_subscribers` are sent heartbeats or changes in one turn of the host's loop.
+    it, changes are held back and sent together as one delta.
+
+    `join_limit` subscribers may start with a snapshot at the same time, each for `join_seconds`
+    at most; those whose table a delta brings up to date are not counted. Others are refused
+    with a time to retry: `retry_after_ms` at the earliest, `retries_per_second` subscribers
+    each second, `max_retry_after_ms` at the latest.
+    `slice_subscribers` are sent heartbeats or changes in one call, so that the event loop is
+    not held up by all of them.
     """
 
     heartbeat_seconds: float = 0.5
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True)
 class CloseSubscriber:
-    """Close the connection after what was sent on it; the core has forgotten it already."""
+    """Close the connection after what was sent on it; the core has already removed it."""
 
     subscriber_id: int
     reason: CloseReason
--- a/src/jasperwalk/distribution/registrations.py
+++ b/src/jasperwalk/distribution/registrations.py
@@ -1,4 +1,7 @@
-"""Committed registrations of agents, as far as this replica has applied them."""
+"""Committed registrations of agents, as far as this replica has applied them.
+
+They decide whether a subscribing agent is registered, replaced by a newer process, or new.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 class RegistrationVerdict(enum.Enum):
-    """How a subscribing agent stands to the registration of its address."""
+    """The state of a subscribing agent by the registration of its address; see `verdict_for`."""
 
     REGISTERED = enum.auto()
     REPLACED = enum.auto()
@@ -33,7 +36,7 @@
         self._by_address: dict[Endpoint, Registration] = {}
 
     def register(self, address: Endpoint, boot_id: str, incarnation: int) -> None:
-        """Note a committed registration, which replaces the former one of the address."""
+        """Record a committed registration, which replaces the former one of the address."""
         self._by_address[address] = Registration(boot_id=boot_id, incarnation=incarnation)
 
     def at(self, address: Endpoint) -> Registration | None:
@@ -41,12 +44,12 @@
         return self._by_address.get(address)
 
     def verdict_for(self, subscribe: Subscribe, table_revision: int) -> RegistrationVerdict:
-        """Judge a subscribing agent.
+        """Return whether a subscribing agent is registered, replaced, or new.
 
         An agent that once had an incarnation and finds another process at its address was
-        replaced while it stood still. On a replica behind the agent's own revision, or behind
-        its registration, nothing can be said yet: proposing it there could give an old process
-        the address back, and refusing it would end the newest one.
+        replaced while it was suspended. On a replica behind the agent's own revision, or behind
+        its registration, the verdict is unknown: proposing the agent there could give an old
+        process the address back, and refusing it would end the newest one.
         """
         registration = self._by_address.get(subscribe.address)
         if registration is not None and registration.boot_id == subscribe.boot_id:
--- a/src/jasperwalk/distribution/replica_choice.py
+++ b/src/jasperwalk/distribution/replica_choice.py
@@ -1,4 +1,4 @@
-"""Which replica a follower tries next, and when."""
+"""Decides which replica a follower tries next, and when."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from jasperwalk.addresses import Endpoint
 
 MAX_BACKOFF_EXPONENT = 16
-"""Bound of the doubling, so that the power stays small however long an outage lasts."""
+"""Limit of the exponent, so that the power stays small however long an outage lasts."""
 
 MAX_PAUSE_SECONDS = 2.0
-"""Bound of the pause between attempts at different replicas: another one may be well."""
+"""Maximum pause between attempts at different replicas: another one may be healthy."""
 
 MAX_TIMEOUT_FACTOR = 4
-"""Bound of the waiting for an answer, as a multiple of the usual time-out."""
+"""Maximum time-out of an attempt, as a multiple of the usual one."""
 
 FAILURES_BEFORE_FALLBACK = 3
-"""Failures in a row of every learned replica before those of the settings are tried again."""
+"""Failures in a row of every learned replica before the configured ones are tried again."""
 
 
 @dataclass
 class ReplicaRecord:
-    """One replica: the failures since it last served well, and when it may be tried."""
+    """One replica: its failures since it last served, and when it may be tried again."""
 
     endpoint: Endpoint
     failures: int = 0
@@ -33,13 +33,12 @@
 class ReplicaChoice:
     """Replicas in a shuffled order, each with its own jittered exponential back-off.
 
-    The shuffle spreads followers over replicas; the jitter (half to the whole of the back-off)
-    keeps followers that lost a replica together from coming back together. Between attempts at
-    different replicas lies a jittered pause, which doubles with every failure since a replica
-    last served for a while: else a fleet that finds no replica would ask all of them, again
-    and again, and keep them from electing a leader. Once a replica has
-    told of the present replicas, those of the settings are tried only when the present ones
-    fail again and again.
+    The shuffle spreads followers over replicas; the jitter (half to all of the back-off) keeps
+    followers that lost a replica together from reconnecting together. Between attempts at
+    different replicas there is a jittered pause, which doubles with every failure since a replica
+    last served for a while: without it, a fleet that finds no replica would keep connecting to
+    all of them and prevent them from electing a leader. Once a replica has sent the list of
+    current replicas, the configured ones are tried only when the listed ones fail repeatedly.
     """
 
     def __init__(
@@ -62,7 +61,7 @@
         self._records = {each: ReplicaRecord(endpoint=each) for each in shuffled}
 
     def update_replicas(self, index: int, replicas: Sequence[Endpoint]) -> None:
-        """Take in the replicas as committed at a log index; an older list changes nothing."""
+        """Set the replicas as committed at a log index; an older list is ignored."""
         if index <= self._learned_at_index or not replicas:
             return
         self._learned_at_index = index
@@ -70,7 +69,7 @@
         wanted = [*self._learned, *self._configured]
         records = {each: record for each, record in self._records.items() if each in wanted}
         for endpoint in wanted:
-            # New ones wait for no turn, and are not the first choice of all followers at once.
+            # New ones may be tried at once; the shuffle keeps followers from choosing the same.
             records.setdefault(endpoint, ReplicaRecord(endpoint=endpoint))
         shuffled = list(records)
         self._random.shuffle(shuffled)
@@ -82,7 +81,7 @@
         return max(earliest, self._next_attempt_at)
 
     def choose(self, now: float) -> Endpoint | None:
-        """Return the replica that waits longest for its turn, or None while all back off."""
+        """Return the replica that became available first, or None while all back off."""
         if self.next_available_at() > now:
             return None
         return min(self._eligible(), key=lambda each: each.available_at).endpoint
@@ -114,7 +113,7 @@
         record.available_at = now + min_backoff_seconds + jittered
 
     def record_served(self, endpoint: Endpoint) -> None:
-        """Note that a replica serves well, which ends its back-off."""
+        """Record that a replica serves well, which ends its back-off."""
         record = self._records.get(endpoint)
         if record is not None:
             record.failures = 0
@@ -122,15 +121,15 @@
     def timeout_factor(self) -> int:
         """Return how much longer than usual a replica may take to answer an attempt.
 
-        It doubles up to `MAX_TIMEOUT_FACTOR` once as many attempts failed in a row as
-        there are replicas: an attempt that is given up while it waits in line has cost its
+        It doubles up to `MAX_TIMEOUT_FACTOR` once as many attempts failed in a row as there are
+        replicas: an attempt that is cancelled while it waits in a replica's queue has cost that
         replica as much as one that succeeds.
         """
         doublings = max(0, self._failures_in_a_row - len(self._eligible()) + 1)
         return int(min(2 ** min(doublings, MAX_BACKOFF_EXPONENT), MAX_TIMEOUT_FACTOR))
 
     def record_settled(self) -> None:
-        """Note that a replica has served well for a while: pauses are short again."""
+        """Record that a replica has served well for a while, which resets the pauses."""
         self._failures_in_a_row = 0
 
     def _eligible(self) -> list[ReplicaRecord]:
--- a/src/jasperwalk/distribution/replica_contact.py
+++ b/src/jasperwalk/distribution/replica_contact.py
@@ -1,4 +1,4 @@
-"""How current a follower is through its replica, and when it has to leave that replica."""
+"""Tracks how current a follower's replica is, and decides when the follower has to leave it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReplicaContact:
-    """What the replica's messages said; times are seconds of one monotonic clock.
+    """State of the current replica, from its messages; times are seconds of a monotonic clock.
 
     `stale_seconds` bounds a replica's silence, its quorum age, and how long it may stay behind.
     `grace_seconds` is how much longer a replica is kept that had its quorum and lost it.
@@ -33,7 +33,7 @@
         return self._behind_since is not None
 
     def connected(self, now: float, grace_seconds: float) -> None:
-        """Begin with another replica; what was known to be fresh stays so."""
+        """Reset for another replica; the freshness of the table is kept."""
         self._grace_seconds = grace_seconds
         self._was_fresh = False
         self._last_message_at = now
@@ -41,17 +41,17 @@
         self._behind_since = None
 
     def record_message(self, now: float) -> bool:
-        """Note a message; return False where too long a silence came before it."""
+        """Record a message; return False where the silence before it was too long."""
         if now - self._last_message_at >= self._stale_seconds:
             return False
         self._last_message_at = now
         return True
 
     def heartbeat(self, heartbeat: Heartbeat, own_revision: int, now: float) -> None:
-        """Take in what the replica says of itself."""
+        """Record the replica's quorum contact and revision."""
         quorum_contact_at = now - heartbeat.quorum_age_ms / MILLISECONDS_PER_SECOND
         if self._quorum_contact_at is not None:
-            # The time under way differs from heartbeat to heartbeat; contact does not go back.
+            # Transit times of heartbeats differ; the time of contact never moves back.
             quorum_contact_at = max(quorum_contact_at, self._quorum_contact_at)
         self._quorum_contact_at = quorum_contact_at
         if now - quorum_contact_at < self._stale_seconds:
@@ -64,7 +64,7 @@
         self.record_table(own_revision)
 
     def record_table(self, own_revision: int) -> None:
-        """Note the follower's revision: it is fresh once it has the replica's."""
+        """Record the follower's revision: the table is fresh once it has the replica's."""
         contact_at = self._quorum_contact_at
         if contact_at is not None and self._replica_revision <= own_revision:
             self._fresh_at = max(self._fresh_at, contact_at)
@@ -86,7 +86,7 @@
         return None
 
     def leave_at(self) -> float:
-        """Return when there will be a reason to leave, if nothing is heard until then."""
+        """Return when there will be a reason to leave, if no message arrives until then."""
         oldest = self._last_message_at
         if self._quorum_contact_at is not None:
             oldest = min(oldest, self._quorum_contact_at + self._grace())
--- a/src/jasperwalk/distribution/runner.py
+++ b/src/jasperwalk/distribution/runner.py
@@ -34,13 +34,13 @@
 from jasperwalk.transport.tls import LinkTls
 
 EVENT_QUEUE_LENGTH = 64
-"""Events that may wait for the core; a full queue stops the reading of the connection."""
+"""Events that may wait for the core; while the queue is full, the connection is not read."""
 
 MAX_WAIT_SECONDS = 1.0
-"""Longest sleep between two ticks."""
+"""Maximum time between two ticks."""
 
 MAX_HELLO_WAIT_SECONDS = 10.0
-"""Bound of the wait for a replica's Hello; the core gives an attempt up before."""
+"""Maximum wait for a replica's Hello; the core cancels an attempt before."""
 
 
 logger = structlog.get_logger(__name__)
@@ -72,8 +72,8 @@
     """Runs a follower on sockets. `run` returns after `stop` or when the agent is replaced.
 
     `on_table_change` is called with the table after every change, `on_replaced` with the
-    detail when a newer process has this agent's address. Set `healthy` and `open_flows` at
-    any time; the next acknowledgement carries them.
+    detail when a newer process has this agent's address. `healthy` and `open_flows` may be set
+    at any time; the next acknowledgement has them.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
 
     @property
     def table(self) -> FollowerTable:
-        """The table as it now stands."""
+        """The current table."""
         return self.core.table
 
     @property
@@ -111,7 +111,7 @@
 
     @property
     def healthy(self) -> bool:
-        """What acknowledgements say of the back end."""
+        """Health of the backend, as acknowledgements report it."""
         return self.core.healthy
 
     @healthy.setter
@@ -120,7 +120,7 @@
 
     @property
     def open_flows(self) -> int:
-        """What acknowledgements say of the number of connections."""
+        """Number of open flows, as acknowledgements report it."""
         return self.core.open_flows
 
     @open_flows.setter
@@ -128,7 +128,7 @@
         self.core.open_flows = open_flows
 
     def fresh(self) -> bool:
-        """Tell whether the table was the newest of a quorum within the stale limit."""
+        """Return whether the table was a quorum's newest one within the stale limit."""
         return self.core.fresh(self._clock())
 
     def stop(self) -> None:
@@ -163,7 +163,7 @@
 
     def _handle(self, event: _Event) -> None:
         if event.attempt != self._attempt:
-            # Of a connection that was dropped while the event waited in the queue.
+            # The connection was dropped while the event waited in the queue.
             if isinstance(event, _Opened):
                 event.connection.abort()
             return
@@ -207,7 +207,7 @@
         try:
             self._connection.write(codec.encode(message))
         except JasperwalkError as error:
-            # The reading side sees the same failure, or the core leaves a silent replica.
+            # The reading task sees the same failure, or the core leaves a silent replica.
             logger.debug("send-failed", kind=error.kind, detail=str(error))
             self._connection.abort()
 
@@ -225,7 +225,7 @@
             self._connection = None
 
     async def _run_connection(self, replica: Endpoint, attempt: int) -> None:
-        """Connect, then feed what arrives to the event queue until the connection ends."""
+        """Connect, then put received messages into the event queue until the connection ends."""
         try:
             connection = await connect(
                 replica,
--- a/src/jasperwalk/distribution/scope_history.py
+++ b/src/jasperwalk/distribution/scope_history.py
@@ -1,7 +1,7 @@
-"""Which members left which service, so that an agent's delta can name them as removed.
+"""History of members that left a service, so that an agent's delta can name them as removed.
 
-The table knows only where a member is now. An agent holds the members of one service, and has
-to hear when one of them moves to another.
+The table has only the current service of a member. An agent holds the members of one service, and
+has to be notified when one of them moves to another.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from jasperwalk.config.table_entries import MemberEntry, MemberKey
 
 STEP_LIMIT = 4_096
-"""Steps of the table that are remembered; an agent from before them is sent a snapshot."""
+"""Number of table changes that are kept; an agent from before them is sent a snapshot."""
 
 
 class ScopeHistory:
-    """Follows the table step by step and records moves of members between services."""
+    """Records moves of members between services, for each step that the table advances."""
 
     def __init__(self, table: VersionedTable) -> None:
         self._service_of: dict[Endpoint, int] = {}
@@ -28,7 +28,7 @@
         self.rebuild(table)
 
     def rebuild(self, table: VersionedTable) -> None:
-        """Start over from the table as it is."""
+        """Reset the history to the table as it is now."""
         self._service_of = {each.address: each.service_id for each in table.members()}
         self._moved_at.clear()
         self._departures.clear()
@@ -37,7 +37,7 @@
         self._steps[table.revision] = []
 
     def advance(self, table: VersionedTable) -> None:
-        """Take in what changed in the table since the last call."""
+        """Record what changed in the table since the last call."""
         changes = table.changes_since(self.revision)
         if not isinstance(changes, Changes) or table.revision < self.revision:
             self.rebuild(table)
@@ -56,19 +56,19 @@
             self._forget_oldest_step()
 
     def covers(self, revision: int) -> bool:
-        """Tell whether moves after `revision` are known.
+        """Return whether all moves after `revision` are known.
 
         They are for revisions at which a step ended: within a step, a member may have been in
-        a service without this history seeing it.
+        a service without a record of it.
         """
         return revision in self._steps
 
     def moved_after(self, address: Endpoint, revision: int) -> bool:
-        """Tell whether the member came to its present service after `revision`."""
+        """Return whether the member moved to its current service after `revision`."""
         return self._moved_at.get(address, 0) > revision
 
     def departed(self, service_id: int, revision: int) -> list[Endpoint]:
-        """Return the members that left the service after `revision` and are not back."""
+        """Return the members that left the service after `revision` and have not returned."""
         departures = self._departures.get(service_id, {})
         return [address for address, left_at in departures.items() if left_at > revision]
 
--- a/src/jasperwalk/distribution/snapshot_assembly.py
+++ b/src/jasperwalk/distribution/snapshot_assembly.py
@@ -1,4 +1,4 @@
-"""Putting the parts of a snapshot together."""
+"""Assembles a snapshot from its parts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from jasperwalk.messages.distribution import Snapshot
 
 MAX_SNAPSHOT_PARTS = 65_536
-"""Parts that one snapshot may announce."""
+"""Maximum number of parts that one snapshot may announce."""
 
 
 class SnapshotAssembly:
@@ -19,7 +19,7 @@
         self._entries: list[TableEntry] = []
 
     def add(self, snapshot: Snapshot) -> bool:
-        """Take in one part; False when it does not continue what came before."""
+        """Add one part; return False when it does not continue the parts before."""
         if snapshot.part == 0:
             self._start(snapshot)
         fits = (
@@ -44,7 +44,7 @@
         return entries
 
     def reset(self) -> None:
-        """Forget what was collected."""
+        """Discard the collected parts."""
         self._parts = 0
         self._next_part = 0
         self._entries = []
--- a/src/jasperwalk/distribution/subscriber_directory.py
+++ b/src/jasperwalk/distribution/subscriber_directory.py
@@ -10,7 +10,7 @@
 
 
 class SubscriberDirectory:
-    """Links by the host's number for their connection."""
+    """Links by connection number, by process, and for agents by address."""
 
     def __init__(self) -> None:
         self._links: dict[int, SubscriberLink] = {}
@@ -22,7 +22,7 @@
         return len(self._links)
 
     def __contains__(self, link: SubscriberLink) -> bool:
-        """Tell whether a link has not been removed."""
+        """Return whether a link has not been removed."""
         return link.subscriber_id in self._links
 
     def all(self) -> Collection[SubscriberLink]:
@@ -34,16 +34,16 @@
         return self._links.get(subscriber_id)
 
     def find_same_process(self, link: SubscriberLink) -> SubscriberLink | None:
-        """Return the link that the process of `link` has already, None where it has none."""
+        """Return the earlier link of the process of `link`, None where it has none."""
         former_id = self._by_identity.get(link.identity)
         return None if former_id is None else self._links[former_id]
 
     def agents_at(self, address: Endpoint) -> list[SubscriberLink]:
-        """Return the links of all processes that say that they are the agent at an address."""
+        """Return the links of all processes that subscribed as the agent at an address."""
         return [self._links[each] for each in sorted(self._agents_at.get(address, ()))]
 
     def add(self, link: SubscriberLink) -> None:
-        """Take in a link."""
+        """Add a link."""
         self._links[link.subscriber_id] = link
         self._by_identity[link.identity] = link.subscriber_id
         if not link.is_balancer:
@@ -51,7 +51,7 @@
             at_address.add(link.subscriber_id)
 
     def remove(self, link: SubscriberLink) -> None:
-        """Forget a link."""
+        """Remove a link."""
         del self._links[link.subscriber_id]
         if self._by_identity.get(link.identity) == link.subscriber_id:
             del self._by_identity[link.identity]
--- a/src/jasperwalk/distribution/subscriber_link.py
+++ b/src/jasperwalk/distribution/subscriber_link.py
@@ -1,4 +1,4 @@
-"""The publisher's record of one subscriber."""
+"""The publisher's state of one subscriber."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
     @property
     def is_balancer(self) -> bool:
-        """Tell whether the subscriber is a balancer."""
+        """Whether the subscriber is a balancer."""
         return self.subscribe.role is SubscriberRole.BALANCER
 
     @property
@@ -68,7 +68,7 @@
         return (self.subscribe.role, self.subscribe.name, self.subscribe.boot_id)
 
     def acknowledge(self, message: Acknowledge, now: float) -> None:
-        """Take in an acknowledgement."""
+        """Record an acknowledgement, and remove the updates that it covers from the outstanding."""
         self.last_seen = now
         self.healthy = message.healthy
         self.open_flows = message.open_flows
@@ -79,15 +79,15 @@
             self.outstanding.popleft()
 
     def start_snapshot(self, snapshot: EncodedSnapshot) -> None:
-        """Begin to send a snapshot, in place of one that is under way."""
+        """Start to send a snapshot, in place of one that is partly sent."""
         self.snapshot = snapshot
         self.next_part = 0
 
     def take_next_part(self) -> bytes:
-        """Return the next part of the snapshot under way; raises `ValueError` without one."""
+        """Return the next part of the started snapshot; raises `ValueError` without one."""
         snapshot = self.snapshot
         if snapshot is None:
-            raise ValueError("no snapshot is under way")
+            raise ValueError("no snapshot was started")
         payload = snapshot.parts[self.next_part]
         self.next_part += 1
         if self.next_part == len(snapshot.parts):
@@ -96,6 +96,6 @@
         return payload
 
     def record_sent(self, revision: int) -> None:
-        """Note that the subscriber was sent everything up to `revision`."""
+        """Record that the subscriber was sent everything up to `revision`."""
         self.sent_revision = revision
         self.outstanding.append(revision)
--- a/src/jasperwalk/distribution/token_bucket.py
+++ b/src/jasperwalk/distribution/token_bucket.py
@@ -1,4 +1,4 @@
-"""The byte budget of one link."""
+"""The byte budget of one link, as a token bucket."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
     """A token bucket that may go into debt by one message.
 
     A message may be sent while any token is left, however long it is; the debt delays the
-    next one. So the rate holds in the long run, and no message is too long to ever be sent.
+    next one. The rate therefore holds on average, and a message of any length can be sent.
     """
 
     __slots__ = ("_burst", "_filled_at", "_rate", "_tokens")
@@ -19,12 +19,12 @@
         self._filled_at = now
 
     def allows(self, now: float) -> bool:
-        """Tell whether a message may be sent."""
+        """Return whether a message may be sent."""
         self._fill(now)
         return self._tokens > 0
 
     def spend(self, length: int) -> None:
-        """Take the bytes of a message that was sent."""
+        """Subtract the bytes of a message that was sent."""
         self._tokens -= length
 
     def ready_at(self, now: float) -> float:
--- a/src/jasperwalk/distribution/update_encoder.py
+++ b/src/jasperwalk/distribution/update_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes snapshots and deltas once for all subscribers of a scope."""
+"""Encodes snapshots and deltas of the table, once for all subscribers of a scope."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 """Scope of an agent whose address belongs to no service. Other scopes are service IDs."""
 
 MIN_ENTRY_BYTES = 48
-"""Least size of an encoded entry: a delta that must become too long is not even encoded."""
+"""Minimum size of an encoded entry; a delta certain to be too long is not encoded."""
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
 
 
 class UpdateEncoder:
-    """Caches the encodings of the table's present revision; `advance` after every change."""
+    """Caches the encodings of the table's current revision; call `advance` after every change."""
 
     def __init__(self, table: VersionedTable, config: PublisherConfig) -> None:
         self.table = table
@@ -62,13 +62,13 @@
         self._snapshots: dict[int, EncodedSnapshot] = {}
 
     def advance(self) -> None:
-        """Take note that the table changed."""
+        """Discard cached deltas after a change of the table."""
         self.history.advance(self.table)
         self._deltas.clear()
         self._grouped.clear()
 
     def replace_table(self, table: VersionedTable) -> None:
-        """Go on with another table object, such as one restored from a snapshot."""
+        """Continue with another table object, such as one restored from a snapshot."""
         self.table = table
         self.history = ScopeHistory(table)
         self._deltas.clear()
@@ -81,7 +81,7 @@
         return KEYS_ONLY if member is None else member.service_id
 
     def delta(self, scope: int, base_revision: int) -> bytes | None:
-        """Return the encoded delta from `base_revision`, None where only a snapshot will do."""
+        """Return the encoded delta from `base_revision`, None where a snapshot is needed."""
         cache_key = (scope, base_revision)
         if cache_key not in self._deltas:
             self._deltas[cache_key] = self._encode_delta(scope, base_revision)
@@ -90,9 +90,9 @@
     def snapshot(self, scope: int, min_revision: int, now: float) -> EncodedSnapshot:
         """Return a snapshot of the scope at `min_revision` or later.
 
-        One of the whole table that was made a moment ago is used again, so that balancers
-        that load a large table at the same time share its bytes; a delta brings them up to
-        date afterwards. An agent might not have been in the scope at an earlier revision.
+        A recent one of the whole table is reused, so that balancers that load a large table at
+        the same time share its bytes; a delta brings them up to date afterwards. One for agents
+        is reused at its own revision only: an agent might not have been in the scope earlier.
         """
         recent = self._snapshots.get(scope)
         if recent is not None and self._reusable(recent, scope, min_revision, now):
@@ -104,7 +104,7 @@
         return made
 
     def drop_old_snapshots(self, now: float) -> None:
-        """Let go of snapshots that are too old to be used again."""
+        """Discard snapshots that are too old to be reused."""
         limit = self._config.snapshot_reuse_seconds
         old = [scope for scope, made in self._snapshots.items() if now - made.made_at > limit]
         for scope in old:
@@ -208,6 +208,6 @@
             case ServiceKey():
                 grouped.removed_services.add(key.service_id)
             case MemberKey():
-                # Named through the history, which knows the service that it was in.
+                # Added from the history, which knows the service that the member was in.
                 pass
     return grouped
--- a/src/jasperwalk/distribution/update_selector.py
+++ b/src/jasperwalk/distribution/update_selector.py
@@ -1,4 +1,7 @@
-"""What a subscriber is sent next: the next part of a snapshot, or one delta of all it lacks."""
+"""Selects what a subscriber is sent next: the next part of a snapshot, or one delta.
+
+A delta has all that changed since the revision that the subscriber was last sent.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,16 @@
 
 
 class UpdateSelector:
-    """Chooses between snapshot and delta, and follows agents from service to service."""
+    """Chooses between snapshot and delta, and follows an agent that moves to another service."""
 
     def __init__(self, encoder: UpdateEncoder) -> None:
         self._encoder = encoder
 
     def on_subscribed(self, link: SubscriberLink, now: float) -> None:
-        """Find the scope of a new subscriber; a balancer's is the whole table."""
+        """Set the scope of a new subscriber; a balancer's is the whole table."""
         if link.is_balancer:
             return
-        # The agent's own copy may be of another service, which its revision does not tell.
+        # The agent's copy may be of another service, which its revision does not show.
         address = link.subscribe.address
         link.scope = self._encoder.scope_of_agent(address)
         history = self._encoder.history
@@ -26,7 +29,7 @@
             self._start_snapshot(link, now)
 
     def needs_snapshot(self, subscribe: Subscribe) -> bool:
-        """Tell whether a subscriber has no table that a delta would bring up to date."""
+        """Return whether a subscriber has no table that a delta would bring up to date."""
         revision = subscribe.revision
         if revision == 0:
             return True
@@ -37,7 +40,7 @@
         return not self._encoder.history.covers(revision)
 
     def follow_scope(self, link: SubscriberLink, now: float) -> None:
-        """Begin anew for an agent whose address is now of another service."""
+        """Start a new snapshot for an agent whose address now belongs to another service."""
         if link.is_balancer or link.sent_revision > self._encoder.table.revision:
             return
         scope = self._encoder.scope_of_agent(link.subscribe.address)
@@ -46,11 +49,11 @@
             self._start_snapshot(link, now)
 
     def has_update(self, link: SubscriberLink) -> bool:
-        """Tell whether there is something to send."""
+        """Return whether there is an update to send."""
         return link.snapshot is not None or link.sent_revision < self._encoder.table.revision
 
     def next_payload(self, link: SubscriberLink, now: float) -> bytes:
-        """Return the next update, and note it as sent."""
+        """Return the next update, and record it as sent."""
         if link.snapshot is None:
             delta = self._encoder.delta(link.scope, link.sent_revision)
             if delta is not None:
@@ -60,7 +63,7 @@
         return link.take_next_part()
 
     def _start_snapshot(self, link: SubscriberLink, now: float) -> None:
-        # A table behind the subscriber has nothing for it but heartbeats.
+        # A subscriber ahead of this table is sent heartbeats only.
         if link.sent_revision <= self._encoder.table.revision:
             snapshot = self._encoder.snapshot(link.scope, link.sent_revision, now)
             link.start_snapshot(snapshot)
--- a/src/jasperwalk/membership/liveness.py
+++ b/src/jasperwalk/membership/liveness.py
@@ -1,8 +1,8 @@
-"""Liveness of agents, judged by the leader from what all replicas see of them.
+"""Liveness of agents, decided by the leader from the reports that all replicas receive.
 
-A member is online while its registered process reports itself healthy, and unhealthy at once
-when it reports that it takes no new work. It is offline `offline_after_seconds` after its last
-report to any replica. An unhealthy member's agent lives, and open flows go on there.
+A member is online while its registered process reports itself healthy, and unhealthy as soon as
+it reports that it accepts no new work. It is offline `offline_after_seconds` after its last
+report to any replica. An unhealthy member's agent still runs, and open flows continue there.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 class LivenessConfig:
     """Thresholds, all times in seconds.
 
-    A new leader declares nothing offline for silence during `leader_grace_seconds`, for the
-    reports that it lacks may be on their way; nor does one that has not evaluated for
-    `offline_after_seconds`, for it stood still itself.
-    A member that came back `flap_limit` times within `flap_window_seconds` has to be well for
+    A new leader declares no silent member offline during `leader_grace_seconds`, because the
+    missing reports may still arrive; nor does a leader that has not evaluated for
+    `offline_after_seconds`, because it was suspended itself.
+    A member that recovered `flap_limit` times within `flap_window_seconds` has to be healthy for
     `flap_hold_seconds` before it is online again.
-    `mass_silence` says when the silence of many at once is doubted.
+    `mass_silence` sets when the silence of many members at once needs confirmation.
     """
 
     offline_after_seconds: float = 1.0
@@ -44,7 +44,7 @@
 
 
 class AgentObservation(msgspec.Struct, frozen=True, gc=False):
-    """One agent as some replica saw it, `silence_seconds` before the report."""
+    """One agent's state as a replica received it, `silence_seconds` before the report."""
 
     address: Endpoint
     incarnation: int
@@ -62,7 +62,7 @@
 
 
 class LivenessTracker:
-    """Keeps the newest sighting of every agent; `evaluate` names the statuses to change."""
+    """Keeps the newest observation of every agent; `evaluate` returns the statuses to change."""
 
     def __init__(self, config: LivenessConfig) -> None:
         self._config = config
@@ -77,7 +77,7 @@
         self._evaluated_at = now
 
     def observe(self, observation: AgentObservation, now: float) -> None:
-        """Take in a report of any replica; older news and older processes are left out."""
+        """Record a report of any replica; older reports and older processes are ignored."""
         if observation.incarnation <= 0:
             return
         seen_at = now - observation.silence_seconds
@@ -93,9 +93,9 @@
         self._record_observation(record, observation.healthy, seen_at)
 
     def evaluate(self, members: Iterable[MemberEntry], now: float) -> list[MemberStatus]:
-        """Return the changes of status, and forget agents that are no members any more."""
+        """Return the changes of status, and remove agents that are not members any more."""
         if now - self._evaluated_at > self._config.offline_after_seconds:
-            # A process that stood still finds every report old, its own fault included.
+            # This process was suspended: every report is old because of that.
             self.leader_started(now)
         self._evaluated_at = now
         members = list(members)
@@ -116,7 +116,7 @@
     def _check_mass_silence(
         self, members: Sequence[MemberEntry], silences: Sequence[bool], now: float
     ) -> None:
-        """Start the grace period anew while too many are silent at once."""
+        """Extend the grace period while the silence of too many is unconfirmed."""
         of_online = [
             silent
             for member, silent in zip(members, silences, strict=True)
@@ -134,8 +134,8 @@
     def _follow_newer_process(
         self, record: _AgentRecord, observation: AgentObservation, seen_at: float
     ) -> None:
-        # Both processes may be in the reports for a moment; the one heard last goes on.
-        # `evaluate` compares with the committed incarnation, so a wrong guess harms nothing.
+        # Both processes may be in the reports for a moment; the one with the newest report is kept.
+        # `evaluate` compares with the committed incarnation, so a wrong choice is harmless.
         if seen_at <= record.seen_at:
             return
         record.incarnation = observation.incarnation
@@ -193,7 +193,7 @@
         )
 
     def _record_recovery(self, record: _AgentRecord, now: float) -> None:
-        # The proposal may take several evaluations to be applied; it is one recovery.
+        # It may take several evaluations until the proposal is applied; this is one recovery.
         if record.recoveries and record.recoveries[-1] >= record.healthy_since:
             return
         record.recoveries.append(now)
--- a/src/jasperwalk/membership/platform.py
+++ b/src/jasperwalk/membership/platform.py
@@ -1,7 +1,7 @@
-"""The platform's list of machines: parsing, and what its lag is allowed to do.
+"""The platform's list of machines: parses it, and derives which hosts to drain.
 
-The list lags. A machine that it calls leaving is drained at once; one that it no longer
-names is drained only after it was missing from several polls in a row.
+The list lags behind reality. A host that it lists as leaving is drained at once; one that it no
+longer lists is drained only after it was missing from several polls in a row.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from jasperwalk.errors import InvalidAddress, JasperwalkError
 
 MAX_LIST_BYTES = 16 * 1024 * 1024
-"""Longest list that is parsed."""
+"""Maximum size of a list that is parsed."""
 
 
 class MachineState(enum.StrEnum):
-    """What the platform says of a machine."""
+    """State of a machine as the platform lists it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -37,7 +37,7 @@
     reason: str
 
     def describe(self) -> str:
-        """Give the parser's reason."""
+        """Return the message with the parser's reason."""
         return f"invalid platform list: {self.reason}"
 
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class PlatformList:
-    """One version of the list; `first_reason` is why the first unreadable entry was left out."""
+    """One version of the list; `first_reason` is why the first unreadable entry was skipped."""
 
     version: int
     machines: list[PlatformMachine]
@@ -77,11 +77,11 @@
 
 
 def parse_platform_list(data: bytes) -> PlatformList:
-    """Parse the list's JSON; raise `InvalidPlatformList` for one that does not fit.
+    """Parse the list's JSON; raises `InvalidPlatformList` for one that is not valid.
 
-    Entries may come from several writers. One that is unreadable, lacks a field or names an unknown
-    state is left out and counted, and the others hold. A list that has entries, of which none can
-    be read, is broken as a whole.
+    Entries may come from several writers. One that is unreadable, lacks a field or has an unknown
+    state is skipped and counted, and the others are used. A list with entries of which none can be
+    read is invalid.
     """
     if len(data) > MAX_LIST_BYTES:
         raise InvalidPlatformList(reason=f"over {MAX_LIST_BYTES} bytes")
@@ -118,11 +118,11 @@
 
 @dataclass(frozen=True)
 class ReconcilerConfig:
-    """How far a list is trusted.
+    """Limits of what an incomplete list may change.
 
-    A member is drained after it was missing from `missing_polls` polls in a row. A list that
-    lacks more than `max_missing_share` of the members is taken for broken: what it does
-    not name is left as it is.
+    A host is drained after it was missing from `missing_polls` polls in a row. A list that
+    lacks more than `max_missing_share` of the hosts is taken as faulty: hosts that it does not
+    list keep their state.
     """
 
     missing_polls: int = 3
@@ -130,7 +130,7 @@
 
 
 class PlatformReconciler:
-    """Compares polls of the list with the members; kept by the leader while it leads."""
+    """Compares polls of the list with the members; the leader keeps it while it leads."""
 
     def __init__(self, config: ReconcilerConfig) -> None:
         self._config = config
@@ -146,7 +146,7 @@
         """Return the states to set: those of hosts that changed since the last poll.
 
         A list older than the newest one seen is ignored, so that a lagging copy of the list
-        cannot take a host back into service. The first poll returns the state of every host
+        cannot put a host back into service. The first poll returns the state of every host
         that the list names.
         """
         if self._newest_version is not None and platform_list.version < self._newest_version:
@@ -171,7 +171,7 @@
             if machine.host not in hosts:
                 continue
             leaving = machine.state is MachineState.LEAVING
-            # A host that is named twice is leaving when either line says so.
+            # A host that is listed twice is leaving if either entry says so.
             if leaving or machine.host not in wanted:
                 wanted[machine.host] = AdminState.DRAINING if leaving else AdminState.ENABLED
             self._missing_polls.pop(machine.host, None)
