--- a/src/jasperwalk/control/applied.py
+++ b/src/jasperwalk/control/applied.py
@@ -9,7 +9,7 @@
 
 from jasperwalk.control.proposal_errors import OutcomeUnknown, ProposalError, ProposalLost
 
-REMEMBERED_ENTRIES = 1024
+RETAINED_ENTRIES = 1024
 """Latest entries whose results are kept: a forwarded entry may be applied here before the
 leader's reply with its index arrives."""
 
@@ -46,10 +46,10 @@
         """Note an applied entry and answer those who wait for its index."""
         self.index = entry.index
         self._latest[entry.index] = entry
-        if len(self._latest) > REMEMBERED_ENTRIES:
+        if len(self._latest) > RETAINED_ENTRIES:
             self._latest.popitem(last=False)
         for waiter in self._waiters.pop(entry.index, []):
-            _settle(waiter, entry)
+            _resolve(waiter, entry)
 
     def skip_to(self, index: int) -> None:
         """Note that a snapshot replaced all entries up to `index`, whose results stay unknown."""
@@ -68,7 +68,7 @@
         """
         waiter = Waiter(term=term, future=asyncio.get_running_loop().create_future())
         if index <= self.index:
-            self._settle_late(index, waiter)
+            self._resolve_if_retained(index, waiter)
         else:
             self._waiters.setdefault(index, []).append(waiter)
         try:
@@ -79,12 +79,12 @@
         finally:
             self._discard(index, waiter)
 
-    def _settle_late(self, index: int, waiter: Waiter[OutcomeType]) -> None:
+    def _resolve_if_retained(self, index: int, waiter: Waiter[OutcomeType]) -> None:
         entry = self._latest.get(index)
         if entry is None:
             _fail(waiter, OutcomeUnknown())
         else:
-            _settle(waiter, entry)
+            _resolve(waiter, entry)
 
     def _discard(self, index: int, waiter: Waiter[OutcomeType]) -> None:
         """Forget a waiter that gave up, so that a stalled log does not collect them."""
@@ -95,7 +95,7 @@
                 del self._waiters[index]
 
 
-def _settle(waiter: Waiter[OutcomeType], entry: AppliedEntry[OutcomeType]) -> None:
+def _resolve(waiter: Waiter[OutcomeType], entry: AppliedEntry[OutcomeType]) -> None:
     if waiter.term != entry.term:
         _fail(waiter, ProposalLost())
     elif not waiter.future.done():
--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -2,7 +2,7 @@
 
 Each replica reports its subscribers to the leader (see `subscriber_reports`). A subscriber
 that moved between replicas counts by its newest sighting. One that nobody has heard for
-`FORGET_AFTER_SECONDS` no longer counts, so that a machine that is gone for good does not keep
+`SUBSCRIBER_EXPIRY_SECONDS` no longer counts, so that a machine that is gone for good does not keep
 a change from being reported in force.
 
 What "in force" does not say: a balancer that is cut off from control, but alive and reached
@@ -26,9 +26,9 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.control.subscriber_reports import (
-    FORGET_AFTER_SECONDS,
     MILLISECONDS_PER_SECOND,
-    VOUCHED_SECONDS,
+    SUBSCRIBER_EXPIRY_SECONDS,
+    UNREPORTED_SILENCE_SECONDS,
     ReportedSubscriber,
     SubscriberKey,
     SubscriberReport,
@@ -39,9 +39,9 @@
 """Silence of a replica after which subscribers may have come to it unseen.
 
 This and the time that a subscriber takes from one replica to the next have to pass within
-`FORGET_AFTER_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
+`SUBSCRIBER_EXPIRY_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
 """
-MOST_LAGGARDS_NAMED = 100
+MAX_LAGGARDS_NAMED = 100
 """Laggards that an answer names; `laggard_count` counts them all."""
 
 
@@ -65,7 +65,7 @@
 class SubscriberSighting(msgspec.Struct, frozen=True, gc=False):
     """What the leader knows of a subscriber; `revision` is the newest that it acknowledged.
 
-    `seen_at` is when it was last heard, in seconds; it may be up to `VOUCHED_SECONDS` too late
+    `seen_at` is when it was last heard, in seconds; it may be up to `UNREPORTED_SILENCE_SECONDS` too late
     for one that is heard regularly.
     """
 
@@ -87,14 +87,14 @@
 
     sequence: int
     revision: int
-    heard_at: float
+    received_at: float
     recorded_since: float
     common_revision: int
     subscribers: dict[int, ReportedSubscriber] = field(default_factory=dict)
     revisions: dict[int, int] = field(default_factory=dict)
     silent_since: dict[int, float] = field(default_factory=dict)
 
-    def sighting(self, each: ReportedSubscriber) -> SubscriberSighting:
+    def subscriber_of(self, each: ReportedSubscriber) -> SubscriberSighting:
         """Return a subscriber as this replica sees it."""
         key, condition = each.key, each.condition
         return SubscriberSighting(
@@ -105,7 +105,7 @@
             revision=self.revisions.get(each.number, self.common_revision),
             healthy=condition.healthy,
             open_flows=condition.open_flows,
-            seen_at=self.silent_since.get(each.number, self.heard_at),
+            seen_at=self.silent_since.get(each.number, self.received_at),
             connection_id_generation=condition.connection_id_generation,
             stateless_reset_generation=condition.stateless_reset_generation,
         )
@@ -114,14 +114,14 @@
 class InForceLedger:
     """The newest report of every replica, for as long as this replica leads."""
 
-    def __init__(self, now: float, forget_after_seconds: float = FORGET_AFTER_SECONDS) -> None:
-        self._forget_after_seconds = forget_after_seconds
+    def __init__(self, now: float, expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
+        self._expiry_seconds = expiry_seconds
         self._term = 0
         self._leading_since = now
         self._origins: dict[int, _Origin] = {}
         self._merged: dict[SubscriberKey, SubscriberSighting] | None = None
 
-    def lead(self, term: int, now: float) -> None:
+    def start_term(self, term: int, now: float) -> None:
         """Start anew with a term that this replica leads; nothing happens within a term."""
         if term != self._term:
             self._term = term
@@ -129,23 +129,23 @@
             self._origins = {}
             self._merged = None
 
-    def take(self, origin_id: int, report: SubscriberReport, now: float) -> bool:
+    def record_report(self, origin_id: int, report: SubscriberReport, now: float) -> bool:
         """Take in a report; return False when reports before it are missing."""
         if report.term != self._term:
             return True
         former = self._origins.get(origin_id)
-        if not report.whole and (former is None or report.sequence != former.sequence + 1):
+        if not report.full and (former is None or report.sequence != former.sequence + 1):
             return False
         recorded_seconds = report.recorded_ms / MILLISECONDS_PER_SECOND
         origin = _Origin(
             sequence=report.sequence,
             revision=report.revision,
-            heard_at=now,
+            received_at=now,
             recorded_since=now - recorded_seconds,
             common_revision=report.common_revision,
-            subscribers={} if former is None or report.whole else former.subscribers,
+            subscribers={} if former is None or report.full else former.subscribers,
         )
-        for number in report.forgotten:
+        for number in report.removed:
             origin.subscribers.pop(number, None)
         for each in report.changed:
             origin.subscribers[each.number] = each
@@ -160,7 +160,7 @@
 
     def current(self, now: float) -> list[SubscriberSighting]:
         """Return the subscribers that still count."""
-        oldest = now - self._forget_after_seconds
+        oldest = now - self._expiry_seconds
         return [each for each in self._merge().values() if each.seen_at >= oldest]
 
     def in_force(self, revision: int, contact_ages: Mapping[int, float], now: float) -> InForce:
@@ -176,7 +176,7 @@
         missing, late = self._incomplete_replicas(revision, contact_ages, now)
         laggards = [f"replica-{each}" for each in (*missing, *late)]
         laggards.extend(sorted(each.name for each in seen if each.revision < revision))
-        named = laggards[:MOST_LAGGARDS_NAMED]
+        named = laggards[:MAX_LAGGARDS_NAMED]
         if missing:
             return InForce(revision=revision, laggards=named, laggard_count=len(laggards))
         return InForce(
@@ -195,7 +195,7 @@
             merged: dict[SubscriberKey, SubscriberSighting] = {}
             for origin in self._origins.values():
                 for each in origin.subscribers.values():
-                    seen, known = origin.sighting(each), merged.get(each.key)
+                    seen, known = origin.subscriber_of(each), merged.get(each.key)
                     if known is None or _supersedes(seen, known):
                         merged[each.key] = seen
             self._merged = merged
@@ -211,7 +211,7 @@
             origin = self._origins.get(replica_id)
             if not self._may_serve(origin, contact_ages[replica_id], now):
                 continue
-            if origin is None or self._may_know_more(origin, now):
+            if origin is None or self._may_have_unreported(origin, now):
                 missing.append(replica_id)
             elif origin.revision < revision:
                 late.append(replica_id)
@@ -219,23 +219,23 @@
 
     def _may_serve(self, origin: _Origin | None, contact_age: float, now: float) -> bool:
         """Tell whether a replica may have subscribers: those of a stale one have left it."""
-        heard_at = self._leading_since if origin is None else origin.heard_at
-        return min(now - heard_at, contact_age) < self._forget_after_seconds
+        received_at = self._leading_since if origin is None else origin.received_at
+        return min(now - received_at, contact_age) < self._expiry_seconds
 
-    def _may_know_more(self, origin: _Origin, now: float) -> bool:
+    def _may_have_unreported(self, origin: _Origin, now: float) -> bool:
         """Tell whether a replica may have subscribers that no report tells of.
 
         One that has just started has not seen yet who comes back to it.
         """
-        if now - origin.heard_at > REPORT_GAP_SECONDS:
+        if now - origin.received_at > REPORT_GAP_SECONDS:
             return True
-        return now - origin.recorded_since < self._forget_after_seconds
+        return now - origin.recorded_since < self._expiry_seconds
 
 
 def _supersedes(seen: SubscriberSighting, known: SubscriberSighting) -> bool:
     """Tell whether a sighting is newer; the lower revision counts where that is not certain."""
     difference = seen.seen_at - known.seen_at
-    if abs(difference) > VOUCHED_SECONDS:
+    if abs(difference) > UNREPORTED_SILENCE_SECONDS:
         return difference > 0
     return seen.revision < known.revision
 
--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -27,13 +27,13 @@
 """Length of every fleet key: AES-128 for connection IDs, 128 bits for the MAC keys."""
 
 MILLISECONDS_PER_SECOND = 1000
-FLOW_KEY_EARLIEST_SECONDS = 60
+FLOW_KEY_MIN_AGE_SECONDS = 60
 """Least age at which a key without flows is retired: packets and reports may be under way."""
-FLOW_KEY_LATEST_SECONDS = 24 * 3600
+FLOW_KEY_MAX_AGE_SECONDS = 24 * 3600
 """Age at which a key is retired though an agent has flows on it, or was not heard."""
-TICKET_KEY_SECONDS = 2 * 3600
+TICKET_KEY_AGE_SECONDS = 2 * 3600
 """Tickets live an hour from their issue; agents may have got the next key somewhat later."""
-DATAGRAM_KEY_SECONDS = 3600
+DATAGRAM_KEY_AGE_SECONDS = 3600
 """Time for a balancer that was cut off to seal with the former key."""
 
 SecretSource = Callable[[int], bytes]
@@ -62,29 +62,29 @@
     Without `generation_of`, flows do not rest on keys of the purpose.
     """
 
-    earliest_ms: int
-    latest_ms: int
+    min_age_ms: int
+    max_age_ms: int
     generation_of: GenerationOf | None = None
 
 
-def _after(seconds: int) -> RetirementRule:
+def _retire_by_age(seconds: int) -> RetirementRule:
     age_ms = seconds * MILLISECONDS_PER_SECOND
-    return RetirementRule(earliest_ms=age_ms, latest_ms=age_ms)
+    return RetirementRule(min_age_ms=age_ms, max_age_ms=age_ms)
 
 
-def _by_flows(generation_of: GenerationOf) -> RetirementRule:
+def _retire_by_flows(generation_of: GenerationOf) -> RetirementRule:
     return RetirementRule(
-        earliest_ms=FLOW_KEY_EARLIEST_SECONDS * MILLISECONDS_PER_SECOND,
-        latest_ms=FLOW_KEY_LATEST_SECONDS * MILLISECONDS_PER_SECOND,
+        min_age_ms=FLOW_KEY_MIN_AGE_SECONDS * MILLISECONDS_PER_SECOND,
+        max_age_ms=FLOW_KEY_MAX_AGE_SECONDS * MILLISECONDS_PER_SECOND,
         generation_of=generation_of,
     )
 
 
 RETIREMENT_RULES = {
-    KeyPurpose.CONNECTION_ID: _by_flows(lambda agent: agent.connection_id_generation),
-    KeyPurpose.STATELESS_RESET: _by_flows(lambda agent: agent.stateless_reset_generation),
-    KeyPurpose.TICKET: _after(TICKET_KEY_SECONDS),
-    KeyPurpose.DATAGRAM: _after(DATAGRAM_KEY_SECONDS),
+    KeyPurpose.CONNECTION_ID: _retire_by_flows(lambda agent: agent.connection_id_generation),
+    KeyPurpose.STATELESS_RESET: _retire_by_flows(lambda agent: agent.stateless_reset_generation),
+    KeyPurpose.TICKET: _retire_by_age(TICKET_KEY_AGE_SECONDS),
+    KeyPurpose.DATAGRAM: _retire_by_age(DATAGRAM_KEY_AGE_SECONDS),
 }
 
 
@@ -136,16 +136,16 @@
                 continue
             age_ms = now_ms() - key.superseded_at_ms
             rule = RETIREMENT_RULES[purpose]
-            is_due = age_ms >= rule.latest_ms
-            if not is_due and age_ms >= rule.earliest_ms:
+            is_due = age_ms >= rule.max_age_ms
+            if not is_due and age_ms >= rule.min_age_ms:
                 everywhere = in_force(_revision_of(table, active))
-                is_due = everywhere and _nothing_rests_on(key, rule, live_agents(), table)
+                is_due = everywhere and _is_unused(key, rule, live_agents(), table)
             if is_due:
                 commands.append(RetireKey(purpose, key.rotation, key.generation))
     return commands
 
 
-def _nothing_rests_on(
+def _is_unused(
     key: KeyEntry,
     rule: RetirementRule,
     agents: Sequence[AgentKeys],
@@ -159,8 +159,8 @@
     generation_of = rule.generation_of
     if generation_of is None:
         return True
-    heard: set[Endpoint] = {agent.address for agent in agents}
-    if any(each.incarnation and each.address not in heard for each in table.members()):
+    reporting: set[Endpoint] = {agent.address for agent in agents}
+    if any(each.incarnation and each.address not in reporting for each in table.members()):
         return False
     return all(generation_of(agent) > key.generation for agent in agents)
 
--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -24,7 +24,7 @@
     PublisherEffect,
     SendTo,
 )
-from jasperwalk.distribution.publisher_events import RegisterAgent as RegistrationWanted
+from jasperwalk.distribution.publisher_events import RegisterAgent as RegistrationRequest
 from jasperwalk.distribution.subscriber_link import SubscriberLink
 from jasperwalk.errors import JasperwalkError, MalformedMessage
 from jasperwalk.messages.distribution import FROM_SUBSCRIBER_DECODER, Subscribe
@@ -32,9 +32,9 @@
 from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection
 from jasperwalk.transport.identity import check_claim
 
-LONGEST_WAIT_SECONDS = 0.25
+MAX_WAIT_SECONDS = 0.25
 """Longest sleep between two ticks, so that heartbeats carry a recent quorum age."""
-MAXIMUM_RECEIVED_BYTES = 4096
+MAX_RECEIVED_BYTES = 4096
 """Longest frame of a subscriber; it sends a Subscribe and then acknowledgements."""
 
 QuorumAgeSource = Callable[[], float]
@@ -76,7 +76,7 @@
 
     async def serve(self, connection: FramedConnection) -> None:
         """Serve one subscriber until its connection ends."""
-        connection.limit_frames(MAXIMUM_RECEIVED_BYTES)
+        connection.limit_frames(MAX_RECEIVED_BYTES)
         subscribe = await _receive_subscribe(connection)
         check_claim(connection.identity, subscribe.role, subscribe.name)
         subscriber_id = next(self._subscriber_ids)
@@ -110,7 +110,7 @@
                 await asyncio.sleep(0)
                 continue
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(wait_seconds, LONGEST_WAIT_SECONDS)):
+                async with asyncio.timeout(min(wait_seconds, MAX_WAIT_SECONDS)):
                     await self._wake.wait()
 
     def _tick(self) -> None:
@@ -158,7 +158,7 @@
                     self._send(effect)
                 case CloseSubscriber():
                     self._close_connection(effect)
-                case RegistrationWanted():
+                case RegistrationRequest():
                     self._register(effect)
 
     def _send(self, effect: SendTo) -> None:
@@ -178,13 +178,13 @@
             logger.info("subscriber-closed", reason=effect.reason.value)
             self._start(connection.close())
 
-    def _register(self, wanted: RegistrationWanted) -> None:
+    def _register(self, wanted: RegistrationRequest) -> None:
         start = (wanted.address, wanted.boot_id)
         if start not in self._registering:
             self._registering.add(start)
             self._start(self._propose_registration(wanted))
 
-    async def _propose_registration(self, wanted: RegistrationWanted) -> None:
+    async def _propose_registration(self, wanted: RegistrationRequest) -> None:
         command = RegisterAgent(
             address=wanted.address, boot_id=wanted.boot_id, name=wanted.name, zone=wanted.zone
         )
--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -34,9 +34,9 @@
         self._incarnations = incarnations
         self._host_states = host_states
         self._services_by_tenant: dict[str, dict[str, int]] = {}
-        self._take_present_entries()
+        self._claim_present_entries()
 
-    def has_room_for(self, renderings: list[RenderedTenant]) -> bool:
+    def can_allocate_ids(self, renderings: list[RenderedTenant]) -> bool:
         """Tell whether there are service IDs enough for the renderings."""
         owners = [
             Owner(tenant=rendering.tenant, service=service.name)
@@ -44,7 +44,7 @@
             for service in rendering.services
         ]
         new_owners = [owner for owner in owners if self.service_ids.find(owner) is None]
-        return self.service_ids.has_room_for(len(new_owners))
+        return self.service_ids.can_allocate_ids(len(new_owners))
 
     def install(self, renderings: list[RenderedTenant], revision: int) -> None:
         """Replace what the renderings' tenants had; they are free of conflicts.
@@ -75,7 +75,7 @@
                 revision,
             )
 
-    def _take_present_entries(self) -> None:
+    def _claim_present_entries(self) -> None:
         """Rebuild claims from the table, after a restore."""
         for service in self.table.services():
             owner = Owner(tenant=service.tenant, service=service.name)
@@ -110,7 +110,7 @@
 
     def _upsert_service(self, tenant: str, service: RenderedService, revision: int) -> None:
         owner = Owner(tenant=tenant, service=service.name)
-        service_id = self.service_ids.allot(owner)
+        service_id = self.service_ids.allocate(owner)
         self._services_by_tenant.setdefault(tenant, {})[service.name] = service_id
         self.claims.claim_listener(service.listener, owner)
         entry = ServiceEntry(
--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -51,13 +51,13 @@
     def __init__(
         self,
         listener: AppliedListener,
-        interval_entries: int,
+        snapshot_interval_entries: int,
         take_snapshot: SnapshotTaker | None = None,
     ) -> None:
         self.state = ControlState()
         self.applied: AppliedEntries[Outcome] = AppliedEntries()
         self._listener = listener
-        self._interval_entries = interval_entries
+        self._snapshot_interval_entries = snapshot_interval_entries
         self._take_snapshot: SnapshotTaker = take_snapshot or _refuse_snapshot
         self._snapshot_index = 0
         self._snapshot_task: asyncio.Task[None] | None = None
@@ -92,7 +92,7 @@
         while True:
             self._wake.clear()
             while self._waiting:
-                await self._work_off(self._waiting.popleft())
+                await self._process(self._waiting.popleft())
             self._raise_failed_snapshot()
             await self._wake.wait()
 
@@ -106,7 +106,7 @@
         self._waiting.append(work)
         self._wake.set()
 
-    async def _work_off(self, work: SnapshotData | Sequence[LogEntry]) -> None:
+    async def _process(self, work: SnapshotData | Sequence[LogEntry]) -> None:
         if isinstance(work, SnapshotData):
             loop = asyncio.get_running_loop()
             state = await loop.run_in_executor(self._workers, _restore, work.state)
@@ -124,7 +124,7 @@
         self._start_snapshot_when_due()
 
     async def _apply(self, entry: LogEntry) -> Outcome:
-        plan_job = self.state.long_plan(entry.index, entry.data)
+        plan_job = self.state.background_plan(entry.index, entry.data)
         if plan_job is None:
             return self.state.apply_encoded(entry.index, entry.data)
         loop = asyncio.get_running_loop()
@@ -139,7 +139,7 @@
     def _start_snapshot_when_due(self) -> None:
         index = self.applied.index
         is_running = self._snapshot_task is not None and not self._snapshot_task.done()
-        if is_running or index - self._snapshot_index < self._interval_entries:
+        if is_running or index - self._snapshot_index < self._snapshot_interval_entries:
             return
         self._snapshot_index = index
         self._snapshot_task = asyncio.create_task(self._serialise(index, self.state.freeze()))
--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -25,7 +25,7 @@
     return Subscribe(f"node-{number}", role, "zone", address, f"boot-{number}", revision)
 
 
-class World:
+class SimulatedRegion:
     """Subscribers that acknowledge, fall silent and move between three reporting replicas."""
 
     def __init__(self, seed, size=12):
@@ -42,7 +42,7 @@
         self.nodes = {number: {"revision": 0, "away": 0, "seen": -1e9} for number in range(size)}
         for number in self.nodes:
             self.connect(number)
-        self.ledger.lead(self.term, self.now)
+        self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
             self.report(origin, lost=False)
 
@@ -60,31 +60,31 @@
         nodes = self.nodes.values()
         return [node for node in nodes if self.now - node["since"] > REPORT_GAP_SECONDS]
 
-    def step(self, quiet=False):
+    def step(self, steady=False):
         self.now += STEP_SECONDS
-        if not quiet and self.random.random() < 0.3:
+        if not steady and self.random.random() < 0.3:
             self.revision += 1
         for number, node in self.nodes.items():
-            self.live(number, node, quiet)
-        if not quiet and self.random.random() < 0.05:
+            self.step_node(number, node, steady)
+        if not steady and self.random.random() < 0.05:
             self.term += 1
-            self.ledger.lead(self.term, self.now)
+            self.ledger.start_term(self.term, self.now)
         for origin in REPLICAS:
-            self.report(origin, lost=not quiet and self.random.random() < 0.1)
+            self.report(origin, lost=not steady and self.random.random() < 0.1)
 
-    def live(self, number, node, quiet):
+    def step_node(self, number, node, steady):
         if node["away"]:
             node["away"] -= 1
             if not node["away"]:
                 self.connect(number)
             return
-        if not quiet and self.random.random() < 0.1:
+        if not steady and self.random.random() < 0.1:
             node["away"] = self.random.randint(1, AWAY_STEPS)
             del self.links[node["at"]][node["link"]]
             return
-        if quiet or self.random.random() < 0.8:
+        if steady or self.random.random() < 0.8:
             node["revision"] = self.random.randint(node["revision"], self.revision)
-            if quiet:
+            if steady:
                 node["revision"] = self.revision
             link = self.links[node["at"]][node["link"]]
             flows = self.random.choice([0, 100, 105, 200])
@@ -97,43 +97,43 @@
         made = reporter.report(links, 1, self.term, self.revision, self.now)
         if lost:
             return 0
-        if not self.ledger.take(origin, made, self.now):
+        if not self.ledger.record_report(origin, made, self.now):
             reporter.restart()
         return len(codec.encode(made))
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_nothing_false_is_claimed_and_counts_end_exact(seed):
-    world = World(seed)
+    region = SimulatedRegion(seed)
     claims = 0
     for _ in range(200):
-        world.step()
-        for revision in range(world.revision - 6, world.revision + 1):
-            found = world.ledger.in_force(revision, CONTACT_AGES, world.now)
+        region.step()
+        for revision in range(region.revision - 6, region.revision + 1):
+            found = region.ledger.in_force(revision, CONTACT_AGES, region.now)
             claims += found.complete
             if found.complete:
-                heard = [n for n in world.settled() if world.now - n["seen"] < 5.0]
+                heard = [n for n in region.settled() if region.now - n["seen"] < 5.0]
                 assert all(node["revision"] >= revision for node in heard)
             if found.balancers is not None:
-                connected = sum(not node["away"] for node in world.settled())
+                connected = sum(not node["away"] for node in region.settled())
                 assert found.balancers + found.agents >= connected
     assert claims, "the check above has to have had something to check"
     for _ in range(16):
-        world.step(quiet=True)
-    found = world.ledger.in_force(world.revision, CONTACT_AGES, world.now)
+        region.step(steady=True)
+    found = region.ledger.in_force(region.revision, CONTACT_AGES, region.now)
     assert (found.balancers, found.agents, found.complete) == (6, 6, True)
 
 
 def test_a_steady_report_does_not_grow_with_the_subscribers():
     sizes = []
     for size in (10, 1000):
-        world = World(1, size)
+        region = SimulatedRegion(1, size)
         for _ in range(3):
-            world.step(quiet=True)
-        for node in world.nodes.values():
-            link = world.links[node["at"]][node["link"]]
-            link.acknowledge(Acknowledge(world.revision, True, 100), world.now)
-        sizes.append([world.report(origin, lost=False) for origin in REPLICAS])
-        sizes[-1] = [world.report(origin, lost=False) for origin in REPLICAS]
+            region.step(steady=True)
+        for node in region.nodes.values():
+            link = region.links[node["at"]][node["link"]]
+            link.acknowledge(Acknowledge(region.revision, True, 100), region.now)
+        sizes.append([region.report(origin, lost=False) for origin in REPLICAS])
+        sizes[-1] = [region.report(origin, lost=False) for origin in REPLICAS]
     assert sizes[0] == sizes[1]
     assert max(sizes[0]) < 40
