--- a/tests/control/fleet/support.py
+++ b/tests/control/fleet/support.py
@@ -1,4 +1,4 @@
-"""Control replicas of the datagram plane in one event loop, on loopback addresses."""
+"""A cluster of control replicas of the datagram plane in one event loop, on loopback addresses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ZONES = ("a", "b")
 WAIT_LIMIT_SECONDS = 30.0
-"""Bound of every wait; nothing is asserted about how long things take."""
+"""Limit of every wait; the tests assert nothing about durations."""
 
 
 async def until(condition):
@@ -31,7 +31,7 @@
 
 
 class Replica:
-    """One control process in the loop; it can be stopped, lose its disk, start again."""
+    """One control process in the loop; it can be stopped, killed and started again."""
 
     def __init__(self, cluster, host, folder):
         self.cluster = cluster
@@ -68,7 +68,7 @@
         self._task = asyncio.create_task(self.process.run(self.stop_event))
 
     async def kill(self):
-        """End without a goodbye."""
+        """Cancel the process, without a transfer of leadership."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         self.process = None
@@ -143,10 +143,10 @@
                 await asyncio.sleep(0.05)
 
     async def read(self):
-        """Read at the leader; ask again while it has not heard from a quorum of late.
+        """Read at the leader; repeat while it has no recent quorum contact.
 
-        That is the one reason for which a leader may have no answer. An old configuration, or
-        none at all where one was acknowledged, is returned and fails the test that asked.
+        That is the only reason for which a leader may have no answer. An old configuration, or
+        none where one was acknowledged, is returned and fails the test that reads it.
         """
         async with asyncio.timeout(WAIT_LIMIT_SECONDS):
             while True:
--- a/tests/control/fleet/test_cluster.py
+++ b/tests/control/fleet/test_cluster.py
@@ -1,4 +1,4 @@
-"""Real replicas in one event loop: founding, lost disks, removed machines, racing operators."""
+"""Clusters of real replicas: founding, lost disks, replaced and removed replicas, reads, writes."""
 
 import asyncio
 import shutil
@@ -87,7 +87,7 @@
             *_, replacement = cluster.replicas
             await cluster.put(configuration(1))
             await replacement.kill()
-            # An even number with a silent voter falls to the odd one below it.
+            # With an even number of voters, a silent one is removed.
             await until(lambda: cluster.leader and len(cluster.leader.voters) == 3)
             shutil.rmtree(replacement.folder)
             replacement.start()
--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -1,4 +1,4 @@
-"""What a home sends to its linked nodes when many of them come and go at once."""
+"""What a home sends to its linked nodes, and which of several links of a node counts."""
 
 import asyncio
 
@@ -102,7 +102,7 @@
 
 @pytest.fixture(autouse=True)
 def unlimited_node_silence(monkeypatch):
-    """Nodes of these tests send no pings."""
+    """Disables the silence limit: nodes of these tests send no pings."""
     monkeypatch.setattr(home_links, "NODE_SILENCE_SECONDS", NEVER_SECONDS)
 
 
@@ -218,7 +218,7 @@
 
 
 def returned_node(home):
-    """Have a node link up twice, as it does when its first link went silent; return both."""
+    """Return two links of one node, which connects again when its first link went silent."""
     silent = home.link(node(1))
     new_link = home.link(node(1))
     return silent, new_link
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize("late_first", [False, True])
 def test_the_end_of_a_former_process_link_does_not_unlist_its_successor(late_first):
-    """Whether the former process's announcement comes before its successor's or late."""
+    """The former process's announcement arrives before its successor's, or after it."""
 
     async def scenario(home):
         successor = msgspec.structs.replace(node(1), incarnation=node(1).incarnation + 1)
--- a/tests/control/fleet/test_settled_leader.py
+++ b/tests/control/fleet/test_settled_leader.py
@@ -1,4 +1,4 @@
-"""A leader whose state lags behind its log answers nothing from that state."""
+"""A leader whose state lags behind its log is not settled: it answers nothing from that state."""
 
 import asyncio
 from random import Random
--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -1,4 +1,4 @@
-"""An order that arrives after the opposite one was acknowledged."""
+"""Stale orders, which arrive after the opposite order was acknowledged: when they are refused."""
 
 import pytest
 
@@ -90,7 +90,7 @@
 
 
 def test_an_order_that_pauses_is_overtaken_by_its_opposite():
-    """The restore changes nothing and is acknowledged at once; its operator sent it later."""
+    """The restore changes nothing, but it was sent later and is acknowledged at once."""
     guard = make_guard()
     admit(guard, True, None, 1.0)
     admit(guard, False, True, 2.0)
--- a/tests/control/fleet/test_zone_order_races.py
+++ b/tests/control/fleet/test_zone_order_races.py
@@ -1,4 +1,4 @@
-"""Seeded races of operators, and mutants that show that the checks can fail."""
+"""Seeded races of operators' orders; mutants show that the checks can fail."""
 
 import os
 
@@ -11,7 +11,7 @@
 SEEDS_PER_TEST = 25
 TESTS = int(os.environ.get("JASPERWALK_ORDER_RACES", "200")) // SEEDS_PER_TEST
 FORMER_FAILURE_SEEDS = (311, 4308, 4620, 6427, 7803, 8033, 8355)
-"""Seeds that once failed: an order that paused was taken after its opposite."""
+"""Seeds that failed because an order that paused was accepted after its opposite."""
 MUTANT_SEEDS = range(60)
 
 
--- a/tests/control/fleet/test_zone_orders.py
+++ b/tests/control/fleet/test_zone_orders.py
@@ -1,4 +1,4 @@
-"""Orders for zones on real replicas: acknowledged, repeated, kept, refused."""
+"""Orders for zones on real replicas: acknowledged, repeated, stored, refused."""
 
 import asyncio
 import shutil
--- a/tests/control/fleet/zone_order_model.py
+++ b/tests/control/fleet/zone_order_model.py
@@ -1,9 +1,9 @@
-"""Operators who race on virtual time: orders for zones, leader changes, copies that come late.
+"""Model of racing operators on virtual time: orders for zones, leader changes, delayed copies.
 
-The product's consensus core, state machine and guard run in it; the network of the consensus tests
-carries the replicas' messages. An operator sends an order to any replica, follows to the leader,
-waits a second, closes, and sends it again elsewhere. What it sent before may still arrive, seconds
-later, and the close a moment behind it. The same seed plays the same race.
+The product's consensus core, state machine and guard run in it, on the simulated network of the
+consensus tests. An operator sends an order to any replica, is redirected to the leader, waits a
+second, closes the connection, and sends the order again elsewhere. An earlier copy may still
+arrive seconds later, and the close shortly after it. The same seed gives the same race.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 ANSWER_TIMEOUT_SECONDS = 1.0
 MAX_COPY_DELAY_SECONDS = 5.0
 MAX_CLOSE_DELAY_SECONDS = 0.25
-"""How long after a late copy its sender's close arrives."""
+"""Maximum time between the arrival of a delayed copy and that of its sender's close."""
 ZONES = ("a", "b")
 ORDERS_PER_OPERATOR = 6
 RACE_SECONDS = 40.0
@@ -37,7 +37,7 @@
 
 @dataclass
 class Attempt:
-    """One sending of an order: until when its connection stands, and whether it was answered."""
+    """One sending of an order: when its connection closes, and whether it was acknowledged."""
 
     closes_at: float = float("inf")
     acknowledged: bool = False
@@ -45,7 +45,7 @@
 
 @dataclass
 class Node:
-    """What the product keeps beside a replica's log."""
+    """What a replica keeps in addition to its log."""
 
     guard: StaleOrderGuard
     state: VersionedState = field(default_factory=VersionedState)
@@ -55,7 +55,7 @@
 
 
 class Race:
-    """One played race; `violations` has what was lost or undone."""
+    """One race; `violations` lists acknowledged orders that were lost or reversed."""
 
     def __init__(self, seed):
         self.cluster = SimulatedCluster(seed, 3)
@@ -64,7 +64,7 @@
         self.nodes = {each: Node(StaleOrderGuard(REPEAT_SECONDS)) for each in self.cluster.replicas}
         self.violations = []
         self.acknowledged = dict.fromkeys(ZONES)
-        """Each zone's newest acknowledged order, None while a newer one is under way."""
+        """Each zone's newest acknowledged order, None while a newer one is not acknowledged yet."""
         self.counts = {"orders": 0, "paused": 0, "late": 0}
 
     @property
@@ -103,7 +103,7 @@
             heapq.heappop(self.queue)[2]()
 
     def follow(self, replica_id, node):
-        """Apply what is committed, and note the beginning of a term."""
+        """Apply committed entries, and record when a term starts."""
         replica = self.cluster.replicas[replica_id]
         if len(replica.applied) < node.applied or replica.node is None:
             node.state, node.applied, node.guard = (
@@ -119,7 +119,7 @@
             node.term, node.leads_since = replica.node.term, self.now
 
     def inject_fault(self):
-        """Kill, or cut off, a replica for a while: mostly the one that leads."""
+        """Kill a replica, or cut it off, for a while: usually the leader."""
         leader = self.cluster.leader()
         ids = sorted(self.cluster.replicas)
         is_leader_hit = leader is not None and self.random.random() < 0.7
@@ -161,7 +161,7 @@
             self.schedule(pause, lambda: self.start_order(zone, not drained, number + 1))
 
     def send(self, zone, drained, attempt):
-        """Send one copy: mostly at once, sometimes so late that its sender has closed."""
+        """Send one copy: usually at once, sometimes so late that its sender has closed."""
         delay = self.random.uniform(0.001, 0.02)
         if self.random.random() < 0.25:
             delay = self.random.uniform(0.5, MAX_COPY_DELAY_SECONDS)
@@ -188,7 +188,7 @@
             return None
         return replica_id if node.is_leader else node.leader_id
 
-    # The product's way of taking an order: see `ZoneOrders`
+    # How a replica handles an order: the same steps as in `ZoneOrders`
 
     def arrive(self, replica_id, order, attempt, waits):
         if not self.leads(replica_id):
@@ -224,7 +224,7 @@
                     TICK_SECONDS, lambda: self.await_commit(replica_id, proposed, attempt)
                 )
         elif entry.term == proposed.term and self.random.random() > 0.15:
-            # The rest of the acknowledgements is lost on its way.
+            # The other acknowledgements are lost in the network.
             attempt.acknowledged = True
 
     def leads(self, replica_id):
@@ -250,7 +250,7 @@
             leader.process_ready()
         self.schedule(self.random.uniform(0.5, 2.0), lambda: self.configure(version + 1))
 
-    # What is checked
+    # Checks
 
     def record_acknowledged(self, zone, drained):
         self.acknowledged[zone] = drained
@@ -258,7 +258,7 @@
             self.schedule(delay, lambda: self.check(zone, drained))
 
     def check(self, zone, drained):
-        """While no newer order is under way, a settled leader holds the acknowledged one."""
+        """While no newer order is sent, a settled leader holds the acknowledged one."""
         leader = self.cluster.leader()
         is_last = self.acknowledged[zone] is not None and self.acknowledged[zone] == drained
         if leader is None or not is_last or not is_settled(leader):
@@ -279,7 +279,7 @@
 
 
 def is_settled(replica):
-    """Tell whether a replica leads and has applied all that was committed before its term."""
+    """Return whether a replica leads and has applied all that was committed before its term."""
     if replica.node is None or replica.node.first_index_of_leadership is None:
         return False
     return replica.applied_index >= replica.node.first_index_of_leadership
--- a/tests/distribution/conftest.py
+++ b/tests/distribution/conftest.py
@@ -1,4 +1,4 @@
-"""Replicas and followers on virtual time, with links that delay, lose and cut."""
+"""A simulated fleet of replicas and followers on virtual time, with delayed and lost links."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 
 class Log:
-    """The committed changes, one a revision, and the expected table at each revision."""
+    """The committed changes, one per revision, and the expected table at each revision."""
 
     def __init__(self) -> None:
         self.changes: list[TableEntry | EntryKey] = []
@@ -165,7 +165,7 @@
 
 
 class Link:
-    """One connection: messages wait in order until the link delivers them."""
+    """One connection: messages are queued in order until the link delivers them."""
 
     def __init__(self, number: int, replica: Replica) -> None:
         self.number = number
@@ -224,7 +224,7 @@
 
 
 class SimulatedFleet:
-    """Everything of one trial."""
+    """The replicas, followers and links of one test, stepped on virtual time."""
 
     def __init__(self, seed: int, replicas: int, config: PublisherConfig | None = None) -> None:
         self.random = random.Random(seed)
--- a/tests/distribution/test_convergence.py
+++ b/tests/distribution/test_convergence.py
@@ -1,4 +1,4 @@
-"""Followers against several publishers, some stale, with cuts, restarts and lost links."""
+"""Followers converge on the newest table despite stale publishers, cut-offs and lost links."""
 
 import pytest
 
@@ -67,7 +67,7 @@
 
 
 def inject_faults(fleet, builders) -> None:
-    """Change the log, let replicas follow unevenly, cut replicas off, lose links."""
+    """Change the log, advance replicas unevenly, cut replicas off, drop links."""
     draw = fleet.random
     if draw.random() < 0.4:
         change_something(fleet, builders)
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -1,4 +1,4 @@
-"""Fault table of the follower core: what a replica may send, and what must not come of it."""
+"""The follower core: faulty messages of a replica, freshness, and the choice of replicas."""
 
 import random
 
@@ -54,8 +54,8 @@
     "delta with a gap": ([Delta(11, 12, [2], [])], LeaveReason.GAP, {1}, 10),
     "older snapshot": ([Snapshot(9, 0, 1, [2])], None, {1}, 10),
     "snapshot of the same revision": ([Snapshot(10, 0, 1, [2])], None, {2}, 10),
-    "half a snapshot": ([Snapshot(12, 0, 2, [2])], None, {1}, 10),
-    "whole snapshot": ([Snapshot(12, 0, 2, [2]), Snapshot(12, 1, 2, [3])], None, {2, 3}, 12),
+    "first of two snapshot parts": ([Snapshot(12, 0, 2, [2])], None, {1}, 10),
+    "complete snapshot": ([Snapshot(12, 0, 2, [2]), Snapshot(12, 1, 2, [3])], None, {2, 3}, 12),
     "snapshot started again": (
         [Snapshot(12, 0, 2, [2]), Snapshot(13, 0, 2, [3]), Snapshot(13, 1, 2, [4])],
         None,
@@ -76,7 +76,7 @@
     ),
     "no first part": ([Snapshot(12, 1, 2, [2])], LeaveReason.BROKEN_SNAPSHOT, {1}, 10),
     "parts beyond bound": ([Snapshot(12, 0, 2**40, [2])], LeaveReason.BROKEN_SNAPSHOT, {1}, 10),
-    "no parts at all": ([Snapshot(12, 0, 0, [2])], LeaveReason.BROKEN_SNAPSHOT, {1}, 10),
+    "zero parts": ([Snapshot(12, 0, 0, [2])], LeaveReason.BROKEN_SNAPSHOT, {1}, 10),
     "stale quorum": ([Heartbeat(10, 2000, 0)], LeaveReason.STALE_QUORUM, {1}, 10),
     "refusal": ([Reject("stale-replica", "", 1000)], LeaveReason.REJECTED, {1}, 10),
     "replaced": ([Reject(REPLACED_KIND, "", 0)], LeaveReason.REPLACED, {1}, 10),
@@ -188,7 +188,7 @@
 
 
 def tried_until(core, now, end, refused) -> list:
-    """Let every attempt at a `refused` replica fail; return what was tried until one stands."""
+    """Fail every attempt at a `refused` replica; return all tried up to the first other one."""
     tried = []
     while now < end:
         for effect in core.tick(now):
--- a/tests/distribution/test_overload.py
+++ b/tests/distribution/test_overload.py
@@ -1,7 +1,9 @@
-"""A fleet that lost its replicas for a while comes back by itself, though its return costs time.
+"""A fleet that lost its replicas for a while recovers by itself, although joining costs time.
 
-Every replica has one processor, on which the work for its subscribers waits in line, as on an
-event loop. A quorum holds while two of three replicas answer within an election time-out.
+The failure: all followers join again at once, the replicas are too busy to keep their quorum, and
+the followers leave them again. Every replica has one processor, on which the work for its
+subscribers is queued, as on an event loop. A quorum holds while two of three replicas answer within
+an election time-out.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 FOLLOWERS = 240
 JOIN_SECONDS = 0.03
-"""Time that a subscriber's arrival costs: the fleet is as heavy as 6,000 at 1.2 ms each."""
+"""Processor time of a subscriber's join: the fleet costs as much as 6,000 at 1.2 ms each."""
 MESSAGE_SECONDS = 0.0005
 STEP_SECONDS = 0.02
 ELECTION_SECONDS = 0.9
@@ -27,7 +29,7 @@
 
 def loaded_fleet(builders, seed: int):
     class LoadedFleet(builders.SimulatedFleet):
-        """A world whose replicas take time for their subscribers."""
+        """A fleet whose replicas spend processor time on their subscribers."""
 
         def __init__(self) -> None:
             super().__init__(seed, 3, PublisherConfig(snapshot_part_entries=8))
@@ -92,7 +94,7 @@
 
 
 def joined_fleet(builders, seed: int):
-    """Return a world all of whose followers have joined, one after the other, and are fresh."""
+    """Return a fleet whose followers have all joined, one after the other, and are fresh."""
     fleet = loaded_fleet(builders, seed)
     fleet.log.upsert(builders.service(1))
     for replica in fleet.replicas:
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher core: budgets, coalescing, registration, refusals and reports."""
+"""The publisher core: byte budgets, coalescing, registration, refusals, join admission."""
 
 import math
 
--- a/tests/distribution/test_registrations.py
+++ b/tests/distribution/test_registrations.py
@@ -1,4 +1,4 @@
-"""How a replica judges a subscribing agent by the registrations that it has applied."""
+"""The verdict on a subscribing agent, from the registrations that a replica has applied."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     "registered": ("known", 20, 2, 2, RegistrationVerdict.REGISTERED),
     "first start": ("new", 0, 0, None, RegistrationVerdict.NEW),
     "another start": ("new", 0, 0, 2, RegistrationVerdict.NEW),
-    "replaced while it stood still": ("old", 20, 1, 2, RegistrationVerdict.REPLACED),
+    "replaced while it was suspended": ("old", 20, 1, 2, RegistrationVerdict.REPLACED),
     "replica behind the agent's table": ("old", 21, 1, 2, RegistrationVerdict.UNKNOWN),
     "replica behind the agent's registration": ("new", 20, 3, 2, RegistrationVerdict.UNKNOWN),
 }
@@ -49,7 +49,7 @@
         SubscriberRole.AGENT, ADDRESS, boot_id="new", incarnation=incarnation
     )
     core.subscriber_opened(1, newest, 0.0)
-    # The log tells of the former process first.
+    # The log has the registration of the former process first.
     assert not [
         effect
         for effect in core.agent_registered(ADDRESS, "old", 1, 0.1)
--- a/tests/distribution/test_replica_choice.py
+++ b/tests/distribution/test_replica_choice.py
@@ -1,4 +1,4 @@
-"""Which replica a follower tries next, and when."""
+"""A healthy replica is tried soon, even if another one fails repeatedly."""
 
 import random
 
--- a/tests/distribution/test_runner.py
+++ b/tests/distribution/test_runner.py
@@ -34,11 +34,11 @@
 
 CLUSTER = "zagreb"
 CHANGES: list[int] = []
-"""Revisions that the runner of the present test announced."""
+"""Revisions that the runner of the current test reported."""
 
 
 class PublisherServer:
-    """The smallest host of a publisher: one server, one core, registrations granted at once."""
+    """A minimal publisher server: one core, registrations are granted at once."""
 
     def __init__(self, table: VersionedTable) -> None:
         self.core = PublisherCore(table, PublisherConfig())
--- a/tests/membership/test_liveness.py
+++ b/tests/membership/test_liveness.py
@@ -1,4 +1,4 @@
-"""Liveness: when a member is online or offline, after silence, elections and flapping."""
+"""When a member is online, unhealthy or offline: reports, silence, elections and flapping."""
 
 import msgspec
 import pytest
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def tracker() -> LivenessTracker:
-    """A tracker whose leader won long ago and has evaluated all the time."""
+    """A tracker whose leader is past its grace period and has evaluated regularly."""
     tracker = LivenessTracker(LivenessConfig(offline_after_seconds=3.0))
     tracker.leader_started(90.0)
     for second in range(91, 100):
@@ -40,18 +40,18 @@
     "just within the limit": (member(ONLINE), [observation(3.0)], None),
     "silent": (member(ONLINE), [observation(3.1)], OFFLINE),
     "never seen": (member(ONLINE), [], OFFLINE),
-    "back end down": (member(ONLINE), [observation(healthy=False)], UNHEALTHY),
-    "back end still down": (member(UNHEALTHY), [observation(healthy=False)], None),
-    "back end well again": (member(UNHEALTHY), [observation()], ONLINE),
-    "back end down and then silent": (
+    "backend down": (member(ONLINE), [observation(healthy=False)], UNHEALTHY),
+    "backend still down": (member(UNHEALTHY), [observation(healthy=False)], None),
+    "backend healthy again": (member(UNHEALTHY), [observation()], ONLINE),
+    "backend down and then silent": (
         member(UNHEALTHY),
         [observation(3.1, healthy=False)],
         OFFLINE,
     ),
-    "comes back with its back end down": (member(OFFLINE), [observation(healthy=False)], UNHEALTHY),
-    "silence does not bring back": (member(OFFLINE), [observation(9.0)], None),
+    "comes back with its backend down": (member(OFFLINE), [observation(healthy=False)], UNHEALTHY),
+    "an old report does not bring back": (member(OFFLINE), [observation(9.0)], None),
     "seen by another replica": (member(ONLINE), [observation(9.0), observation(0.5)], None),
-    "older news does not count": (
+    "an older report is ignored": (
         member(ONLINE),
         [observation(0.1), observation(2.0, healthy=False)],
         None,
@@ -111,7 +111,7 @@
             entry = msgspec.structs.replace(entry, operating_status=change.operating_status)
             if change.operating_status is ONLINE:
                 online_at.append(second)
-    # Well from second 20 on, after three recoveries within the window.
+    # Healthy from second 20 on, after three recoveries within the window.
     assert online_at == [4, 8, 12, 30]
 
 
@@ -122,7 +122,7 @@
 
 
 def _make_members(count: int, silent: int) -> tuple[list[MemberEntry], list[AgentObservation]]:
-    """Make members of which the first `silent` are not heard any more from second 100 on."""
+    """Make members, and reports of all but the first `silent` of them."""
     members, reports = [], []
     for number in range(count):
         address = Endpoint("127.0.0.1", 8000 + number)
@@ -132,7 +132,7 @@
     return members, reports
 
 
-# Members, silent ones, and seconds until the silent ones are called offline.
+# Members, silent ones, and seconds until the silent ones are set offline.
 SILENCES = {
     "a host": (400, 1, 3.5),
     "a zone of four": (400, 100, 3.5),
@@ -160,7 +160,7 @@
     members, _ = _make_members(400, 400)
     for half_second in range(200, 240):
         now = half_second / 2
-        # From second 108 on they come back, forty each half second.
+        # From second 108 on they report again, forty more each half second.
         back = members[: max(0, (half_second - 216) * 40)] if now > 100.0 else members
         for each in back:
             tracker.observe(msgspec.structs.replace(observation(), address=each.address), now)
--- a/tests/membership/test_platform.py
+++ b/tests/membership/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list: what does not parse, and what its lag may do."""
+"""The platform's list: invalid lists and entries, and the effects of lag and missing hosts."""
 
 import json
 
@@ -86,11 +86,11 @@
 
 
 POLLS = {
-    "leaving drains at once": (
+    "a leaving host is drained at once": (
         [(1, "h1 h2 h3 h4"), (2, "-h1 h2 h3 h4")],
         [{"h1": "e", "h2": "e", "h3": "e", "h4": "e"}, {"h1": "d"}],
     ),
-    "unchanged says nothing": (
+    "an unchanged list changes nothing": (
         [(1, "h1 h2 h3 -h4"), (1, "h1 h2 h3 -h4")],
         [{"h1": "e", "h2": "e", "h3": "e", "h4": "d"}, {}],
     ),
@@ -98,17 +98,17 @@
         [(5, "-h1 h2 h3 h4"), (4, "h1 h2 h3 h4"), (6, "h1 h2 h3 h4")],
         [{"h1": "d", "h2": "e", "h3": "e", "h4": "e"}, {}, {"h1": "e"}],
     ),
-    "missing drains after three polls": (
+    "a missing host is drained after three polls": (
         [(1, "h1 h2 h3 h4"), (2, "h2 h3 h4"), (3, "h2 h3 h4"), (4, "h2 h3 h4"), (5, "h1 h2 h3 h4")],
         [{"h1": "e", "h2": "e", "h3": "e", "h4": "e"}, {}, {}, {"h1": "d"}, {"h1": "e"}],
     ),
-    "a sighting starts the count again": (
+    "a host that is listed again is counted from zero": (
         [(1, "h2 h3 h4"), (2, "h2 h3 h4"), (3, "h1 h2 h3 h4"), (4, "h2 h3 h4"), (5, "h2 h3 h4")],
         [{"h2": "e", "h3": "e", "h4": "e"}, {}, {"h1": "e"}, {}, {}],
     ),
-    "an emptied list drains nobody": ([(1, ""), (2, ""), (3, ""), (4, "")], [{}, {}, {}, {}]),
-    "unknown machines are left out": ([(1, "h9 -h8 -h1")], [{"h1": "d"}]),
-    "named twice is leaving": ([(1, "-h1 h1")], [{"h1": "d"}]),
+    "an empty list drains nothing": ([(1, ""), (2, ""), (3, ""), (4, "")], [{}, {}, {}, {}]),
+    "unknown machines are ignored": ([(1, "h9 -h8 -h1")], [{"h1": "d"}]),
+    "a host listed twice is leaving": ([(1, "-h1 h1")], [{"h1": "d"}]),
 }
 
 
