--- a/src/jasperwalk/control/state/state_image.py
+++ b/src/jasperwalk/control/state/state_image.py
@@ -12,14 +12,14 @@
 from jasperwalk.config.table_entries import KeyEntry
 from jasperwalk.config.templates import parse_template
 from jasperwalk.config.tenants import Tenant
-from jasperwalk.control.state.canonical import canonical_pieces
+from jasperwalk.control.state.canonical import canonical_chunks
 from jasperwalk.control.state.change_register import ChangeRegister, ChangeRegisterImage
 from jasperwalk.control.state.configuration import Configuration, StoredTemplate, StoredTenant
 from jasperwalk.control.state.host_states import HostStatesImage
 from jasperwalk.control.state.incarnations import AgentRecord
 from jasperwalk.control.state.service_ids import ServiceIdsImage
 from jasperwalk.errors import JasperwalkError, MalformedMessage
-from jasperwalk.messages.codec import decode_whole
+from jasperwalk.messages.codec import decode_single_item
 
 STATE_FORMAT = 1
 """Version of the serialised form; raised when its shape changes."""
@@ -69,13 +69,13 @@
 
 def encode_state(image: StateImage) -> bytes:
     """Encode an image; equal images give equal bytes, whatever the order of their maps."""
-    return b"".join(canonical_pieces(image))
+    return b"".join(canonical_chunks(image))
 
 
 def decode_state(data: bytes) -> StateImage:
     """Decode an image; raise `MalformedState` for bytes that are none, or do not agree."""
     try:
-        image = msgspec.convert(decode_whole(data), StateImage, strict=True)
+        image = msgspec.convert(decode_single_item(data), StateImage, strict=True)
         ChangeRegister.from_image(image.changes)
         _check_agreement(image)
     except MalformedMessage as error:
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -19,10 +19,10 @@
 
 from jasperwalk.settings.models import ProcessSettings
 from jasperwalk.transport.errors import CertificateRefused, TlsFailed, UnusableCertificate
-from jasperwalk.transport.file_watch import FileWatch
+from jasperwalk.transport.file_monitor import FileMonitor
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
-WARNING_TIME = datetime.timedelta(days=7)
+EXPIRY_WARNING_TIME = datetime.timedelta(days=7)
 """Remaining life of a certificate below which each look at the files warns of its end."""
 WARNING_INTERVAL_SECONDS = 3600.0
 
@@ -49,12 +49,12 @@
         self._files = files
         self._clock = clock
         paths = (files.ca_file, files.certificate_file, files.private_key_file)
-        self._watch = FileWatch(paths, clock)
+        self._file_monitor = FileMonitor(paths, clock)
         self._warned_at: float | None = None
         self._load()
         self._listening = self._server
         self._listening.sni_callback = self._choose_context
-        self._warn_of_end()
+        self._warn_of_expiry()
 
     def client_context(self) -> ssl.SSLContext:
         """Return the context for a connection that opens now."""
@@ -65,7 +65,7 @@
         """Return the context to listen with; its connections take renewed files by themselves."""
         return self._listening
 
-    def explain_closing(self) -> CertificateRefused | TlsFailed:
+    def explain_close_after_handshake(self) -> CertificateRefused | TlsFailed:
         """Return why the other side may have closed a connection right after the handshake."""
         if self.expires_at < datetime.datetime.now(datetime.UTC):
             ended = f"this process's own expired at {self.expires_at.isoformat()}"
@@ -80,7 +80,7 @@
         connection.context = self._server
 
     def _renew(self) -> None:
-        if self._watch.changed():
+        if self._file_monitor.changed():
             try:
                 self._load()
             except UnusableCertificate as error:
@@ -88,7 +88,7 @@
                 return
             self._warned_at = None
             logger.info("certificate-renewed", expires_at=self.expires_at.isoformat())
-        self._warn_of_end()
+        self._warn_of_expiry()
 
     def _load(self) -> None:
         certificate = _read_certificate(self._files.certificate_file)
@@ -100,12 +100,12 @@
         self._server, self._client = server, client
         self.expires_at = certificate.not_valid_after_utc
 
-    def _warn_of_end(self) -> None:
+    def _warn_of_expiry(self) -> None:
         now = self._clock()
         if self._warned_at is not None and now - self._warned_at < WARNING_INTERVAL_SECONDS:
             return
         remaining = self.expires_at - datetime.datetime.now(datetime.UTC)
-        if remaining < WARNING_TIME:
+        if remaining < EXPIRY_WARNING_TIME:
             self._warned_at = now
             event = (
                 "certificate-expired" if remaining < datetime.timedelta() else "certificate-ends"
--- a/tests/agent/datagrams/test_request_scheduling.py
+++ b/tests/agent/datagrams/test_request_scheduling.py
@@ -104,7 +104,7 @@
     assert host.started() == [(90, HOLDS.port)]
 
 
-def test_where_the_host_has_room_nothing_waits():
+def test_where_the_host_has_capacity_nothing_waits():
     host = Host()
     for port in range(1, FULL + 1):
         host.feed(port)
@@ -115,7 +115,7 @@
     assert host.agent.counters.requests_held == 0
 
 
-def test_where_no_terms_are_told_requests_of_open_flows_pass_as_before():
+def test_without_terms_requests_of_open_flows_are_forwarded_at_once():
     host = Host()
     callers = [Endpoint("100.64.0.9", port) for port in range(1, FULL + 3)]
     for caller in callers:
@@ -217,7 +217,7 @@
     assert not host.agent.queue
 
 
-def test_an_agent_that_restarted_passes_requests_on_until_terms_are_told():
+def test_a_restarted_agent_forwards_requests_until_it_learns_terms():
     """Nothing is lost by a restart: callers send again what was held."""
     host = Host()
     for port in range(1, FULL + 4):
@@ -235,7 +235,7 @@
     assert len(host.agent.queue) == 2
 
 
-def test_nothing_waits_for_a_host_that_has_not_said_how_much_it_can_do():
+def test_nothing_waits_for_a_host_that_has_not_announced_its_slots():
     host = Host(HostPhase.UNKNOWN)
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, FEED_TERMS)
     for port in range(1, FULL + 4):
@@ -252,7 +252,7 @@
     assert sorted(host.started()) == [(FULL + 1, FEEDS.port), (FULL + 2, FEEDS.port)]
 
 
-def test_a_host_that_leaves_requests_unanswered_keeps_room_for_others():
+def test_a_host_that_leaves_requests_unanswered_keeps_capacity_for_others():
     host = overloaded_host()
     host.started()
     host.agent.admit_waiting(1.9)
@@ -261,7 +261,7 @@
     assert len(host.started()) == 2
 
 
-def test_requests_whose_route_names_no_limit_are_passed_on_after_a_while():
+def test_requests_whose_route_names_no_limit_are_forwarded_after_a_while():
     host = overloaded_host()
     host.started()
     host.agent.parts.learned.note(FEEDS.pack(), BALANCER, CarriedTerms(2, 0.3, 0.0, 7))
--- a/tests/agent/datagrams/test_zone_drain.py
+++ b/tests/agent/datagrams/test_zone_drain.py
@@ -53,20 +53,20 @@
 
 
 @pytest.mark.parametrize("revision", [1, 2])
-def test_what_an_older_home_says_changes_nothing(revision):
+def test_an_update_of_an_older_revision_changes_nothing(revision):
     harness = Harness()
     drain(harness, 2, ZONE)
     drain(harness, revision)
     assert harness.open().flags == RefusalReason.ZONE_DRAINED
 
 
-def test_another_zone_is_no_concern():
+def test_a_drain_of_another_zone_has_no_effect():
     harness = Harness()
     drain(harness, 1, "elsewhere")
     assert harness.open().kind is FrameKind.ACCEPTED
 
 
-def test_the_host_itself_says_in_which_zone_it_is():
+def test_the_zone_that_the_host_announces_counts():
     harness = Harness()
     harness.host.announce(HostAnnouncement("h1", HostPhase.READY, 2, 0.0, 2, "elsewhere"), 0.0)
     drain(harness, 1, ZONE)
--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -25,7 +25,7 @@
     port = runner.addresses[0][1]
     poller = PlatformPoller(f"http://127.0.0.1:{port}/machines", interval_seconds=0.01)
     polling = asyncio.create_task(poller.run())
-    poller.wanted = True
+    poller.enabled = True
     async with asyncio.timeout(10):
         await served.wait()
         outcome = await then(poller)
@@ -35,22 +35,22 @@
     return outcome
 
 
-async def take_when_there(poller):
+async def take_when_available(poller):
     while (taken := poller.take()) is None:
         await asyncio.sleep(0.01)
     return taken
 
 
 def test_a_list_is_taken_while_this_replica_leads():
-    assert asyncio.run(poll(take_when_there)).version == LIST["version"]
+    assert asyncio.run(poll(take_when_available)).version == LIST["version"]
 
 
-def test_a_list_from_before_a_pause_is_let_go():
+def test_a_list_from_before_a_pause_is_discarded():
     async def pause(poller):
         while poller._latest is None:
             await asyncio.sleep(0.01)
-        poller.wanted = False
-        poller.wanted = True
+        poller.enabled = False
+        poller.enabled = True
         return poller.take()
 
     assert asyncio.run(poll(pause)) is None
--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -80,7 +80,7 @@
     assert driver.state.outcome_of("change") == first
 
 
-def test_the_memory_of_changes_is_bounded_and_kept_over_restarts(make_driver: Any) -> None:
+def test_the_change_register_is_bounded_and_survives_restarts(make_driver: Any) -> None:
     driver = make_driver(ControlState(change_limit=2))
     driver.apply_template("template")
     driver.set_tenant("one")
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("host", ["h1", "127.0.0.1:7000"])
-def test_operator_and_platform_drain_apart(driver: Any, host: str) -> None:
+def test_operator_and_platform_drain_independently(driver: Any, host: str) -> None:
     driver.set_tenant("alpha")
 
     def by_operator(change_id: str, state: AdminState) -> AdminState:
@@ -283,7 +283,7 @@
         b"\x86\x02\x61c\xf6\x61a\x61p\xa1\x61v" + b"\x81" * 50 + b"\x01",
     ],
 )
-def test_bytes_that_are_no_command_change_nothing(driver: Any, data: bytes) -> None:
+def test_a_malformed_command_changes_nothing(driver: Any, data: bytes) -> None:
     before = driver.state.table.image()
     assert isinstance(driver.state.apply_encoded(2, data), MalformedCommand)
     assert driver.state.table.image() == before
--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-PATIENCE_SECONDS = 10.0
+WAIT_LIMIT_SECONDS = 10.0
 """Bound of every wait; a cancelled task here ends within a few steps."""
-SURVIVAL_SECONDS = 0.5
+CANCELLATION_GRACE_SECONDS = 0.5
 """A task that runs this long after a cancellation that it took has lost it."""
 
 
@@ -16,30 +16,30 @@
         await asyncio.sleep(0)
     if not task.cancel():
         return
-    done, _ = await asyncio.wait({task}, timeout=PATIENCE_SECONDS)
+    done, _ = await asyncio.wait({task}, timeout=WAIT_LIMIT_SECONDS)
     assert done, "still running after its cancellation"
     assert task.cancelled(), "went on as if it had not been cancelled"
 
 
-async def survivors(make, most_steps):
+async def lost_cancellations(make, max_steps):
     """Return after how many steps a cancellation was lost: the work went on, or ended normally."""
-    alive = []
-    for steps in range(most_steps):
+    lost = []
+    for steps in range(max_steps):
         task = asyncio.ensure_future(make())
         for _ in range(steps):
             await asyncio.sleep(0)
         if not task.cancel():
             _drop(task)
             continue
-        done, _ = await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
+        done, _ = await asyncio.wait({task}, timeout=CANCELLATION_GRACE_SECONDS)
         if not done or not task.cancelled():
-            alive.append(steps)
+            lost.append(steps)
         while not task.done():
             task.cancel()
-            await asyncio.wait({task}, timeout=SURVIVAL_SECONDS)
+            await asyncio.wait({task}, timeout=CANCELLATION_GRACE_SECONDS)
         if not task.cancelled():
             _drop(task)
-    return alive
+    return lost
 
 
 def _drop(task):
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -35,13 +35,13 @@
 from jasperwalk.transport.framed import LENGTH_PREFIX, FramedConnection
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 from jasperwalk.transport.server import FramedServer
-from tests.transport.steps import PATIENCE_SECONDS, cancel_after, survivors
+from tests.transport.steps import WAIT_LIMIT_SECONDS, cancel_after, lost_cancellations
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
 CLUSTER_ID = "zagreb"
 HELLO = make_hello(ConnectionKind.PEER, "tester", CLUSTER_ID, sender_id=3)
 PROJECT_FILE = Path(__file__).resolve().parents[2] / "pyproject.toml"
-MOST_STEPS = 80
+MAX_STEPS = 80
 """More steps of the loop than any of the work here takes on loopback."""
 
 
@@ -86,7 +86,7 @@
     async def scenario():
         reader = asyncio.StreamReader()
         connection = FramedConnection(reader, FakeWriter())
-        greeting = asyncio.ensure_future(connection.exchange_hello(HELLO, PATIENCE_SECONDS))
+        greeting = asyncio.ensure_future(connection.exchange_hello(HELLO, WAIT_LIMIT_SECONDS))
         for _ in range(5):
             await asyncio.sleep(0)
         reader.feed_data(hello_frame())
@@ -99,7 +99,7 @@
 def test_a_cancellation_in_the_step_in_which_a_connection_closes_is_kept(steps):
     async def scenario():
         connection = FramedConnection(asyncio.StreamReader(), FakeWriter())
-        closing = asyncio.ensure_future(connection.close(PATIENCE_SECONDS))
+        closing = asyncio.ensure_future(connection.close(WAIT_LIMIT_SECONDS))
         await cancel_after(closing, steps)
 
     asyncio.run(scenario())
@@ -109,7 +109,7 @@
     await connection.receive()
 
 
-async def served(kinds):
+async def start_server(kinds):
     server = FramedServer(ANY_PORT, HELLO, kinds)
     await server.start()
     return server
@@ -117,28 +117,30 @@
 
 def test_connecting_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
         try:
-            alive = await survivors(lambda: connect(server.endpoint, HELLO), MOST_STEPS)
+            lost = await lost_cancellations(lambda: connect(server.endpoint, HELLO), MAX_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
 
 def test_dialling_several_replicas_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
 
         async def dial(endpoint):
             return await connect(endpoint, HELLO)
 
         try:
-            alive = await survivors(lambda: dial_first([server.endpoint] * 3, dial), MOST_STEPS)
+            lost = await lost_cancellations(
+                lambda: dial_first([server.endpoint] * 3, dial), MAX_STEPS
+            )
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
@@ -146,7 +148,7 @@
 def test_asking_to_join_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
         not_leader = JoinReply(JoinStatus.NOT_LEADER, None, [])
-        server = await served(
+        server = await start_server(
             {ConnectionKind.REPORTER: JoinRequestHandler(lambda _: not_leader).serve}
         )
         request = JoinRequest(7, server.endpoint, False)
@@ -156,27 +158,27 @@
                 await request_to_join(request, "tester", CLUSTER_ID, [server.endpoint])
 
         try:
-            alive = await survivors(join_again_and_again, 2 * MOST_STEPS)
+            lost = await lost_cancellations(join_again_and_again, 2 * MAX_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
 
 def test_a_link_to_a_peer_ends_when_it_is_cancelled_at_any_step():
     async def scenario():
-        server = await served({ConnectionKind.PEER: idle})
+        server = await start_server({ConnectionKind.PEER: idle})
         times = LinkTimes(reconnect=0.0)
 
         def link():
             return PeerLink(server.endpoint, "tester", 3, CLUSTER_ID, times=times).run()
 
         try:
-            alive = await survivors(link, MOST_STEPS)
+            lost = await lost_cancellations(link, MAX_STEPS)
         finally:
             await server.close()
-        assert alive == []
+        assert lost == []
 
     asyncio.run(scenario())
 
@@ -185,22 +187,22 @@
     """A peer takes a link that stands for a replica that hears it."""
 
     async def scenario():
-        standing = set()
+        open_connections = set()
 
-        async def note(connection):
-            standing.add(connection)
+        async def record_connection(connection):
+            open_connections.add(connection)
             try:
                 await connection.receive()
             finally:
-                standing.discard(connection)
+                open_connections.discard(connection)
 
-        server = await served({ConnectionKind.PEER: note})
+        server = await start_server({ConnectionKind.PEER: record_connection})
         try:
-            await survivors(
-                lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MOST_STEPS
+            await lost_cancellations(
+                lambda: PeerLink(server.endpoint, "tester", 3, CLUSTER_ID).run(), MAX_STEPS
             )
-            async with asyncio.timeout(PATIENCE_SECONDS):
-                while standing:
+            async with asyncio.timeout(WAIT_LIMIT_SECONDS):
+                while open_connections:
                     await asyncio.sleep(0.01)
         finally:
             await server.close()
@@ -218,7 +220,7 @@
         loop = asyncio.get_running_loop()
         just_in_time = loop.time() + joining.ANSWER_TIMEOUT_SECONDS - 0.0001
         loop.call_at(just_in_time, reader.feed_data, hello_frame())
-        await connection.exchange_hello(HELLO, PATIENCE_SECONDS)
+        await connection.exchange_hello(HELLO, WAIT_LIMIT_SECONDS)
         return connection
 
     monkeypatch.setattr(joining, "connect", greet_at_the_end)
@@ -226,7 +228,7 @@
     async def scenario():
         request = JoinRequest(7, ANY_PORT, False)
         asked = asyncio.ensure_future(request_to_join(request, "tester", CLUSTER_ID, [ANY_PORT]))
-        done, _ = await asyncio.wait({asked}, timeout=PATIENCE_SECONDS)
+        done, _ = await asyncio.wait({asked}, timeout=WAIT_LIMIT_SECONDS)
         assert done, "the request has no bound left"
 
     for _ in range(20):
@@ -239,7 +241,7 @@
 
         async def slow_to_end():
             try:
-                await asyncio.sleep(PATIENCE_SECONDS)
+                await asyncio.sleep(WAIT_LIMIT_SECONDS)
             finally:
                 await released.wait()
 
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("slowly", [False, True])
-def test_a_request_reaches_the_handler_whole(slowly):
+def test_the_handler_gets_the_complete_request(slowly):
     assert exchange(PUT, slowly=slowly).endswith(b"PUT /path 4")
 
 
@@ -83,11 +83,11 @@
         taken = asyncio.Event()
 
         async def handle(request):
-            seen.append(request.caller_waits())
+            seen.append(request.client_connected())
             taken.set()
-            while request.caller_waits():
+            while request.client_connected():
                 await asyncio.sleep(0.001)
-            seen.append(request.caller_waits())
+            seen.append(request.client_connected())
             return HttpResponse(200)
 
         server = HttpServer(Endpoint("127.0.0.1", 0), handle)
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -28,7 +28,7 @@
 from jasperwalk.transport.server import FramedServer
 
 ANY_PORT = Endpoint("127.0.0.1", 0)
-DESKS = {
+HANDLERS = {
     ConnectionKind.REPORTER: JoinRequestHandler(lambda _request: None).serve,
     ConnectionKind.OPERATOR: OperatorRequestHandler(None).serve,
 }
@@ -38,17 +38,17 @@
     await relay_server.serve_relay(connection, lambda *_: never())
 
 
-DESKS[ConnectionKind.RELAY] = serve_no_relay
+HANDLERS[ConnectionKind.RELAY] = serve_no_relay
 
 
-@pytest.mark.parametrize("kind", list(DESKS))
+@pytest.mark.parametrize("kind", list(HANDLERS))
 def test_a_request_that_does_not_come_is_a_typed_refusal(monkeypatch, kind):
     monkeypatch.setattr(relay_server, "REQUEST_SECONDS", 0.05)
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(operator_requests, "REQUEST_TIMEOUT_SECONDS", 0.05)
 
     async def scenario():
-        server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), DESKS)
+        server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), HANDLERS)
         await server.start()
         connection = await connect(server.endpoint, make_hello(kind, "caller", "zagreb"))
         async with asyncio.timeout(10):
@@ -100,7 +100,7 @@
     asyncio.run(scenario())
 
 
-def test_a_handler_that_is_held_up_does_not_keep_its_connection_for_ever(monkeypatch):
+def test_a_blocked_handler_does_not_keep_its_connection_open(monkeypatch):
     monkeypatch.setattr(http_connection, "IDLE_SECONDS", 0.1)
 
     async def scenario():
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("says_hello", [False, True])
-def test_a_replica_that_joins_passes_over_one_that_went_silent(monkeypatch, says_hello):
+def test_a_joining_replica_skips_one_that_went_silent(monkeypatch, says_hello):
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.2)
     reply = JoinReply(JoinStatus.PENDING, None, [])
     hello = make_hello(ConnectionKind.PEER, "c", "zagreb")
@@ -149,13 +149,13 @@
     asked = []
     real = keep_alive.keep_alive
 
-    def note(writer):
+    def record_option(writer):
         real(writer)
         connection = writer.get_extra_info("socket")
         asked.append(connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
 
-    monkeypatch.setattr(client, "keep_alive", note)
-    monkeypatch.setattr(framed_server, "keep_alive", note)
+    monkeypatch.setattr(client, "keep_alive", record_option)
+    monkeypatch.setattr(framed_server, "keep_alive", record_option)
 
     async def scenario():
         hello = make_hello(ConnectionKind.PEER, "c", "zagreb")
