--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("kind", list(HANDLERS))
 def test_a_request_that_does_not_come_is_a_typed_refusal(monkeypatch, kind):
-    monkeypatch.setattr(relay_server, "REQUEST_SECONDS", 0.05)
+    monkeypatch.setattr(relay_server, "RECEIVE_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(operator_requests, "REQUEST_TIMEOUT_SECONDS", 0.05)
 
