--- a/src/jasperwalk/distribution/follower_table.py
+++ b/src/jasperwalk/distribution/follower_table.py
@@ -41,7 +41,7 @@
         return self._services_by_listener.get(listener)
 
     def services(self) -> Iterable[ServiceEntry]:
-        """Return all services, in no set order."""
+        """Return all services, in no particular order."""
         return self._services.values()
 
     def member(self, address: Endpoint) -> MemberEntry | None:
@@ -49,11 +49,11 @@
         return self._members.get(address)
 
     def members(self) -> Iterable[MemberEntry]:
-        """Return all members, in no set order."""
+        """Return all members, in no particular order."""
         return self._members.values()
 
     def members_of(self, service_id: int) -> Iterable[MemberEntry]:
-        """Return the members of one service, in no set order."""
+        """Return the members of one service, in no particular order."""
         return self._members_by_service.get(service_id, NO_MEMBERS).values()
 
     def keys_for(self, purpose: KeyPurpose) -> list[KeyEntry]:
@@ -69,7 +69,7 @@
         return None
 
     def entries(self) -> list[TableEntry]:
-        """Return every entry, in no set order."""
+        """Return every entry, in no particular order."""
         keys = [key for rotations in self._keys.values() for key in rotations.values()]
         return [*self._services.values(), *self._members.values(), *keys]
 
