--- a/tests/balancer/test_agent_sockets.py
+++ b/tests/balancer/test_agent_sockets.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def ways(monkeypatch):
-    monkeypatch.setattr(agent_sockets, "HIGHEST_SOCKET_COUNT", 2)
+    monkeypatch.setattr(agent_sockets, "MAX_SOCKETS", 2)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unconnected:
         ways = AgentSockets(unconnected)
         yield ways
