--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -111,5 +111,5 @@
             self.queried[target] = kind
 
     monkeypatch.setattr(search.Search, "advance", spray)
-    monkeypatch.setattr(search.Search, "note_answer", answered)
+    monkeypatch.setattr(search.Search, "record_answer", answered)
     assert "an open flow is found again" in broken_promises()
