--- a/src/jasperwalk/fleet/host_service_times.py
+++ b/src/jasperwalk/fleet/host_service_times.py
@@ -58,7 +58,7 @@
 class KindServiceTimes:
     """The newest figures of one kind of request, in seconds, and their median."""
 
-    __slots__ = ("_figures", "_median", "_median_at")
+    __slots__ = ("_median", "_median_at", "_samples")
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, float]] = deque(maxlen=SAMPLES_PER_KIND)
