--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -114,10 +114,10 @@
         """
         opening = flow.opening
         assert opening is not None
-        possible_holders = opening.possible_holders()
-        if len(possible_holders) > 1:
+        possible = opening.possible_holders()
+        if len(possible) > 1:
             self.forget(key)
-            return possible_holders
+            return possible
         if not opening.is_accepted():
             # The answer is late or lost; the packet says as much.
             self._on_opened(key, flow, opening, now)
