--- a/src/jasperwalk/agent/datagrams/flow_agent.py
+++ b/src/jasperwalk/agent/datagrams/flow_agent.py
@@ -76,7 +76,7 @@
     wait_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     flow_idle_seconds: float = float("inf")
     """Longest rest of a flow that is kept."""
-    measures_pace: bool = True
+    measures_service_times: bool = True
     """False to measure nothing of the host's pace."""
 
     def __post_init__(self) -> None:
@@ -84,10 +84,14 @@
         self._tag = service_tag(self.service)
         self.answers = BalancerAnswers(self._tag, self.host, self._load, self.to_balancer)
         self.meter = LoadMeter(self.started_at)
-        self.pace = ServiceTimeMonitor(self.codec, self.host, self.log, self.measures_pace)
-        self.table = HeldFlows(self.meter, self.flow_lifetime_seconds, self.pace.record_end)
+        self.service_times = ServiceTimeMonitor(
+            self.codec, self.host, self.log, self.measures_service_times
+        )
+        self.table = HeldFlows(
+            self.meter, self.flow_lifetime_seconds, self.service_times.record_end
+        )
         self.queue = RequestScheduler(PriorityOrder(self.shares, self.least_share))
-        self.monitor = HostMonitor(self.host, self.log, self.pace)
+        self.monitor = HostMonitor(self.host, self.log, self.service_times)
         self.warm_up = WarmUpLimit(self.warm_up_floor, self.started_at)
         self.admission = HostAdmission(
             self.host,
@@ -95,7 +99,7 @@
             self.monitor.requests,
             self.warm_up,
             self.zone,
-            self.pace,
+            self.service_times,
         )
         self.knowledge = FlowKnowledge(
             self.host, self.warm_up, self.started_at, self.flow_lifetime_seconds
@@ -112,7 +116,7 @@
             table=self.table,
             queue=self.queue,
             monitor=self.monitor,
-            pace=self.pace,
+            service_times=self.service_times,
             warm_up=self.warm_up,
             admission=self.admission,
             counters=self.counters,
@@ -185,7 +189,7 @@
         if self.knowledge.record_host_absent():
             self.log.note("host-absent", after_ms=round(1000 * (now - self.started_at)))
 
-    def host_changed(self, now: float) -> None:
+    def on_host_replaced(self, now: float) -> None:
         """Doubt the flows in the table: another host has replaced the one beside this agent.
 
         The new host may have taken flows before it spoke for the first time, so the table is
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -80,7 +80,7 @@
             settings.zone,
             self._random,
             settings.zone_regions,
-            uses_service_times=settings.policies.host_pace,
+            weighs_slowdown=settings.policies.host_pace,
         )
         bound = sockets or bind_balancer(settings)
         self._callers = DatagramSocket(bound.callers, self._on_packet, self._open_waiting)
@@ -185,7 +185,7 @@
     # Datagrams
 
     def _on_packet(self, data: bytes, _sender: SocketAddress) -> None:
-        self._intake.take(data, time.monotonic())
+        self._intake.receive(data, time.monotonic())
 
     def _open_waiting(self) -> None:
         """Open new flows, some at a time: the loop looks at the sockets between two times."""
@@ -231,7 +231,7 @@
     def _fleet_changed(self, update: FleetUpdate) -> None:
         self._has_agents = True
         self.core.fleet_changed(update, time.monotonic())
-        if update.whole:
+        if update.is_snapshot:
             self._log_snapshot(update)
         else:
             self._log_changes(update)
--- a/src/jasperwalk/fleet/host_service_times.py
+++ b/src/jasperwalk/fleet/host_slowdowns.py
@@ -85,14 +85,14 @@
         return seconds[len(seconds) // 2]
 
 
-class HostServiceTimes:
+class HostSlowdowns:
     """Compares figures within kinds; a kind is a service and a listener."""
 
     def __init__(self) -> None:
         self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
         self._slow_counts: dict[str, SlowHostCheck] = {}
 
-    def slowdown(self, service: str, listener: bytes, code: int, now: float) -> float | None:
+    def record(self, service: str, listener: bytes, code: int, now: float) -> float | None:
         """Take a figure; return how many times as long as usual its host takes.
 
         That is 1.0 for what counts as equal, and None where nothing can be said.
--- a/tests/agent/test_lending.py
+++ b/tests/agent/test_lending.py
@@ -10,7 +10,6 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.agent import lending
 from jasperwalk.agent.admission import Admission, AdmissionLimits
-from jasperwalk.agent.allocator import SlotAllocator
 from jasperwalk.agent.borrower import OwnSlot, SlotBorrower
 from jasperwalk.agent.health import BackendHealth
 from jasperwalk.agent.lender import SlotLender
@@ -23,7 +22,7 @@
 )
 from jasperwalk.agent.lending_client import BorrowedSlot, IdleLinks, LendingClient, LendingLink
 from jasperwalk.agent.local_runner import LocalRunner
-from jasperwalk.agent.peers import PeerSlots
+from jasperwalk.agent.peer_slots import PeerSlots
 from jasperwalk.agent.relay import RelayClient
 from jasperwalk.agent.relay_messages import ANSWER_DECODER, RelayNotRun
 from jasperwalk.agent.relay_server import serve_relay
@@ -36,6 +35,7 @@
     UnknownReason,
 )
 from jasperwalk.agent.runner import RequestRunner
+from jasperwalk.agent.slot_allocator import SlotAllocator
 from jasperwalk.agent.tickets import TICKET_PATH
 from jasperwalk.config.table_entries import AdminState, Objective, OperatingStatus
 from jasperwalk.errors import JasperwalkError
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("case", FAILING_LENDERS)
-def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_asker(helpers, case):
+def test_only_what_a_failing_lender_provably_did_not_run_runs_at_the_requester(helpers, case):
     serve, method, outcome, runs = FAILING_LENDERS[case]
 
     async def scenario(requester, _):
@@ -462,7 +462,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again_after_a_refusal_and_a_whole_answer_alone(helpers):
+def test_a_connection_is_reused_only_after_a_refusal_or_a_complete_answer(helpers):
     opened = []
 
     async def scenario(requester, lender):
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -271,7 +271,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_large_answers_of_many_streams_are_whole(helpers, certificate):
+def test_large_answers_of_many_streams_are_complete(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         responses = await asyncio.gather(*(ask(caller, "GET", "/download") for _ in range(4)))
@@ -307,7 +307,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_late_answer_reaches_nobody(helpers, certificate):
+def test_a_late_answer_reaches_no_caller(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         late = await ask(caller, "GET", "/wait", jasperwalk_deadline_ms="150")
@@ -374,7 +374,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_draining_host_ends_its_streams_and_gets_no_new_work(helpers, certificate):
+def test_a_draining_host_completes_its_streams_and_gets_no_new_work(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -387,14 +387,14 @@
         fleet.backends[0].release.set()
         await fleet.fabric.until(lambda: stream.ended)
         assert stream.body == b"first,last"
-        newcomer = await ask(fleet.caller(), "GET", "/lookup")
-        assert newcomer.headers["jasperwalk-host"] == "two"
+        new_flow = await ask(fleet.caller(), "GET", "/lookup")
+        assert new_flow.headers["jasperwalk-host"] == "two"
         assert [agent.endpoint.open_flows for agent in fleet.agents] == [1, 1]
 
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_member_taken_out_of_its_pool_ends_its_streams(helpers, certificate):
+def test_a_member_removed_from_its_pool_completes_its_streams(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         stream = caller.responses[caller.request("GET", "/stream")]
@@ -412,7 +412,9 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_with_every_host_draining_requests_are_refused_and_do_not_circle(helpers, certificate):
+def test_with_every_host_draining_requests_are_refused_and_not_relayed_in_a_loop(
+    helpers, certificate
+):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
@@ -454,7 +456,7 @@
     run_with_fleet(helpers, certificate, scenario)
 
 
-def test_a_slow_caller_holds_the_back_end_back(helpers, certificate):
+def test_a_slow_caller_limits_what_is_read_from_the_backend(helpers, certificate):
     async def scenario(fleet, ask):
         caller = fleet.caller()
         assert (await ask(caller, "GET", "/lookup")).status == 200
--- a/tests/agent/test_tickets.py
+++ b/tests/agent/test_tickets.py
@@ -98,13 +98,13 @@
     steps, expected = USES[case]
     store = TicketStore()
     ticket = _ticket(helpers)
-    verdicts = []
+    decisions = []
     for action, *arguments in steps:
         if action == "use":
-            verdicts.append(type(store.use(ticket, *arguments)).__name__)
+            decisions.append(type(store.use(ticket, *arguments)).__name__)
         else:
             getattr(store, action)(ticket, *arguments)
-    assert verdicts == expected
+    assert decisions == expected
 
 
 def test_a_full_store_refuses_and_forgets_nothing(helpers):
@@ -120,7 +120,7 @@
     assert len(store) == 2
 
 
-def test_an_answer_is_kept_whole_or_not_at_all():
+def test_an_answer_is_kept_complete_or_not_at_all():
     answer = StoredAnswer(200, [])
     answer.append(b"x" * MAX_ANSWER_BYTES)
     assert not answer.truncated
--- a/tests/control/fleet/test_directory.py
+++ b/tests/control/fleet/test_directory.py
@@ -31,14 +31,14 @@
     )
 
 
-def test_an_announced_agent_is_told_once():
+def test_an_announced_agent_is_reported_once():
     directory = NodeDirectory(1)
     directory.announce(node(1))
     assert changes(directory) == (["node-1"], [])
     assert changes(directory) == ([], [])
 
 
-def test_balancers_are_no_news_for_balancers():
+def test_balancers_are_not_reported_to_balancers():
     directory = NodeDirectory(1)
     directory.announce(node(1, role=NodeRole.BALANCER))
     assert changes(directory) == ([], [])
@@ -61,7 +61,7 @@
     assert names(directory) == {"node-1"}
 
 
-def test_news_of_another_home_are_merged():
+def test_updates_of_another_home_are_merged():
     here, there = NodeDirectory(1), NodeDirectory(2)
     assert here.merge_nodes(7, there.announce(node(1)), 0.0) is True
     assert here.merge_nodes(7, there.own_nodes(), 0.0) is False
@@ -71,7 +71,7 @@
     assert names(here) == {"node-2"}
 
 
-def test_a_missed_change_is_noticed_by_the_next_change_and_by_a_beat():
+def test_a_missed_change_is_noticed_by_the_next_change_and_by_a_heartbeat():
     here, there = NodeDirectory(1), NodeDirectory(2)
     here.merge_nodes(7, there.own_nodes(), 0.0)
     there.announce(node(1))
@@ -131,7 +131,7 @@
     assert names(directory) == {"node-1"}
 
 
-def test_an_agent_that_left_without_a_goodbye_is_told_as_lost_for_a_while():
+def test_an_agent_that_left_without_deregistering_is_listed_as_lost_for_a_while():
     directory = NodeDirectory(1)
     directory.announce(node(1))
     directory.unlink(node(1), 10.0)
@@ -143,7 +143,7 @@
     assert names(directory) == set()
 
 
-def test_an_agent_that_said_goodbye_or_came_back_is_not_told_as_lost():
+def test_an_agent_that_deregistered_or_came_back_is_not_listed_as_lost():
     directory = NodeDirectory(1)
     directory.announce(node(1, phase=HostPhase.GONE))
     directory.unlink(node(1), 10.0)
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_day_breaks_no_promise(seed):
+def test_a_run_violates_no_invariant(seed):
     world = play(seed, delegates=bool(seed % 2))
     assert world.violations == []
     assert len(world.holders) > 20
@@ -29,18 +29,18 @@
     assert sum(each.searches for each in counters) < 20
 
 
-def test_the_same_seed_plays_the_same_day():
+def test_the_same_seed_gives_the_same_run():
     first, second = play(7), play(7)
     assert first.order == second.order
     assert first.seen == second.seen
 
 
-def broken_promises():
-    promises = set()
+def violated_invariants():
+    invariants = set()
     for seed in MUTANT_SEEDS:
         world = play(seed, delegates=bool(seed % 2))
-        promises.update(violation.promise for violation in world.violations)
-    return promises
+        invariants.update(violation.invariant for violation in world.violations)
+    return invariants
 
 
 def test_mutant_a_first_denial_resets(monkeypatch):
@@ -54,48 +54,52 @@
         self._queried_all = True
 
     monkeypatch.setattr(search.Search, "__init__", asks_all)
-    assert "an open flow is not reset" in broken_promises()
+    assert "an open flow is not reset" in violated_invariants()
 
 
 def test_mutant_nobody_heeds_that_a_host_leaves(monkeypatch):
     # Balancers avoid such a host too, so the agent's refusal alone is seldom needed.
     monkeypatch.setattr(flow_admission.FlowAdmission, "_refusal", lambda *_: None)
     monkeypatch.setattr(target.Target, "is_usable", lambda *_: True)
-    assert "a host that leaves gets no new flow" in broken_promises()
+    assert "a host that leaves gets no new flow" in violated_invariants()
 
 
 def test_mutant_balancers_send_into_a_drained_zone(monkeypatch):
     # Agents that are cut off from control do not know that they should refuse.
     monkeypatch.setattr(targets.TargetPool, "drain_zones", lambda *_: True)
-    assert "a drained zone gets no new flow" in broken_promises()
+    assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_agents_take_flows_in_a_drained_zone(monkeypatch):
     # Balancers that are cut off from control go on sending.
     monkeypatch.setattr(flow_agent.HostAdmission, "is_zone_drained", lambda *_: False)
-    assert "a drained zone gets no new flow" in broken_promises()
+    assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_a_restarted_agent_denies_what_it_does_not_know(monkeypatch):
     monkeypatch.setattr(flow_knowledge.FlowKnowledge, "knows_all_flows", lambda *_: True)
-    assert "an open flow is not reset" in broken_promises()
+    assert "an open flow is not reset" in violated_invariants()
 
 
 def test_mutant_frames_do_not_name_their_service(monkeypatch):
     for module in (target, targets):
         monkeypatch.setattr(module, "service_tag", lambda _: 1)
     monkeypatch.setattr(flow_agent, "service_tag", lambda _: 1)
-    assert "a packet reaches only hosts of its service" in broken_promises()
+    assert "a packet reaches only hosts of its service" in violated_invariants()
 
 
 def test_mutant_a_late_call_makes_a_leaving_host_ready(monkeypatch):
-    def trusting(self, news, now):
-        self.host_id, self.call_number, self.heard_at = news.host_id, news.call_number, now
-        self.phase, self.capacity = HostPhase.READY, news.capacity
+    def trusting(self, announcement, now):
+        self.host_id, self.call_number, self.heard_at = (
+            announcement.host_id,
+            announcement.call_number,
+            now,
+        )
+        self.phase, self.capacity = HostPhase.READY, announcement.capacity
         return True
 
     monkeypatch.setattr(HostState, "announce", trusting)
-    assert "a host that leaves gets no new flow" in broken_promises()
+    assert "a host that leaves gets no new flow" in violated_invariants()
 
 
 def test_mutant_packets_are_shown_to_everyone(monkeypatch):
@@ -111,5 +115,10 @@
             self.queried[target] = kind
 
     monkeypatch.setattr(search.Search, "advance", spray)
+<<<<<<< HEAD
     monkeypatch.setattr(search.Search, "record_answer", answered)
     assert "an open flow is found again" in broken_promises()
+=======
+    monkeypatch.setattr(search.Search, "note_answer", answered)
+    assert "an open flow is found again" in violated_invariants()
+>>>>>>> c7d179ac976fcb935e47097162c7e9b6ac9be16b
