--- a/src/jasperwalk/fleet/host_slowdowns.py
+++ b/src/jasperwalk/fleet/host_slowdowns.py
@@ -92,7 +92,7 @@
         self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
         self._slow_counts: dict[str, SlowHostCheck] = {}
 
-    def record(self, service: str, listener: bytes, code: int, now: float) -> float | None:
+    def slowdown_of(self, service: str, listener: bytes, code: int, now: float) -> float | None:
         """Take a figure; return how many times as long as usual its host takes.
 
         That is 1.0 for what counts as equal, and None where nothing can be said.
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -179,9 +179,9 @@
         """Take what an agent told of its host's pace for requests of a listener."""
         if not self.weighs_slowdown:
             return
-        slowdown = self._slowdowns.record(target.record.service, listener, code, now)
-        if slowdown is not None:
-            target.slowdown = slowdown
+        ratio = self._slowdowns.slowdown_of(target.record.service, listener, code, now)
+        if ratio is not None:
+            target.slowdown = ratio
             target.slowdown_at = now
 
     def _cost(
--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -135,7 +135,7 @@
             agent.close()
         await until(lambda: home.directory.counts()["agent"] == 1)
         whole, first = balancer.updates()
-        assert whole.whole
+        assert whole.is_snapshot
         assert len(first.records) == 1
 
     run(scenario, NEVER_SECONDS)
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -164,14 +164,14 @@
 def test_nothing_is_compared_with_few_or_old_samples():
     slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
-        assert slowdowns.record("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
-    assert slowdowns.record("web", KIND, encode_service_time(TYPICAL), 1.0) == 1.0
+        assert slowdowns.slowdown_of("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
+    assert slowdowns.slowdown_of("web", KIND, encode_service_time(TYPICAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
-    assert slowdowns.record("web", KIND, encode_service_time(9 * TYPICAL), late) is None
+    assert slowdowns.slowdown_of("web", KIND, encode_service_time(9 * TYPICAL), late) is None
 
 
 def test_the_number_of_kinds_is_bounded():
     slowdowns = HostSlowdowns()
     for number in range(3 * MAX_KINDS):
-        slowdowns.record("web", number.to_bytes(6, "big"), encode_service_time(TYPICAL), 1.0)
+        slowdowns.slowdown_of("web", number.to_bytes(6, "big"), encode_service_time(TYPICAL), 1.0)
     assert len(slowdowns._kinds) <= MAX_KINDS
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -115,10 +115,5 @@
             self.queried[target] = kind
 
     monkeypatch.setattr(search.Search, "advance", spray)
-<<<<<<< HEAD
     monkeypatch.setattr(search.Search, "record_answer", answered)
-    assert "an open flow is found again" in broken_promises()
-=======
-    monkeypatch.setattr(search.Search, "note_answer", answered)
     assert "an open flow is found again" in violated_invariants()
->>>>>>> c7d179ac976fcb935e47097162c7e9b6ac9be16b
