--- a/tests/agent/datagrams/test_host.py
+++ b/tests/agent/datagrams/test_host.py
@@ -3,8 +3,8 @@
 from jasperwalk.agent.datagrams.host import (
     MAX_FORMER_HOSTS,
     MAX_NEW_HOST_CALL_NUMBER,
-    RETURN_SECONDS,
-    RETURN_SPAN_SECONDS,
+    MIN_RETURN_SPAN_SECONDS,
+    MIN_SILENCE_BEFORE_RETURN_SECONDS,
     HostAnnouncement,
     HostState,
 )
@@ -51,7 +51,7 @@
         "a late call of the host before",
     ],
 )
-def test_the_newest_word_of_the_present_host_counts(announcement, phase):
+def test_the_newest_announcement_of_the_present_host_counts(announcement, phase):
     assert state_after(*announcement).phase is phase
 
 
@@ -69,7 +69,7 @@
     assert host.slow_start_seconds(13.0) == 0.0
 
 
-def test_a_host_that_said_goodbye_has_left():
+def test_a_host_that_deregistered_has_left():
     assert state_after(call(1), "h1").has_left()
     assert not state_after(call(1)).has_left()
 
@@ -88,7 +88,7 @@
     state.announce(call(3, host="new"), 0.0)
     assert state.announce(call(8, host="old"), 0.2)
     assert not state.announce(call(4, host="new"), 0.8)
-    assert state.announce(call(7, host="new"), 0.3 + RETURN_SECONDS)
+    assert state.announce(call(7, host="new"), 0.3 + MIN_SILENCE_BEFORE_RETURN_SECONDS)
     assert (state.host_id, state.phase) == ("new", READY)
 
 
@@ -147,7 +147,7 @@
 def test_a_start_whose_clock_was_set_back_counts_once_the_one_before_is_silent():
     state = state_after(start(3, BORN_AGAIN))
     assert not state.announce(start(1, BORN), 10.5)
-    assert state.announce(start(4, BORN), 10.1 + RETURN_SECONDS)
+    assert state.announce(start(4, BORN), 10.1 + MIN_SILENCE_BEFORE_RETURN_SECONDS)
     assert state.started_unix_ms == BORN
 
 
@@ -175,7 +175,7 @@
     assert len(state._replaced) <= MAX_FORMER_HOSTS
 
 
-LONG_SILENCE = 3 * RETURN_SECONDS
+LONG_SILENCE = 3 * MIN_SILENCE_BEFORE_RETURN_SECONDS
 FORMER, PRESENT = call(20, host="former"), call(3, host="present")
 EARLY, LATER = 1_700_000_000_000, 1_700_000_009_000
 
@@ -201,8 +201,8 @@
     "one": [(21, READY, 0.0)],
     "one that drains": [(21, DRAINING, 0.0)],
     "several that the cut held up together": [(21, READY, 0.0), (22, READY, 0.1), (24, READY, 0.9)],
-    "out of order": [(24, READY, 0.0), (21, READY, RETURN_SPAN_SECONDS), (23, READY, 2.0)],
-    "the same one again": [(21, READY, 0.0), (21, READY, RETURN_SPAN_SECONDS)],
+    "out of order": [(24, READY, 0.0), (21, READY, MIN_RETURN_SPAN_SECONDS), (23, READY, 2.0)],
+    "the same one again": [(21, READY, 0.0), (21, READY, MIN_RETURN_SPAN_SECONDS)],
 }
 
 
@@ -214,7 +214,7 @@
     for number, phase, later in late_calls:
         assert not state.announce(call(number, phase, "former"), silent_for + later)
     assert (state.host_id, state.phase) == ("present", READY)
-    assert state.announce(call(4, host="present"), silent_for + RETURN_SECONDS)
+    assert state.announce(call(4, host="present"), silent_for + MIN_SILENCE_BEFORE_RETURN_SECONDS)
 
 
 @pytest.mark.parametrize("born", [EARLY, LATER])
@@ -232,7 +232,9 @@
 @pytest.mark.parametrize("known", [registered_again, known_alone])
 def test_a_host_that_goes_on_calling_while_the_present_one_is_silent_counts(known):
     state = known()
-    times = [RETURN_SECONDS + 0.1 + each for each in (0.0, RETURN_SPAN_SECONDS)]
+    times = [
+        MIN_SILENCE_BEFORE_RETURN_SECONDS + 0.1 + each for each in (0.0, MIN_RETURN_SPAN_SECONDS)
+    ]
     taken = [state.announce(call(21 + n, host="former"), at) for n, at in enumerate(times)]
     assert taken == [False, True]
     assert state.host_id == "former"
--- a/tests/control/fleet/test_home_links.py
+++ b/tests/control/fleet/test_home_links.py
@@ -153,7 +153,7 @@
     run(scenario, SHORT_SECONDS)
 
 
-def test_a_link_that_ended_is_given_up_once_however_many_updates_follow():
+def test_a_link_that_ended_is_dropped_once_however_many_updates_follow():
     async def scenario(home):
         _, agents = await linked_fleet(home)
         with structlog.testing.capture_logs() as logs:
@@ -194,7 +194,7 @@
     run(scenario, SHORT_SECONDS)
 
 
-def test_an_agent_gets_what_its_own_service_says_of_cold_hosts():
+def test_an_agent_is_sent_the_warm_up_of_its_own_service():
     async def scenario(home):
         home.warm_ups = {"web": WarmUp(2.0, 20.0), "export": WarmUp(1.0, 5.0)}
         agent = home.link(node(1))
@@ -237,7 +237,7 @@
     run(scenario, 0.0)
 
 
-def test_a_link_that_the_node_has_given_up_ends_and_changes_nothing_more():
+def test_a_link_that_the_node_has_replaced_ends_and_changes_nothing_more():
     async def scenario(home):
         silent, new_link = returned_node(home)
         await until(lambda: silent.is_closed)
--- a/tests/control/fleet/test_stale_orders.py
+++ b/tests/control/fleet/test_stale_orders.py
@@ -83,7 +83,7 @@
     assert pause(guard, True, False, 1.0, LEADING) == REVERSAL_PAUSE_SECONDS
 
 
-def test_zones_are_ordered_apart():
+def test_orders_for_different_zones_are_independent():
     guard = make_guard()
     admit(guard, True, None, 1.0)
     assert guard.pause_seconds(ZoneOrder("b", False, None, 1.1), LEADING, 1.1) == 0.0
@@ -100,7 +100,7 @@
     assert overtaken is OrderRefusal.OVERTAKEN
 
 
-def test_an_order_that_changed_nothing_is_new_as_well():
+def test_an_order_that_changed_nothing_also_counts_as_new():
     guard = make_guard()
     old = Leadership(term=3, is_settled=True, leads_since=-100.0)
     assert admit(guard, False, False, 10.0, old) is None
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -107,7 +107,7 @@
     assert delta.upserts == [builders.member(1, 1, weight=303)]
 
 
-def test_heartbeats_cost_only_what_is_due_and_tell_the_quorums_age(builders, core) -> None:
+def test_only_due_heartbeats_are_sent_and_they_carry_the_quorum_age(builders, core) -> None:
     for number in range(2000):
         subscribe = builders.subscribe(name=f"b{number}", revision=3)
         core.subscriber_opened(number, subscribe, number / 4000)
@@ -118,7 +118,7 @@
     assert core.tick(0.6, 1.5) == []
 
 
-def test_a_publisher_that_stood_still_tells_its_true_age(builders, core) -> None:
+def test_a_publisher_that_was_suspended_reports_its_true_quorum_age(builders, core) -> None:
     assert closings(core.subscriber_opened(1, builders.subscribe(), 10.0)) == [
         (1, CloseReason.STALE_REPLICA)
     ]
@@ -155,7 +155,7 @@
     assert closings(effects) == [(2, CloseReason.SILENT)]
 
 
-def test_a_publisher_that_stood_still_hears_its_subscribers_first(builders, core) -> None:
+def test_a_publisher_that_was_suspended_closes_no_subscriber_at_once(builders, core) -> None:
     core.subscriber_opened(1, builders.subscribe(), 0.0)
     core.tick(0.1, 0.0)
     assert closings(core.tick(20.0, 0.0)) == []
@@ -164,7 +164,7 @@
     assert closed_at == [pytest.approx(25.0, abs=0.6)]
 
 
-def test_an_agent_is_registered_and_hears_of_it_at_once(builders, core) -> None:
+def test_an_agent_is_registered_and_notified_at_once(builders, core) -> None:
     subscribe = builders.subscribe(AGENT, builders.address(1), name="host-1")
     wanted = RegisterAgent(builders.address(1), "boot", "host-1", "a")
     assert core.subscriber_opened(1, subscribe, 0.0)[0] == wanted
@@ -229,7 +229,7 @@
     assert set(moved.entries) == {builders.service(2), builders.fleet_key(0), *members}
 
 
-def test_the_links_tell_what_each_subscriber_acknowledged(builders, core, table) -> None:
+def test_links_record_what_each_subscriber_acknowledged(builders, core, table) -> None:
     core.subscriber_opened(1, builders.subscribe(name="b1", at=builders.address(10)), 0.0)
     core.subscriber_opened(2, builders.subscribe(name="b2", at=builders.address(11)), 0.0)
     core.subscriber_opened(3, builders.subscribe(AGENT, builders.address(1), name="a1"), 0.0)
@@ -259,7 +259,7 @@
     assert isinstance(FROM_PUBLISHER_DECODER.decode(first), Snapshot)
 
 
-def test_subscribers_are_told_of_the_replicas_once_and_when_they_change(builders, core) -> None:
+def test_subscribers_are_notified_of_the_replicas_once_and_when_they_change(builders, core) -> None:
     first, second = [builders.address(200)], [builders.address(200), builders.address(201)]
     assert of_type(ReplicaEndpoints, core.subscriber_opened(1, builders.subscribe(), 0.0)) == []
     assert of_type(ReplicaEndpoints, core.replicas_changed(7, first)) == [
@@ -271,7 +271,7 @@
     assert len(of_type(ReplicaEndpoints, core.replicas_changed(9, second))) == 2
 
 
-def test_snapshots_begin_in_turn_and_refused_ones_come_back_one_by_one(builders, table) -> None:
+def test_concurrent_joins_are_limited_and_refused_ones_retry_one_by_one(builders, table) -> None:
     core = PublisherCore(table, PublisherConfig(join_limit=2, retries_per_second=10))
     core.tick(0.0, 0.0)
     opened = [core.subscriber_opened(n, builders.subscribe(name=f"b{n}"), 0.0) for n in range(5)]
@@ -295,7 +295,7 @@
     assert of_type(Reject, core.subscriber_opened(3, builders.subscribe(name="b3"), 2.0)) == []
 
 
-def test_turns_of_refused_subscribers_end_at_the_longest_retry(builders, core) -> None:
+def test_retry_times_of_refused_subscribers_are_bounded(builders, core) -> None:
     core.tick(0.0, math.inf)
     waits = [
         of_type(Reject, core.subscriber_opened(n, builders.subscribe(), 0.0))[0].retry_after_ms
--- a/tests/scheduling/test_request_order.py
+++ b/tests/scheduling/test_request_order.py
@@ -98,7 +98,7 @@
     assert min(begun.count(b"b"), begun.count(b"c")) >= 4
 
 
-def test_a_full_queue_lets_the_least_urgent_go_and_of_these_the_one_that_is_late():
+def test_a_full_queue_sheds_the_least_urgent_and_of_these_the_late_one():
     waiting = scheduler()
     add(waiting, "urgent", URGENT, 0.0)
     add(waiting, "old", ORDINARY, 0.1)
@@ -110,7 +110,7 @@
     assert b"urgent" in waiting
 
 
-def test_requests_of_open_flows_are_never_let_go_for_want_of_room():
+def test_requests_of_open_flows_are_never_shed_for_want_of_capacity():
     waiting = scheduler()
     hold(waiting, "open", ORDINARY)
     assert waiting.shed_openings(0, 0.0) == []
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_nothing_is_lost_and_nothing_is_begun_twice(seed):
+def test_nothing_is_lost_and_nothing_is_started_twice(seed):
     drawn = random.Random(seed)
     waiting = scheduler(0.1)
     added, gone = set(), []
