--- a/src/jasperwalk/control/proposals.py
+++ b/src/jasperwalk/control/proposals.py
@@ -45,7 +45,7 @@
 """Time for a proposal to be committed and applied here; elections take one to three."""
 FORWARD_TIMEOUT_SECONDS = 2.0
 """Time for the leader's reply to a forwarded proposal."""
-MAXIMUM_WAITING_PROPOSALS = 512
+MAX_WAITING_PROPOSALS = 512
 """Proposals of this replica that may wait at once; further ones are refused as overload."""
 
 ForwardedMessage = ForwardProposal | ForwardReplicaChange
@@ -99,7 +99,7 @@
         forwarded: Callable[[int], ForwardedMessage],
         timeout_seconds: float,
     ) -> AppliedEntry[Outcome]:
-        if self._waiting >= MAXIMUM_WAITING_PROPOSALS:
+        if self._waiting >= MAX_WAITING_PROPOSALS:
             raise Overloaded()
         self._waiting += 1
         try:
@@ -127,7 +127,7 @@
         finally:
             del self._replies[number]
 
-    def take_request(self, sender: int, message: ForwardedMessage) -> None:
+    def handle_request(self, sender: int, message: ForwardedMessage) -> None:
         """Answer a request that another replica forwarded to this one as the leader."""
         outcome: ProposalOutcome | MembershipOutcome
         match message:
@@ -137,7 +137,7 @@
                 outcome = self._runner.propose_replica_change(message.change)
         self._network.send(sender, _reply_to(message.request_number, outcome))
 
-    def take_reply(self, reply: ForwardReply) -> None:
+    def handle_reply(self, reply: ForwardReply) -> None:
         """Hand the leader's reply to the proposal that waits for it, if it still does."""
         waiting = self._replies.get(reply.request_number)
         if waiting is not None and not waiting.done():
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -62,10 +62,10 @@
         """Return the ledger of this term where this replica leads, None elsewhere."""
         if not self._runner.is_leader:
             return None
-        self._ledger.lead(self._runner.term, time.monotonic())
+        self._ledger.start_term(self._runner.term, time.monotonic())
         return self._ledger
 
-    def sightings(self) -> list[SubscriberSighting]:
+    def subscribers(self) -> list[SubscriberSighting]:
         """Return the leader's view of all subscribers; nothing on other replicas."""
         ledger = self.ledger()
         return [] if ledger is None else ledger.current(time.monotonic())
@@ -93,17 +93,17 @@
             facts = [] if answer is None else answer.agents
         return {each.address: each for each in facts}
 
-    def take_report(self, sender: int, report: SubscriberReport) -> None:
+    def handle_report(self, sender: int, report: SubscriberReport) -> None:
         """Take in another replica's report; ask for a whole one where some are missing."""
         ledger = self.ledger()
         if ledger is not None and not ledger.take(sender, report, time.monotonic()):
             self._network.send(sender, ReportWanted())
 
-    def take_report_wanted(self) -> None:
+    def handle_report_request(self) -> None:
         """Let the next report be a whole one."""
         self._reporter.restart()
 
-    def take_query(self, sender: int, query: LeaderQuery) -> None:
+    def handle_query(self, sender: int, query: LeaderQuery) -> None:
         """Answer a follower's question; a replica that does not lead says that it knows nothing."""
         answer: LeaderAnswer
         match query:
@@ -114,14 +114,14 @@
                 answer = AgentsAnswer(query.query_number, self._known_agents())
         self._network.send(sender, answer)
 
-    def take_answer(self, answer: LeaderAnswer) -> None:
+    def handle_answer(self, answer: LeaderAnswer) -> None:
         """Hand the leader's answer to the one that waits for it."""
-        self._queries.take_answer(answer)
+        self._queries.handle_answer(answer)
 
     def _known_agents(self) -> list[AgentFact]:
         return [
             AgentFact(each.address, each.healthy, each.open_flows)
-            for each in self.sightings()
+            for each in self.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
 
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -112,7 +112,7 @@
         self._config = config
         self.replica_id = config.replica_id
         self.network = PeerNetwork(
-            config.name, config.replica_id, config.cluster_id, self._take_message, config.tls
+            config.name, config.replica_id, config.cluster_id, self._handle_message, config.tls
         )
         self.runner = ControlRunner(config.runner_config(), self.network, self, random)
         self.proposals = Proposals(self.runner, self.network)
@@ -226,22 +226,22 @@
         for record in self.state.agents():
             self.publishing.agent_registered(record)
 
-    def _take_message(self, sender: int, message: PeerMessage) -> None:
+    def _handle_message(self, sender: int, message: PeerMessage) -> None:
         match message:
             case RaftPayload():
                 self.runner.take(sender, message)
             case ForwardProposal() | ForwardReplicaChange():
-                self.proposals.take_request(sender, message)
+                self.proposals.handle_request(sender, message)
             case ForwardReply():
-                self.proposals.take_reply(message)
+                self.proposals.handle_reply(message)
             case SubscriberReport():
-                self.region.take_report(sender, message)
+                self.region.handle_report(sender, message)
             case ReportWanted():
-                self.region.take_report_wanted()
+                self.region.handle_report_request()
             case InForceQuery() | AgentsQuery():
-                self.region.take_query(sender, message)
+                self.region.handle_query(sender, message)
             case InForceAnswer() | AgentsAnswer():
-                self.region.take_answer(message)
+                self.region.handle_answer(message)
             case LinkAlive():
                 pass
 
--- a/src/jasperwalk/control/state/host_changes.py
+++ b/src/jasperwalk/control/state/host_changes.py
@@ -9,12 +9,12 @@
     SetPlatformStates,
 )
 from jasperwalk.control.state.fleet_refusals import UnknownHost
-from jasperwalk.control.state.host_states import HIGHEST_HOST_COUNT, HostStates
+from jasperwalk.control.state.host_states import MAX_DRAINING_HOSTS, HostStates
 from jasperwalk.control.state.incarnations import AgentRecord, Incarnations, RegistrationRefusal
 from jasperwalk.control.state.installer import Installer
 from jasperwalk.control.state.outcomes import LimitReached
 
-LONGEST_SHOWN_HOST = 80
+MAX_SHOWN_HOST_LENGTH = 80
 """Characters of an unknown host that an outcome repeats."""
 
 
@@ -33,21 +33,21 @@
     ) -> UnknownHost | LimitReached | None:
         """Drain a host by an operator's wish, or let it take new work."""
         if not self._is_known_host(command.host):
-            return UnknownHost(host=command.host[:LONGEST_SHOWN_HOST])
+            return UnknownHost(host=command.host[:MAX_SHOWN_HOST_LENGTH])
         if not self._host_states.set_by_operator(command.host, command.admin_state):
-            return LimitReached(subject="draining hosts", limit=HIGHEST_HOST_COUNT)
+            return LimitReached(subject="draining hosts", limit=MAX_DRAINING_HOSTS)
         self._refresh_hosts({command.host}, index)
         return None
 
     def set_platform_states(self, index: int, command: SetPlatformStates) -> LimitReached | None:
         """Take over what changed in the platform's list."""
-        has_room = True
+        all_stored = True
         for state in command.states:
             stored = self._host_states.set_by_platform(state.host, state.admin_state)
-            has_room = has_room and stored
+            all_stored = all_stored and stored
         self._refresh_hosts({state.host for state in command.states}, index)
-        if not has_room:
-            return LimitReached(subject="leaving hosts", limit=HIGHEST_HOST_COUNT)
+        if not all_stored:
+            return LimitReached(subject="leaving hosts", limit=MAX_DRAINING_HOSTS)
         return None
 
     def register_agent(
--- a/src/jasperwalk/control/state/incarnations.py
+++ b/src/jasperwalk/control/state/incarnations.py
@@ -15,13 +15,13 @@
 from jasperwalk.control.state.fleet_refusals import IncarnationsExhausted, SupersededBoot
 from jasperwalk.control.state.outcomes import LimitReached
 
-HIGHEST_INCARNATION = 65_535
+MAX_INCARNATION = 65_535
 """An incarnation has two bytes in a connection ID."""
 
 REMEMBERED_BOOTS = 4
 """Boot IDs an address remembers, to know a late registration of an earlier start."""
 
-HIGHEST_AGENT_COUNT = 100_000
+MAX_AGENT_COUNT = 100_000
 """Addresses that may ever register; a bound on memory."""
 
 
@@ -64,8 +64,8 @@
         """
         record = self._records.get(command.address)
         if record is None:
-            if len(self._records) >= HIGHEST_AGENT_COUNT:
-                return LimitReached(subject="agent addresses", limit=HIGHEST_AGENT_COUNT)
+            if len(self._records) >= MAX_AGENT_COUNT:
+                return LimitReached(subject="agent addresses", limit=MAX_AGENT_COUNT)
             return self._store(command, incarnation=1, boot_ids=(command.boot_id,))
         if command.boot_id == record.boot_ids[-1]:
             return record
@@ -73,7 +73,7 @@
             # Race: a proposal of an earlier start, delayed past the registration of a later
             # one, must not take the address back.
             return SupersededBoot(address=str(command.address), incarnation=record.incarnation)
-        if record.incarnation >= HIGHEST_INCARNATION:
+        if record.incarnation >= MAX_INCARNATION:
             return IncarnationsExhausted(address=str(command.address))
         boot_ids = (*record.boot_ids, command.boot_id)[-REMEMBERED_BOOTS:]
         return self._store(command, incarnation=record.incarnation + 1, boot_ids=boot_ids)
