--- a/tests/flows/test_frames.py
+++ b/tests/flows/test_frames.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "told"), [(-1.0, 0.0), (0.0, 0.0), (0.25, 0.2), (0.6, 0.6), (1.5, 1.5), (99.0, 1.5)]
+    ("age", "decoded"), [(-1.0, 0.0), (0.0, 0.0), (0.25, 0.2), (0.6, 0.6), (1.5, 1.5), (99.0, 1.5)]
 )
 @pytest.mark.parametrize("waits", [False, True])
 @pytest.mark.parametrize("repeatable", [False, True])
