--- a/src/jasperwalk/balancer/datagrams/arrived_packet.py
+++ b/src/jasperwalk/balancer/datagrams/arrived_packet.py
@@ -1,4 +1,4 @@
-"""A caller's packet that has to wait."""
+"""A caller's packet that waits in the balancer, with its arrival time."""
 
 from __future__ import annotations
 
--- a/src/jasperwalk/balancer/datagrams/counters.py
+++ b/src/jasperwalk/balancer/datagrams/counters.py
@@ -1,4 +1,4 @@
-"""What a balancer of the datagram plane counts."""
+"""Counters of a balancer of the datagram plane."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(eq=False, repr=False)
 class FlowCounters(SearchCounters):
-    """What the balancer did since it started."""
+    """Counts since the process started; exported as metrics under the fields' names."""
 
     packets_carried: int = 0
     packets_malformed: int = 0
@@ -23,6 +23,6 @@
     """Delegated searches whose agent never answered."""
     flows_reset: int = 0
     uploads_waited: int = 0
-    """Uploads that waited for room on the link."""
+    """Uploads that waited for capacity on the link."""
     early_packets: int = 0
-    """Packets that came before the first routes."""
+    """Packets that arrived before the first routes."""
--- a/src/jasperwalk/balancer/datagrams/delegated_searches.py
+++ b/src/jasperwalk/balancer/datagrams/delegated_searches.py
@@ -1,9 +1,10 @@
 """Searches that an agent runs on this balancer's behalf.
 
-A balancer's link and processor may be thin, and finding a flow may take questions to many
-agents. So it sends the packet, once, to one agent near by, which asks the others and passes the
-packet on; this balancer keeps what follows until it is notified who holds the flow. What a lost
-flow costs a balancer does not grow with the number of agents.
+A balancer may have little bandwidth and processor time, and finding a flow may take queries to
+many agents. So it sends the flow's first packet to one agent, the helper, of its own zone where
+there is one. The helper queries the others and forwards the packet to the holder. This balancer
+keeps the following packets until the helper reports the holder. The cost of a search to a balancer
+therefore does not grow with the number of agents.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from jasperwalk.observability.latency import LatencyHistogram
 
 ANSWER_TIMEOUT_SECONDS = 0.8
-"""An agent has its verdict after its rounds and the pause between them, or not at all."""
+"""Covers the helper's rounds of queries and the pause between them; no verdict comes later."""
 MAX_DELEGATIONS = 4096
 
 
 class Delegation(msgspec.Struct, eq=False):
-    """One flow's search at an agent; the first packet went there, the others wait here."""
+    """One flow's search at an agent, which has the first packet; all packets are kept here."""
 
     helper: Target
     services: list[str]
@@ -36,7 +37,7 @@
 
 @dataclass(eq=False, repr=False)
 class DelegatedSearches:
-    """Owns the searches that agents run; sans-IO, times are seconds."""
+    """The searches that agents run for this balancer; sans-IO, times are seconds."""
 
     pool: TargetPool
     send: DatagramSender
@@ -50,7 +51,7 @@
         return len(self._open)
 
     def hold(self, key: bytes, packet: bytes) -> bool:
-        """Keep another packet of a flow that is being searched; False where none is."""
+        """Keep another packet of a flow; return False if no agent searches for it."""
         delegation = self._open.get(key)
         if delegation is None:
             return False
@@ -59,7 +60,7 @@
         return True
 
     def start(self, key: bytes, packet: bytes, services: list[str], now: float) -> bool:
-        """Let an agent search; False where there is none to ask."""
+        """Let an agent search; return False if none is available or too many searches are open."""
         if not self.is_enabled or len(self._open) >= MAX_DELEGATIONS:
             return False
         helper = self.pool.helper(key, now)
@@ -72,7 +73,7 @@
         return True
 
     def take(self, key: bytes, helper: Target, now: float) -> Delegation | None:
-        """End a search with its agent's verdict; None where that agent was not asked."""
+        """Remove and return the search whose verdict arrived; None if another agent has it."""
         delegation = self._open.get(key)
         if delegation is None or delegation.helper is not helper:
             return None
@@ -80,7 +81,7 @@
         return self._open.pop(key)
 
     def tick(self, now: float) -> None:
-        """Give up agents that do not answer: the caller's next packet goes to another one."""
+        """Expire searches without a verdict; the caller's next packet goes to another agent."""
         for key, delegation in list(self._open.items()):
             if now - delegation.started_at < ANSWER_TIMEOUT_SECONDS:
                 break
--- a/src/jasperwalk/balancer/datagrams/early_packets.py
+++ b/src/jasperwalk/balancer/datagrams/early_packets.py
@@ -1,9 +1,9 @@
-"""Packets that come before a balancer that has just started has routes.
+"""Buffer for packets that arrive before a starting balancer has routes.
 
-After a loss of power the fabric sends packets as soon as the process listens, and routes come
-once the control replicas have a leader again, some tenths of a second later. A packet that is
-dropped meanwhile comes again only after its sender's time-out, which has doubled with every
-copy that was lost before; so the packets are kept for that moment.
+After a loss of power the fabric sends packets as soon as the process listens. Routes arrive some
+tenths of a second later, when the control replicas have a leader again. A packet that is dropped
+meanwhile is sent again only after its sender's time-out, which doubles with every lost copy. So
+the packets are kept until the first routes are in force.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from jasperwalk.balancer.datagrams.arrived_packet import ArrivedPacket
 
 MAX_HOLD_SECONDS = 0.9
-"""A caller waits 1.4 s for an answer to its opening packet; older ones are not worth a host."""
+"""A caller waits 1.4 s for an answer to its opening packet; older ones could not be served in
+time."""
 MAX_PACKETS = 2048
-"""Bound of the memory: about 2.5 MB of packets; the oldest go first."""
+"""Bounds the memory to about 2.5 MB; beyond it the oldest packets are discarded."""
 
 
 @dataclass(eq=False, repr=False)
 class EarlyPackets:
-    """Keeps the newest packets, for a moment."""
+    """Keeps the newest packets for up to `MAX_HOLD_SECONDS`."""
 
     _packets: deque[ArrivedPacket] = field(default_factory=lambda: deque(maxlen=MAX_PACKETS))
 
@@ -30,11 +31,11 @@
         return len(self._packets)
 
     def hold(self, packet: bytes, now: float) -> None:
-        """Keep a packet; a full store lets its oldest one go."""
+        """Keep a packet; a full buffer discards its oldest one."""
         self._packets.append(ArrivedPacket(packet, now))
 
     def take(self, now: float) -> list[ArrivedPacket]:
-        """Take all packets that are young enough, in the order of their coming."""
+        """Remove all packets and return those that are young enough, in their arrival order."""
         oldest = now - MAX_HOLD_SECONDS
         taken = [early for early in self._packets if early.arrived_at >= oldest]
         self._packets.clear()
--- a/src/jasperwalk/balancer/datagrams/flow_balancer.py
+++ b/src/jasperwalk/balancer/datagrams/flow_balancer.py
@@ -1,8 +1,9 @@
-"""The balancer's core: every caller's packet goes to the agent that holds its flow.
+"""The balancer's core: forwards every caller's packet to the agent that holds its flow.
 
-The truth of who holds a flow lies with the hosts and the agents beside them; this table is a
-cache. A packet of a flow that is not in it is held back for the few milliseconds that asking
-the agents takes (see `search`). Sans-IO: datagrams leave through `send`, time is a parameter.
+The hosts and the agents beside them decide who holds a flow; the table here is a cache. A packet
+of a flow that is not in the table waits for the few milliseconds that a search among the agents
+takes (see `search`). An opening packet goes to `flow_opener`, uploads pass `upload_admission`
+first. Sans-IO: datagrams leave through `send`, time is a parameter.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 DEFAULT_RESEND_SECONDS = 0.2
 
 BulkSender = Callable[[bytes, int, bytes, SocketAddress], None]
-"""Sends a bulk datagram: the key of its flow, the number of its data, the datagram, to whom."""
+"""Sends a bulk datagram: flow key, number of its data, datagram, destination."""
 
 
 @dataclass(eq=False, repr=False)
@@ -52,16 +53,16 @@
     delegates_searches: bool = False
     """True to let agents search on this balancer's behalf."""
     link: LinkPacer | None = None
-    """What waits for this process's link, None where the link limits nothing."""
+    """The pacer of this process's link, None where the link is not paced."""
     send_bulk: BulkSender | None = None
-    """Sends data of uploads through `link`, None where that is None."""
+    """Sends upload data through `link`; None where that is None."""
     caller_window_bytes: int = DEFAULT_WINDOW_BYTES
     caller_resend_seconds: float = DEFAULT_RESEND_SECONDS
     _flows: dict[bytes, Flow] = field(default_factory=dict)
     _early: EarlyPackets = field(default_factory=EarlyPackets)
 
     def __post_init__(self) -> None:
-        """Prepare the parts; they share the table of flows, the agents, counters and log."""
+        """Create the parts, which share the table of flows, the agents, counters and log."""
         self.uploads = UploadAdmission(
             self.codec, self.link, self.caller_window_bytes, self.caller_resend_seconds
         )
@@ -97,7 +98,7 @@
         return len(self._flows)
 
     def has_pending(self) -> bool:
-        """Tell whether `tick` has anything to do."""
+        """Tell whether `tick` has work."""
         if self.searches or self.delegated or self.uploads.has_waiting():
             return True
         return self.opener.has_pending()
@@ -105,7 +106,7 @@
     # Callers' packets
 
     def receive(self, packet: bytes, now: float) -> None:
-        """Take a caller's packet."""
+        """Handle a caller's packet."""
         key = self.key_of(packet)
         if key is not None:
             self.receive_with_key(key, packet, now)
@@ -122,7 +123,7 @@
         return key in self._flows
 
     def receive_with_key(self, key: bytes, packet: bytes, now: float) -> None:
-        """Take a caller's packet that `key_of` has looked at."""
+        """Handle a caller's packet whose key `key_of` has returned."""
         self._receive(key, packet, now)
         self.searches.flush()
 
@@ -152,7 +153,7 @@
         self._forward(key, flow, packet)
 
     def _forward(self, key: bytes, flow: Flow, packet: bytes) -> None:
-        """Send a packet to its flow's agent; data of an upload in its turn."""
+        """Send a packet to its flow's agent; upload data goes through the link's pacer."""
         frame = flow.target.carry_head + packet
         if flow.is_bulk and self.send_bulk is not None and self.codec.payload_bytes(packet):
             self.send_bulk(key, self.codec.data_number(packet), frame, flow.target.address)
@@ -160,7 +161,7 @@
             self.send(frame, flow.target.address)
 
     def open(self, packet: bytes, arrived_at: float, now: float) -> None:
-        """Take an opening packet that came a while ago."""
+        """Handle an opening packet that has waited since `arrived_at`."""
         self._receive_unknown(self.codec.flow_key(packet), packet, arrived_at, now)
 
     def _receive_unknown(self, key: bytes, packet: bytes, arrived_at: float, now: float) -> None:
@@ -181,14 +182,14 @@
     def _open(
         self, key: bytes, packet: bytes, route: RouteEntry, arrived_at: float, now: float
     ) -> None:
-        """Open a new flow, or let it wait for room on the link."""
+        """Open a new flow; an upload waits first if the link has no capacity."""
         if route.route.is_bulk and not self.uploads.take(key, packet, route, arrived_at, now):
             self.counters.uploads_waited += 1
             return
         self.opener.open(key, packet, route, arrived_at, now)
 
     def _process_waiting_uploads(self, now: float) -> None:
-        """Open uploads that have waited for room, and reset those that came too late."""
+        """Open waiting uploads for which the link has capacity; shed those that waited too long."""
         for key, upload in self.uploads.take_shed(now):
             self.reject(key, upload.packet, "link-full")
         for key, upload in self.uploads.take_due(now):
@@ -204,7 +205,7 @@
             self.opener.open(key, upload.packet, upload.route, upload.arrived_at, now)
 
     def reject(self, key: bytes, packet: bytes, reason: str) -> None:
-        """Tell the caller at once that its flow is not to be; it decides when to come back."""
+        """Reset a flow at once, so that its caller decides when to try again."""
         if self.codec.is_reset(packet):
             return
         self.counters.flows_reset += 1
@@ -218,10 +219,10 @@
         self.reset(self.codec.reset_for(packet), self.codec.caller_of(key))
 
     def routes_changed(self, now: float) -> None:
-        """Take the packets that came before the first routes, the newest new flows first.
+        """Handle the packets that arrived before the first routes, the newest new flows first.
 
-        Their callers have waited least and are served in time; hosts may not have room for
-        all at once.
+        Hosts may not have capacity for all at once. The callers of the newest have waited least, so
+        these can still be answered in time.
         """
         early = self._early.take(now)
         if early:
@@ -235,12 +236,12 @@
             self.open(each.packet, each.arrived_at, now)
 
     def fleet_changed(self, update: FleetUpdate, now: float) -> None:
-        """Take the directory's news in, and try the flows that wait for a host."""
+        """Apply an update of the directory and retry the flows that wait for a host."""
         self.pool.update(update, now)
         self.opener.retry_parked(now)
 
     def zones_changed(self, zones: DrainedZones, now: float) -> bool:
-        """Take the drained zones, and try the flows that wait; False for what is out of date."""
+        """Apply the drained zones and retry the flows that wait; False for an old revision."""
         if not self.pool.drain_zones(zones):
             return False
         self.opener.retry_parked(now)
@@ -256,27 +257,27 @@
         now: float,
         possible_holders: Sequence[Target] = (),
     ) -> None:
-        """Look for the holder of a flow; `possible_holders` are the agents that may have taken it."""
+        """Search for the holder; `possible_holders` are the agents that may have taken the flow."""
         if key in self.searches:
             self.searches.hold(key, packet)
         elif not self.delegated.hold(key, packet):
             services = sorted(route.past_services)
             regions = route.allowed_regions
-            # A helper shows the packet to hosts wherever they are.
+            # A helper probes hosts in every region.
             is_delegated = not possible_holders and not regions
             if not is_delegated or not self.delegated.start(key, packet, services, now):
                 self.searches.start(key, packet, services, now, possible_holders, regions)
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
-        """Carry the packets that waited."""
+        """Forward the packets that waited."""
         self._set_holder(search.key, holder, search.packets[search.first_is_forwarded :], now)
 
     def on_search_held_nowhere(self, search: Search, _now: float) -> None:
-        """Tell the caller to begin anew."""
+        """Reset the flow, so that its caller opens another one."""
         self.reject(search.key, search.packets[-1], "held-nowhere")
 
     def on_search_inconclusive(self, search: Search, now: float) -> None:
-        """Let the flow be: its caller's next packet begins another search."""
+        """Do nothing: the caller's next packet starts another search."""
 
     def _set_holder(self, key: bytes, holder: Target, packets: Sequence[bytes], now: float) -> None:
         route = self.routes.find(self.codec.listener_of(key))
@@ -286,14 +287,14 @@
             self._forward(key, flow, packet)
 
     def _handle_verdict(self, helper: Target, reply: AgentReply, now: float) -> None:
-        """Take what an agent found that has searched on this balancer's behalf."""
+        """Act on the verdict of an agent that searched on this balancer's behalf."""
         delegation = self.delegated.take(reply.flow_key, helper, now)
         if delegation is None:
             return
         verdict = LocateVerdict(reply.flags)
         holder = self._target_at(reply.packet)
         if verdict is LocateVerdict.FOUND and holder is not None:
-            # The helper has passed the first packet on.
+            # The helper has forwarded the first packet.
             self._set_holder(reply.flow_key, holder, delegation.packets[1:], now)
         elif verdict is LocateVerdict.NOWHERE:
             self.reject(reply.flow_key, delegation.packets[-1], "held-nowhere")
@@ -309,7 +310,7 @@
         )
 
     def _target_at(self, packed: bytes) -> Target | None:
-        """Return the agent at a packed end point, None where there is none or it is not known."""
+        """Return the agent at a packed end point, None if that is empty or unknown."""
         if not packed:
             return None
         endpoint = Endpoint.unpack(packed)
@@ -318,7 +319,7 @@
     # Agents' answers
 
     def receive_reply(self, data: bytes, sender: SocketAddress, now: float) -> None:
-        """Take a frame of an agent."""
+        """Handle a frame from an agent."""
         target = self.pool.at(sender)
         replies = self.searches.read_replies(data)
         if target is None:
@@ -343,7 +344,7 @@
     def _handle_returned(
         self, key: bytes, flow: Flow | None, target: Target, packet: bytes, now: float
     ) -> None:
-        """Look for the holder of a flow that the agent's host does not hold."""
+        """Search for the holder of a flow that the agent's host does not hold."""
         if flow is not None and flow.target is not target:
             self.send(flow.target.carry_head + packet, flow.target.address)
             return
@@ -358,7 +359,7 @@
     # Time
 
     def tick(self, now: float) -> None:
-        """Give up waiting for agents that do not answer."""
+        """Expire what waits for agents that do not answer."""
         self.opener.tick(now)
         self._process_waiting_uploads(now)
         self.searches.tick(now)
@@ -366,7 +367,7 @@
         self.searches.flush()
 
     def sweep(self, now: float) -> None:
-        """Forget flows and agents that are long gone; call every few seconds."""
+        """Remove flows and agents unused for `FLOW_LIFETIME_SECONDS`; call every few seconds."""
         oldest = now - FLOW_LIFETIME_SECONDS
         for key in [key for key, flow in self._flows.items() if flow.seen_at < oldest]:
             self.opener.forget(key)
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -1,9 +1,9 @@
-"""Finding an agent whose host takes a new flow.
+"""Finds an agent whose host takes a new flow.
 
-The least busy candidate is asked first. One that refuses is followed by the next one; one that
-does not answer, too, but it may have taken the flow: its answer may be lost, or this balancer
-too busy to have read it. So such a flow is never reset for want of an answer, and its caller's
-next packet tells whether the agent is known (see `follow_up`).
+The least busy candidate is tried first, and the next one if it refuses or does not answer in time.
+An agent that does not answer may still have taken the flow: its answer may be lost, or this
+balancer too busy to have read it. So a flow is never reset only because an answer is missing; its
+caller's next packet decides which agent holds it (see `follow_up`).
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 from jasperwalk.observability.latency import LatencyHistogram
 
 OPEN_TIMEOUT_SECONDS = 0.1
-"""An agent answers a new flow within a few milliseconds; after this the next one is tried."""
+"""Agents answer within a few milliseconds; after this time the next one is tried."""
 MAX_TRIES = 4
-"""Agents that are tried for one new flow before one is asked to let it wait."""
+"""Agents that are tried for one new flow before one is asked to queue it."""
 MAX_LOAD_AGE_SECONDS = 0.05
-"""A figure of load older than about one request's work says little of the room there is now."""
+"""An agent's load that is older than about one service time says little of its free slots now."""
 MAX_PARKING_SECONDS = 0.9
-"""A new flow without any ready host waits this long for one that is expected; its caller
-waits 1.4 s for an answer."""
+"""Longest wait of a new flow for an expected host while none is ready; its caller waits 1.4 s for
+an answer."""
 MAX_PARKED = 4096
 
 REFUSAL_SECONDS_BY_REASON = {
@@ -50,7 +50,8 @@
     RefusalReason.FAILING: FAILING_SECONDS,
     RefusalReason.SLOW: SLOW_SECONDS,
 }
-"""Refusals that say nothing of the host's load and hold for other flows too, and for how long."""
+"""How long an agent is avoided by refusals that do not depend on its host's load and would meet
+other flows too."""
 
 FlowRejecter = Callable[[bytes, bytes, str], None]
 """Resets a flow: its key, a packet of it, and the reason."""
@@ -58,7 +59,7 @@
 
 @dataclass(eq=False, repr=False)
 class FlowOpener:
-    """Owns the flows that are not open yet; sans-IO. `flows` is the balancer's table."""
+    """Opens new flows; sans-IO. `flows` is the balancer's table of flows."""
 
     codec: PacketCodec
     pool: TargetPool
@@ -70,10 +71,10 @@
     latency: LatencyHistogram
     _waiting_for_answers: dict[bytes, Flow] = field(default_factory=dict)
     _parked: dict[bytes, Opening] = field(default_factory=dict)
-    """New flows that wait for the first host of their services to be ready."""
+    """New flows that wait for the first host of their services to become ready."""
 
     def has_pending(self) -> bool:
-        """Tell whether `tick` has anything to do."""
+        """Tell whether `tick` has work."""
         return bool(self._waiting_for_answers or self._parked)
 
     def is_parked(self, key: bytes) -> bool:
@@ -83,7 +84,7 @@
     def open(
         self, key: bytes, packet: bytes, route: RouteEntry, arrived_at: float, now: float
     ) -> None:
-        """Begin to open a flow."""
+        """Start opening a flow."""
         service = route.turns.next()
         if service is None:
             self.reject(key, packet, "no-service")
@@ -93,12 +94,12 @@
         self._try_next(key, opening, now)
 
     def forget(self, key: bytes) -> None:
-        """Take a flow out of the table."""
+        """Remove a flow from the table."""
         self.flows.pop(key, None)
         self._waiting_for_answers.pop(key, None)
 
     def resend(self, flow: Flow, packet: bytes, now: float) -> None:
-        """Pass a copy of a flow's first packet on."""
+        """Forward a copy of a flow's opening packet to the agent that was asked last."""
         age_seconds = self.codec.opening_age_seconds(packet)
         if flow.opening is not None:
             age_seconds = max(age_seconds, now - flow.opening.caller_started_at)
@@ -106,11 +107,11 @@
         self.send(flow.target.open_head(terms) + packet, flow.target.address)
 
     def follow_up(self, key: bytes, flow: Flow, now: float) -> list[Target]:
-        """Take the caller's first packet after the opening one.
+        """Handle the caller's first packet after the opening one, which shows that a host answered.
 
-        A host has answered the caller. If several agents may have taken the flow, the packet
-        must not go to one of them by chance: the flow is forgotten, and they are returned to be
-        asked. None are returned where the packet is to go to the flow's agent.
+        If several agents may have taken the flow, the packet must not go to an arbitrary one: the
+        flow is removed from the table, and these agents are returned to be asked. An empty list
+        means that the packet goes to the flow's agent.
         """
         opening = flow.opening
         assert opening is not None
@@ -119,7 +120,7 @@
             self.forget(key)
             return possible
         if not opening.is_accepted():
-            # The answer is late or lost; the packet says as much.
+            # The agent's answer is late or lost; the caller's packet replaces it.
             self._on_opened(key, flow, opening, now)
         flow.opening = None
         return []
@@ -127,7 +128,7 @@
     # Trying agents
 
     def _try_next(self, key: bytes, opening: Opening, now: float) -> None:
-        """Ask the next agent; after the last one, ask the least busy to let the flow wait."""
+        """Try the next agent; after the last one, ask the least busy to queue the flow."""
         target = self._next_target(key, opening, now)
         if target is not None:
             self._send_opening(key, opening, target, now)
@@ -137,7 +138,7 @@
             return
         self.counters.flows_not_opened += 1
         if opening.possible_holders():
-            # Its caller may have an answer already; if not, its next copy begins anew.
+            # Its caller may have an answer already; if not, its next copy starts another try.
             self.log.note(
                 "flow-unanswered", flow=self.codec.describe(key), **_attempt_fields(opening)
             )
@@ -145,16 +146,16 @@
         self.reject(key, opening.packet, f"no-host-after-{len(opening.answers)}-agents")
 
     def _next_target(self, key: bytes, opening: Opening, now: float) -> Target | None:
-        """Choose the next agent to ask, and whether the flow may wait there."""
+        """Choose the next agent to try, and whether the flow may be queued there."""
         opening.waits = False
         if opening.is_final_attempt:
             return None
         if len(opening.answers) < MAX_TRIES:
             target = self._choose(key, opening, tuple(opening.answers), now)
             if target is not None:
-                # Asking an agent that is known to be full, and then the next one, costs a
-                # balancer more than the flow itself. One that may be slow says so only of flows
-                # that do not wait, and others would be the better choice then.
+                # Trying an agent that is known to be full, and then the next one, costs a
+                # balancer more than the flow itself. The agent of a slow host refuses only flows
+                # that may not wait; such flows are better served by other agents.
                 is_full = self._is_known_full(target, opening, now)
                 opening.waits = is_full and not target.was_slow()
                 return target
@@ -164,10 +165,10 @@
         return self._choose(key, opening, tuple(opening.possible_holders()), now)
 
     def _is_known_full(self, target: Target, opening: Opening, now: float) -> bool:
-        """Tell whether an agent need not be asked whether its host has room at once.
+        """Tell whether an agent's host is known to have no free slot.
 
-        Where requests are ordered by their terms an old figure does not say so: a flow that waits
-        at one host while another has room comes late, or makes others late.
+        Where requests are ordered by their terms, an old load is not taken as knowledge: a flow
+        queued at one host while another has free slots is late, or makes others late.
         """
         is_old = now - target.load_at > MAX_LOAD_AGE_SECONDS
         if opening.route.terms is not None and is_old:
@@ -205,7 +206,7 @@
     # Answers
 
     def receive_answer(self, key: bytes, target: Target, reply: AgentReply, now: float) -> None:
-        """Take an agent's answer to a new flow; it may be the answer of one passed over."""
+        """Handle an agent's answer to a new flow; it may come after another agent was tried."""
         flow = self.flows.get(key)
         opening = None if flow is None else flow.opening
         if flow is None or opening is None:
@@ -213,7 +214,7 @@
         answer = opening.answers.get(target)
         is_revoked = _revokes_acceptance(answer, reply)
         if answer is not OpeningAnswer.MISSING and not is_revoked:
-            # Not asked, or an answer to a copy: the first one counts.
+            # Not tried, or an answer to a copy: the first answer counts.
             return
         was_accepted = opening.is_accepted()
         if reply.kind is FrameKind.ACCEPTED:
@@ -260,7 +261,7 @@
     # Time
 
     def _park(self, key: bytes, opening: Opening, now: float) -> bool:
-        """Let a flow wait for the first ready host, if one is expected in a moment."""
+        """Let a flow wait for the first ready host, if one is expected soon."""
         if len(self._parked) >= MAX_PARKED or not self._may_wait_for_host(opening, now):
             return False
         self._parked[key] = opening
@@ -274,14 +275,14 @@
         )
 
     def retry_parked(self, now: float) -> None:
-        """Try the flows that wait for a host, the newest first; call when the agents change."""
+        """Try the parked flows again, the newest first; call when the agents change."""
         parked, self._parked = self._parked, {}
         newest_first = sorted(parked.items(), key=lambda each: -each[1].arrived_at)
         for key, opening in newest_first:
             self._try_next(key, opening, now)
 
     def tick(self, now: float) -> None:
-        """Give up waiting for agents that do not answer, and for hosts that do not come."""
+        """Try the next agent where one has not answered, and end parking that took too long."""
         for key, flow in list(self._waiting_for_answers.items()):
             opening = flow.opening
             if opening is not None and now >= opening.deadline:
@@ -295,17 +296,17 @@
 
 
 def _revokes_acceptance(answer: OpeningAnswer | None, reply: AgentReply) -> bool:
-    """Tell whether an agent that accepted a flow now says that its host handed the packet back.
+    """Tell whether an agent that accepted a flow now reports that its host returned the packet.
 
-    An agent answers before its host does. Other refusals after an acceptance are answers to
-    copies of the packet and change nothing.
+    An agent answers before its host does. Other refusals after an acceptance answer copies of the
+    packet and change nothing.
     """
     is_returned = reply.kind is FrameKind.REFUSED and reply.flags == RefusalReason.RETURNED
     return is_returned and answer is OpeningAnswer.ACCEPTED
 
 
 def _attempt_fields(opening: Opening) -> dict[str, object]:
-    """Return what a log line tells of the agents that were asked."""
+    """Return the log fields about the agents that were tried."""
     unanswered = [
         target.record.name
         for target, answer in opening.answers.items()
--- a/src/jasperwalk/balancer/datagrams/paced_link.py
+++ b/src/jasperwalk/balancer/datagrams/paced_link.py
@@ -9,25 +9,25 @@
 from jasperwalk.scheduling.link_pacer import LinkPacer
 
 MIN_PAUSE_SECONDS = 0.008
-"""Shortest pause between two looks: each costs a small machine some of its processor."""
+"""Shortest interval between two releases: each costs processor time on a small machine."""
 
 
 class PacedLink:
-    """Sends through a pacer and releases what waits."""
+    """Sends through a pacer and releases its backlog."""
 
     def __init__(self, pacer: LinkPacer) -> None:
         self._pacer = pacer
         self._scheduled = False
 
     def send(self, datagram: bytes, address: SocketAddress) -> None:
-        """Send a small datagram before those of bulk flows."""
+        """Send a small datagram ahead of those of bulk flows."""
         self._pacer.send(datagram, address, time.monotonic())
         self._schedule_release()
 
     def send_bulk(
         self, flow_key: bytes, number: int, datagram: bytes, address: SocketAddress
     ) -> None:
-        """Send a datagram of a bulk flow in its turn."""
+        """Send a datagram of a bulk flow, or queue it until the link has capacity."""
         self._pacer.send_bulk(flow_key, number, datagram, address, time.monotonic())
         self._schedule_release()
 
--- a/src/jasperwalk/balancer/datagrams/packet_intake.py
+++ b/src/jasperwalk/balancer/datagrams/packet_intake.py
@@ -1,11 +1,10 @@
-"""In which order a busy balancer takes its callers' packets.
+"""Load shedding of new flows at a busy balancer: the order in which callers' packets are handled.
 
-Packets of open flows cost little and come first. A new flow costs a balancer some ten times as
-much, and on a small machine more may come than it can open. First come first served would then
-serve every caller late: each waits behind all others, has given up when its turn comes, and
-comes back with another packet. So new flows are taken newest first, a few at a time between
-two looks at the sockets, and one that has waited too long is reset at once, for its caller to
-try again elsewhere.
+Packets of open flows cost little and are handled at once. A new flow costs a balancer some ten
+times as much, and on a small machine more may arrive than it can open. First in, first out would
+then serve every caller late: each waits behind all others, has given up when it is served, and
+sends another packet. So new flows are opened newest first, a few between two reads of the sockets,
+and one that has waited too long is reset at once, so that its caller tries again elsewhere.
 """
 
 from __future__ import annotations
@@ -17,25 +16,25 @@
 from jasperwalk.balancer.datagrams.flow_balancer import FlowBalancer
 
 OPENINGS_PER_BATCH = 8
-"""New flows taken between two looks at the sockets."""
+"""New flows opened between two reads of the sockets."""
 MAX_INTAKE_SECONDS = 0.4
-"""A new flow that has not been taken by then is reset."""
+"""A new flow that has waited longer is reset."""
 MAX_WAITING_OPENINGS = 1024
 
 
 @dataclass(eq=False, repr=False)
 class PacketIntake:
-    """Stands between the socket and the balancer's core; sans-IO."""
+    """Queue of new flows between the socket and the balancer's core; sans-IO."""
 
     core: FlowBalancer
     _openings: OrderedDict[bytes, ArrivedPacket] = field(default_factory=OrderedDict)
 
     def has_waiting(self) -> bool:
-        """Tell whether new flows wait for `open_waiting`."""
+        """Tell whether `open_waiting` has work."""
         return bool(self._openings)
 
     def receive(self, packet: bytes, now: float) -> None:
-        """Take a packet; new flows wait for `open_waiting`."""
+        """Handle a packet; new flows wait for `open_waiting`."""
         core = self.core
         key = core.key_of(packet)
         if key is None:
--- a/src/jasperwalk/balancer/datagrams/process.py
+++ b/src/jasperwalk/balancer/datagrams/process.py
@@ -1,4 +1,4 @@
-"""The balancer process of the datagram plane: sockets, the home's news, readiness."""
+"""The balancer process of the datagram plane: sockets, messages from the home, readiness."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 SWEEP_SECONDS = 4.0
 DRAINING_SECONDS = 1.6
-"""After a stop signal the balancer is not ready but carries packets until the fabric, which
-asks twice a second and wants two misses, sends it none."""
+"""After a stop signal the balancer is not ready but still forwards packets, until the fabric sends
+none. The fabric checks readiness twice a second and needs two failures."""
 
 logger = structlog.get_logger(__name__)
 
 
 def _pacer(settings: BalancerNodeSettings, frames: DatagramSocket) -> LinkPacer | None:
-    """Return the pacer of the link, None where its rate is not known or not to be kept to."""
+    """Return the link's pacer, None where its rate is unknown or pacing is switched off."""
     if not settings.policies.link_pacing or settings.link_megabits <= 0:
         return None
     rate = PACED_SHARE * link_bytes_per_second(settings.link_megabits)
@@ -56,7 +56,7 @@
 
 
 class BalancerProcess:
-    """Owns a balancer's parts; `run` serves until its stop event is set."""
+    """One balancer process; `run` serves until its stop event is set."""
 
     def __init__(
         self,
@@ -162,7 +162,7 @@
         return ready
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop` is set, then until the fabric sends no more."""
+        """Serve until `stop` is set, then until the fabric sends no more packets."""
         async with serving(self._http, self._metrics):
             await self._serve(stop)
         logger.info("balancer-stopped", **vars(self.core.counters))
@@ -188,7 +188,7 @@
         self._intake.receive(data, time.monotonic())
 
     def _open_waiting(self) -> None:
-        """Open new flows, some at a time: the loop looks at the sockets between two times."""
+        """Open one batch of new flows; the loop reads the sockets between two batches."""
         self._intake.open_waiting(time.monotonic())
         if self._intake.has_waiting() and not self._is_opening_scheduled:
             self._is_opening_scheduled = True
@@ -211,7 +211,7 @@
             await asyncio.sleep(SWEEP_SECONDS)
             self.core.sweep(time.monotonic())
 
-    # The home's news
+    # Messages from the home
 
     def _on_link_change(self, linked: bool) -> None:
         if linked:
@@ -237,7 +237,7 @@
             self._log_changes(update)
 
     def _log_snapshot(self, update: FleetUpdate) -> None:
-        """Write one line: the home logs each agent, and this process has callers waiting."""
+        """Log one line: the home logs each agent, and callers of this process are waiting."""
         phases = Counter(record.phase.value for record in update.records)
         logger.info(
             "agents-known",
@@ -248,7 +248,7 @@
         )
 
     def _log_changes(self, update: FleetUpdate) -> None:
-        """Write a line for each agent, as far as the budget for lines goes."""
+        """Log a line for each agent, within the limit on log lines."""
         for record in update.records:
             self._decisions.note(
                 "agent-changed",
@@ -262,7 +262,7 @@
             self._decisions.note("agent-unlisted", endpoint=str(endpoint))
 
     def _routes_changed(self, update: RoutesUpdate) -> None:
-        """Follow the link's versions; what is put in force is decided by `_put_in_force`."""
+        """Apply an update to the routes of this link; `_put_in_force` decides on their use."""
         for listener in update.removed:
             self._link_routes.pop(listener, None)
         for route in update.changed:
@@ -281,10 +281,10 @@
             )
 
     def _on_home_current(self, status: HomeStatus) -> None:
-        """Put the first routes of this life in force, from a home that is surely current.
+        """Put the first routes of this process in force, from a home that is known to be current.
 
-        Not before the drained zones have come too: what was acknowledged before a loss of all
-        power holds for the first flow after it.
+        Not before the drained zones have arrived too: a drain that was acknowledged before a loss
+        of all power holds for the first flow after it.
         """
         has_zones = self.pool.drained.revision >= status.zones_revision
         if not self.routes.version and has_zones and self._link_version >= status.version:
--- a/src/jasperwalk/fleet/bound_sockets.py
+++ b/src/jasperwalk/fleet/bound_sockets.py
@@ -1,9 +1,9 @@
 """UDP sockets of the datagram plane, bound before the rest of the process is loaded.
 
-Loading its modules is most of what a process does at its start, 0.7 s on a sixth of a processor.
-A packet that comes before the socket is bound is lost, and its sender sends it again after
-hundreds of milliseconds or not at all; one that comes later waits in the kernel. So this module
-loads next to nothing, and a process binds first.
+Most of a process's start-up time goes into loading modules: 0.7 s on a sixth of a processor. A
+packet that arrives before the socket is bound is lost, and its sender sends it again after
+hundreds of milliseconds or not at all; one that arrives later waits in the kernel. So a process
+binds its sockets first, and this module imports almost nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from jasperwalk.fleet.settings import AgentNodeSettings, BalancerNodeSettings
 
 RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
-"""What the kernel is asked to keep: the packets of a second at 30 Mbit/s."""
+"""Requested receive buffer: the packets of one second at 30 Mbit/s."""
 
 
 class BalancerSockets(msgspec.Struct, frozen=True):
@@ -35,14 +35,14 @@
 
 
 def bind_datagrams(address: str) -> socket.socket:
-    """Bind a UDP socket that never blocks to `IPV4:PORT`.
+    """Bind a non-blocking UDP socket to `IPV4:PORT`.
 
     Raises `InvalidAddress`, or `OSError` where the address is taken or not this machine's.
     """
     endpoint = Endpoint.parse(address)
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.setblocking(False)
-    # A kernel that grants a smaller buffer only drops earlier; senders send again.
+    # With a smaller buffer the kernel only drops packets earlier; senders send them again.
     with contextlib.suppress(OSError):
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     bound.bind((endpoint.host, endpoint.port))
@@ -50,7 +50,7 @@
 
 
 def bind_balancer(settings: BalancerNodeSettings) -> BalancerSockets:
-    """Bind what a balancer receives on; raises as `bind_datagrams` does."""
+    """Bind a balancer's sockets; raises as `bind_datagrams` does."""
     return BalancerSockets(
         callers=bind_datagrams(settings.callers_listen),
         frames=bind_datagrams(settings.frames_listen),
@@ -58,7 +58,7 @@
 
 
 def bind_agent(settings: AgentNodeSettings) -> AgentSockets:
-    """Bind what an agent receives on; raises as `bind_datagrams` does."""
+    """Bind an agent's sockets; raises as `bind_datagrams` does."""
     return AgentSockets(
         frames=bind_datagrams(settings.frames_listen),
         host_packets=bind_datagrams(settings.host_packets_listen),
--- a/src/jasperwalk/fleet/daemon.py
+++ b/src/jasperwalk/fleet/daemon.py
@@ -1,4 +1,4 @@
-"""What every process of the datagram plane does at its start: logs, signals, the loop."""
+"""Start-up shared by the processes of the datagram plane: logs, signals, the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from jasperwalk.runtime import run, stop_event
 
 GARBAGE_THRESHOLD = 20_000
-"""Allocations between two looks for cycles: packets make none, and a look takes long."""
+"""Allocations between two runs of the garbage collector. A run takes long and finds little, because
+packets create no reference cycles."""
 
 logger = structlog.get_logger(__name__)
 
@@ -24,7 +25,7 @@
 def serve(
     process: str, name: str, log_level: str, main: Callable[[asyncio.Event], Awaitable[None]]
 ) -> None:
-    """Run a process until SIGTERM; a reload signal is logged, settings are read when needed."""
+    """Run a process until SIGTERM; SIGHUP is only logged, settings are read whenever used."""
     output = cast(TextIO, NonBlockingOutput(sys.stdout.fileno()))
     configure_logging(process, name, log_level, output)
     gc.freeze()
@@ -41,5 +42,5 @@
 
 
 def _log_reload() -> None:
-    """Log the signal; settings that may change (the seeds) are read anew whenever used."""
+    """Log the signal; settings that may change (the seeds) are read again whenever used."""
     logger.info("settings-changed")
--- a/src/jasperwalk/fleet/dialing.py
+++ b/src/jasperwalk/fleet/dialing.py
@@ -1,9 +1,9 @@
-"""Opening a link to the first of several replicas that answers.
+"""Connects to the first of several replicas that answers.
 
-A machine without power says nothing, so a connection to it hangs until it is given up. The
-next replica is therefore dialled while the one before is still open, as "happy eyeballs"
-(RFC 8305) does with addresses: after a loss of power the replicas come back one by one, and
-whoever waits for the wrong one loses what an election takes.
+A machine without power does not answer, so a connection to it hangs until its time-out. The next
+replica is therefore dialled while the attempt before is still pending, as "happy eyeballs"
+(RFC 8305) does with addresses. After a loss of power the replicas come back one by one, and a node
+that waits for the wrong one loses as much time as an election takes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from jasperwalk.transport.framed import FramedConnection
 
 STAGGER_SECONDS = 0.05
-"""How long a replica has to answer before the next one is dialled beside it: a round trip between
+"""How long a replica has to answer before the next one is dialled in parallel: a round trip between
 regions of one continent."""
 
 Dial = Callable[[Endpoint], Coroutine[Any, Any, FramedConnection]]
@@ -37,7 +37,7 @@
 async def dial_first(
     replicas: Iterable[Endpoint], dial: Dial, stagger_seconds: float = STAGGER_SECONDS
 ) -> DialledReplica | None:
-    """Return the first connection that stands, None once every replica has failed."""
+    """Return the first established connection, None once every replica has failed."""
     waiting = deque(replicas)
     attempts: dict[asyncio.Task[FramedConnection], Endpoint] = {}
     try:
@@ -61,7 +61,7 @@
 
 
 def _connection_of(attempt: asyncio.Task[FramedConnection]) -> FramedConnection | None:
-    """Return what an ended attempt opened, None where the replica could not be reached."""
+    """Return the connection of a finished attempt, None if the replica could not be reached."""
     try:
         return attempt.result()
     except JasperwalkError:
@@ -69,7 +69,7 @@
 
 
 async def _abandon(attempts: list[asyncio.Task[FramedConnection]]) -> None:
-    """End the attempts that came too late, and the connections that they opened."""
+    """Cancel the other attempts and abort the connections that they opened."""
     for attempt in attempts:
         attempt.cancel()
     for outcome in await asyncio.gather(*attempts, return_exceptions=True):
--- a/src/jasperwalk/fleet/flow_searches.py
+++ b/src/jasperwalk/fleet/flow_searches.py
@@ -1,6 +1,6 @@
-"""Many searches of flows at once: their questions share frames, their verdicts go to a handler.
+"""Runs many searches at once: their queries share frames, their verdicts go to a handler.
 
-Runs in a balancer that searches by itself, and in an agent that searches on a balancer's behalf.
+Used by a balancer that searches by itself, and by an agent that searches on a balancer's behalf.
 Sans-IO: datagrams leave through `send`, time is a parameter, in seconds.
 """
 
@@ -26,40 +26,40 @@
 MAX_SEARCHES = 4096
 BROADCAST_FRAMES_PER_SECOND = 600.0
 BROADCAST_FRAMES_BURST = 1200.0
-"""Budget of one process's frames that ask everyone."""
+"""Rate limit of one process for frames of queries to all agents."""
 RETURNED_RETENTION_SECONDS = 5.0
-"""How long it is remembered which hosts do not hold a flow that was not found."""
+"""How long the hosts that returned a packet of a flow that was not found are kept."""
 
 
 @dataclass(eq=False, repr=False)
 class SearchCounters:
-    """What the searches of a process came to, and what they cost."""
+    """Outcomes and costs of a process's searches."""
 
     searches: int = 0
     searches_confirming: int = 0
-    """Searches that began by asking several agents which of them has the flow."""
+    """Searches that started by asking several agents which of them has the flow."""
     searches_found: int = 0
     searches_given_up: int = 0
     search_questions: int = 0
-    """Agents asked, the keys of one frame counted one by one; probes of hosts included."""
+    """Queries to agents, each key of a frame counted, and probes of hosts."""
     replies_malformed: int = 0
 
 
 class SearchHandler(Protocol):
-    """What is called when searches end."""
+    """Receives the verdicts of searches."""
 
     def on_search_found(self, search: Search, holder: Target, now: float) -> None:
-        """Take the holder; the search's packets wait for it."""
+        """Handle a found holder; the search's packets wait for it."""
 
     def on_search_held_nowhere(self, search: Search, now: float) -> None:
-        """Take note that every agent has denied the flow."""
+        """Handle a flow that every agent has denied."""
 
     def on_search_inconclusive(self, search: Search, now: float) -> None:
-        """Take note that some agents did not answer."""
+        """Handle a search that ended while some agents had not answered."""
 
 
 class ReturnedBy(msgspec.Struct):
-    """Agents whose hosts handed back a packet of a flow that was not found, and when."""
+    """Agents whose hosts returned a packet of a flow that was not found, and when."""
 
     targets: frozenset[Target]
     recorded_at: float
@@ -67,10 +67,10 @@
 
 @dataclass(eq=False, repr=False)
 class FlowSearches:
-    """Owns the searches.
+    """All open searches of a process.
 
     Call `tick` every few milliseconds while there are any, and `flush` after every frame or
-    packet taken.
+    packet handled.
     """
 
     codec: PacketCodec
@@ -89,7 +89,7 @@
     _returned_by: dict[bytes, ReturnedBy] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Prepare the frames that searches share."""
+        """Create the batch of queries that the searches share."""
         self._batch = QueryBatch(self.send)
 
     def __len__(self) -> int:
@@ -113,9 +113,9 @@
         possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> Search | None:
-        """Begin a search among the agents of these services; None where too many are open.
+        """Start a search among the agents of these services; None if too many are open.
 
-        `regions` are those that the flow's hosts may be in, empty where every region may.
+        `regions` are the regions that the flow's hosts may be in; empty for any region.
         """
         if len(self._searches) >= MAX_SEARCHES:
             return None
@@ -129,7 +129,7 @@
         return search
 
     def read_replies(self, data: bytes) -> list[AgentReply]:
-        """Return what an agent's frame holds, nothing where it is malformed, which is counted."""
+        """Return the answers in an agent's frame; a malformed one is counted and has none."""
         try:
             return decode_replies(data, self.codec.flow_key_bytes)
         except MalformedMessage:
@@ -137,7 +137,7 @@
             return []
 
     def record_answer(self, key: bytes, target: Target, kind: FrameKind, now: float) -> bool:
-        """Take an agent's answer; False where the flow is not being searched."""
+        """Handle an agent's answer; return False if the flow is not being searched."""
         search = self._searches.get(key)
         if search is None:
             return False
@@ -147,24 +147,24 @@
         return True
 
     def flush(self) -> None:
-        """Send the questions that were collected."""
+        """Send the collected queries."""
         self._batch.flush()
 
     def tick(self, now: float) -> None:
-        """Go on with searches whose agents did not answer."""
+        """Advance the searches whose agents have not answered in time."""
         self._start_second_rounds(now)
         for search in list(self._searches.values()):
             if now >= search.deadline and search.key in self._searches:
                 self._advance(search, now)
 
     def sweep(self, now: float) -> None:
-        """Forget what was remembered for too long; call every few seconds."""
+        """Remove what is older than `RETURNED_RETENTION_SECONDS`; call every few seconds."""
         for key, known in list(self._returned_by.items()):
             if now - known.recorded_at > RETURNED_RETENTION_SECONDS:
                 del self._returned_by[key]
 
     def _advance(self, search: Search, now: float) -> None:
-        """Send what the search wants sent, and end it once it has a verdict."""
+        """Send the search's next steps, and end it once it has a verdict."""
         self._send_steps(search, search.advance(self.pool, now), now)
         if search.verdict is SearchVerdict.OPEN:
             return
@@ -188,7 +188,7 @@
             self.send(head + step.packet, target.address)
 
     def _start_second_rounds(self, now: float) -> None:
-        """Let the searches that are due ask everyone together."""
+        """Start the second rounds that are due together, so that they share frames."""
         due = [each for each in self._searches.values() if each.is_second_round_due(now)]
         if not due:
             return
--- a/src/jasperwalk/fleet/group_weights.py
+++ b/src/jasperwalk/fleet/group_weights.py
@@ -1,7 +1,7 @@
-"""Weights of groups of callers, as an operator sets them: how they are checked.
+"""Checks the weights of groups of callers that an operator sets.
 
 The table `[caller_group_weights]` of an agent's settings names zones of callers and the weight of
-each: a zone of weight 2 may have twice as much of a busy host as one of weight 1.
+each: a zone of weight 2 gets twice as much of a busy host as one of weight 1.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 WEIGHTS_TABLE = "caller_group_weights"
 MIN_WEIGHT = 0.001
 MAX_WEIGHT = 1000.0
-"""Beyond these a group has all or nothing, and a digit was probably lost."""
+"""Beyond these bounds a group would get all or nothing; the value is probably a typing error."""
 TABLE_HEADER = re.compile(r"\s*\[+\s*([^\]]*?)\s*\]")
 ASSIGNED_KEY = re.compile(r"\s*([^=#\[]+?)\s*=")
 QUOTES = "\"'"
 
 
 class WeightProblem(msgspec.Struct, frozen=True):
-    """A weight that cannot be meant; `line` is None where the key was not found in the text."""
+    """An invalid weight; `line` is None if the key was not found in the text."""
 
     zone: str
     value: Any
@@ -40,7 +40,7 @@
 
 
 def find_weight_problem(content: Mapping[str, Any], text: str) -> WeightProblem | None:
-    """Return the first weight of parsed settings that cannot be meant; `text` is their file's."""
+    """Return the first invalid weight of parsed settings; `text` is the text of their file."""
     weights = content.get(WEIGHTS_TABLE)
     if not isinstance(weights, dict):
         return None
@@ -53,7 +53,7 @@
 def weights_by_group(weights: Mapping[str, float]) -> dict[int, float]:
     """Return the weights by the groups' numbers.
 
-    Zones whose numbers are the same are one group, which has the weights of both.
+    Zones with the same number are one group, whose weight is their sum.
     """
     by_group: dict[int, float] = {}
     for zone, weight in weights.items():
@@ -70,14 +70,14 @@
     """Return the number of the line that assigns a zone's weight, counted from 1."""
     assigned = f"{WEIGHTS_TABLE}.{zone}"
     for number, key in _assigned_keys(text):
-        # An inline table has all its keys in the line of its own.
+        # An inline table has all its keys on its own line.
         if key in (assigned, WEIGHTS_TABLE):
             return number
     return None
 
 
 def _assigned_keys(text: str) -> Iterator[tuple[int, str]]:
-    """Yield the line and the whole name of each key that a line of its own assigns."""
+    """Yield the line number and the full name of each key that is assigned on its own line."""
     prefix = ""
     for number, line in enumerate(text.splitlines(), start=1):
         header = TABLE_HEADER.match(line)
--- a/src/jasperwalk/fleet/home_link.py
+++ b/src/jasperwalk/fleet/home_link.py
@@ -1,7 +1,7 @@
-"""A node's link to its home: one control replica of those it knows.
+"""A node's link to its home replica: one of the control replicas that it knows.
 
-The node announces itself, pings, and takes what the home sends. It looks for another home
-when the link fails, falls silent, or when the home says for a while that it is not current
+The node announces itself, pings, and handles the home's messages. It connects to another home when
+the link fails or becomes silent, or when the home reports for some time that it is not current
 (it is cut off from the other replicas).
 """
 
@@ -33,15 +33,15 @@
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-"""Longest time for a TCP connection to stand, and for the replica's Hello after that."""
+"""Time limit for establishing a TCP connection, and for the replica's Hello after that."""
 FIRST_CONNECT_SECONDS = 0.1
 """The same for a TCP connection in the first round of dialling; it doubles with each round in which
 no replica answered. A machine that has no power yet drops the first packet of a connection, and the
-kernel sends it again only after a second: a connection dialled anew stands at once."""
+kernel sends it again only after a second; a new connection is established at once."""
 RETRY_SECONDS = 0.1
 PING_SECONDS = 0.4
 SILENCE_SECONDS = 1.2
-"""A home answers every ping; without any message for this long it is given up."""
+"""A home answers every ping; without any message for this long its link is closed."""
 NOT_CURRENT_SECONDS = 0.5
 """How long a home may be not current before another one is tried."""
 
@@ -49,7 +49,7 @@
 
 
 class HomeLost(JasperwalkError):
-    """The home cannot be used any longer, though its connection stands."""
+    """The home cannot be used any longer, although its connection is still open."""
 
     kind = "home-not-current"
 
@@ -65,10 +65,10 @@
         on_link: Callable[[bool], None],
         source: random.Random,
     ) -> None:
-        """`record` gives what is announced, `seeds` the replicas that the settings name.
+        """`record` returns what is announced, `seeds` the replicas that the settings name.
 
-        `seeds` reads the settings file, which may be unfinished at that moment: what it named
-        before counts then.
+        `seeds` reads the settings file, which may be incomplete at that moment; the replicas that
+        it named before are then used.
         """
         self._record = record
         self._seeds = seeds
@@ -84,7 +84,7 @@
         self.home: Endpoint | None = None
 
     def announce(self) -> None:
-        """Send the record again, after a change; a link that fails sends it when it is back."""
+        """Send the record again after a change; a link that fails sends it when re-established."""
         if self._connection is None:
             return
         try:
@@ -103,12 +103,12 @@
                 self._connect_seconds = FIRST_CONNECT_SECONDS
                 self.home = dialled.replica
                 await self._serve_connection(dialled.connection, dialled.replica)
-            # A home that ends every link at once must not be dialled in a tight loop.
+            # A home that closes every link at once must not be dialled in a tight loop.
             elapsed = time.monotonic() - started_at
             await asyncio.sleep(max(0.0, RETRY_SECONDS - elapsed))
 
     def _candidates(self) -> list[Endpoint]:
-        """Return the replicas in the order of trying; the one just lost comes last."""
+        """Return the replicas in the order of dialling; the one just lost comes last."""
         known = list(dict.fromkeys([*self._replicas, *self._read_seeds()]))
         self._random.shuffle(known)
         known.sort(key=lambda replica: replica == self.home)
--- a/src/jasperwalk/fleet/host_slowdowns.py
+++ b/src/jasperwalk/fleet/host_slowdowns.py
@@ -1,9 +1,9 @@
-"""How the hosts of a service compare in pace, as one balancer learns it from its agents' answers.
+"""Slow-host detection in a balancer: compares the service times that agents report.
 
-An agent tells how long its host takes for a request of the kind that was accepted. Kinds differ, so
-a figure is compared with the median of the newest figures of the same kind; what is kept of an
-agent is that ratio. Figures age: what a host did seconds ago says little of it now, and an agent
-that is not asked could not correct a wrong figure.
+An agent reports its host's service time for requests of the kind that was accepted. Kinds differ,
+so a service time is compared with the median of the newest ones of the same kind; the ratio, the
+slowdown, is kept for the agent. Its weight decays with age: what a host did seconds ago says little
+of it now, and an agent that gets no flows could not correct a wrong value.
 """
 
 from __future__ import annotations
@@ -17,46 +17,46 @@
 from jasperwalk.flows.service_time import decode_service_time
 
 TYPICAL_RATIO = 1.5
-"""Hosts within this factor of the median count as equal: requests of one kind differ by as much."""
+"""Hosts within this factor of the median count as typical: requests of one kind differ as much."""
 MAX_SLOWDOWN = 4.0
-"""A pace changes the expected wait by at most this factor; four waits are more than an agent lets
-requests queue for."""
+"""A slowdown changes the expected wait by at most this factor; four times the wait is longer than an
+agent lets requests queue."""
 MIN_SLOWDOWN = 0.5
-"""The same for fast hosts: all balancers together shall not overrun one."""
+"""The same for fast hosts, so that all balancers together do not overload one."""
 FULL_WEIGHT_SECONDS = 1.0
-"""Age up to which a figure counts whole."""
+"""Age up to which a slowdown has its full weight."""
 MAX_SLOWDOWN_AGE_SECONDS = 2.0
-"""Age from which it counts nothing, so that a slow host is tried again."""
+"""Age from which it has no weight, so that a slow host is tried again."""
 MAX_SLOW_SHARE = 0.5
-"""Where more of a service's hosts than this are known as slow, none counts as such: the others
-could not take their load."""
+"""If more of a service's hosts are known to be slow, slowdowns are ignored: the other hosts could
+not take their load."""
 MIN_SAMPLES = 5
-"""Figures of a kind that a median rests on at least."""
+"""Fewest service times of a kind for which a median is computed."""
 SAMPLES_PER_KIND = 32
 MAX_SAMPLE_AGE_SECONDS = 30.0
-"""Figures older than this are not compared with."""
+"""Older service times do not count in the median."""
 MAX_KINDS = 128
-"""Kinds that are compared; the one that was not heard of for longest makes room."""
+"""Bound on the kinds that are kept; the least recently used one is removed."""
 MEDIAN_CACHE_SECONDS = 0.1
-"""A median that was worked out less long ago is used again, and so is a count of slow hosts."""
+"""How long a computed median, or a count of slow hosts, is reused."""
 
 
 class WeightedHost(Protocol):
-    """A host as the comparison needs it."""
+    """The part of a target that the count of slow hosts needs."""
 
     def current_slowdown(self, now: float) -> float:
-        """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
+        """Return the slowdown weighted by its age: 1.0 for typical, more for slow."""
 
 
 class SlowHostCheck(msgspec.Struct, frozen=True):
-    """Whether few enough hosts of a service were known as slow, and when they were counted."""
+    """Whether few enough hosts of a service are slow to avoid them, and when they were counted."""
 
     counted_at: float
     can_avoid_slow: bool
 
 
 class KindServiceTimes:
-    """The newest figures of one kind of request, in seconds, and their median."""
+    """The newest service times of one kind of request, in seconds, and their median."""
 
     __slots__ = ("_median", "_median_at", "_samples")
 
@@ -66,11 +66,11 @@
         self._median_at = float("-inf")
 
     def add(self, seconds: float, now: float) -> None:
-        """Take a figure."""
+        """Add a service time."""
         self._samples.append((now, seconds))
 
     def median(self, now: float) -> float | None:
-        """Return the median of the newest figures, None where there are too few."""
+        """Return the median of the newest service times, None if there are too few."""
         if self._median is None or now - self._median_at >= MEDIAN_CACHE_SECONDS:
             self._median = self._compute(now)
             self._median_at = now
@@ -86,16 +86,16 @@
 
 
 class HostSlowdowns:
-    """Compares figures within kinds; a kind is a service and a listener."""
+    """Compares service times within kinds; a kind is a service and a listener."""
 
     def __init__(self) -> None:
         self._kinds: OrderedDict[tuple[str, bytes], KindServiceTimes] = OrderedDict()
         self._slow_counts: dict[str, SlowHostCheck] = {}
 
     def slowdown_of(self, service: str, listener: bytes, code: int, now: float) -> float | None:
-        """Take a figure; return how many times as long as usual its host takes.
+        """Add a reported service time and return its ratio to the median, bounded.
 
-        That is 1.0 for what counts as equal, and None where nothing can be said.
+        The result is 1.0 for a typical host, and None if nothing is known.
         """
         seconds = decode_service_time(code)
         if seconds is None:
@@ -106,7 +106,7 @@
         return None if median is None else bounded_slowdown(seconds / median)
 
     def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
-        """Tell whether few enough of a service's hosts are known as slow to do without them."""
+        """Tell whether few enough of a service's hosts are slow for the others to take their load."""
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_CACHE_SECONDS:
             slow = sum(host.current_slowdown(now) > 1.0 for host in hosts)
@@ -126,14 +126,14 @@
 
 
 def bounded_slowdown(ratio: float) -> float:
-    """Return the factor that a ratio of paces counts as."""
+    """Return the slowdown that a ratio of service times counts as."""
     if 1.0 / TYPICAL_RATIO <= ratio <= TYPICAL_RATIO:
         return 1.0
     return min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
 
 
 def slowdown_at_age(slowdown: float, age_seconds: float) -> float:
-    """Return what a factor still counts for at an age."""
+    """Return a slowdown weighted by its age."""
     if slowdown == 1.0 or age_seconds >= MAX_SLOWDOWN_AGE_SECONDS:
         return 1.0
     if age_seconds <= FULL_WEIGHT_SECONDS:
--- a/src/jasperwalk/fleet/process_metrics.py
+++ b/src/jasperwalk/fleet/process_metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and latency histograms of a lean process, in the Prometheus text format.
+"""Counters, gauges and latency histograms of a process, in the Prometheus text format.
 
-Counting is plain integers, so that a process on a small machine loads no metrics library until
-somebody asks for its figures; prometheus-client then writes them.
+Counters are plain integers, so that a process on a small machine loads no metrics library before
+the first scrape; prometheus-client then renders them.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(eq=False, repr=False)
 class ProcessMetrics:
-    """What one process tells: `counters` gives its counts by name when asked."""
+    """The metrics of one process; `counters` returns its current counts by name."""
 
     process: str
     counters: Callable[[], Mapping[str, int]]
@@ -31,8 +31,8 @@
     latencies: Mapping[str, LatencyHistogram] = field(default_factory=dict)
 
     def render(self) -> bytes:
-        """Return the figures as text."""
-        # Loaded at the first question only: most processes are never asked.
+        """Return the metrics as text."""
+        # Imported at the first scrape only: most processes are never scraped.
         from prometheus_client import CollectorRegistry, generate_latest  # noqa: PLC0415
 
         registry = CollectorRegistry()
@@ -40,7 +40,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterable[Metric]:
-        """Yield the figures as prometheus-client's families."""
+        """Yield the metrics as prometheus-client's families."""
         from prometheus_client.metrics_core import (  # noqa: PLC0415
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -66,7 +66,7 @@
 
 
 def metrics_server(address: str, path: str, metrics: ProcessMetrics) -> HttpServer | None:
-    """Return the server of a process' figures, None where the settings name no address."""
+    """Return the server of a process's metrics, None if the settings name no address."""
     if not address:
         return None
 
