--- a/src/jasperwalk/fleet/host_slowdowns.py
+++ b/src/jasperwalk/fleet/host_slowdowns.py
@@ -19,8 +19,8 @@
 TYPICAL_RATIO = 1.5
 """Hosts within this factor of the median count as typical: requests of one kind differ as much."""
 MAX_SLOWDOWN = 4.0
-"""A slowdown changes the expected wait by at most this factor; four times the wait is longer than an
-agent lets requests queue."""
+"""A slowdown changes the expected wait by at most this factor; four times the wait is longer than
+an agent lets requests queue."""
 MIN_SLOWDOWN = 0.5
 """The same for fast hosts, so that all balancers together do not overload one."""
 FULL_WEIGHT_SECONDS = 1.0
@@ -106,7 +106,7 @@
         return None if median is None else bounded_slowdown(seconds / median)
 
     def can_avoid_slow_hosts(self, service: str, hosts: Sequence[WeightedHost], now: float) -> bool:
-        """Tell whether few enough of a service's hosts are slow for the others to take their load."""
+        """Tell whether so few hosts of a service are slow that the others can take their load."""
         count = self._slow_counts.get(service)
         if count is None or now - count.counted_at >= MEDIAN_CACHE_SECONDS:
             slow = sum(host.current_slowdown(now) > 1.0 for host in hosts)
--- a/src/jasperwalk/fleet/messages.py
+++ b/src/jasperwalk/fleet/messages.py
@@ -1,7 +1,7 @@
 """Messages of a node's link to a control replica.
 
 A node (balancer or agent) opens one link to one replica, its *home*, and announces itself.
-The home tells the other replicas; every replica tells the balancers that are linked to it.
+The home informs the other replicas; every replica informs the balancers that are linked to it.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 
 class NodeRole(enum.StrEnum):
-    """What a node does."""
+    """The kind of a node."""
 
     BALANCER = "balancer"
     AGENT = "agent"
 
 
 class HostPhase(enum.StrEnum):
-    """What an agent knows of the host beside it."""
+    """State of a host, as far as the agent beside it knows."""
 
     UNKNOWN = "unknown"
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
     ABSENT = "absent"
-    """No host has run there since the agent's process began; one may start."""
+    """No host has run there since the agent's process started; one may start."""
 
 
 HOSTLESS_PHASES = frozenset((HostPhase.GONE, HostPhase.ABSENT))
@@ -43,9 +43,9 @@
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True):
     """A node as it announces itself.
 
-    `incarnation` is drawn at random by each process. `endpoint` takes the plane's frames.
-    The host's fields (service, phase, capacity in requests, slow start left in seconds at
-    the time of sending) are empty for a balancer.
+    `incarnation` is drawn at random by each process. `endpoint` receives the plane's frames.
+    The host's fields (service, phase, capacity in requests, seconds left of its slow start when
+    the record is sent) are empty for a balancer.
     """
 
     name: str
@@ -58,35 +58,35 @@
     capacity: int = 0
     slow_start_seconds: float = 0.0
     host_zone: str = ""
-    """The host's zone as it announces itself, empty where that is the agent's own."""
+    """The host's zone as the host announces it, empty where that is the agent's own."""
     reads_terms: bool = False
     """True for an agent that reads a route's terms beside opening packets."""
 
     def zone_of_host(self) -> str:
-        """Return the zone whose draining concerns the host."""
+        """Return the zone whose drain applies to the host."""
         return self.host_zone or self.zone
 
 
 class Announce(msgspec.Struct, frozen=True, array_like=True, tag=301):
-    """A node to its home: who I am now; sent on every change."""
+    """From a node to its home: the node's current record; sent on every change."""
 
     record: NodeRecord
 
 
 class NodePing(msgspec.Struct, frozen=True, array_like=True, tag=302):
-    """A node to its home, at a steady pace; answered by `HomeStatus`.
+    """From a node to its home, at a fixed interval; answered by `HomeStatus`.
 
-    `zones_revision` numbers the drained zones that it goes by.
+    `zones_revision` is the revision of the drained zones that the node applies.
     """
 
     zones_revision: int = 0
 
 
 class HomeStatus(msgspec.Struct, frozen=True, array_like=True, tag=303):
-    """The home's answer. `current` tells that it holds the newest configuration for sure.
+    """The home's answer. `current` tells that it certainly holds the newest configuration.
 
-    `flow_idle_ms` is the longest rest of a flow by that configuration, 0 where none is known.
-    `zones_revision` numbers the drained zones that the home holds.
+    `flow_idle_ms` is that configuration's idle time-out of a flow, 0 if none is known.
+    `zones_revision` is the revision of the drained zones that the home holds.
     """
 
     current: bool
@@ -97,11 +97,11 @@
 
 
 class FleetUpdate(msgspec.Struct, frozen=True, array_like=True, tag=304):
-    """The home to a balancer: agents that changed or left; `is_snapshot` replaces all it knew.
+    """From the home to a balancer: agents that changed or left.
 
-    An agent in both lists left a moment ago without deregistering: it may still hold flows.
-    `removed_seconds_ago` has the time since each agent of `removed` left, or is empty where all
-    left just now.
+    A message with `is_snapshot` replaces all that the balancer knew. An agent in both lists left a
+    moment ago without deregistering: it may still hold flows. `removed_seconds_ago` has the time
+    since each agent of `removed` left, or is empty if all have left just now.
     """
 
     is_snapshot: bool
@@ -110,15 +110,15 @@
     removed_seconds_ago: list[float] = []
 
     def removals(self) -> list[tuple[Endpoint, float]]:
-        """Return the agents that left, each with how long ago."""
+        """Return the agents that left, each with the seconds since then."""
         ages = self.removed_seconds_ago or [0.0] * len(self.removed)
         return list(zip(self.removed, ages, strict=False))
 
 
 class RoutesUpdate(msgspec.Struct, frozen=True, array_like=True, tag=305):
-    """The home to a balancer: what changed between two versions; from 0 it is everything.
+    """From the home to a balancer: the changes between two versions; from 0 it has all routes.
 
-    Routes are told apart by their listeners.
+    A route is identified by its listener.
     """
 
     from_version: int
@@ -128,9 +128,9 @@
 
 
 class DrainedZones(msgspec.Struct, frozen=True, array_like=True, tag=306):
-    """The home to every node: the zones whose hosts get no new flows, all of them.
+    """From the home to every node: all zones whose hosts get no new flows.
 
-    `revision` rises with each change; what has a lower one is older.
+    `revision` rises with each change; a message with a lower one is older.
     """
 
     revision: int = 0
@@ -138,10 +138,10 @@
 
 
 class WarmUp(msgspec.Struct, frozen=True, array_like=True):
-    """What a host of a service bears while it warms up.
+    """Limit on the new flows of a host that warms up.
 
     `seconds` is how long a host is cold after its start, `flows_per_second` how many new flows it
-    bears then; 0 where the configuration names no figure.
+    can take then; 0 where the configuration names no value.
     """
 
     seconds: float = 0.0
@@ -149,7 +149,7 @@
 
 
 class WarmUpUpdate(msgspec.Struct, frozen=True, array_like=True, tag=307):
-    """The home to an agent: what this version of the configuration says of its service."""
+    """From the home to an agent: its service's warm-up in this version of the configuration."""
 
     version: int
     warm_up: WarmUp
--- a/src/jasperwalk/fleet/node.py
+++ b/src/jasperwalk/fleet/node.py
@@ -1,4 +1,4 @@
-"""What balancers and agents have in common as nodes."""
+"""Definitions shared by the nodes of the datagram plane: balancers and agents."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 INCARNATION_BITS = 62
 
 ReadinessInterface = Callable[[Callable[[], bool]], HttpHandler]
-"""Makes the handler of the fabric's readiness calls from the node's own answer."""
+"""Creates the handler of the fabric's readiness calls; its argument tells whether the node is
+ready."""
 
 
 def draw_incarnation() -> int:
-    """Draw the number that names this process of a node."""
+    """Draw the random number that identifies this process of a node."""
     return secrets.randbits(INCARNATION_BITS)
--- a/src/jasperwalk/fleet/query_batch.py
+++ b/src/jasperwalk/fleet/query_batch.py
@@ -1,4 +1,4 @@
-"""Questions of many searches to the same agents, in as few frames as possible."""
+"""Batches the queries of many searches to the same agents into as few frames as possible."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from jasperwalk.flows.codec import DatagramSender
 
 KEYS_PER_FRAME = 64
-"""Flow keys that one frame asks for; it stays under the usual 1,500 bytes of a link's frame."""
+"""Flow keys in one frame, which so stays below the usual 1,500 bytes of a link's frame."""
 
 
 @dataclass(eq=False, repr=False)
 class QueryBatch:
-    """Collects questions until `flush`."""
+    """Collects queries until `flush`."""
 
     send: DatagramSender
     _keys: dict[Target, list[bytes]] = field(default_factory=dict)
 
     def ask(self, target: Target, key: bytes) -> None:
-        """Ask an agent whether it holds a flow."""
+        """Add a query that asks an agent whether it holds a flow."""
         self._keys.setdefault(target, []).append(key)
 
     def flush(self) -> None:
-        """Send what was asked; called after every packet, so it has to cost nothing else."""
+        """Send the queries; called after every packet, so an empty batch returns at once."""
         if not self._keys:
             return
         batches, self._keys = self._keys, {}
--- a/src/jasperwalk/fleet/search.py
+++ b/src/jasperwalk/fleet/search.py
@@ -1,16 +1,17 @@
-"""Finding the agent that holds a flow, without sending its packets to several hosts.
-
-A flow is opened at one of a few candidates that follow from its key, so these are asked for
-it first; its packets wait here. An agent that started later than its host cannot know: only
-if all candidates have answered and none holds the flow is one packet shown to such hosts, one
-after the other, which hand it back if it is not theirs; a host is shown a flow once. The
-second round asks every agent, because a route may have named other services when the flow was
-opened, or many agents may have come since. Only when every agent has denied the flow is it
-held nowhere.
-
-Questions to every agent are many, and a balancer's link and processor may be thin. After an
-outage there are many searches at once; their second rounds begin together, so that one frame to
-an agent asks for all of them (see `question_batch`), and what is asked of everyone has a budget.
+"""Finds the agent that holds a flow, without sending the flow's packets to several hosts.
+
+A flow is opened at one of a few candidates that follow from its key, so these are queried first;
+its packets wait here. An agent that started later than its host cannot know the host's flows.
+Only if all candidates have answered and none holds the flow are such hosts probed: each in turn is
+sent one packet, which it returns if it does not hold the flow; no host is probed twice. The second
+round queries all agents, because a route may have named other services when the flow was opened,
+or many agents may have joined since. A flow counts as held nowhere only when every agent has
+denied it.
+
+Queries to all agents are many, and a balancer may have little bandwidth and processor time. After
+an outage there are many searches at once. Their second rounds start together, so that one frame to
+an agent has the queries of all of them (see `query_batch`), and queries to all agents have a rate
+limit.
 """
 
 from __future__ import annotations
@@ -28,21 +29,21 @@
 ANSWER_TIMEOUT_SECONDS = 0.06
 """How long a round waits for agents that do not answer."""
 CONFIRM_TIMEOUT_SECONDS = 0.15
-"""How long the agents that may have taken a flow may take to say which of them has it."""
+"""How long the possible holders of a flow may take to answer which of them has it."""
 PROBE_TIMEOUT_SECONDS = 0.06
-"""How long one host may take to hand a packet back."""
+"""How long a probed host may take to return a packet."""
 ROUND_PAUSE_SECONDS = 0.04
-"""Least pause between the first round and the second: late answers come meanwhile."""
+"""Shortest pause between the first round and the second, for late answers."""
 SETTLING_SECONDS = 0.3
-"""No second round begins earlier after the directory was received first: agents may be missing."""
+"""No second round starts earlier after the directory was first received: agents may be missing."""
 ROUND_GRID_SECONDS = 0.02
-"""Second rounds begin at multiples of this."""
+"""Second rounds start at multiples of this, so that they share frames."""
 MAX_HELD_PACKETS = 16
 ROUNDS = 2
 REPEAT_SECONDS = 0.06
-"""Pace of asking again those whose silence would settle the search; they are few."""
+"""Interval of repeated queries to the few agents whose silence would decide the search."""
 REPEATED_ROUNDS = 4
-"""Rounds beyond the second at most: enough for `SILENT_QUERIES` in `SILENT_SECONDS`."""
+"""Most rounds after the second one: enough for `SILENT_QUERIES` in `SILENT_SECONDS`."""
 
 
 class Query(msgspec.Struct, frozen=True):
@@ -52,14 +53,14 @@
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """Show a host one packet of the flow; it hands back what it does not hold."""
+    """Send a host one packet of the flow, which it returns if it does not hold the flow."""
 
     target: Target
     packet: bytes
 
 
 class Confirm(msgspec.Struct, frozen=True):
-    """Give an agent one packet of a flow that it may have taken; it passes on what is its own."""
+    """Send a packet to an agent that may hold its flow, which forwards it to its host if so."""
 
     target: Target
     packet: bytes
@@ -69,18 +70,18 @@
 
 
 class SearchVerdict(enum.Enum):
-    """How a search stands."""
+    """State and result of a search."""
 
     OPEN = "open"
     FOUND = "found"
     NOWHERE = "nowhere"
     """Every agent has denied the flow, twice."""
     UNKNOWN = "unknown"
-    """Some agents did not answer; the caller's next packet begins a new search."""
+    """Some agents did not answer; the caller's next packet starts a new search."""
 
 
 class Search:
-    """One flow's search; sans-IO: what is to be sent is returned."""
+    """One flow's search; sans-IO: `advance` returns the steps to send."""
 
     def __init__(
         self,
@@ -92,11 +93,11 @@
         possible_holders: Sequence[Target] = (),
         regions: frozenset[str] = frozenset(),
     ) -> None:
-        """Begin with one packet; `returned` are agents whose hosts handed one back before.
+        """Start with one packet; `returned` are agents whose hosts returned one before.
 
-        `possible_holders` are the agents that may have taken the flow when it was opened: they are given
-        the packet first, and the one whose host the caller has chosen passes it on. Packets are
-        shown to hosts in `regions` only, where any are named; questions hold no packet.
+        `possible_holders` are the agents that may have taken the flow when it was opened: they get
+        the packet first, and the one whose host the caller has chosen forwards it. Only hosts in
+        `regions` are probed, if any are named; queries carry no packet.
         """
         self.key = key
         self.packets = [packet]
@@ -112,13 +113,13 @@
         self._returned: set[Target] = set(returned)
         self._probing: Target | None = None
         self._pausing = False
-        # Ordered: the same answers have to lead to the same questions.
+        # Ordered: the same answers have to lead to the same queries.
         self._candidates: dict[Target, None] = {}
         self._queried_all = False
         self._possible_holders = tuple(possible_holders)
         self._confirming = False
         self.first_is_forwarded = False
-        """True once the holder has got the first packet with the question."""
+        """True once the holder has received the first packet, with a `Confirm`."""
 
     def hold(self, packet: bytes) -> None:
         """Keep another packet of the flow."""
@@ -126,7 +127,7 @@
             self.packets.append(packet)
 
     def record_answer(self, target: Target, kind: FrameKind) -> None:
-        """Take an agent's answer."""
+        """Record an agent's answer."""
         if kind is FrameKind.HELD:
             self.holder = target
             self.verdict = SearchVerdict.FOUND
@@ -141,15 +142,18 @@
 
     @property
     def returned(self) -> frozenset[Target]:
-        """The agents whose hosts handed a packet of this flow back."""
+        """The agents whose hosts returned a packet of this flow."""
         return frozenset(self._returned)
 
     def unanswered(self) -> list[str]:
-        """Return the names of the agents that did not answer."""
+        """Return the names of the agents that have not answered."""
         return [target.record.name for target, kind in self.queried.items() if kind is None]
 
     def advance(self, pool: TargetPool, now: float) -> list[SearchStep]:
-        """Go on as far as answers and time allow; the second round begins by another call."""
+        """Return the next steps, if answers and time allow any.
+
+        The second round is started by `start_second_round`.
+        """
         if self.verdict is not SearchVerdict.OPEN or self._pausing:
             return []
         if self._possible_holders:
@@ -172,10 +176,10 @@
     def start_second_round(
         self, pool: TargetPool, queries_all: bool, now: float
     ) -> list[SearchStep]:
-        """Ask everyone, or only the candidates again where the budget does not allow more.
+        """Query all agents, or only the candidates again if the rate limit allows no more.
 
-        The candidates are drawn anew: a balancer that has just started may have known no agent
-        when the search began, and an agent that does not know denies nothing as a candidate.
+        The candidates are determined again: a balancer that has just started may have known no
+        agent when the search started, and `UNSURE` from a candidate is no denial.
         """
         self._pausing = False
         self._queried_all = queries_all
@@ -207,7 +211,7 @@
         return [Query(target) for target in targets]
 
     def _probe_next(self, now: float) -> list[SearchStep]:
-        """Show the first packet to the next candidate whose agent does not know.
+        """Probe the host of the next candidate that is unsure with the first packet.
 
         Not while a candidate's answer is missing: it may hold the flow, and the packets would
         go to other hosts meanwhile.
@@ -240,7 +244,7 @@
         return []
 
     def _unconfirmed_denials(self, now: float) -> list[Target]:
-        """Return the agents that would deny the flow by a longer silence."""
+        """Return the agents whose silence will count as a denial once it has lasted longer."""
         if not self._queried_all:
             return []
         return [
@@ -255,12 +259,12 @@
         return [Query(target) for target in targets]
 
     def _silence_means_denial(self, target: Target) -> bool:
-        """Tell whether an agent's silence says as much as its answer would.
+        """Tell whether an agent's silence is worth as much as its answer.
 
-        One that never saw its host could only answer that it does not know, which rules it out
-        where the flow's key does not lead to it. After a loss of power the machines of hosts that
-        had left before are back for a moment and then end, one after the other; without this, each
-        of them would keep every search open until its home has missed it.
+        An agent whose host never announced itself could only answer `UNSURE`, which rules it out
+        unless it is a candidate. After a loss of power the machines of hosts that had left before
+        are back for a moment and then end, one after the other. Without this rule each of them
+        would keep every search open until its home removes it from the directory.
         """
         if target in self._candidates or target.departed:
             return False
@@ -269,8 +273,8 @@
     def _has_denied(self, target: Target, kind: FrameKind | None, now: float) -> bool:
         """Tell whether an agent's answer rules it out.
 
-        An agent that does not know counts as denying where the flow's key does not lead to it:
-        a flow would have been opened there only if several agents had come since.
+        `UNSURE` counts as a denial unless the agent is a candidate: a flow would have been opened
+        there only if several agents had joined since.
         """
         if kind is FrameKind.UNSURE and target not in self._candidates:
             return True
--- a/src/jasperwalk/fleet/search_timer.py
+++ b/src/jasperwalk/fleet/search_timer.py
@@ -1,4 +1,4 @@
-"""Ticks of a process that waits for frames, only while anything is pending."""
+"""Timer for searches and new flows: runs only while something is pending."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SearchTimer:
-    """Calls `tick` with the time while `has_pending`, once the frames that came were read."""
+    """Calls `tick` with the time while `has_pending`, after all arrived frames were read."""
 
     def __init__(
         self,
@@ -26,14 +26,14 @@
         self._is_scheduled = False
 
     def ensure_scheduled(self) -> None:
-        """Go on ticking where there is reason to; call after whatever may give one."""
+        """Schedule the next tick if anything is pending; call after each event."""
         if not self._is_scheduled and self._has_pending():
             self._is_scheduled = True
             asyncio.get_running_loop().call_later(TICK_SECONDS, self._on_timer)
 
     def _on_timer(self) -> None:
         self._is_scheduled = False
-        # An answer that was not read yet is not missing.
+        # An answer that was not read yet must not count as missing.
         if self._frames.read_pending():
             self._tick(time.monotonic())
         self.ensure_scheduled()
--- a/src/jasperwalk/fleet/settings.py
+++ b/src/jasperwalk/fleet/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the datagram plane's nodes, and how a settings file is read.
+"""Settings of the datagram plane's nodes, and the reader of their files.
 
-A settings file is TOML. Keys that are not known are ignored, because what writes the file may
-be newer than this program; a missing or malformed key is an error that names it.
+A settings file is TOML. Unknown keys are ignored, because the program that writes the file may be
+newer than this one; a missing or malformed key is an error that names the key.
 """
 
 from __future__ import annotations
@@ -34,28 +34,28 @@
 
 
 class Policies(msgspec.Struct, frozen=True, kw_only=True):
-    """Table `[policies]`: mechanisms that may be switched off, to measure what each is worth."""
+    """Table `[policies]`: mechanisms that can be switched off, to measure the effect of each."""
 
     delegated_search: bool = True
     """Agents search flows on behalf of balancers."""
     link_pacing: bool = True
-    """A balancer sends no faster than its link carries, and opens uploads as the link has room."""
+    """A balancer sends no faster than its link's rate, and opens uploads as the link allows."""
     request_scheduling: bool = True
-    """An agent orders the requests for its host by the terms of their routes, where these differ
+    """An agent orders the requests for its host by the terms of their routes, if these differ
     between the routes of its service."""
     fair_shares: bool = True
-    """An agent whose host is busy serves the groups of callers that wait by weighted fair shares.
-    It rests on `request_scheduling`, which tells the groups apart."""
+    """An agent whose host is busy serves the waiting groups of callers by weighted fair queueing.
+    It needs `request_scheduling`, which distinguishes the groups."""
     host_pace: bool = True
-    """An agent measures how long its host takes for a request, tells balancers and keeps flows from
-    a host that is much slower than usual; a balancer weighs agents by what they tell."""
+    """An agent measures its host's service times, reports them to balancers and refuses new flows
+    for a host that is much slower than usual; a balancer weighs agents by these reports."""
 
 
 class NodeSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a balancer's and an agent's settings have in common and need not name.
+    """Optional settings that balancers and agents share.
 
     Times are milliseconds. `processor_share` is the process's part of a processor's time, and
-    `processor_speed` how many times as fast as an ordinary one that processor is.
+    `processor_speed` that processor's speed as a multiple of a reference processor's.
     """
 
     flow_lifetime_ms: int = 60_000
@@ -69,7 +69,7 @@
 
     @property
     def processors(self) -> float:
-        """Return what the process has, in ordinary processors."""
+        """Return the process's processor time, in reference processors."""
         return self.processor_share * self.processor_speed
 
 
@@ -80,17 +80,17 @@
     zone: str
     callers_listen: str
     link_megabits: float = 0.0
-    """The link's rate in megabits a second, 0 where it is not known."""
+    """The link's rate in megabits per second, 0 if unknown."""
     caller_window_bytes: int = 20_000
-    """What a caller may have under way on one flow."""
+    """Most unacknowledged bytes that a caller may have in flight on one flow."""
     caller_resend_ms: int = 200
-    """When a caller sends again what was not acknowledged, milliseconds."""
+    """Time after which a caller sends unacknowledged data again, milliseconds."""
     readiness_listen: str
     frames_listen: str
     replica_port: int
     seeds: list[str]
     zone_regions: dict[str, str] = {}
-    """The region of each zone; a route that allows some regions needs it."""
+    """The region of each zone; needed for routes that allow only some regions."""
 
     def replicas(self) -> list[Endpoint]:
         """Return the control replicas that the settings name."""
@@ -100,9 +100,9 @@
 class AgentNodeSettings(NodeSettings, frozen=True, kw_only=True):
     """An agent's settings; end points are `IPV4:PORT`, times are milliseconds.
 
-    `host` takes packets, `host_packets_listen` is where the host sends its own.
-    `callers_port` is the port of callers' addresses at which the fabric takes packets; 0
-    means the one of `frames_listen`.
+    `host` is where the host receives packets, `host_packets_listen` where it sends its own.
+    `callers_port` is the port of callers' addresses at which the fabric receives packets; 0
+    means the port of `frames_listen`.
     """
 
     name: str
@@ -117,16 +117,16 @@
     seeds: list[str]
     callers_port: int = 0
     frames_advertised: str = ""
-    """Where others reach `frames_listen`, where that differs: behind a relay or a translation."""
+    """Address at which others reach `frames_listen`, if different: behind a relay or NAT."""
     warm_up_floor: float | None = None
-    """New flows a second that any cold host bears, whatever its service's configuration says.
+    """New flows per second that any cold host can take, whatever its service's configuration says.
 
-    It holds until the configuration has come; without it nothing limits a cold host until then.
+    It applies until the configuration has arrived; without it a cold host is unlimited until then.
     """
     least_share: Annotated[float, msgspec.Meta(ge=0.0, le=0.5)] = DEFAULT_LEAST_SHARE
-    """Part of the requests begun at a busy host that less urgent ones keep while they wait."""
+    """Part of the requests started at a busy host that less urgent ones keep while they wait."""
     caller_group_weights: dict[str, float] = {}
-    """The weight of callers of each zone, where it is not 1: their part of a busy host."""
+    """The weight of callers of each zone, if it is not 1: their share of a busy host."""
 
     def group_weights(self) -> dict[int, float]:
         """Return the weights by the numbers of the callers' groups."""
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -1,9 +1,9 @@
-"""One agent as one balancer knows it: how busy it is, how its host fares, whether it may be chosen.
+"""One agent as one balancer knows it: load, slowdown of its host, and whether it may be chosen.
 
-How busy an agent is comes with its answers on the data path; what this balancer sent since the last
-answer is added. An agent that leaves the directory without deregistering may only have lost its
-control link: it stays usable for a while, because an agent that is really gone does not answer and
-is passed over.
+An agent's load comes with its answers on the data path; the flows that this balancer has sent since
+the last answer are added. An agent that leaves the directory without deregistering may only have
+lost its control link: it stays usable for some time, because an agent that is really gone does not
+answer and is then avoided.
 """
 
 from __future__ import annotations
@@ -28,39 +28,39 @@
 """An agent without a control link for this long that does not answer either is lost, or cut off
 from everybody: its callers are reset, so that they try again while they still can."""
 DRAINING_LOST_AFTER_SECONDS = 10.0
-"""The same for an agent whose host was leaving and has not deregistered: the host may serve its
-last flows for many seconds yet, and they are not to be reset."""
+"""The same for an agent whose host was draining and has not deregistered: the host may serve its
+last flows for many more seconds, and they must not be reset."""
 SILENT_SECONDS = 0.2
-"""An agent that has answered no question for this long is silent; a working one answers within a
-few milliseconds, also in the second after a loss of all power."""
+"""An agent that has answered no query for this long is silent; a working one answers within a few
+milliseconds, also in the second after a loss of all power."""
 SILENT_QUERIES = 3
-"""Questions in a row that have to be unanswered as well: were one in a hundred datagrams lost,
-three in a row would be one in a million."""
+"""Consecutive queries that must be unanswered as well: if one in a hundred datagrams is lost, three
+in a row are lost once in a million."""
 SUSPECT_SECONDS = 1.0
-"""How long an agent that did not answer is chosen only if no other is left."""
+"""How long an agent that did not answer is avoided: chosen only if no other is left."""
 REFUSING_SECONDS = 0.2
-"""How long an agent is passed over that refused a new flow for its host's sake: because the host
-warms up, or because its zone is drained and this balancer has not learned of that yet. Without it
-such a host looks idle and is asked first for every flow."""
+"""How long an agent is avoided that refused a new flow because its host warms up, or because its
+zone is drained and this balancer does not know that yet. Otherwise such a host looks idle and is
+tried first for every flow."""
 FAILING_SECONDS = 0.5
 """The same for one that refused because its host fails its requests. All balancers of a service
-together still ask it often enough for its trials, five a second."""
+together still send it enough flows for its trials, five per second."""
 SLOW_SECONDS = 0.5
 """The same for one that refused because its host is much slower than usual; trials as well."""
 LOAD_FRESH_SECONDS = 1.0
-"""Age up to which what is known of an agent's load counts whole. A balancer that sends an agent
-several flows a second always has such a figure."""
+"""Age up to which a reported load counts fully. A balancer that sends an agent several flows per
+second always has one as fresh."""
 LOAD_HALF_LIFE_SECONDS = 1.0
-"""Time after that in which it comes to count half. The figure of an unable host, 16 for each slot,
-falls below a usual load of 0.3 within 7 s; requests take some 0.05 s, so a figure that is seconds
-old says little of a host that works."""
+"""Half-life of the load's weight after that. The load that stands for an unable host, 16 per slot,
+falls below a typical load of 0.3 within 7 s. Requests take some 0.05 s, so a load that is seconds
+old says little of a working host."""
 SLOW_START_FACTOR = 2.0
-"""How much an agent's load counts while its host is in slow start."""
+"""Factor on an agent's load while its host is in slow start."""
 UNKNOWN_CAPACITY = 1
 
 
 class Target(msgspec.Struct, eq=False):
-    """One process of an agent; frames for it are prepared."""
+    """One process of an agent, with the encoded heads of frames to it."""
 
     record: NodeRecord
     address: SocketAddress
@@ -72,61 +72,61 @@
     started_at: float
     """When this balancer first received a record of the agent's present process."""
     load: float = 0.0
-    """What the last answer told, and `load_at` when."""
+    """The load in the last answer, received at `load_at`."""
     load_at: float = 0.0
     sent_since: int = 0
-    """New flows sent there since that answer, and `sent_at` when the last of them was."""
+    """New flows sent there since that answer, the last one at `sent_at`."""
     sent_at: float = 0.0
     suspect_until: float = float("-inf")
     refuses_until: float = float("-inf")
     slowdown: float = 1.0
-    """How many times as long as usual its host takes for a request, and `slowdown_at` when told."""
+    """Ratio of its host's service times to typical ones, reported at `slowdown_at`."""
     slowdown_at: float = float("-inf")
     zone_drained: bool = False
-    """True while the host's zone takes no new flows."""
+    """True while the host's zone is drained."""
     slow_until: float = float("-inf")
     unlisted_since: float | None = None
     silent_since: float | None = None
-    """When the first question was asked that has had no answer yet, None where there is none."""
+    """Time of the first query that has no answer yet, None if there is none."""
     unanswered_queries: int = 0
-    """Questions asked since then, several at the same moment counted once."""
+    """Queries sent since then; several at the same time count once."""
     queried_at: float = float("-inf")
     departed: bool = False
-    """True once the agent said that there is no host, or another process took its address."""
+    """True once the agent reported that it has no host, or another process took its address."""
 
     def open_head(self, terms: OpeningTerms) -> bytes:
-        """Return what goes in front of an opening packet."""
+        """Return the frame head for an opening packet."""
         if terms.route is not None and not self.record.reads_terms:
             # An agent of an earlier release takes a frame with terms for a malformed one.
             terms = msgspec.structs.replace(terms, route=None)
         return encode_open_head(self.service_tag, terms)
 
     def record_load(self, load: float, now: float) -> None:
-        """Take the load of an answer."""
+        """Record the load of an answer."""
         self.load = load
         self.load_at = now
         self.sent_since = 0
         self.suspect_until = float("-inf")
 
     def record_sent(self, now: float) -> None:
-        """Note that a new flow was sent there."""
+        """Record that a new flow was sent there."""
         self.sent_since += 1
         self.sent_at = now
 
     def record_slow_refusal(self) -> None:
-        """Note that the agent refused a new flow because its host is slow."""
+        """Record that the agent refused a new flow because its host is slow."""
         self.slowdown = MAX_SLOWDOWN
 
     def is_avoided(self, now: float) -> bool:
-        """Tell whether the agent is chosen only if no other is left: it was silent, or refused."""
+        """Tell whether the agent was silent or refused, and so is chosen only as the last one."""
         return now < max(self.suspect_until, self.refuses_until)
 
     def was_slow(self) -> bool:
-        """Tell whether the host was slow by the last that its agent told, however long ago."""
+        """Tell whether the host was slow by its agent's last report, however old."""
         return self.slowdown > 1.0
 
     def record_query(self, now: float) -> None:
-        """Note that the agent was asked whether it holds a flow."""
+        """Record a query whether the agent holds a flow."""
         if self.silent_since is None:
             self.silent_since = now
         if now > self.queried_at:
@@ -134,12 +134,12 @@
             self.unanswered_queries += 1
 
     def record_answer(self) -> None:
-        """Note that the agent answered a question."""
+        """Record that the agent answered a query."""
         self.silent_since = None
         self.unanswered_queries = 0
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the agent has left several questions unanswered for a while."""
+        """Tell whether the agent has left `SILENT_QUERIES` unanswered for `SILENT_SECONDS`."""
         if self.silent_since is None or self.unanswered_queries < SILENT_QUERIES:
             return False
         return now - self.silent_since >= SILENT_SECONDS
@@ -153,10 +153,10 @@
         return self.record.phase is HostPhase.UNKNOWN
 
     def relative_load(self, now: float) -> float:
-        """Return requests under way for each slot, as far as known.
+        """Return requests in flight per slot, as far as known.
 
-        What is known ages: an agent that once answered that its host is unable would never be asked
-        again otherwise, for only an answer replaces its figure.
+        The known load decays with age: only an answer replaces it, so an agent that once reported
+        an unable host would otherwise never be tried again.
         """
         capacity = max(self.record.capacity, UNKNOWN_CAPACITY)
         load = self.load * _load_weight_at_age(now - self.load_at)
@@ -165,14 +165,14 @@
         return (load + 1.0 / capacity) * SLOW_START_FACTOR if now < self.slow_until else load
 
     def current_slowdown(self, now: float) -> float:
-        """Return what the known pace counts for now: 1.0 for as usual, more for slow."""
+        """Return the slowdown weighted by its age: 1.0 for typical, more for slow."""
         return slowdown_at_age(self.slowdown, now - self.slowdown_at)
 
     def expected_wait(self, now: float) -> float:
-        """Return the expected wait, counted in requests of usual length for each slot.
+        """Return the expected wait, counted in requests of typical service time per slot.
 
-        A new request waits for those before it, and it is itself worked on as slowly. Where the
-        pace is as usual this is the relative load.
+        A new request waits for those before it, and its own service is as slow. Without a slowdown
+        the result is the relative load.
         """
         load = self.relative_load(now)
         if self.slowdown == 1.0:
@@ -217,7 +217,7 @@
 
 
 def _load_weight_at_age(age_seconds: float) -> float:
-    """Return how much of a figure about an agent's load still counts."""
+    """Return the weight of an agent's load at an age, 0 to 1."""
     if age_seconds <= LOAD_FRESH_SECONDS:
         return 1.0
     return float(0.5 ** ((age_seconds - LOAD_FRESH_SECONDS) / LOAD_HALF_LIFE_SECONDS))
--- a/src/jasperwalk/fleet/targets.py
+++ b/src/jasperwalk/fleet/targets.py
@@ -1,6 +1,7 @@
-"""The agents as one balancer knows them, and the choice of one for a new flow.
+"""The agents as one balancer knows them, and the choice of an agent for a new flow.
 
-What the directory says decides who may be chosen; the least busy by its last answers is (`target`).
+The directory decides which agents may be chosen. Of these, the least busy one by its last answers
+is chosen (`target`).
 """
 
 from __future__ import annotations
@@ -27,25 +28,25 @@
 """A new flow goes to one of this many agents of its service, by rendezvous hash of its key:
 enough for the least busy of them to be nearly the least busy of all, and few enough to ask."""
 SEARCHED_CANDIDATE_COUNT = 12
-"""Agents of a service that may hold a flow by its key: the candidates when it was opened, and
-room for agents that came since."""
+"""Agents of a service that may hold a flow by its key: the candidates when it was opened, and a
+margin for agents that joined since."""
 FLOW_LIFETIME_SECONDS = 70.0
-"""A flow without a packet for this long is forgotten, and an agent that left longer ago."""
+"""Time after which a flow without packets is removed, and an agent that has left."""
 EXPECTED_PHASES = frozenset((HostPhase.UNKNOWN, HostPhase.ABSENT))
 EXPECTED_SECONDS = 2.0
-"""A host is expected to speak to its agent within this time of the agent's start."""
+"""A host is expected to announce itself to its agent within this time of the agent's start."""
 AVOIDED_COST = 1000.0
-"""More than any load: a suspect is chosen only if no other is left."""
+"""More than any load: an avoided agent is chosen only if no other is left."""
 OTHER_ZONE_COST = 0.12
-"""What crossing zones adds to an agent's relative load: bytes between zones are paid for."""
+"""Added to the load of an agent in another zone: traffic between zones is paid for."""
 BULK_OTHER_ZONE_COST = 1.0
-"""The same for uploads, whose every packet crosses: another zone only where this one is busier
-by a request for each slot."""
+"""The same for uploads, whose packets all cross: another zone is chosen only if this one is busier
+by one request per slot."""
 FREE_LOAD_PER_SLOT = 0.7
-"""Requests for each slot below which a host of this zone is as good for a caller as any other: it
-most likely has a slot free, so the flow need not cross zones."""
+"""Requests per slot below which a host of this zone is as good for a caller as any other: it most
+likely has a free slot, so the flow need not cross zones."""
 JITTER = 0.05
-"""Balancers that know the same loads shall not all choose the same agent."""
+"""Random part of the cost, so that balancers with the same loads do not all choose one agent."""
 
 
 @dataclass(eq=False, repr=False)
@@ -61,13 +62,13 @@
     _by_service: dict[str, list[Target]] = field(default_factory=dict)
     _by_address: dict[SocketAddress, Target] = field(default_factory=dict)
     weighs_slowdown: bool = True
-    """False to weigh agents by their load alone, whatever they tell of their hosts' pace."""
+    """False to weigh agents by their load alone, without their hosts' service times."""
     _slowdowns: HostSlowdowns = field(default_factory=HostSlowdowns)
     directory_since: float | None = None
     """When the first agents were received from a home, None before."""
 
     def update(self, update: FleetUpdate, now: float) -> None:
-        """Take the directory's news in."""
+        """Apply an update of the directory."""
         if self.directory_since is None:
             self.directory_since = now
         if update.is_snapshot:
@@ -81,7 +82,7 @@
         self._index()
 
     def drain_zones(self, zones: DrainedZones) -> bool:
-        """Take the drained zones; return False for what newer knowledge has overtaken."""
+        """Apply the drained zones; return False for a revision that is not newer."""
         if zones.revision <= self.drained.revision:
             return False
         self.drained = zones
@@ -118,7 +119,7 @@
             self._by_address[target.address] = target
 
     def remove_old(self, now: float, lifetime_seconds: float) -> None:
-        """Forget agents that left longer ago than any flow may last."""
+        """Remove agents that left longer ago than `lifetime_seconds`."""
         old = [
             target
             for target in self._targets.values()
@@ -144,10 +145,10 @@
         regions: Collection[str] = (),
         prefers_own_zone: bool = False,
     ) -> Target | None:
-        """Return the least loaded usable candidate for a flow key, None where there is none.
+        """Return the least loaded usable candidate for a flow key, None if there is none.
 
-        `regions` are those that the flow's hosts may be in, empty where every region may. A flow
-        that `prefers_own_zone` leaves this zone only if none of its candidates here has room.
+        `regions` are the regions that the flow's hosts may be in; empty for any region. A flow that
+        `prefers_own_zone` leaves this zone only if none of its candidates here has a free slot.
         """
         usable = [each for each in self._of_service(service, regions) if each.is_usable(now)]
         candidates = [
@@ -166,7 +167,7 @@
         )
 
     def _free_in_own_zone(self, candidates: Sequence[Target], now: float) -> list[Target]:
-        """Return the candidates of this zone whose hosts most likely have a slot free."""
+        """Return the candidates of this zone whose hosts most likely have a free slot."""
         return [
             target
             for target in candidates
@@ -176,7 +177,7 @@
         ]
 
     def record_service_time(self, target: Target, listener: bytes, code: int, now: float) -> None:
-        """Take what an agent told of its host's pace for requests of a listener."""
+        """Record the service time that an agent reported for requests of a listener."""
         if not self.weighs_slowdown:
             return
         ratio = self._slowdowns.slowdown_of(target.record.service, listener, code, now)
@@ -198,7 +199,7 @@
     def _of_service(self, service: str, regions: Collection[str]) -> Sequence[Target]:
         """Return the agents of a service whose hosts are in one of the regions, if any are named.
 
-        A zone of no known region is in none.
+        A zone without a known region is in none of them.
         """
         targets = self._by_service.get(service, [])
         if not regions:
@@ -212,10 +213,10 @@
     def expects_hosts(
         self, services: Collection[str], now: float, regions: Collection[str] = ()
     ) -> bool:
-        """Tell whether hosts of these services may be ready in a moment.
+        """Tell whether hosts of these services may become ready within `EXPECTED_SECONDS`.
 
-        After a start of the whole fleet agents are known before their hosts have spoken, and a
-        balancer that has just started does not know all agents yet.
+        After a start of the whole fleet agents are known before their hosts have announced
+        themselves, and a balancer that has just started does not know all agents yet.
         """
         if self.directory_since is None or now - self.directory_since < EXPECTED_SECONDS:
             return True
@@ -231,7 +232,7 @@
     def candidates(
         self, services: Collection[str], key: bytes, regions: Collection[str] = ()
     ) -> list[Target]:
-        """Return the agents of these services that may hold a flow, leaving ones too."""
+        """Return the agents of these services that may hold a flow, draining ones included."""
         found: list[Target] = []
         for service in services:
             alive = [each for each in self._of_service(service, regions) if not each.departed]
@@ -239,17 +240,17 @@
         return found
 
     def helper(self, key: bytes, now: float) -> Target | None:
-        """Return the agent that searches for a flow on this process's behalf.
+        """Return the agent that is to search for a flow on this process's behalf.
 
-        One in this zone where there is any that answers, always the same for a key, so that
-        what a caller sends again joins the search that is under way.
+        It is in this zone if one that answers is, and always the same for a key, so that a packet
+        that the caller sends again joins the search in progress.
         """
         answering = [each for each in self._targets.values() if each.can_search(now)]
         near = [each for each in answering if each.record.zone == self.zone]
         return next(iter(_ranked(near or answering, key, 1)), None)
 
     def services_of(self, tags: Collection[int]) -> list[str]:
-        """Return the services known by these tags."""
+        """Return the known services with these tags."""
         return [service for service in self._by_service if service_tag(service) in tags]
 
     def all_targets(self) -> list[Target]:
