--- a/src/jasperwalk/balancer/agent_sockets.py
+++ b/src/jasperwalk/balancer/agent_sockets.py
@@ -1,8 +1,8 @@
 """Connected UDP sockets towards agents.
 
-Sending on a connected socket spares the kernel the look-up of the route for each datagram,
-which is the dearest part of `sendto`. Their number is bounded: agents beyond it are reached
-by `sendto`, which costs more but needs no socket.
+Sending on a connected socket spares the kernel the route look-up for each datagram, which is the
+most expensive part of `sendto`. The number of sockets is bounded: further agents are reached by
+`sendto`, which costs more but needs no socket.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 """Connected sockets at a time, well below the usual limit of 1,024 open files."""
 
 RENEWAL_SECONDS: Final = 60.0
-"""A full set starts anew at most this often, so that it holds the agents in use."""
+"""A full set is cleared at most this often, so that it holds the agents in use."""
 
 SOCKET_BUFFER_BYTES: Final = 4 * 1024 * 1024
-"""Wanted size of the kernel's buffers; the kernel may grant less (net.core.rmem_max)."""
+"""Requested size of the kernel's buffers; the kernel may grant less (net.core.rmem_max)."""
 
 SendDatagram = Callable[[bytes], int]
 """Sends one datagram to one agent; raises `OSError` when the kernel refuses it."""
 
 
 class AgentSockets:
-    """Finds or opens the way to an agent."""
+    """Finds or opens the socket for sending to an agent."""
 
     def __init__(self, unconnected: socket.socket) -> None:
         """Take the socket that reaches the agents for which there is no connected one."""
         self.senders: dict[SocketAddress, SendDatagram] = {}
-        """Ways that are open, by destination; the forwarding loop looks here first."""
+        """Send functions of connected sockets, by destination; used by the fast path."""
         self.connected: dict[SocketAddress, socket.socket] = {}
         """Connected sockets by destination, which can send several datagrams at once."""
         self._unconnected = unconnected
         self._full_since: float | None = None
 
     def open(self, destination: SocketAddress, now: float) -> SendDatagram:
-        """Return a way to an agent that is not among `senders`; `now` is in seconds."""
+        """Return a send function for an agent that is not in `senders`; `now` is in seconds."""
         if len(self.connected) >= MAX_SOCKETS:
             if self._full_since is None:
                 self._full_since = now
@@ -50,7 +50,7 @@
         try:
             sender = _connect(destination)
         except OSError:
-            # No file descriptor is left, or no route: the send itself gives the reason.
+            # No file descriptor is left, or no route exists: the send itself reports the reason.
             return self._through_unconnected(destination)
         self.connected[destination] = sender
         self.senders[destination] = sender.send
--- a/src/jasperwalk/balancer/core.py
+++ b/src/jasperwalk/balancer/core.py
@@ -1,16 +1,16 @@
 """The balancer's decision for each datagram, without sockets, clocks or per-flow state.
 
-A packet of an established flow names its agent in its connection ID and is forwarded
-without a look at the pool, so that it reaches its agent whatever this balancer knows of
-members. Only a new flow needs candidates. What is kept between datagrams depends on the
-table alone (a route for each listener, prepared pools) or is bounded (a route's agents), so
-memory does not grow with the number of flows.
-
-A balancer's table may be old. It serves new flows only after its follower was fresh once,
-because an empty or ancient table would send them to hosts that left long ago. When control
-is lost later it goes on with its last table: agents check service and incarnation of every
-packet and hand on the flows that they should not take, whereas a balancer that stopped
-would turn the loss of control into the loss of the service.
+A packet of an established flow has its agent's address in its connection ID and is forwarded
+without consulting the pool, so it reaches its agent whatever this balancer knows of members. Only a
+new flow needs candidates. State between datagrams depends on the table alone (a route for each
+listener, prepared pools) or is bounded (a route's agents), so memory does not grow with the number
+of flows.
+
+A balancer's table may be old. New flows are served only after the follower was fresh once, because
+an empty or very old table would send them to backends that left long ago. When control is lost
+later, the balancer continues with its last table: agents check service and incarnation of every
+packet and hand over the flows that they should not take, whereas a balancer that stopped would turn
+the loss of control into a loss of service.
 """
 
 from __future__ import annotations
@@ -65,11 +65,11 @@
 """Largest datagram from the fabric, in bytes."""
 
 unpack_short_header: Final = struct.Struct("!16s4xI2xHBB16sx").unpack_from
-"""Reads what the short path needs, in one call.
+"""Reads the fields that the fast path needs, in one call.
 
-The fields: constant part of the PROXY header, VIP's host and port, first octet of the
-packet, first octet of the connection ID, its encrypted block, and one byte more, without
-which a short header packet is malformed.
+The fields: constant part of the PROXY header, VIP's host and port, first octet of the packet, first
+octet of the connection ID, its encrypted block, and one more byte, without which a short header
+packet is malformed.
 """
 
 OPENING_KINDS: Final = frozenset((PacketKind.INITIAL, PacketKind.UNKNOWN_VERSION))
@@ -84,7 +84,7 @@
 
 
 class BalancerCore:
-    """Decides for each datagram; see the module's docstring."""
+    """Decides where each datagram is forwarded, or why it is dropped."""
 
     def __init__(
         self,
@@ -106,11 +106,11 @@
 
     @property
     def accepts_new_flows(self) -> bool:
-        """Whether new flows are taken; see `accept_new_flows`."""
+        """Whether new flows are accepted; see `accept_new_flows`."""
         return self._new_flows.accepted
 
     def table_changed(self, table: RoutingTable) -> None:
-        """Take the table's new state, in time proportional to the listeners in use.
+        """Apply the table's new state, in time proportional to the listeners in use.
 
         Raises `UnusableConnectionIdKey`, after which the former keys stay in use.
         """
@@ -125,11 +125,11 @@
             self._keys = keys
 
     def accept_new_flows(self) -> None:
-        """Begin to accept new flows; it holds until the process ends."""
+        """Accept new flows from now on, until the process ends; called once the table is fresh."""
         self._new_flows.accepted = True
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
-        """Take the hint that nothing listened at an agent's address a moment ago."""
+        """Record that nothing listened at an agent's address a moment ago."""
         self._new_flows.agent_refused(agent, now)
 
     def handle(self, datagram: bytes, now: float) -> Forward | DropReason:
@@ -142,9 +142,9 @@
     def handle_all(self, datagrams: Iterable[bytes], now: float) -> Outcomes:
         """Decide for datagrams from the fabric, in their order; never raises.
 
-        This is the short path, for packets of established flows whose service and agent
-        were met before: each step is one lookup or one call, and whatever fails goes to
-        `_decide`, which gives the same answer at leisure or the reason for a drop.
+        This is the fast path, for packets of established flows whose service and agent were seen
+        before: each step is one look-up or one call. Whatever fails goes to `_decide`, which gives
+        the same answer more slowly, or the reason for a drop.
         """
         outcomes = Outcomes()
         by_agent = outcomes.by_agent
@@ -178,7 +178,7 @@
         return outcomes
 
     def _decide(self, datagram: bytes, now: float) -> Forward | DropReason:
-        """Decide for any datagram."""
+        """Decide for any datagram, without the assumptions of the fast path."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._drop(DropReason.OVERSIZED)
         if not datagram.startswith(HEADER_PREFIX) or len(datagram) <= HEADER_LENGTH:
@@ -213,7 +213,7 @@
             return self._drop(DropReason.BAD_AGENT_ADDRESS)
         substitute = self._substitute_agent(packed_address, route, header)
         if substitute is not None:
-            # Not kept among the route's agents: each flow's packets have their own witness.
+            # Not kept among the route's agents: each flow has its own substitute.
             self.counters.witnessed += 1
             return Forward(substitute, _encode(datagram, route, ()))
         route.add_destination(server_id, destination)
@@ -223,9 +223,9 @@
     def _substitute_agent(
         self, packed_address: bytes, route: ServiceRoute, header: PacketHeader
     ) -> SocketAddress | None:
-        """Return another agent for a flow whose own agent is offline, None if it is not.
+        """Return another agent for a flow whose own agent is offline, None if it is not offline.
 
-        That agent passes the packet on, or resets the flow if its agent is lost.
+        The other agent forwards the packet, or resets the flow if its agent is lost.
         """
         member = self._table.member(Endpoint.unpack(packed_address))
         if member is None or member.service_id != route.service_id:
--- a/src/jasperwalk/balancer/forwarding.py
+++ b/src/jasperwalk/balancer/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarded datagrams as bytes, put together from parts that were encoded before.
+"""Encodes forwarded datagrams by concatenating parts that were encoded before.
 
-The result equals `codec.encode(ForwardedDatagram(...))`, without a general encoder on the
-path of each packet. The parts, in the order of the struct's fields:
+The result equals `codec.encode(ForwardedDatagram(...))`, without running a general encoder for
+each packet. The parts, in the order of the struct's fields:
 
     array head, tag, version, service ID, revision, hops, head of the address block  (prefix)
     address block                                                      (from the datagram)
@@ -19,11 +19,11 @@
 from jasperwalk.messages.datagrams import ADDRESS_BLOCK_LENGTH
 
 MAX_PAYLOAD_BYTES: Final = 2048
-"""Largest caller's datagram, in bytes, that is forwarded; QUIC paths carry some 1500."""
+"""Largest caller's datagram that is forwarded; QUIC paths carry some 1500 bytes."""
 
 DATAGRAM_TAG: Final = 1
 FIELD_COUNT: Final = 8
-"""Elements of the array: the tag and the seven fields of `ForwardedDatagram`."""
+"""Array elements: the tag and the seven fields of `ForwardedDatagram`."""
 
 # Major types and argument sizes of CBOR, RFC 8949 section 3.
 UNSIGNED: Final = 0
@@ -46,7 +46,7 @@
 
 
 def encode_prefix(service_id: int, revision: int) -> bytes:
-    """Encode all that comes before the address block, for a service at a revision."""
+    """Encode the part before the address block, for a service at a revision."""
     return (
         cbor_head(ARRAY, FIELD_COUNT)
         + cbor_head(UNSIGNED, DATAGRAM_TAG)
--- a/src/jasperwalk/balancer/metrics.py
+++ b/src/jasperwalk/balancer/metrics.py
@@ -1,4 +1,4 @@
-"""The balancer's metrics, read from plain counters when a scrape asks for them."""
+"""The balancer's metrics, read from plain counters at each scrape."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self._freshness_age_seconds = freshness_age_seconds
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the metrics as they now stand."""
+        """Yield the current metrics."""
         yield self._forwarded()
         yield self._dropped()
         yield CounterMetricFamily(
--- a/src/jasperwalk/balancer/new_flows.py
+++ b/src/jasperwalk/balancer/new_flows.py
@@ -1,4 +1,4 @@
-"""Whether a new flow is taken, and its candidates."""
+"""Admission control of new flows, and the choice of their candidates."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from jasperwalk.token_bucket import TokenBucket
 
 NEW_FLOW_BURST_SECONDS: Final = 0.1
-"""New flows that may come at once, as a time at the limit's rate."""
+"""Burst of new flows that the limit allows, as a time at the limit's rate."""
 
 
 class NewFlows:
-    """Checks and places the packets that open flows."""
+    """Checks the packets that open flows and chooses their candidates."""
 
     def __init__(self, table: RoutingTable, flows_per_second: float, now: float) -> None:
         self.accepted = False
-        """Whether new flows are taken at all; see `BalancerCore.accept_new_flows`."""
+        """Whether new flows are accepted at all; see `BalancerCore.accept_new_flows`."""
         burst = max(1.0, flows_per_second * NEW_FLOW_BURST_SECONDS)
         self._limit = TokenBucket(flows_per_second, burst, now)
         self.index = CandidateIndex(table)
-        """Orders the members for each flow; the lab's baselines put another in its place."""
+        """Ranks the members for each flow; the lab's baselines replace it."""
         self._refusals = Refusals()
 
     def table_changed(self, table: RoutingTable) -> None:
-        """Take the table's new state."""
+        """Apply the table's new state."""
         self.index.table_changed(table)
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
-        """Take the hint that nothing listened at an agent's address a moment ago."""
+        """Record that nothing listened at an agent's address a moment ago."""
         self._refusals.record(agent, now)
 
     def refuse(self, payload_length: int, header: PacketHeader, now: float) -> DropReason | None:
@@ -55,7 +55,7 @@
         return None
 
     def choose(self, service_id: int, flow_key: bytes, now: float) -> CandidatePair | None:
-        """Return a new flow's candidates; all refusing members are better than none."""
+        """Return a new flow's candidates; refusing members only if there are no others."""
         refusing = self._refusals.current(now)
         if refusing:
             prepared_members = self.index.prepared_members(service_id)
@@ -70,5 +70,5 @@
         return self.index.candidates(service_id, flow_key)
 
     def substitute(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
-        """Return members that may stand in for a flow's own agent, which is offline."""
+        """Return members that may replace a flow's own agent, which is offline."""
         return self.index.candidates(service_id, flow_key)
--- a/src/jasperwalk/balancer/outcomes.py
+++ b/src/jasperwalk/balancer/outcomes.py
@@ -1,4 +1,4 @@
-"""What a balancer does with a datagram: forward it, or drop it for a counted reason."""
+"""Result of a balancer's decision on a datagram: forward it, or drop it for a counted reason."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 SocketAddress = tuple[str, int]
-"""Host and port in the shape that sockets take."""
+"""Host and port as the socket API takes them."""
 
 
 class Forward(msgspec.Struct, frozen=True, gc=False):
@@ -43,10 +43,10 @@
 
 
 class Outcomes:
-    """What a balancer does with several datagrams.
+    """Results for several datagrams.
 
-    `by_agent` holds the datagrams for each agent in their order. In `others` are those that
-    an alternative agent may take as well, and the reasons for drops.
+    `by_agent` holds the datagrams for each agent in their order. `others` holds those that an
+    alternative agent may take as well, and the reasons for drops.
     """
 
     __slots__ = ("by_agent", "others")
@@ -56,7 +56,7 @@
         self.others: list[Forward | DropReason] = []
 
     def add(self, outcome: Forward | DropReason) -> None:
-        """Put one more outcome where it belongs."""
+        """Add the result for one datagram."""
         if isinstance(outcome, Forward) and outcome.alternative is None:
             self.by_agent.setdefault(outcome.destination, []).append(outcome.data)
         else:
@@ -64,9 +64,10 @@
 
 
 class DatagramCounters:
-    """Datagrams by class since the start; plain integers, read by the metrics now and then.
+    """Datagrams by class since the start; plain integers, read at each scrape.
 
-    `witnessed` counts those of established flows whose agent is offline: they went to another.
+    `witnessed` counts datagrams of established flows that went to a substitute because the flow's
+    agent is offline.
     """
 
     __slots__ = ("dropped", "established", "new_flows", "witnessed")
--- a/src/jasperwalk/balancer/process.py
+++ b/src/jasperwalk/balancer/process.py
@@ -1,7 +1,7 @@
 """The balancer process: the datagram socket, the follower of the table and the admin server.
 
-The process serves established flows from its first table on, and new flows once its
-follower was fresh; `jasperwalk.balancer.core` gives the reasons.
+The process serves established flows from its first table on, and new flows once its follower was
+fresh; `jasperwalk.balancer.core` has the reasons.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 PROCESS_KIND: Final = "balancer"
 MILLISECONDS_PER_SECOND: Final = 1000
 FRESHNESS_POLL_SECONDS: Final = 0.05
-"""How often a starting balancer asks whether its follower is fresh."""
+"""Interval at which a starting balancer checks whether its follower is fresh."""
 
 
 async def run_balancer(settings: BalancerSettings) -> None:
-    """Serve until SIGTERM or SIGINT; raises `OSError` when a port can't be had."""
+    """Serve until SIGTERM or SIGINT; raises `OSError` if a port cannot be bound."""
     configure_logging(PROCESS_KIND, settings.name, settings.log_level)
     process = BalancerProcess(settings)
     await process.run(stop_event())
 
 
 class BalancerProcess:
-    """Owns the parts of one balancer; `run` serves until its stop event is set."""
+    """One balancer process; `run` serves until its stop event is set."""
 
     def __init__(self, settings: BalancerSettings) -> None:
-        """Open the datagram socket; raises `OSError` when the port can't be had."""
+        """Open the datagram socket; raises `OSError` if the port cannot be bound."""
         self._logger = get_logger()
         # The socket comes first, because the follower announces its real port.
         self._receiver = DatagramReceiver(settings.listen)
@@ -73,7 +73,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The end point on which datagrams are taken."""
+        """The end point on which datagrams are received."""
         return self._receiver.endpoint
 
     @property
@@ -104,7 +104,7 @@
         try:
             await asyncio.wait((stopped, following), return_when=asyncio.FIRST_COMPLETED)
             if following.done():
-                # A follower ends by itself only through a defect: fail loudly, not silently.
+                # A follower ends by itself only because of a defect, whose exception is raised here.
                 following.result()
         finally:
             tasks = (stopped, following, awaiting_freshness)
@@ -138,7 +138,7 @@
         return self._receiver.queue_drops()
 
     def _health(self) -> HealthReport:
-        # Loss of control later is no reason to be taken out: the last table goes on serving.
+        # A later loss of control does not make the process unhealthy: the last table still serves.
         return HealthReport(
             healthy=self.core.accepts_new_flows,
             facts=(
--- a/src/jasperwalk/balancer/queues.py
+++ b/src/jasperwalk/balancer/queues.py
@@ -1,13 +1,13 @@
-"""The two queues in which the kernel keeps the fabric's datagrams until they are read.
+"""The two kernel queues that hold the fabric's datagrams until they are read.
 
-In one queue a flood of new flows takes the places of established flows' packets: what finds
-the queue full is lost, whatever it is, before this process has a say. So two sockets share
-the port, and a filter in the kernel (classic BPF on the port's sockets) puts datagrams that
-can only be meant to open a flow into the second: packets with a long header whose connection
-ID does not have the length of a routable one. The filter decides between queues and nothing
-else; whoever forges packets of the established kind is judged by the core as before.
+With a single queue a flood of new flows would displace packets of established flows: the kernel
+drops whatever arrives at a full queue, before this process can choose. So two sockets share the
+port, and a filter in the kernel (classic BPF on the port's sockets) puts datagrams that can only
+open a flow into the second queue: packets with a long header whose connection ID does not have the
+length of a routable one. The filter only selects the queue; forged packets of the established kind
+are checked by the core as before.
 
-Where the kernel knows no such filter, one queue serves all.
+If the kernel has no such filter, one queue holds all datagrams.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from jasperwalk.routing.quic_packets import LENGTH_START, LONG_HEADER_BIT
 
 OPENING_BUFFER_BYTES: Final = 1024 * 1024
-"""Size of the second queue: a deeper one would keep Initials until their callers gave up."""
+"""Size of the second queue: a longer one would keep Initials until their callers have given up."""
 
 SO_ATTACH_REUSEPORT_CBPF: Final = 51
 """Linux: attach a filter that chooses among the sockets of a port (since 4.5)."""
@@ -52,21 +52,21 @@
     (RETURN, 0, 0, 0),
     (RETURN, 0, 0, 1),
 )
-"""Returns the index of the socket; a load beyond the datagram's end ends it with 0."""
+"""Returns the index of the socket; a load beyond the datagram's end returns 0."""
 
 
 class QueueDrop(enum.StrEnum):
-    """Queues that lost datagrams because they were full; the value is the metric's label."""
+    """A queue that lost datagrams because it was full; the value is the metric's label."""
 
     ESTABLISHED = "queue-full"
     OPENING = "opening-queue-full"
 
 
 class DatagramQueues:
-    """Owns the sockets: `established`, and `opening` unless there is only one queue."""
+    """The sockets: `established`, and `opening` unless there is only one queue."""
 
     def __init__(self, listen: Endpoint, *, separate_openings: bool = True) -> None:
-        """Open and bind; raises `OSError` when the port can't be had."""
+        """Open and bind; raises `OSError` if the port cannot be bound."""
         self.established = _open_socket(SOCKET_BUFFER_BYTES)
         try:
             # Bound without SO_REUSEPORT, so that a port in use is refused.
@@ -82,7 +82,7 @@
                 self.opening = _open_second(self.established)
 
     def drops(self) -> dict[QueueDrop, int]:
-        """Count the datagrams that each queue lost; without an entry where that is unknown."""
+        """Return how many datagrams each queue lost; a queue without a known count is left out."""
         counts: dict[QueueDrop, int] = {}
         queues = ((QueueDrop.ESTABLISHED, self.established), (QueueDrop.OPENING, self.opening))
         for drop, queue in queues:
@@ -107,7 +107,7 @@
 
 
 def _open_second(first: socket.socket) -> socket.socket:
-    """Open the second socket of the port; raises `OSError`, and the first serves alone then."""
+    """Open the second socket of the port; raises `OSError`, after which the first serves alone."""
     second = _open_socket(OPENING_BUFFER_BYTES)
     try:
         first.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/src/jasperwalk/balancer/receiver.py
+++ b/src/jasperwalk/balancer/receiver.py
@@ -1,7 +1,7 @@
-"""The balancer's UDP sockets: takes the fabric's datagrams and sends what the core decides.
+"""The balancer's UDP sockets: receives the fabric's datagrams and sends as the core decides.
 
-The socket is read directly, many datagrams for each wake-up of the event loop: a datagram
-protocol of asyncio costs a call, a source address and a task switch more for each of them.
+The socket is read directly, many datagrams per wake-up of the event loop: a datagram protocol of
+asyncio costs one more call, source address and task switch for each of them.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from jasperwalk.balancer.segments import send_run, split_runs
 
 DATAGRAMS_PER_WAKE_UP: Final = 128
-"""After so many datagrams the event loop gets a turn, for heartbeats and metrics."""
+"""Datagrams read before the event loop runs other tasks, such as heartbeats and metrics."""
 
 OPENINGS_PER_WAKE_UP: Final = 32
-"""The same for datagrams that open flows, each of which costs several established ones."""
+"""The same for datagrams that open flows, each of which costs as much as several others."""
 
 RECEIVE_BYTES: Final = MAX_DATAGRAM_BYTES + 1
-"""One byte more than the largest datagram, so that a longer one is seen to be longer."""
+"""One byte more than the largest datagram, so that a longer one is detected."""
 
 ERRORS_OF_EARLIER_SEND: Final = frozenset((errno.ECONNREFUSED, errno.EHOSTUNREACH))
-"""What ICMP said of an earlier datagram; the one that is refused was not sent at all."""
+"""Errors that ICMP reported for an earlier datagram; the one being sent was not sent at all."""
 
 
 class DatagramHandler(Protocol):
@@ -42,16 +42,16 @@
         ...
 
     def handle_all(self, datagrams: Sequence[bytes], now: float) -> Outcomes:
-        """Return what to send where, and why datagrams were dropped."""
+        """Return which datagrams to send where, and why the others were dropped."""
         ...
 
     def agent_refused(self, agent: SocketAddress, now: float) -> None:
-        """Take the hint that nothing listened at an agent's address a moment ago."""
+        """Record that nothing listened at an agent's address a moment ago."""
         ...
 
 
 class DatagramReceiver:
-    """Owns the sockets; `start` and `stop` attach it to the running event loop."""
+    """The sockets; `start` and `stop` attach them to the running event loop and detach them."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         *,
         separate_openings: bool = True,
     ) -> None:
-        """Open and bind the sockets; raises `OSError` when the port can't be had."""
+        """Open and bind the sockets; raises `OSError` if the port cannot be bound."""
         self.send_failures = 0
         self._clock = clock
         self._queues = DatagramQueues(listen, separate_openings=separate_openings)
@@ -69,14 +69,14 @@
         self.endpoint = self._queues.endpoint
 
     def start(self, handler: DatagramHandler) -> None:
-        """Give datagrams to `handler` from now on."""
+        """Start passing datagrams to `handler`."""
         loop = asyncio.get_running_loop()
         loop.add_reader(self._queues.established.fileno(), self.drain, handler)
         if self._queues.opening is not None:
             loop.add_reader(self._queues.opening.fileno(), self.drain_openings, handler)
 
     def stop(self) -> None:
-        """Take no more datagrams and close the sockets."""
+        """Stop receiving and close the sockets."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._queues.established.fileno())
         if self._queues.opening is not None:
@@ -84,16 +84,16 @@
         self.close()
 
     def close(self) -> None:
-        """Close the sockets of a receiver that isn't attached to a loop."""
+        """Close the sockets of a receiver that is not attached to a loop."""
         self._agents.close()
         self._queues.close()
 
     def queue_drops(self) -> dict[QueueDrop, int]:
-        """Count the datagrams that were lost because their queue was full."""
+        """Return how many datagrams were lost because their queue was full."""
         return self._queues.drops()
 
     def drain(self, handler: DatagramHandler) -> None:
-        """Handle the datagrams of established flows that wait, as many as a wake-up may."""
+        """Handle waiting datagrams of established flows, at most `DATAGRAMS_PER_WAKE_UP`."""
         self._established_waiting = self._handle_batch(
             self._queues.established, DATAGRAMS_PER_WAKE_UP, handler
         )
@@ -101,14 +101,14 @@
     def drain_openings(self, handler: DatagramHandler) -> None:
         """Handle some datagrams that open flows, once none of an established flow waits.
 
-        Whatever a flood brings, established ones wait for `OPENINGS_PER_WAKE_UP` at most.
+        Even in a flood, datagrams of established flows wait for at most `OPENINGS_PER_WAKE_UP`.
         """
         self.drain(handler)
         if not self._established_waiting and self._queues.opening is not None:
             self._handle_batch(self._queues.opening, OPENINGS_PER_WAKE_UP, handler)
 
     def _handle_batch(self, queue: socket.socket, limit: int, handler: DatagramHandler) -> bool:
-        """Handle at most so many datagrams of a queue; return whether more may wait.
+        """Handle at most `limit` datagrams of a queue; return whether more may be waiting.
 
         Packets of established flows are sent at the end, those to one agent together.
         """
@@ -118,7 +118,7 @@
             while len(datagrams) < limit:
                 datagrams.append(receive(RECEIVE_BYTES))
         except OSError:
-            # Nothing waits any more, or a pending ICMP error, which recv has now cleared.
+            # The queue is empty, or there was a pending ICMP error, which recv has now cleared.
             pass
         now = self._clock()
         outcomes = handler.handle_all(datagrams, now)
@@ -136,7 +136,7 @@
         handler: DatagramHandler,
         now: float,
     ) -> None:
-        """Send datagrams to one agent with as few calls as may be."""
+        """Send datagrams to one agent with as few system calls as possible."""
         sender = self._agents.connected.get(destination)
         for run in split_runs(datagrams):
             if sender is not None and len(run) > 1:
@@ -144,7 +144,7 @@
                     send_run(sender, run)
                     continue
                 except OSError as error:
-                    # Nothing of the run was sent: what follows sends one by one.
+                    # None of the run was sent: they are sent one by one below.
                     if error.errno in ERRORS_OF_EARLIER_SEND:
                         handler.agent_refused(destination, now)
             for data in run:
@@ -156,16 +156,16 @@
         try:
             send(outcome.data)
         except OSError as error:
-            # A full buffer or a port that is closed: UDP may lose it, QUIC sends it again.
+            # A full buffer or a closed port: UDP may lose the datagram, QUIC sends it again.
             self.send_failures += 1
             if error.errno in ERRORS_OF_EARLIER_SEND:
                 handler.agent_refused(destination, now)
                 self._send_again(outcome, now)
 
     def _send_again(self, outcome: Forward, now: float) -> None:
-        """Send what a connected socket left unsent to report that an earlier datagram failed.
+        """Send again what a connected socket did not send because it reported an earlier error.
 
-        The agent may be back by now; a new flow goes to its other candidate all the same.
+        The agent may be back by now; a new flow still goes to its other candidate.
         """
         destination = outcome.alternative or outcome.destination
         send = self._agents.senders.get(destination) or self._agents.open(destination, now)
--- a/src/jasperwalk/balancer/refusals.py
+++ b/src/jasperwalk/balancer/refusals.py
@@ -1,9 +1,9 @@
-"""Agents whose ports were closed a moment ago, as ICMP told.
+"""Agents whose ports were closed a moment ago, as reported by ICMP.
 
-Control calls an agent offline after seconds of silence, and later still while it elects a
-leader. Until then every retransmission of a new flow would go to the same candidate, whether
-it lives or not. A refusal is a hint and no more: new flows are given to the other members for
-a while, as if control had spoken, and it has no say over established ones.
+Control marks an agent offline after seconds of silence, and later still while it elects a leader.
+Until then every retransmission of a new flow would go to the same candidate, whether it is alive or
+not. A refusal is only a hint: for `REFUSAL_SECONDS` new flows go to the other members, as if
+control had marked the agent offline. Established flows are not affected.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from jasperwalk.balancer.outcomes import SocketAddress
 
 REFUSAL_SECONDS: Final = 3.0
-"""Time for which a refusal counts; a flow that tries the agent then shows whether it is back."""
+"""Time for which a refusal counts; after it a flow that tries the agent shows whether it is back."""
 
 MAX_REFUSALS: Final = 4_096
-"""Refusals kept; beyond it the set starts anew."""
+"""Refusals kept; a full set is cleared."""
 
 
 class Refusals:
-    """Keeps the refusals of the last seconds."""
+    """The refusals of the last `REFUSAL_SECONDS`."""
 
     def __init__(self) -> None:
         self._until: dict[SocketAddress, float] = {}
 
     def record(self, agent: SocketAddress, now: float) -> None:
-        """Note that an agent's machine refused a datagram; `now` is in seconds."""
+        """Record that an agent's machine refused a datagram; `now` is in seconds."""
         if len(self._until) >= MAX_REFUSALS:
             self._until.clear()
         self._until[agent] = now + REFUSAL_SECONDS
--- a/src/jasperwalk/balancer/routes.py
+++ b/src/jasperwalk/balancer/routes.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps of its table for forwarding: a route for each listener in use."""
+"""Forwarding state that a balancer derives from its table: a route for each listener in use."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 )
 
 MAX_DESTINATIONS: Final = 65_536
-"""Agents that a route keeps; beyond it the route starts anew."""
+"""Agents that a route keeps; a full set is cleared."""
 
 HOST_LENGTH: Final = 4
 """Bytes of the host in a packed end point."""
 
 VipKey = tuple[int, int]
-"""A listener's host and port as numbers, the cheapest key that a datagram yields."""
+"""A listener's host and port as numbers, the cheapest key to read from a datagram."""
 
 unpack_vip: Final = struct.Struct("!20xI2xH").unpack_from
 """Reads the destination of a PROXY header: host and port."""
@@ -53,11 +53,11 @@
 
 
 class ServiceRoute:
-    """What forwarding needs of one service at the table's revision.
+    """Forwarding state of one service at the table's revision.
 
-    `destinations` holds the agents that were met, by the first nine bytes of a server ID
-    (address and service), all of them checked: the service is this one and the address lies
-    in the agents' networks.
+    `destinations` holds the agents that were seen, by the first nine bytes of a server ID (address
+    and service). All of them were checked: the service is this one and the address lies in the
+    agents' networks.
     """
 
     __slots__ = ("destinations", "packed_service_id", "prefix", "service_id")
@@ -73,19 +73,19 @@
         return server_id[SERVICE_ID_START:SERVICE_ID_END] == self.packed_service_id
 
     def add_destination(self, server_id: bytes, destination: SocketAddress) -> None:
-        """Keep an agent that was checked, for the short path."""
+        """Keep an agent that was checked, for the fast path."""
         if len(self.destinations) >= MAX_DESTINATIONS:
             self.destinations.clear()
         self.destinations[server_id[:SERVICE_ID_END]] = destination
 
 
 class RouteTable:
-    """The routes of one state of the table, made as datagrams ask for them."""
+    """The routes of one state of the table, created when datagrams need them."""
 
     def __init__(self, table: RoutingTable) -> None:
         self._table = table
         self.routes: dict[VipKey, ServiceRoute] = {}
-        """Read by the short path; `find` fills it."""
+        """Read by the fast path; `find` fills it."""
 
     def find(self, datagram: bytes) -> ServiceRoute | None:
         """Return the route of a datagram's listener, None for an unknown one."""
@@ -102,7 +102,7 @@
 
 
 class AgentNetworks:
-    """The networks in which agents live: nothing is sent outside them."""
+    """The networks of the agents: nothing is sent outside them."""
 
     def __init__(self, networks: Sequence[IPv4Network]) -> None:
         self._networks = [
--- a/src/jasperwalk/balancer/segments.py
+++ b/src/jasperwalk/balancer/segments.py
@@ -1,8 +1,8 @@
-"""Several datagrams to one agent in one system call (UDP segmentation offload).
+"""Sends several datagrams to one agent in one system call (UDP segmentation offload).
 
-The kernel is handed datagrams of one length end to end and cuts them apart again, so that the
-way through its layers, the dearest part of a send, is gone once for all of them. An agent
-receives the very datagrams that single sends would have brought it, in the same order.
+The kernel gets concatenated datagrams of one length and splits them again, so that its network
+stack, the most expensive part of a send, is passed once for all of them. An agent receives the same
+datagrams as from single sends, in the same order.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 """Datagrams that the kernel takes at once (UDP_MAX_SEGMENTS; 128 in newer ones)."""
 
 MAX_SEND_BYTES: Final = 65_507
-"""Longest payload of one send: a whole IPv4 packet less its headers."""
+"""Longest payload of one send: the largest IPv4 packet less its headers."""
 
 _pack_length = struct.Struct("=H").pack
 
@@ -36,9 +36,9 @@
 
 
 def send_run(sender: socket.socket, run: Sequence[bytes]) -> None:
-    """Send a run of two and more on a connected socket.
+    """Send a run of two or more on a connected socket.
 
-    Raises `OSError` when the kernel refuses all of it: it knows no segmentation, the path
+    Raises `OSError` if the kernel refuses all of it: it does not support segmentation, the path
     takes no datagrams of that length, or ICMP reported the loss of an earlier one.
     """
     length = (socket.IPPROTO_UDP, UDP_SEGMENT, _pack_length(len(run[0])))
--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -1,10 +1,10 @@
-"""Datagrams between balancers and agents.
+"""Frames: the datagrams between balancers and agents.
 
-Every frame begins with its kind, its flags and a 32-bit tag of the service that the sender
-means (an address may belong to another service by now). Frames towards an agent go on with a
-caller's packet or, for `FIND`, with one flow key or several. Frames towards a balancer go on
-with the agent's load, the flow key and, for `RETURNED`, the caller's packet; `ANSWERS` goes on
-with a kind and a flow key for each key that was asked for.
+Every frame starts with its kind, its flags and a 32-bit tag of the service that the sender means
+(the address may belong to another service by now). In frames to an agent a caller's packet follows
+or, for `FIND`, one or more flow keys. In frames to a balancer the agent's load and the flow key
+follow and, for `RETURNED`, the caller's packet; in `ANSWERS` the load is followed by a kind and a
+flow key for each queried key.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame says; values are part of the protocol."""
+    """The kind of a frame; values are part of the protocol."""
 
     OPEN = 1
     """Balancer: take this new flow, or refuse it."""
@@ -29,13 +29,13 @@
     FIND = 3
     """Balancer: do you hold this flow?"""
     CONFIRM = 4
-    """Balancer: you may have taken this flow; here is its caller's next packet. Pass it on if it
-    follows your host's answer up, and say whether it does."""
+    """Balancer: you may have taken this flow; this is its caller's next packet. Forward it if it
+    follows up your host's answer, and reply whether it does."""
     LOCATE = 5
-    """Balancer: search this flow on my behalf, and pass its packet on. The flags count the tags
+    """Balancer: search for this flow on my behalf, and forward its packet. The flags count the tags
     of the services that may hold it, which come before the packet."""
     ACCEPTED = 11
-    """Agent: the new flow went to my host; the flags tell its pace (`flows.pace`)."""
+    """Agent: the new flow went to my host; the flags hold its service time (`service_time`)."""
     REFUSED = 12
     """Agent: my host does not take this new flow; the flags hold a `RefusalReason`."""
     HELD = 13
@@ -43,14 +43,14 @@
     NOT_HELD = 14
     """Agent: the flow is not at my host."""
     UNSURE = 15
-    """Agent: I started later than my host and don't know; a packet would tell."""
+    """Agent: I started later than my host and do not know; a probe would tell."""
     RETURNED = 16
     """Agent: my host does not hold the flow of this packet."""
     ANSWERS = 17
     """Agent: `HELD`, `NOT_HELD` or `UNSURE` for each of several flow keys."""
     LOCATED = 18
-    """Agent: what the search came to; the flags hold a `LocateVerdict`. Where the flow was found
-    the agent's end point stands in place of a packet."""
+    """Agent: result of the search; the flags hold a `LocateVerdict`. If the flow was found, the
+    holder's end point stands in place of a packet."""
 
 
 class RefusalReason(enum.IntEnum):
@@ -65,17 +65,17 @@
     """The host does not answer opening packets."""
     ZONE_DRAINED = 7
     WARMING_UP = 8
-    """The host is cold and has had as many new flows as it bears for now."""
+    """The host is cold and has had as many new flows as it can take for now."""
     FAILING = 9
-    """The host fails many of its requests; it gets some that may be repeated, and else none while
+    """The host fails many of its requests; it gets some that may be repeated, and no others while
     another host takes them."""
     SLOW = 10
-    """The host is much slower than usual and would answer too late. Said only to balancers that
-    tell terms: earlier ones take a reason that they do not know for a malformed frame."""
+    """The host is much slower than usual and would answer too late. Sent only to balancers that
+    send terms: earlier ones treat an unknown reason as a malformed frame."""
 
 
 class LocateVerdict(enum.IntEnum):
-    """What a search on a balancer's behalf came to."""
+    """Result of a search on a balancer's behalf."""
 
     FOUND = 1
     NOWHERE = 2
@@ -91,39 +91,39 @@
 REPLY_KINDS = frozenset(
     kind for kind in FrameKind if kind >= FrameKind.ACCEPTED and kind is not FrameKind.ANSWERS
 )
-"""Kinds of an agent's frames that answer for one flow."""
+"""Kinds of agents' frames that answer for one flow."""
 
 REQUEST_HEAD = struct.Struct("!BBI")
-"""Kind, flags, service tag: in front of what a balancer sends."""
+"""Kind, flags, service tag: head of a balancer's frames."""
 REPLY_HEAD = struct.Struct("!BBIHH")
-"""Kind, flags, service tag, load in `LOAD_UNITS`, capacity: in front of what an agent sends."""
+"""Kind, flags, service tag, load in units of `LOAD_UNIT`, capacity: head of an agent's frames."""
 
 ENDPOINT_BYTES = 6
 """Address and port of an agent."""
 FLAG_REPEATABLE = 1
-"""On `OPEN`: the flow's requests may be repeated by their caller, whatever becomes of them."""
+"""On `OPEN`: the caller may repeat the flow's requests, whatever their outcome."""
 FLAG_WAIT = 2
-"""On `OPEN`: let the flow wait for room; other agents have refused or are known to be full."""
+"""On `OPEN`: let the flow wait for a slot; other agents have refused or are known to be full."""
 FLAG_TERMS = 4
 """On `OPEN`: the route's terms come before the packet. Sent only to agents that read them."""
 AGE_SHIFT = 4
-"""On `OPEN`: the upper four bits tell how long ago the caller began, in `AGE_UNIT_SECONDS`."""
+"""On `OPEN`: the upper four bits are the age of the caller's attempt, in `AGE_UNIT_SECONDS`."""
 AGE_UNIT_SECONDS = 0.1
 MAX_AGE_UNITS = 0xF
 
 CARRIED_TERMS = struct.Struct("!BHHH")
 """Priority, objective, limit in milliseconds, group of callers."""
 MAX_CARRIED_MS = 0xFFFF
-"""Longer times are told as this one: nothing waits for a minute."""
+"""Longer times are sent as this one: nothing waits for a minute."""
 
 LOAD_UNIT = 0.01
-"""Requests under way that one unit of the load field stands for."""
+"""Requests in flight that one unit of the load field stands for."""
 MAX_LOAD_UNITS = 0xFFFF
 FULL_LOAD_PER_SLOT = 1.4
-"""Requests under way for each of a host's slots at which its agent refuses new flows, and a
-balancer expects it to. A host with a few slots has its next request at hand then; with one more
-for each slot every request would wait for a whole one before it, which is late on a cold host.
-Further ones wait better where the newest goes first."""
+"""Requests in flight per slot of a host at which its agent refuses new flows, and a balancer
+expects it to. A host with a few slots then always has its next request; with one more per slot
+every request would wait for the full service time of another, which is too long on a cold host.
+Further requests had better wait where the newest is served first."""
 
 
 def service_tag(service: str) -> int:
@@ -132,11 +132,11 @@
 
 
 class OpeningTerms(msgspec.Struct, frozen=True):
-    """What an `OPEN` frame says of a new flow.
+    """What an `OPEN` frame states about a new flow.
 
-    `waits`: it may wait for room, others have none. `repeatable`: its requests may be repeated.
-    `age_seconds`: how long ago its caller began. `route`: the terms of its route, None where the
-    routes of its service are alike in them.
+    `waits`: it may wait for a slot, other hosts have none free. `repeatable`: its requests may be
+    repeated. `age_seconds`: the age of its caller's attempt. `route`: the terms of its route, None
+    if the routes of its service have equal terms.
     """
 
     waits: bool
@@ -155,7 +155,7 @@
 
 
 def opening_terms(flags: int) -> OpeningTerms:
-    """Read the flags of an `OPEN` frame; bits that are not known are passed over."""
+    """Read the flags of an `OPEN` frame; unknown bits are ignored."""
     return OpeningTerms(
         waits=bool(flags & FLAG_WAIT),
         repeatable=bool(flags & FLAG_REPEATABLE),
@@ -164,7 +164,7 @@
 
 
 def encode_open_head(tag: int, terms: OpeningTerms) -> bytes:
-    """Encode what goes in front of an opening packet."""
+    """Encode the head of a frame with an opening packet."""
     head = REQUEST_HEAD.pack(FrameKind.OPEN, opening_flags(terms), tag)
     route = terms.route
     if route is None:
@@ -182,14 +182,14 @@
 
 
 class OpeningRequest(msgspec.Struct, frozen=True):
-    """What an `OPEN` frame holds."""
+    """The content of an `OPEN` frame."""
 
     terms: OpeningTerms
     packet: bytes
 
 
 def decode_opening(flags: int, body: bytes) -> OpeningRequest:
-    """Read an `OPEN` frame behind its head; raises `MalformedMessage`. The packet is not read."""
+    """Read an `OPEN` frame after its head; raises `MalformedMessage`. The packet is not parsed."""
     terms = opening_terms(flags)
     if not flags & FLAG_TERMS:
         return OpeningRequest(terms, body)
@@ -206,7 +206,7 @@
 
 
 class AgentReply(msgspec.Struct, frozen=True):
-    """A frame from an agent. `load` counts requests, `packet` is empty but for `RETURNED`."""
+    """A frame from an agent. `load` counts requests; `packet` is used by `RETURNED` and `LOCATED`."""
 
     kind: FrameKind
     flags: int
@@ -251,33 +251,33 @@
 
 
 def is_verdict(flags: int, body: bytes) -> bool:
-    """Tell whether a `LOCATED` frame is well formed: an end point where a flow was found."""
+    """Tell whether a `LOCATED` frame is well formed: with an end point if the flow was found."""
     expected_bytes = ENDPOINT_BYTES if flags == LocateVerdict.FOUND else 0
     return flags in VERDICT_FLAGS and len(body) == expected_bytes
 
 
 def split_keys(body: bytes, flow_key_bytes: int) -> list[bytes]:
-    """Return the flow keys of a `FIND` frame's body, none where it is malformed."""
+    """Return the flow keys of a `FIND` frame's body, none if it is malformed."""
     if len(body) % flow_key_bytes:
         return []
     return [body[at : at + flow_key_bytes] for at in range(0, len(body), flow_key_bytes)]
 
 
 def encode_locate(service_tags: list[int], packet: bytes) -> bytes:
-    """Encode the question for a flow that agents of these services may hold."""
+    """Encode the order to search for a flow that agents of these services may hold."""
     tags = struct.pack(f"!{len(service_tags)}I", *service_tags)
     return encode_request(FrameKind.LOCATE, len(service_tags), 0, tags + packet)
 
 
 class LocateRequest(msgspec.Struct, frozen=True):
-    """A `LOCATE` frame: tags of services, and a caller's packet."""
+    """The content of a `LOCATE` frame: tags of services, and a caller's packet."""
 
     service_tags: tuple[int, ...]
     packet: bytes
 
 
 def decode_locate(data: bytes) -> LocateRequest:
-    """Decode a `LOCATE` frame; raises `MalformedMessage`. The packet is not looked at."""
+    """Decode a `LOCATE` frame; raises `MalformedMessage`. The packet is not parsed."""
     if len(data) < REQUEST_HEAD.size:
         raise MalformedMessage(reason=f"question of {len(data)} bytes")
     _, count, _ = REQUEST_HEAD.unpack_from(data)
@@ -291,7 +291,7 @@
 def encode_answers(answers: list[AgentReply]) -> bytes:
     """Encode answers to one `FIND` frame with several keys, in one frame.
 
-    They come from one agent at one time, so the first one's load holds for all.
+    They come from one agent at one time, so the load of the first applies to all.
     """
     head = _encode_reply_head(FrameKind.ANSWERS, answers[0])
     return head + b"".join(bytes((answer.kind,)) + answer.flow_key for answer in answers)
--- a/src/jasperwalk/flows/routes.py
+++ b/src/jasperwalk/flows/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the datagram plane: which services take the new flows of a listener."""
+"""Routes of the datagram plane: which services get the new flows of a listener, by weight."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     listener: Endpoint
     backends: list[RouteBackend]
     is_bulk: bool = False
-    """True where callers send far more than they are answered: uploads."""
+    """True for uploads, where callers send far more than they receive."""
     allowed_regions: list[str] = []
-    """Regions whose hosts may get the flows; empty where every region may."""
+    """Regions whose hosts may get the flows; empty for any region."""
     is_repeatable: bool = False
-    """True where callers may repeat a request whatever became of it: it only reads."""
+    """True where callers may repeat a request whatever its outcome, because it only reads."""
     terms: RouteTerms = NO_TERMS
-    """How urgent its requests are, and how soon callers want their answers."""
+    """Priority of its requests, and the time in which callers want their answers."""
 
     def services(self) -> list[str]:
         """Return the names of the services."""
@@ -38,7 +38,7 @@
 
 
 class RouteSet(msgspec.Struct, frozen=True, array_like=True):
-    """All routes of a configuration's version."""
+    """All routes of one version of the configuration."""
 
     version: int
     routes: list[FlowRoute]
@@ -47,9 +47,9 @@
 class WeightedRoundRobin:
     """Smooth weighted round robin over a route's services.
 
-    Every service's credit grows by its weight at each turn; the one with the most credit is
-    chosen and pays the sum of the weights. Shares are exact over any stretch of turns, which
-    random draws would reach only after many.
+    At each choice every service's credit grows by its weight; the one with the most credit is
+    chosen and pays the sum of the weights. Shares are exact over any run of choices, which random
+    draws would reach only after many.
     """
 
     def __init__(self, backends: list[RouteBackend]) -> None:
@@ -58,7 +58,7 @@
         self._credits = [0.0] * len(self._backends)
 
     def next(self) -> str | None:
-        """Return the service of the next new flow, None where no service has a weight."""
+        """Return the service of the next new flow, None if no service has a weight."""
         if not self._backends:
             return None
         best = 0
@@ -71,10 +71,10 @@
 
 
 class RouteEntry:
-    """A route in use: its turns, and every service that it has named so far.
+    """A route in use: its round robin, and every service that it has named so far.
 
     Flows that were opened before a change of the route stay with a service that the route no
-    longer names, so that service is still asked for them.
+    longer names, so searches still include that service.
     """
 
     __slots__ = ("allowed_regions", "past_services", "route", "terms", "terms_version", "turns")
@@ -82,16 +82,16 @@
     def __init__(self, route: FlowRoute, past_services: frozenset[str]) -> None:
         self.route = route
         self.terms: CarriedTerms | None = None
-        """What agents are told, None where the routes of its services are alike in their terms."""
+        """The terms for agents, None if the routes of its services have equal terms."""
         self.terms_version = 0
-        """Version of the configuration that `terms` holds for."""
+        """Version of the configuration that `terms` belongs to."""
         self.turns = WeightedRoundRobin(route.backends)
         self.past_services = past_services | frozenset(route.services())
         self.allowed_regions = frozenset(route.allowed_regions)
 
 
 def _has_same_destinations(one: FlowRoute, other: FlowRoute) -> bool:
-    """Tell whether two routes send flows to the same places."""
+    """Tell whether two routes send flows to the same services and regions in the same way."""
     is_same = one.backends == other.backends and one.allowed_regions == other.allowed_regions
     is_alike = one.is_bulk == other.is_bulk and one.is_repeatable == other.is_repeatable
     return is_same and is_alike
@@ -110,11 +110,11 @@
 
 
 class RouteTable:
-    """The routes in force on one balancer; the version never goes back.
+    """The routes in force on one balancer; the version never decreases.
 
-    A route's entry is made when its first packet comes: of thousands of routes a balancer serves a
-    few, and it puts the first ones in force while callers wait. With 1,828 routes that takes
-    5 ms of a processor instead of 17 (one run each, beside load).
+    A route's entry is created when its first packet arrives: of thousands of routes a balancer
+    serves a few, and callers wait while it puts the first ones in force. With 1,828 routes this
+    takes 5 ms of processor time instead of 17.
     """
 
     def __init__(self, caller_group: int = 0) -> None:
@@ -143,7 +143,7 @@
     def _keep_entries(
         self, before: dict[bytes, FlowRoute], entries: dict[bytes, RouteEntry]
     ) -> None:
-        """Keep the turns of routes that lead as before, and what the others have named so far."""
+        """Keep the entries of routes with the same destinations, and the others' past services."""
         for listener, route in self._routes.items():
             old = before.get(listener)
             entry = entries.get(listener)
@@ -158,7 +158,7 @@
             self._entries[listener] = RouteEntry(route, past_services)
 
     def find(self, listener: bytes) -> RouteEntry | None:
-        """Return the route of a listener, None where there is none."""
+        """Return the route of a listener, None if there is none."""
         entry = self._entries.get(listener)
         if entry is None:
             route = self._routes.get(listener)
@@ -171,7 +171,7 @@
         return entry
 
     def _terms_for_agents(self, route: FlowRoute) -> CarriedTerms | None:
-        """Return a route's terms where its requests compete with others of unequal terms."""
+        """Return a route's terms if its requests compete with others of unequal terms."""
         if self._services_with_unequal_terms is None:
             self._services_with_unequal_terms = _services_with_unequal_terms(self._routes.values())
         if self._services_with_unequal_terms.isdisjoint(route.services()):
--- a/src/jasperwalk/flows/sockets.py
+++ b/src/jasperwalk/flows/sockets.py
@@ -1,4 +1,4 @@
-"""UDP sockets on an event loop: several datagrams a wake-up, never blocking."""
+"""Non-blocking UDP sockets on an event loop, which read several datagrams per wake-up."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 DATAGRAMS_PER_WAKE_UP = 32
 MAX_DATAGRAM_BYTES = 2048
 MAX_PENDING_DATAGRAMS = 512
-"""Most datagrams that `read_pending` reads."""
+"""Most datagrams that one call of `read_pending` reads."""
 
 DatagramHandler = Callable[[bytes, SocketAddress], None]
 
 
 def _do_nothing() -> None:
-    """Stand for a call that is not wanted."""
+    """Default for a callback that is not needed."""
 
 
 class DatagramSocket:
-    """A bound socket that hands what it receives to a handler."""
+    """A bound socket that passes received datagrams to a handler."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         handler: DatagramHandler,
         after_receive: Callable[[], None] = _do_nothing,
     ) -> None:
-        """Take a socket of `bound_sockets`. `after_receive` is called once a wake-up."""
+        """Use a socket of `bound_sockets`. `after_receive` is called once per wake-up."""
         self._handler = handler
         self._after_receive = after_receive
         self._socket = bound
         self.dropped = 0
-        """Datagrams that the kernel did not take; their senders send again."""
+        """Datagrams that the kernel did not take; their senders send them again."""
 
     @property
     def endpoint(self) -> Endpoint:
@@ -49,10 +49,10 @@
         asyncio.get_running_loop().add_reader(self._socket.fileno(), self._receive)
 
     def read_pending(self) -> bool:
-        """Hand out what waits already; return True if nothing waits any longer.
+        """Read the datagrams that are waiting; return True if none waits any longer.
 
-        What depends on an answer that is missing asks here first: on a busy process the answer
-        may have come and not been read.
+        Call it before acting on a missing answer: in a busy process the answer may have arrived
+        without having been read.
         """
         return self._receive_some(MAX_PENDING_DATAGRAMS)
 
@@ -69,13 +69,13 @@
             except BlockingIOError:
                 return True
             except OSError:
-                # An earlier datagram was refused by a dead port; nothing was lost here.
+                # ICMP reports that an earlier datagram reached no port; nothing was lost here.
                 continue
             handler(data, sender)
         return False
 
     def send(self, data: bytes, address: SocketAddress) -> None:
-        """Send one datagram, or drop it."""
+        """Send one datagram; drop and count it if the kernel does not take it."""
         try:
             self._socket.sendto(data, address)
         except OSError:
--- a/src/jasperwalk/flows/terms.py
+++ b/src/jasperwalk/flows/terms.py
@@ -1,8 +1,8 @@
-"""Terms of a route: how urgent its requests are, and how soon callers want their answers.
+"""Terms of a route: priority of its requests, and the time in which callers want their answers.
 
-Operators name them in the configuration. Balancers tell them to the agents of a service whose
-routes differ in them, beside each opening packet, because there requests of unequal terms compete
-for the same hosts. Terms that cannot be meant count as not named.
+Operators set them in the configuration. If the routes of a service differ in them, balancers send
+them to its agents with each opening packet, because requests of unequal terms compete there for the
+same hosts. Invalid terms count as not set.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 MOST_URGENT = 0
 LEAST_URGENT = 7
 NORMAL_PRIORITY = 2
-"""Priority of a route that names none: two levels above it are left for what is urgent."""
+"""Priority of a route that sets none: two levels above it are left for urgent requests."""
 MAX_DURATION_MS = 86_400_000
-"""A day. Nobody waits longer for one answer, so that a longer time is a mistake."""
+"""A day. Nobody waits longer for one answer, so a longer time is a mistake."""
 
 
 class RouteTerms(msgspec.Struct, frozen=True, array_like=True):
-    """Terms as the configuration names them; times are milliseconds, 0 where none is named.
+    """Terms as the configuration sets them; times are milliseconds, 0 if not set.
 
     `priority` runs from `MOST_URGENT` to `LEAST_URGENT`. `objective_ms` is the time from a request
-    to its answer that callers want, `limit_ms` the one after which they have left.
+    to its answer that callers want, `limit_ms` the time after which they have given up.
     """
 
     priority: int = NORMAL_PRIORITY
@@ -36,14 +36,14 @@
 
 
 class ParsedTerms(msgspec.Struct, frozen=True):
-    """Terms that were read, and the names of the values that were passed over."""
+    """Parsed terms, and the names of the invalid values that were ignored."""
 
     terms: RouteTerms
     ignored: tuple[str, ...] = ()
 
 
 def parse_terms(priority: Any, objective_ms: Any, limit_ms: Any) -> ParsedTerms:
-    """Read terms as they came; None stands for one that is not named."""
+    """Parse terms of any types; None stands for a value that is not set."""
     ignored = []
     if not _is_priority(priority):
         ignored += ["priority"] if priority is not None else []
@@ -68,14 +68,14 @@
 
 
 def is_number(value: Any) -> bool:
-    """Tell whether a value of a document is a number; True and False are none."""
+    """Tell whether a value of a document is a number; True and False are not."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 class CarriedTerms(msgspec.Struct, frozen=True):
-    """Terms as a balancer tells them to an agent; times are seconds, 0.0 where none is named.
+    """Terms as a balancer sends them to an agent; times are seconds, 0.0 if not set.
 
-    `group` tells callers of different groups apart (`caller_group`).
+    `group` is the number of the caller's group (`caller_group`).
     """
 
     priority: int
@@ -88,7 +88,7 @@
 
 
 def caller_group(name: str) -> int:
-    """Return the number of a group of callers from its name, such as the zone of its balancers."""
+    """Return the number of a group of callers by its name, such as the zone of its balancers."""
     return crc32(name.encode()) & GROUP_BITS
 
 
