--- a/src/jasperwalk/balancer/process.py
+++ b/src/jasperwalk/balancer/process.py
@@ -104,7 +104,7 @@
         try:
             await asyncio.wait((stopped, following), return_when=asyncio.FIRST_COMPLETED)
             if following.done():
-                # A follower ends by itself only because of a defect, whose exception is raised here.
+                # A follower ends by itself only because of a defect; this raises its exception.
                 following.result()
         finally:
             tasks = (stopped, following, awaiting_freshness)
--- a/src/jasperwalk/balancer/refusals.py
+++ b/src/jasperwalk/balancer/refusals.py
@@ -14,7 +14,7 @@
 from jasperwalk.balancer.outcomes import SocketAddress
 
 REFUSAL_SECONDS: Final = 3.0
-"""Time for which a refusal counts; after it a flow that tries the agent shows whether it is back."""
+"""Time for which a refusal counts; then a flow that tries the agent shows whether it is back."""
 
 MAX_REFUSALS: Final = 4_096
 """Refusals kept; a full set is cleared."""
--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -206,7 +206,7 @@
 
 
 class AgentReply(msgspec.Struct, frozen=True):
-    """A frame from an agent. `load` counts requests; `packet` is used by `RETURNED` and `LOCATED`."""
+    """A frame from an agent. `load` counts requests; `RETURNED` and `LOCATED` have a `packet`."""
 
     kind: FrameKind
     flags: int
