--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -11,7 +11,7 @@
 from cryptography import x509
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import send_change
+from jasperwalk.cli.change_submission import send_change
 from jasperwalk.cli.failures import InvalidInput
 from jasperwalk.cli.operation import (
     ChangeFlags,
@@ -28,10 +28,10 @@
     CA_FILE,
     CA_KEY_FILE,
     Authority,
-    files_of,
     issue_process_certificate,
     make_authority,
     read_authority,
+    tls_files_of,
     write_authority,
 )
 from jasperwalk.transport.identity import Identity, ProcessRole
@@ -104,13 +104,13 @@
     Run it again to add or renew some: the CA stays, and so does what is not to be renewed.
     """
     holders = [
-        Identity(_checked(cluster_id), ProcessRole(role), _checked(name))
+        Identity(_validated_name(cluster_id), ProcessRole(role), _validated_name(name))
         for role, given in names.items()
         for name in given
     ]
-    authority = _open_authority(folder, cluster_id)
+    authority = _load_or_create_authority(folder, cluster_id)
     lifetime = datetime.timedelta(days=days)
-    views = [_provide(authority, holder, folder, lifetime, renew) for holder in holders]
+    views = [_issue_or_load(authority, holder, folder, lifetime, renew) for holder in holders]
     result = CertificateList(ca_file=str(folder / CA_FILE), certificates=views)
     Printer(json_output).result(result, list(_describe(result)))
 
@@ -144,14 +144,14 @@
     return (key.purpose, key.generation, key.rotation, key.state, superseded_at)
 
 
-def _checked(name: str) -> str:
+def _validated_name(name: str) -> str:
     if NAME_PATTERN.fullmatch(name) is None:
         mend = "use 1 to 63 letters, digits, dots, dashes and underscores"
         raise InvalidInput(source=name, problem="is not a name", mend=mend)
     return name
 
 
-def _open_authority(folder: Path, cluster_id: str) -> Authority:
+def _load_or_create_authority(folder: Path, cluster_id: str) -> Authority:
     """Read the folder's CA, or make one where there is none."""
     try:
         folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
@@ -164,14 +164,14 @@
         raise InvalidInput(source=str(folder), problem=str(error), mend=mend) from error
 
 
-def _provide(
+def _issue_or_load(
     authority: Authority,
     holder: Identity,
     folder: Path,
     lifetime: datetime.timedelta,
     renew: bool,
 ) -> CertificateView:
-    files = files_of(holder, folder)
+    files = tls_files_of(holder, folder)
     made = renew or not files.certificate_file.exists()
     try:
         if made:
--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -33,11 +33,11 @@
 from jasperwalk.transport.hello import ConnectionKind, make_hello
 
 REPLICAS_VARIABLE = "JASPERWALK_REPLICAS"
-ATTEMPT_SECONDS = 2.0
+ATTEMPT_TIMEOUT_SECONDS = 2.0
 """How long one replica may take."""
-PAUSE_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 DEFAULT_TIMEOUT_SECONDS = 10.0
-DONE = frozenset(("zone-acknowledged", "zones-listed"))
+SUCCESS_OUTCOMES = frozenset(("zone-acknowledged", "zones-listed"))
 UNKNOWN_ZONE = "unknown-zone"
 
 Command = TypeVar("Command", bound=Callable[..., object])
@@ -98,30 +98,30 @@
 
 
 @dataclass(frozen=True)
-class ReplicaCalls:
+class ReplicaClient:
     """Asks replicas in turn, following them to the leader, until the time is up."""
 
     replicas: tuple[Endpoint, ...]
     timeout_seconds: float
 
-    def ask(self, request: OperatorRequest, wanted: type[ReplyType]) -> ReplyType:
+    def ask(self, request: OperatorRequest, reply_type: type[ReplyType]) -> ReplyType:
         """Return a definite reply; raises `ControlUnreachable` or `ZoneRefused`."""
-        return asyncio.run(self._ask(request, wanted))
+        return asyncio.run(self._ask(request, reply_type))
 
-    async def _ask(self, request: OperatorRequest, wanted: type[ReplyType]) -> ReplyType:
+    async def _ask(self, request: OperatorRequest, reply_type: type[ReplyType]) -> ReplyType:
         deadline = time.monotonic() + self.timeout_seconds
         reasons: dict[Endpoint, str] = {}
         while True:
             for replica in self.replicas:
-                reply = await _ask_following(replica, request, reasons)
-                if isinstance(reply, wanted):
+                reply = await _ask_with_redirect(replica, request, reasons)
+                if isinstance(reply, reply_type):
                     return reply
             if time.monotonic() > deadline:
                 raise ControlUnreachable(tuple(f"{at}: {why}" for at, why in reasons.items()))
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
 
-async def _ask_following(
+async def _ask_with_redirect(
     replica: Endpoint, request: OperatorRequest, reasons: dict[Endpoint, str]
 ) -> OperatorReply | None:
     """Ask one replica, and the leader that it names; None where neither settles it."""
@@ -130,7 +130,7 @@
         if asked is None:
             break
         reply = await _ask_once(asked, request, reasons)
-        if reply is None or reply.outcome in DONE:
+        if reply is None or reply.outcome in SUCCESS_OUTCOMES:
             return reply
         if reply.outcome == UNKNOWN_ZONE and isinstance(request, ZoneOrderRequest):
             raise ZoneRefused(request.zone)
@@ -144,8 +144,8 @@
 ) -> OperatorReply | None:
     hello = make_hello(ConnectionKind.OPERATOR, "operator", CLUSTER_ID)
     try:
-        async with asyncio.timeout(ATTEMPT_SECONDS):
-            connection = await connect(replica, hello, ATTEMPT_SECONDS)
+        async with asyncio.timeout(ATTEMPT_TIMEOUT_SECONDS):
+            connection = await connect(replica, hello, ATTEMPT_TIMEOUT_SECONDS)
             try:
                 await connection.send(codec.encode(request))
                 return OPERATOR_REPLY_DECODER.decode(await connection.receive())
@@ -169,7 +169,7 @@
         json_output: bool,
         **options: object,
     ) -> object:
-        calls = ReplicaCalls(replicas, timeout_seconds)
+        calls = ReplicaClient(replicas, timeout_seconds)
         return command(*arguments, calls=calls, printer=Printer(json_output), **options)
 
     for option in (
@@ -208,12 +208,12 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def drain(name: str, wait_seconds: float, calls: ReplicaCalls, printer: Printer) -> None:
+def drain(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
     """Send no new flow to the hosts of the zone NAME; open flows stay.
 
     With --wait the command ends once every linked node goes by the order, or with exit code 5.
     """
-    _order(name, True, wait_seconds, calls, printer)
+    _send_order(name, True, wait_seconds, calls, printer)
 
 
 @zone.command(
@@ -223,16 +223,16 @@
 @click.argument("name")
 @click.option("--wait", "wait_seconds", type=click.FloatRange(min=0.0), default=0.0)
 @replica_options
-def restore(name: str, wait_seconds: float, calls: ReplicaCalls, printer: Printer) -> None:
+def restore(name: str, wait_seconds: float, calls: ReplicaClient, printer: Printer) -> None:
     """Let the hosts of the zone NAME take new flows again, as fast as cold hosts bear them."""
-    _order(name, False, wait_seconds, calls, printer)
+    _send_order(name, False, wait_seconds, calls, printer)
 
 
 @zone.command(
     "list", cls=OperatorCommand, examples=("jasperwalk zone list --replica 10.0.0.4:7600",)
 )
 @replica_options
-def list_zones(calls: ReplicaCalls, printer: Printer) -> None:
+def list_zones(calls: ReplicaClient, printer: Printer) -> None:
     """List the zones that are known, and which of them are drained."""
     reply = calls.ask(ZoneListRequest(), ZoneListReply)
     rows = [ZoneRow(each.zone, each.drained) for each in reply.zones]
@@ -241,8 +241,8 @@
     printer.result(view, table)
 
 
-def _order(
-    name: str, drained: bool, wait_seconds: float, calls: ReplicaCalls, printer: Printer
+def _send_order(
+    name: str, drained: bool, wait_seconds: float, calls: ReplicaClient, printer: Printer
 ) -> None:
     reply = calls.ask(ZoneOrderRequest(name, drained), ZoneOrderReply)
     in_force = _wait_in_force(reply.revision, wait_seconds, calls)
@@ -254,11 +254,11 @@
         raise ZoneNotInForce(reply.revision, in_force)
 
 
-def _wait_in_force(revision: int, wait_seconds: float, calls: ReplicaCalls) -> int:
+def _wait_in_force(revision: int, wait_seconds: float, calls: ReplicaClient) -> int:
     """Return the revision in force, asked again for a while as long as it is older."""
     deadline = time.monotonic() + wait_seconds
     while True:
         in_force = calls.ask(ZoneListRequest(), ZoneListReply).in_force
         if in_force >= revision or time.monotonic() >= deadline:
             return in_force
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RETRY_PAUSE_SECONDS)
--- a/src/jasperwalk/control/openapi.py
+++ b/src/jasperwalk/control/openapi.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, Place
+from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, ParameterLocation
 from jasperwalk.control.operations import OPERATIONS
 from jasperwalk.control.problem import PROBLEM_CONTENT_TYPE, Problem, status_of
 
@@ -50,8 +50,8 @@
 def _describe_parameter(parameter: Parameter) -> dict[str, Any]:
     return {
         "name": parameter.name,
-        "in": parameter.place.value,
-        "required": parameter.place is Place.PATH,
+        "in": parameter.location.value,
+        "required": parameter.location is ParameterLocation.PATH,
         "schema": {"type": parameter.schema_type},
         "description": parameter.description,
     }
--- a/src/jasperwalk/control/operations.py
+++ b/src/jasperwalk/control/operations.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from jasperwalk.control.in_force import InForce
-from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, Place
+from jasperwalk.control.operation_types import BodyKind, Operation, Parameter, ParameterLocation
 from jasperwalk.control.views import (
     ChangeView,
     HostList,
@@ -23,27 +23,39 @@
     TenantView,
 )
 
-NAME = Parameter("name", Place.PATH, "string", "name of the template or tenant")
-HOST = Parameter("host", Place.PATH, "string", "name of the host, as in the templates")
-CHANGE_ID = Parameter("change_id", Place.PATH, "string", "change ID that the change was sent with")
-REPLICA_ID = Parameter("replica_id", Place.PATH, "integer", "identity of the replica")
+NAME = Parameter("name", ParameterLocation.PATH, "string", "name of the template or tenant")
+HOST = Parameter("host", ParameterLocation.PATH, "string", "name of the host, as in the templates")
+CHANGE_ID = Parameter(
+    "change_id", ParameterLocation.PATH, "string", "change ID that the change was sent with"
+)
+REPLICA_ID = Parameter("replica_id", ParameterLocation.PATH, "integer", "identity of the replica")
 PURPOSE = Parameter(
-    "purpose", Place.PATH, "string", "connection-id, stateless-reset, ticket or datagram"
+    "purpose",
+    ParameterLocation.PATH,
+    "string",
+    "connection-id, stateless-reset, ticket or datagram",
+)
+STALE = Parameter(
+    "stale", ParameterLocation.QUERY, "boolean", "true: accept an answer that may be old"
+)
+WAIT_MS = Parameter(
+    "wait_ms", ParameterLocation.QUERY, "integer", "wait this long (ms) until it is complete"
 )
-STALE = Parameter("stale", Place.QUERY, "boolean", "true: accept an answer that may be old")
-WAIT_MS = Parameter("wait_ms", Place.QUERY, "integer", "wait this long (ms) until it is complete")
 REVISION = Parameter(
-    "revision", Place.QUERY, "integer", "revision to ask for, instead of the change's own"
+    "revision",
+    ParameterLocation.QUERY,
+    "integer",
+    "revision to ask for, instead of the change's own",
 )
 IF_MATCH = Parameter(
     "If-Match",
-    Place.HEADER,
+    ParameterLocation.HEADER,
     "string",
     'expected revision in quotes, such as "17"; "0" expects that it does not exist yet',
 )
 IDEMPOTENCY_KEY = Parameter(
     "Idempotency-Key",
-    Place.HEADER,
+    ParameterLocation.HEADER,
     "string",
     "change ID; a resend with the same ID gets the first outcome (drawn when it is left out)",
 )
@@ -61,7 +73,7 @@
     "outcome-unknown",
 )
 REPLICA_PROBLEMS = ("bad-request", "membership-refused", "no-leader", "outcome-unknown")
-GUARDED_PROBLEMS = (
+CONFIGURATION_PROBLEMS = (
     *CHANGE_PROBLEMS,
     "revision-mismatch",
     "conflicting-listener",
@@ -77,7 +89,7 @@
         "Create or change a template; the body is its TOML text.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "invalid-template", "tenant-rendering-failed", "body-too-large"),
+        (*CONFIGURATION_PROBLEMS, "invalid-template", "tenant-rendering-failed", "body-too-large"),
         body=str,
         body_kind=BodyKind.TOML,
     ),
@@ -106,7 +118,7 @@
         "Create or change a tenant.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "unknown-template", "invalid-values", "body-too-large"),
+        (*CONFIGURATION_PROBLEMS, "unknown-template", "invalid-values", "body-too-large"),
         body=TenantBody,
     ),
     Operation(
@@ -134,7 +146,7 @@
         "Remove a tenant with its services.",
         ChangeView,
         (NAME, *CHANGE_PARAMETERS),
-        (*GUARDED_PROBLEMS, "unknown-tenant"),
+        (*CONFIGURATION_PROBLEMS, "unknown-tenant"),
     ),
     Operation(
         "get_change",
--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -240,7 +240,7 @@
         while self.leader_id in (None, own_id) and time.monotonic() < deadline:
             await asyncio.sleep(TRANSFER_POLL_SECONDS)
 
-    def take(self, sender: int, message: RaftPayload) -> None:
+    def handle_message(self, sender: int, message: RaftPayload) -> None:
         """Hand a peer's message to the core; malformed ones are counted and dropped."""
         try:
             decoded = RAFT_DECODER.decode(message.payload)
@@ -302,7 +302,7 @@
         loop = asyncio.get_running_loop()
         write: Callable[[PersistBatch], None] = self._storage.persist
         if self._storage_faults is not None:
-            write = self._storage_faults.around(write)
+            write = self._storage_faults.wrap(write)
         await loop.run_in_executor(self._disk, write, batch)
         self._node.persisted()
 
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -16,14 +16,14 @@
 from jasperwalk.control.leader_queries import LeaderQueries
 from jasperwalk.control.peer_links import PeerNetwork
 from jasperwalk.control.peer_messages import (
-    AgentFact,
+    AgentCondition,
     AgentsAnswer,
     AgentsQuery,
+    FullReportRequest,
     InForceAnswer,
     InForceQuery,
     LeaderAnswer,
     LeaderQuery,
-    ReportWanted,
 )
 from jasperwalk.control.publishing import Publishing
 from jasperwalk.control.subscriber_reports import SubscriberReport, SubscriberReporter
@@ -84,7 +84,7 @@
         answer = await self._queries.in_force(revision)
         return InForce(revision=revision) if answer is None else answer.in_force
 
-    async def agents(self) -> dict[Endpoint, AgentFact]:
+    async def agents(self) -> dict[Endpoint, AgentCondition]:
         """Return what the agents say of themselves, from the leader's view, by address."""
         if self._runner.is_leader:
             facts = self._known_agents()
@@ -96,8 +96,8 @@
     def handle_report(self, sender: int, report: SubscriberReport) -> None:
         """Take in another replica's report; ask for a whole one where some are missing."""
         ledger = self.ledger()
-        if ledger is not None and not ledger.take(sender, report, time.monotonic()):
-            self._network.send(sender, ReportWanted())
+        if ledger is not None and not ledger.record_report(sender, report, time.monotonic()):
+            self._network.send(sender, FullReportRequest())
 
     def handle_report_request(self) -> None:
         """Let the next report be a whole one."""
@@ -118,9 +118,9 @@
         """Hand the leader's answer to the one that waits for it."""
         self._queries.handle_answer(answer)
 
-    def _known_agents(self) -> list[AgentFact]:
+    def _known_agents(self) -> list[AgentCondition]:
         return [
-            AgentFact(each.address, each.healthy, each.open_flows)
+            AgentCondition(each.address, each.healthy, each.open_flows)
             for each in self.subscribers()
             if each.role is SubscriberRole.AGENT
         ]
@@ -135,7 +135,7 @@
         )
         if leader_id == self._replica_id:
             ledger = self.ledger()
-            delivered = ledger is not None and ledger.take(self._replica_id, report, now)
+            delivered = ledger is not None and ledger.record_report(self._replica_id, report, now)
         else:
             delivered = self._network.send(leader_id, report)
         if not delivered:
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -22,13 +22,13 @@
     ForwardProposal,
     ForwardReplicaChange,
     ForwardReply,
+    FullReportRequest,
     InForceAnswer,
     InForceQuery,
     LinkAlive,
     PeerMessage,
     RaftPayload,
     ReplicaChange,
-    ReportWanted,
 )
 from jasperwalk.control.platform_poller import PlatformPoller
 from jasperwalk.control.problem import StaleReplica
@@ -229,14 +229,14 @@
     def _handle_message(self, sender: int, message: PeerMessage) -> None:
         match message:
             case RaftPayload():
-                self.runner.take(sender, message)
+                self.runner.handle_message(sender, message)
             case ForwardProposal() | ForwardReplicaChange():
                 self.proposals.handle_request(sender, message)
             case ForwardReply():
                 self.proposals.handle_reply(message)
             case SubscriberReport():
                 self.region.handle_report(sender, message)
-            case ReportWanted():
+            case FullReportRequest():
                 self.region.handle_report_request()
             case InForceQuery() | AgentsQuery():
                 self.region.handle_query(sender, message)
--- a/src/jasperwalk/transport/certificates.py
+++ b/src/jasperwalk/transport/certificates.py
@@ -49,7 +49,7 @@
 
 def write_authority(authority: Authority, folder: Path) -> None:
     """Write the CA's certificate and private key to `folder`."""
-    write_atomically(folder / CA_KEY_FILE, private_pem(authority.private_key), PRIVATE_MODE)
+    write_atomically(folder / CA_KEY_FILE, private_key_pem(authority.private_key), PRIVATE_MODE)
     write_atomically(folder / CA_FILE, certificate_pem(authority.certificate), PUBLIC_MODE)
 
 
@@ -63,7 +63,7 @@
     return Authority(certificate, private_key)
 
 
-def files_of(identity: Identity, folder: Path) -> TlsFiles:
+def tls_files_of(identity: Identity, folder: Path) -> TlsFiles:
     """Return where the certificate of a process stands in `folder`."""
     stem = f"{identity.role}-{identity.name}"
     return TlsFiles(folder / CA_FILE, folder / f"{stem}.pem", folder / f"{stem}.key")
@@ -76,7 +76,7 @@
     names: list[x509.GeneralName] = [x509.UniformResourceIdentifier(str(identity))]
     if identity.role is ProcessRole.CONTROL:
         names.append(x509.DNSName(CONTROL_HOST_NAME))
-    files = files_of(identity, folder)
+    files = tls_files_of(identity, folder)
     issue_certificate(authority, identity.name, names, files, lifetime)
     return files
 
@@ -102,7 +102,7 @@
     )
     builder = builder.add_extension(issuer_key, critical=False)
     certificate = builder.sign(authority.private_key, hashes.SHA256())
-    write_atomically(files.private_key_file, private_pem(private_key), PRIVATE_MODE)
+    write_atomically(files.private_key_file, private_key_pem(private_key), PRIVATE_MODE)
     write_atomically(files.certificate_file, certificate_pem(certificate), PUBLIC_MODE)
 
 
@@ -121,7 +121,7 @@
     return certificate.public_bytes(serialization.Encoding.PEM)
 
 
-def private_pem(private_key: ec.EllipticCurvePrivateKey) -> bytes:
+def private_key_pem(private_key: ec.EllipticCurvePrivateKey) -> bytes:
     """Encode a private key, unencrypted."""
     return private_key.private_bytes(
         serialization.Encoding.PEM,
--- a/src/jasperwalk/transport/client.py
+++ b/src/jasperwalk/transport/client.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.errors import JasperwalkError
 from jasperwalk.transport.errors import ConnectFailed, ConnectionLost
-from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection, explain_tls
+from jasperwalk.transport.framed import HELLO_TIMEOUT_SECONDS, FramedConnection, convert_ssl_error
 from jasperwalk.transport.hello import Hello
 from jasperwalk.transport.keep_alive import keep_alive
 
@@ -41,7 +41,7 @@
     except TimeoutError as error:
         raise ConnectFailed(endpoint=str(endpoint), reason="timed out") from error
     except ssl.SSLError as error:
-        raise explain_tls(error) from error
+        raise convert_ssl_error(error) from error
     except OSError as error:
         raise ConnectFailed(endpoint=str(endpoint), reason=str(error)) from error
     keep_alive(writer)
@@ -51,20 +51,20 @@
             await connection.exchange_hello(hello, hello_timeout_seconds)
         else:
             certificate = writer.get_extra_info("peercert")
-            await _exchange_identified(connection, hello, hello_timeout_seconds, certificate)
+            await _exchange_hello_over_tls(connection, hello, hello_timeout_seconds, certificate)
     except ConnectionLost as error:
         connection.abort()
         if tls is None:
             raise
         # asyncio's server ends a handshake that it refuses without sending its alert.
-        raise tls.explain_closing() from error
+        raise tls.explain_close_after_handshake() from error
     except (JasperwalkError, asyncio.CancelledError):
         connection.abort()
         raise
     return connection
 
 
-async def _exchange_identified(
+async def _exchange_hello_over_tls(
     connection: FramedConnection,
     hello: Hello,
     timeout_seconds: float,
--- a/src/jasperwalk/transport/file_watch.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -11,31 +11,31 @@
 """Least time between two looks at the files."""
 
 
-class FileWatch:
+class FileMonitor:
     """Tells when one of the files has changed since it was last found changed."""
 
     def __init__(self, paths: Iterable[Path], clock: Callable[[], float] = time.monotonic) -> None:
         self._paths = tuple(paths)
         self._clock = clock
-        self._looked_at = clock()
-        self._stamps = self._read()
+        self._checked_at = clock()
+        self._file_states = self._read()
 
     def changed(self) -> bool:
         """Look at the files, unless that was done a moment ago."""
         now = self._clock()
-        if now - self._looked_at < POLL_SECONDS:
+        if now - self._checked_at < POLL_SECONDS:
             return False
-        self._looked_at = now
-        stamps = self._read()
-        has_changed = stamps != self._stamps
-        self._stamps = stamps
+        self._checked_at = now
+        file_states = self._read()
+        has_changed = file_states != self._file_states
+        self._file_states = file_states
         return has_changed
 
     def _read(self) -> list[tuple[int, int, int]]:
-        return [_stamp(path) for path in self._paths]
+        return [_file_state(path) for path in self._paths]
 
 
-def _stamp(path: Path) -> tuple[int, int, int]:
+def _file_state(path: Path) -> tuple[int, int, int]:
     """Return what differs once a file was replaced; zeros while it is missing."""
     try:
         status = os.stat(path)
--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -29,20 +29,20 @@
 
 LENGTH_PREFIX = struct.Struct("!I")
 
-MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 """Longest payload of a frame, both ways."""
 
-MAXIMUM_HELLO_BYTES = 1024
+MAX_HELLO_BYTES = 1024
 """Longest payload of a Hello; an unknown sender may not make us hold more."""
 
-MAXIMUM_SEND_BUFFER_BYTES = 8 * 1024 * 1024
+MAX_SEND_BUFFER_BYTES = 8 * 1024 * 1024
 """Bytes that may wait in the send buffer before `write` refuses."""
 
 HELLO_TIMEOUT_SECONDS = 2.0
 """Time within which each side has to introduce itself."""
 
 
-ALERT_MARK = "ALERT"
+ALERT_MARKER = "ALERT"
 """Part of OpenSSL's reasons for what the other side refused."""
 
 CERTIFICATE_ALERTS = ("CERTIFICATE", "UNKNOWN_CA")
@@ -58,31 +58,31 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        maximum_frame_bytes: int = MAXIMUM_FRAME_BYTES,
+        max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._maximum_frame_bytes = maximum_frame_bytes
-        self._maximum_received_bytes = maximum_frame_bytes
+        self._max_frame_bytes = max_frame_bytes
+        self._max_received_bytes = max_frame_bytes
         self.peer: Hello | None = None
         self.identity: Identity | None = None
 
-    def limit_frames(self, maximum_frame_bytes: int) -> None:
+    def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Lower the limit of received frames, where the other side has only short ones to send."""
-        self._maximum_received_bytes = maximum_frame_bytes
+        self._max_received_bytes = max_frame_bytes
 
     def write(self, payload: bytes) -> None:
         """Queue one frame without waiting.
 
         Raises `OversizedFrame`, `SendBufferFull` or `ConnectionLost`.
         """
-        if len(payload) > self._maximum_frame_bytes:
-            raise OversizedFrame(length=len(payload), limit=self._maximum_frame_bytes)
+        if len(payload) > self._max_frame_bytes:
+            raise OversizedFrame(length=len(payload), limit=self._max_frame_bytes)
         if self._writer.is_closing():
             raise ConnectionLost(reason="closed on this side")
         buffered = self._writer.transport.get_write_buffer_size()
-        if buffered > MAXIMUM_SEND_BUFFER_BYTES:
-            raise SendBufferFull(buffered=buffered, limit=MAXIMUM_SEND_BUFFER_BYTES)
+        if buffered > MAX_SEND_BUFFER_BYTES:
+            raise SendBufferFull(buffered=buffered, limit=MAX_SEND_BUFFER_BYTES)
         self._writer.write(LENGTH_PREFIX.pack(len(payload)) + payload)
 
     async def send(self, payload: bytes) -> None:
@@ -99,7 +99,7 @@
         Raises `ConnectionLost` when the other side closed between frames, `TruncatedFrame`
         when within one, and `OversizedFrame`.
         """
-        return await self._receive(self._maximum_received_bytes)
+        return await self._receive(self._max_received_bytes)
 
     async def receive_request(self, timeout_seconds: float) -> bytes:
         """Return the payload of the next frame; raises `RequestTimeout`, or as `receive` does."""
@@ -124,7 +124,7 @@
                 raise ConnectionLost(reason="closed by the other side") from error
             raise TruncatedFrame(expected=length, received=len(error.partial)) from error
         except ssl.SSLError as error:
-            raise explain_tls(error) from error
+            raise convert_ssl_error(error) from error
         except OSError as error:
             raise ConnectionLost(reason=str(error)) from error
 
@@ -139,7 +139,7 @@
         self.write(codec.encode(hello))
         try:
             async with asyncio.timeout(timeout_seconds):
-                payload = await self._receive(MAXIMUM_HELLO_BYTES)
+                payload = await self._receive(MAX_HELLO_BYTES)
         except TimeoutError as error:
             raise HelloTimeout(timeout_seconds=timeout_seconds) from error
         self.peer = check_hello(HELLO_DECODER.decode(payload), hello.cluster_id)
@@ -160,11 +160,11 @@
                 self._writer.transport.abort()
 
 
-def explain_tls(error: ssl.SSLError) -> CertificateRefused | TlsFailed:
+def convert_ssl_error(error: ssl.SSLError) -> CertificateRefused | TlsFailed:
     """Turn a failure of OpenSSL into a typed one."""
     if isinstance(error, ssl.SSLCertVerificationError):
         return CertificateRefused(reason=error.verify_message)
     reason = error.reason or str(error)
-    if ALERT_MARK in reason and any(each in reason for each in CERTIFICATE_ALERTS):
+    if ALERT_MARKER in reason and any(each in reason for each in CERTIFICATE_ALERTS):
         return CertificateRefused(reason=f"this process's own, by the other side ({reason})")
     return TlsFailed(reason=reason)
--- a/tests/agent/datagrams/test_flow_admission.py
+++ b/tests/agent/datagrams/test_flow_admission.py
@@ -97,7 +97,7 @@
     assert harness.agent.meter.busy == 1
 
 
-def test_an_opening_packet_that_the_host_hands_back_is_a_refusal():
+def test_an_opening_packet_that_the_host_returns_is_a_refusal():
     harness = Harness()
     harness.open()
     harness.agent.receive_host_packet(from_caller(OPENING | RETURNED), 1.1)
@@ -172,7 +172,7 @@
     assert [to for _, to in harness.caller_packets if _[12] == RESET] == [("100.64.0.10", 1)]
 
 
-def test_a_flow_that_waited_and_is_handed_back_by_the_host_is_reset():
+def test_a_flow_that_waited_and_is_returned_by_the_host_is_reset():
     harness = Harness()
     callers = harness.fill()
     waiting = harness.wait(1)
@@ -235,7 +235,7 @@
     return from_host(0, GREETING + b"h1", caller=caller)
 
 
-def hand_back(harness, count, now=1.0):
+def return_openings(harness, count, now=1.0):
     """Let the host hand back the openings of this many callers."""
     for port in range(1, count + 1):
         caller = Endpoint("100.64.0.8", port)
@@ -243,10 +243,10 @@
         harness.agent.receive_host_packet(from_caller(OPENING | RETURNED, caller=caller), now)
 
 
-def test_a_host_that_hands_every_opening_back_gets_no_more_but_now_and_then():
+def test_a_host_that_returns_every_opening_gets_only_trials():
     """It answers at once and looks idle: without this it would draw all new flows."""
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
     assert harness.agent.log.names()[-2] == "host-returns-openings"
     answer = harness.open(1.1, Endpoint("100.64.0.9", 1))
     assert (answer.kind, answer.flags) == (FrameKind.REFUSED, RefusalReason.RETURNED)
@@ -258,13 +258,13 @@
     assert harness.open(1.61, Endpoint("100.64.0.9", 3)).kind is FrameKind.ACCEPTED
 
 
-def test_a_host_that_hands_some_openings_back_goes_on_getting_flows():
+def test_a_host_that_returns_some_openings_goes_on_getting_flows():
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1)
     taken = Endpoint("100.64.0.9", 1)
     harness.open(1.1, taken)
     harness.agent.receive_host_packet(greeting(taken), 1.1)
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS - 1, 1.2)
     assert harness.open(1.3, Endpoint("100.64.0.9", 2)).kind is FrameKind.ACCEPTED
 
 
@@ -280,7 +280,7 @@
 
 def test_a_replacement_host_starts_without_returned_openings():
     harness = Harness()
-    hand_back(harness, MAX_CONSECUTIVE_RETURNS)
+    return_openings(harness, MAX_CONSECUTIVE_RETURNS)
     harness.agent.on_host_replaced(1.1)
     assert harness.open(1.2, Endpoint("100.64.0.9", 1)).kind is FrameKind.ACCEPTED
 
@@ -299,7 +299,7 @@
     assert harness.open(4.01 + MIN_FOLLOW_UP_SECONDS).kind is FrameKind.ACCEPTED
 
 
-def test_the_time_that_callers_take_is_bounded_both_ways():
+def test_the_follow_up_timeout_is_bounded_both_ways():
     times = FollowUpTime()
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
     times.record(0.0001)
@@ -309,7 +309,7 @@
     assert times.timeout_seconds() == MAX_FOLLOW_UP_SECONDS
 
 
-def test_callers_that_take_longer_are_waited_for_longer():
+def test_slower_callers_raise_the_follow_up_timeout():
     times = FollowUpTime()
     for _ in range(100):
         times.record(0.05)
--- a/tests/agent/datagrams/test_slow_host.py
+++ b/tests/agent/datagrams/test_slow_host.py
@@ -68,14 +68,14 @@
     return harness
 
 
-def test_an_acceptance_tells_the_pace_once_it_is_known():
+def test_an_acceptance_reports_the_service_time_once_it_is_known():
     harness = SlowHostHarness()
     assert harness.ask(URGENT).flags == UNKNOWN_SERVICE_TIME
     harness.serve(20, WORK)
     assert decode_service_time(harness.ask(URGENT).flags) == pytest.approx(WORK, rel=0.05)
 
 
-def test_an_acceptance_tells_that_the_host_is_slow():
+def test_an_acceptance_reports_that_the_host_is_slow():
     harness = slow_host_harness()
     told = decode_service_time(harness.ask(PATIENT).flags)
     assert told == pytest.approx(SLOW_FACTOR * WORK, rel=0.1)
@@ -93,7 +93,7 @@
     assert slow_host_harness().ask(URGENT, waits=True).kind is FrameKind.ACCEPTED
 
 
-def test_a_balancer_that_tells_no_terms_never_meets_the_new_reason():
+def test_a_balancer_that_sends_no_terms_never_gets_the_reason_slow():
     harness = slow_host_harness()
     answers = [harness.ask() for _ in range(2 * CAPACITY)]
     refused = {answer.flags for answer in answers if answer.kind is FrameKind.REFUSED}
--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -32,15 +32,15 @@
 class Running:
     """An applier that runs, and what it told its listener."""
 
-    def __init__(self, interval_entries=1_000_000):
-        self.told, self.snapshots = [], []
+    def __init__(self, snapshot_interval_entries=1_000_000):
+        self.notifications, self.snapshots = [], []
         listener = SimpleNamespace(
-            entry_applied=lambda applied: self.told.append(applied.index),
+            entry_applied=lambda applied: self.notifications.append(applied.index),
             batch_applied=lambda: None,
-            state_replaced=lambda: self.told.append("replaced"),
+            state_replaced=lambda: self.notifications.append("replaced"),
         )
         self.applier = state_applier.StateApplier(
-            listener, interval_entries, lambda *taken: self.snapshots.append(taken)
+            listener, snapshot_interval_entries, lambda *taken: self.snapshots.append(taken)
         )
 
     async def __aenter__(self):
@@ -56,11 +56,11 @@
 @pytest.fixture
 def blocked(monkeypatch):
     """Make serialising, restoring and planning wait until `release` is set (from the loop)."""
-    release, begun = threading.Event(), threading.Event()
+    release, started = threading.Event(), threading.Event()
 
     def wait_first(work):
         def waiting(*arguments):
-            begun.set()
+            started.set()
             assert release.wait(LIMIT_SECONDS)
             return work(*arguments)
 
@@ -75,7 +75,7 @@
     monkeypatch.setattr(ControlState, "long_plan", blocked_plan)
     monkeypatch.setattr(FrozenState, "serialise", wait_first(FrozenState.serialise))
     monkeypatch.setattr(state_applier, "_restore", wait_first(state_applier._restore))
-    return SimpleNamespace(release=release, begun=begun)
+    return SimpleNamespace(release=release, started=started)
 
 
 async def until(condition):
@@ -91,18 +91,18 @@
     blocked.release.set()
     data = restored.serialise()
     blocked.release.clear()
-    blocked.begun.clear()
+    blocked.started.clear()
 
     async def scenario():
         async with Running() as running:
             running.applier.submit_snapshot(snapshot(4, data))
             running.applier.submit([removal(5), entry(6, ApplyTemplate("t", None, "broken"))])
             running.applier.submit([removal(7)])
-            await until(blocked.begun.is_set)
-            assert running.told == []
+            await until(blocked.started.is_set)
+            assert running.notifications == []
             blocked.release.set()
-            await until(lambda: len(running.told) == 4)
-            assert running.told == ["replaced", 5, 6, 7]
+            await until(lambda: len(running.notifications) == 4)
+            assert running.notifications == ["replaced", 5, 6, 7]
             assert running.applier.state.outcome_of("earlier") is not None
 
     asyncio.run(scenario())
@@ -110,11 +110,11 @@
 
 def test_entries_are_applied_while_a_snapshot_is_encoded(blocked):
     async def scenario():
-        async with Running(interval_entries=2) as running:
+        async with Running(snapshot_interval_entries=2) as running:
             running.applier.submit([removal(1), removal(2)])
-            await until(blocked.begun.is_set)
+            await until(blocked.started.is_set)
             running.applier.submit([removal(3), removal(4), removal(5)])
-            await until(lambda: running.told == [1, 2, 3, 4, 5])
+            await until(lambda: running.notifications == [1, 2, 3, 4, 5])
             assert running.snapshots == []
             blocked.release.set()
             await until(lambda: running.snapshots)
--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -20,11 +20,11 @@
 from jasperwalk_lab.ports import common_ports
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_SECONDS = 60.0
+WAIT_LIMIT_SECONDS = 60.0
 """Bound of every wait; nothing is asserted about how long things take."""
 CODEC = PlatformCodec()
 CONTROL_HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
-FIRST_TURNED_AWAY_PORT = 41000
+FIRST_REFUSED_PORT = 41000
 POLL_SECONDS = 0.1
 BALANCER_HOST, AGENT_HOST, CALLER_HOST = "127.0.2.1", "127.0.3.1", "127.0.4.1"
 HOSTS = (*CONTROL_HOSTS, BALANCER_HOST, AGENT_HOST, CALLER_HOST)
@@ -112,7 +112,7 @@
 
     def until(self, *call):
         """Repeat a call until it succeeds; return its body."""
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_LIMIT_SECONDS
         while time.monotonic() < deadline:
             status, body = self.call(*call)
             if status == 200:
@@ -123,7 +123,7 @@
     def end(self):
         for process in self.processes:
             process.terminate()
-        statuses = [process.wait(timeout=PATIENCE_SECONDS) for process in self.processes]
+        statuses = [process.wait(timeout=WAIT_LIMIT_SECONDS) for process in self.processes]
         self.processes.clear()
         return statuses
 
@@ -143,7 +143,7 @@
 def bound(host, port):
     made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     made.bind((host, port))
-    made.settimeout(PATIENCE_SECONDS)
+    made.settimeout(WAIT_LIMIT_SECONDS)
     return made
 
 
@@ -154,15 +154,15 @@
     the end each opening has been answered by a reset of its own or is with the host.
     """
     openings = {}
-    for attempt in range(int(PATIENCE_SECONDS / POLL_SECONDS)):
-        opening = packet((CALLER_HOST, FIRST_TURNED_AWAY_PORT + attempt), listener, SYN)
+    for attempt in range(int(WAIT_LIMIT_SECONDS / POLL_SECONDS)):
+        opening = packet((CALLER_HOST, FIRST_REFUSED_PORT + attempt), listener, SYN)
         openings[CODEC.reset_for(opening)] = opening
         fabric.sendto(opening, ingress)
         reset = received_soon(client)
         if reset is not None:
             break
     del openings[reset]
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_LIMIT_SECONDS
     while openings and time.monotonic() < deadline:
         reset, admitted = received_soon(client), received_soon(host)
         if reset is not None:
@@ -180,7 +180,7 @@
     except TimeoutError:
         return None
     finally:
-        receiver.settimeout(PATIENCE_SECONDS)
+        receiver.settimeout(WAIT_LIMIT_SECONDS)
 
 
 def heartbeat(fleet, state, number):
@@ -196,7 +196,7 @@
     ).encode()
 
 
-def test_a_flow_is_served_and_a_leaving_host_gets_no_more(fleet):
+def test_a_flow_is_served_and_a_draining_host_gets_no_more(fleet):
     listener = ("198.18.0.1", 443)
     body = json.dumps(
         {
