--- a/src/jasperwalk/balancer/agent_sockets.py
+++ b/src/jasperwalk/balancer/agent_sockets.py
@@ -31,7 +31,7 @@
     """Finds or opens the socket for sending to an agent."""
 
     def __init__(self, unconnected: socket.socket) -> None:
-        """Take the socket that reaches the agents for which there is no connected one."""
+        """Use `unconnected` for agents without a connected socket."""
         self.senders: dict[SocketAddress, SendDatagram] = {}
         """Send functions of connected sockets, by destination; used by the fast path."""
         self.connected: dict[SocketAddress, socket.socket] = {}
--- a/src/jasperwalk/balancer/datagrams/counters.py
+++ b/src/jasperwalk/balancer/datagrams/counters.py
@@ -17,7 +17,7 @@
     flows_not_opened: int = 0
     open_retries: int = 0
     openings_returned: int = 0
-    """New flows that an agent accepted and its host then handed back."""
+    """New flows that an agent accepted and its host then returned."""
     searches_delegated: int = 0
     searches_unanswered: int = 0
     """Delegated searches whose agent never answered."""
--- a/src/jasperwalk/balancer/datagrams/flow_opener.py
+++ b/src/jasperwalk/balancer/datagrams/flow_opener.py
@@ -110,7 +110,7 @@
         """Handle the caller's first packet after the opening one, which shows that a host answered.
 
         If several agents may have taken the flow, the packet must not go to an arbitrary one: the
-        flow is removed from the table, and these agents are returned to be asked. An empty list
+        flow is removed from the table, and these agents are returned to be queried. An empty list
         means that the packet goes to the flow's agent.
         """
         opening = flow.opening
--- a/src/jasperwalk/fleet/group_weights.py
+++ b/src/jasperwalk/fleet/group_weights.py
@@ -34,8 +34,8 @@
         """Name the key, the line and what is expected."""
         place = "" if self.line is None else f" (line {self.line})"
         return (
-            f"{WEIGHTS_TABLE}.{self.zone}{place}: {self.value!r} is no weight, which is a number "
-            f"from {MIN_WEIGHT:g} to {MAX_WEIGHT:g}"
+            f"{WEIGHTS_TABLE}.{self.zone}{place}: {self.value!r} is not a weight; expected a "
+            f"number from {MIN_WEIGHT:g} to {MAX_WEIGHT:g}"
         )
 
 
--- a/src/jasperwalk/fleet/target.py
+++ b/src/jasperwalk/fleet/target.py
@@ -97,7 +97,7 @@
     def open_head(self, terms: OpeningTerms) -> bytes:
         """Return the frame head for an opening packet."""
         if terms.route is not None and not self.record.reads_terms:
-            # An agent of an earlier release takes a frame with terms for a malformed one.
+            # An agent of an earlier release treats a frame with terms as malformed.
             terms = msgspec.structs.replace(terms, route=None)
         return encode_open_head(self.service_tag, terms)
 
--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -194,7 +194,7 @@
     if not flags & FLAG_TERMS:
         return OpeningRequest(terms, body)
     if len(body) < CARRIED_TERMS.size:
-        raise MalformedMessage(reason=f"terms of {len(body)} bytes")
+        raise MalformedMessage(reason=f"OPEN frame with truncated terms: {len(body)} bytes")
     priority, objective_ms, limit_ms, group = CARRIED_TERMS.unpack_from(body)
     route = CarriedTerms(priority, objective_ms / 1000, limit_ms / 1000, group)
     return OpeningRequest(msgspec.structs.replace(terms, route=route), body[CARRIED_TERMS.size :])
@@ -231,12 +231,12 @@
     """Decode a frame from an agent; raises `MalformedMessage`."""
     key_end = REPLY_HEAD.size + flow_key_bytes
     if len(data) < key_end:
-        raise MalformedMessage(reason=f"agent's frame of {len(data)} bytes")
+        raise MalformedMessage(reason=f"truncated frame from an agent: {len(data)} bytes")
     kind, flags, tag, load, capacity = REPLY_HEAD.unpack_from(data)
     if kind not in REPLY_KINDS:
-        raise MalformedMessage(reason=f"agent's frame of kind {kind}")
+        raise MalformedMessage(reason=f"frame from an agent with unexpected kind {kind}")
     if kind == FrameKind.REFUSED and flags not in REFUSAL_FLAGS:
-        raise MalformedMessage(reason=f"refusal for the unknown reason {flags}")
+        raise MalformedMessage(reason=f"refusal with unknown reason {flags}")
     if kind == FrameKind.LOCATED and not is_verdict(flags, data[key_end:]):
         raise MalformedMessage(reason=f"verdict {flags} with {len(data) - key_end} bytes")
     return AgentReply(
@@ -304,11 +304,11 @@
     answer_bytes = 1 + flow_key_bytes
     body = data[REPLY_HEAD.size :]
     if not body or len(body) % answer_bytes:
-        raise MalformedMessage(reason=f"answers of {len(body)} bytes")
+        raise MalformedMessage(reason=f"ANSWERS frame with a body of {len(body)} bytes")
     _, _, tag, load, capacity = REPLY_HEAD.unpack_from(data)
     answers = [body[start : start + answer_bytes] for start in range(0, len(body), answer_bytes)]
     if any(answer[0] not in SEARCH_ANSWERS for answer in answers):
-        raise MalformedMessage(reason="an answer of an unknown kind")
+        raise MalformedMessage(reason="ANSWERS frame with an unknown kind of answer")
     return [
         AgentReply(FrameKind(answer[0]), 0, tag, load * LOAD_UNIT, capacity, answer[1:], b"")
         for answer in answers
--- a/tests/balancer/datagrams/bottleneck_link_model.py
+++ b/tests/balancer/datagrams/bottleneck_link_model.py
@@ -1,9 +1,9 @@
-"""A model of one balancer on a thin link under uploads, on virtual time and from one seed.
+"""A model of one balancer on a low-bandwidth link under uploads, on virtual time, from one seed.
 
-Each upload's packets cross the link twice, in and out, first come first served; on the way out
-the link keeps few of them and loses the others. A caller has a bounded number of packets under
-way, and sends a packet again that was not acknowledged in time, as callers do that cannot tell a
-queue from a loss. The product's own admission and pacer decide.
+Each upload's packets cross the link twice, in and out, first in, first out; on the way out the link
+queues few of them and loses the others. A caller has a bounded number of packets in flight, and
+sends a packet again that was not acknowledged in time, as callers do that cannot tell a queue from
+a loss. The product's own admission and pacer decide.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 TICK_SECONDS = 0.02
 RELEASE_SECONDS = 0.008
 BUFFER_SECONDS = 0.04
-"""What the link keeps of what is sent faster than it carries."""
+"""Queue of the link for packets that are sent faster than its rate."""
 AGENT = ("10.0.0.1", 7602)
 
 
 @dataclass(eq=False)
 class Upload:
-    """One upload of a caller; it is tried again where it is reset."""
+    """One upload of a caller, which tries again after a reset."""
 
     number: int
     started_at: float
@@ -54,7 +54,7 @@
 
 
 class BottleneckLink:
-    """Plays uploads through one balancer; `limited` switches pacer and admission on."""
+    """Simulates uploads through one balancer; `limited` switches pacer and admission on."""
 
     def __init__(self, seed, megabits, limited):
         self.random = random.Random(seed)
@@ -75,7 +75,7 @@
         heapq.heappush(self.events, (self.now + delay, self.order, action))
 
     def play(self, rate_at, seconds):
-        """Let uploads arrive at `rate_at(second)` a second."""
+        """Let uploads arrive at `rate_at(second)` per second."""
         at = 0.0
         while at < seconds:
             at += self.random.expovariate(rate_at(at))
@@ -153,7 +153,7 @@
         self.send_more(upload)
 
     def in_time(self, since, until):
-        """Return the share of uploads begun in this span that met their objective."""
+        """Return the share of uploads started in this span that met their objective."""
         begun = [each for each in self.uploads if since <= each.started_at < until]
         met = [
             each
--- a/tests/balancer/datagrams/support.py
+++ b/tests/balancer/datagrams/support.py
@@ -1,4 +1,4 @@
-"""A balancer's core with named agents, and what it sent to whom."""
+"""Harness: a balancer's core with numbered agents, which records what is sent to whom."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class Harness:
-    """The core under test."""
+    """The core under test, with its table of routes, agents and log."""
 
     def __init__(self, *records, version=1, services=("web",)):
         self.sent, self.resets = [], []
--- a/tests/balancer/datagrams/test_bottleneck_link.py
+++ b/tests/balancer/datagrams/test_bottleneck_link.py
@@ -1,4 +1,4 @@
-"""A short overload of a thin link must end with the overload: metastability as a test."""
+"""A low-bandwidth link recovers when a short overload ends: guards against metastable failure."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 MEGABITS = 3.7
 UPLOADS_PER_SECOND = MEGABITS * 1e6 / 8 / (PACKETS * PACKET_BYTES)
-"""What the link carries in one direction."""
+"""Uploads per second that the link can carry in one direction."""
 TYPICAL_SHARE = 0.5
 BURST = 1.5
 BURST_BEGINS, BURST_ENDS = 5.0, 8.0
@@ -32,7 +32,7 @@
 
 
 def test_without_the_admission_the_overload_feeds_itself():
-    """The check can fail: callers send again what only waits in a queue."""
+    """Shows that the check can fail: callers send again what only waits in a queue."""
     after = [
         played(seed, limited=False).in_time(BURST_ENDS + RECOVERED_AFTER, SECONDS)
         for seed in range(5)
--- a/tests/balancer/datagrams/test_delegated_searches.py
+++ b/tests/balancer/datagrams/test_delegated_searches.py
@@ -1,4 +1,4 @@
-"""Flows that agents look for on a balancer's behalf."""
+"""Searches that agents run on a balancer's behalf."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def delegating(count=3, **options):
-    """Return a balancer that lets agents search, and has got a packet of an unknown flow."""
+    """Return a balancer that delegates searches and has received a packet of an unknown flow."""
     harness = Harness(*(record(number) for number in range(1, count + 1)), **options)
     harness.core.delegated.is_enabled = True
     harness.core.receive(DATA, 1.0)
@@ -27,7 +27,7 @@
 
 
 def helper_of(harness):
-    """Return the agent that was asked, by the one question sent."""
+    """Return the agent to which the one search was delegated."""
     ((data, (host, _port)),) = harness.sent
     harness.sent = []
     request = decode_locate(data)
--- a/tests/balancer/datagrams/test_early_packets.py
+++ b/tests/balancer/datagrams/test_early_packets.py
@@ -1,4 +1,4 @@
-"""Packets that come before the first routes are played once the routes are there."""
+"""Packets that arrive before the first routes are handled once the routes are in force."""
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.early_packets import (
@@ -19,7 +19,7 @@
 
 
 def early(*packets, agents=(1,)):
-    """Return a balancer without routes that got these packets 0.1 s apart."""
+    """Return a balancer without routes that received these packets 0.1 s apart."""
     harness = Harness(*(record(number) for number in agents), version=0)
     for position, packet in enumerate(packets):
         harness.core.receive(packet, 1.0 + 0.1 * position)
--- a/tests/balancer/datagrams/test_flow_balancer.py
+++ b/tests/balancer/datagrams/test_flow_balancer.py
@@ -196,7 +196,7 @@
 
 
 def with_unanswered_agents():
-    """Return a balancer, an agent that did not answer in time, and the one asked after it."""
+    """Return a balancer, an agent that did not answer in time, and the one tried after it."""
     harness = Harness(record(1), record(2))
     harness.core.receive(SYN, 1.0)
     ((_, silent, _),) = harness.take_sent()
@@ -207,9 +207,9 @@
 
 @pytest.mark.parametrize("answers", ["silent", "other", "silent other", "other silent", ""])
 def test_the_agents_that_may_have_taken_a_flow_are_given_its_callers_next_packet(answers):
-    """The caller has answered one of their hosts; the other one must not get its packets.
+    """The caller has followed up one of their hosts; the other one must not get its packets.
 
-    Nobody else is asked, and the holder gets the first packet with the question.
+    No other agent is queried, and the holder gets the first packet with the `CONFIRM` frame.
     """
     harness, silent, other = with_unanswered_agents()
     for name in answers.split():
@@ -389,7 +389,7 @@
 
 
 def test_a_flow_that_its_host_returns_after_the_agent_accepted_it_goes_to_another():
-    """Seen on lsl-hanoi-edge-large, fresh-8c70: such hosts drew new flows, and none opened."""
+    """Such hosts attracted new flows and opened none (lsl-hanoi-edge-large, fresh-8c70)."""
     harness = Harness(record(1), record(2))
     first = opened(harness)
     harness.refuse(first, 1.01, RefusalReason.RETURNED)
@@ -436,7 +436,7 @@
 
 
 def opening_to(harness, port, now):
-    """Open a flow; return the agent that was asked for it."""
+    """Open a flow; return the agent that was tried."""
     harness.take_sent()
     harness.core.receive(from_caller(OPENING, caller=Endpoint("100.64.0.9", port)), now)
     kind, number, _ = harness.take_sent()[0]
--- a/tests/balancer/datagrams/test_host_slowdown.py
+++ b/tests/balancer/datagrams/test_host_slowdown.py
@@ -1,4 +1,4 @@
-"""What a balancer does with the pace that agents tell, and with the refusal of a slow host."""
+"""How a balancer uses reported service times, and refusals because of a slow host."""
 
 import pytest
 
@@ -16,14 +16,14 @@
 
 
 class SlowdownHarness(Harness):
-    """Opens flows whose agents answer as told."""
+    """Opens flows and lets agents answer with given service times."""
 
     def __init__(self):
         super().__init__(*(record(number + 1) for number in range(HOSTS)))
         self.port = 1000
 
     def open(self, now):
-        """Send an opening packet; return the agent that is asked and whether it may wait."""
+        """Send an opening packet; return the agent that is tried and whether the flow may wait."""
         self.port += 1
         self.caller = Endpoint("100.64.0.7", self.port)
         self.core.receive(from_caller(OPENING, caller=self.caller), now)
--- a/tests/balancer/datagrams/test_packet_intake.py
+++ b/tests/balancer/datagrams/test_packet_intake.py
@@ -1,4 +1,4 @@
-"""The order in which a busy balancer takes packets."""
+"""The order in which a busy balancer handles packets, and its load shedding of new flows."""
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.balancer.datagrams.packet_intake import (
--- a/tests/balancer/datagrams/test_route_terms.py
+++ b/tests/balancer/datagrams/test_route_terms.py
@@ -1,4 +1,4 @@
-"""Which agents a balancer tells a route's terms."""
+"""Which agents a balancer sends a route's terms to."""
 
 import pytest
 
@@ -39,7 +39,7 @@
 
 
 def test_an_agent_of_an_earlier_release_gets_the_frame_that_it_knows():
-    """A frame with terms would be malformed to it: the flow would wait for its answer."""
+    """An earlier release treats a frame with terms as malformed; the flow would get no answer."""
     harness = Harness(record(1, reads_terms=False))
     route_two(harness, URGENT)
     flags, opening = sent_opening(harness, from_caller(OPENING))
--- a/tests/balancer/datagrams/test_search.py
+++ b/tests/balancer/datagrams/test_search.py
@@ -19,11 +19,11 @@
 DATA = from_caller(0, b"data")
 MORE = from_caller(0, b"more")
 SECOND_ROUND_SECONDS = ROUND_PAUSE_SECONDS + ROUND_GRID_SECONDS
-"""Latest beginning of the second round, after the first."""
+"""Latest start of the second round after the first one."""
 
 
 def searching(*records, **options):
-    """Return a balancer that has just got a packet of a flow that it does not know."""
+    """Return a balancer that has just received a packet of an unknown flow."""
     harness = Harness(*records, **options)
     harness.core.receive(DATA, 1.0)
     return harness
@@ -195,7 +195,7 @@
 
 
 def search_many(harness, count):
-    """Begin searches of flows that all candidates deny; return the callers."""
+    """Start searches for flows that all candidates deny; return the callers."""
     callers = [CALLER.__class__("100.64.1.1", port) for port in range(1, count + 1)]
     for caller in callers:
         harness.core.receive(from_caller(0, b"data", caller=caller), 1.0)
@@ -251,7 +251,7 @@
 
 
 def silent_in_both_rounds(unlisted_at, phase=HostPhase.READY):
-    """Search while agent 2 is silent, and unlisted since a time."""
+    """Search while agent 2 is silent, and unlisted since `unlisted_at`."""
     harness = Harness(record(1), record(2, phase))
     harness.update_fleet(removed=[address_of(2)], now=unlisted_at)
     harness.core.receive(DATA, 10.0)
@@ -270,7 +270,7 @@
 
 
 def test_a_leaving_host_whose_agent_vanished_may_still_serve_its_flows():
-    """Its agent was told to stop before it had said goodbye: seen as a broken flow."""
+    """Guards against a flow broken because the host's agent stopped before it had deregistered."""
     assert silent_in_both_rounds(5.0, HostPhase.DRAINING).resets == []
     assert len(silent_in_both_rounds(-1.0, HostPhase.DRAINING).resets) == 1
 
@@ -308,7 +308,7 @@
 
 
 def test_a_balancer_that_has_just_received_its_first_agents_resets_nothing_yet():
-    """Others may be missing in what a home tells right after a start of its own."""
+    """A home that has itself just started may not list all agents."""
     harness = Harness(version=1)
     harness.core.pool.directory_since = None
     harness.update_fleet(record(1), is_snapshot=True, now=0.95)
@@ -322,7 +322,7 @@
 
 
 def test_an_agent_that_was_learnt_during_the_search_is_shown_the_packet():
-    """A balancer that has just started knows no agent; agents that restarted do not know."""
+    """A balancer that has just started knows no agent; restarted agents answer `UNSURE`."""
     harness = searching()
     harness.core.tick(1.0 + ANSWER_TIMEOUT_SECONDS)
     harness.update_fleet(record(1), is_snapshot=True, now=1.1)
@@ -337,7 +337,7 @@
 
 
 def run_until(harness, until, deny_by=()):
-    """Let time pass from 1.0 s; the agents named in `deny_by` answer each question at once."""
+    """Let time pass from 1.0 s; the agents in `deny_by` deny each query at once."""
     for step in range(1, round((until - 1.0) / 0.02) + 1):
         now = 1.0 + step * 0.02
         harness.core.tick(now)
@@ -347,7 +347,7 @@
 
 
 def fleet_with_a_silent_agent(phase):
-    """Search among 60 agents of which the last, beyond the candidates, says nothing."""
+    """Search among 60 agents of which the last, no candidate, does not answer."""
     numbers = list(range(1, 60))
     silent = record(60, phase, service="export")
     harness = searching(*(record(number) for number in numbers), silent)
@@ -356,7 +356,7 @@
 
 
 def test_an_agent_without_a_host_that_falls_silent_does_not_keep_callers_of_dead_flows_waiting():
-    """After a loss of power, machines of hosts that had left came back for some seconds."""
+    """After a loss of power, machines of hosts that had left are back for some seconds."""
     harness, numbers = fleet_with_a_silent_agent(HostPhase.UNKNOWN)
     run_until(harness, 2.0, deny_by=numbers)
     assert len(harness.resets) == 1
@@ -392,7 +392,7 @@
 
 
 def test_one_lost_answer_is_no_silence():
-    """The second question to an agent that never saw its host is answered."""
+    """An agent whose host never announced itself answers the second query."""
     harness, numbers = fleet_with_a_silent_agent(HostPhase.UNKNOWN)
     run_until(harness, 1.1, deny_by=numbers)
     harness.core.tick(1.18)
--- a/tests/balancer/datagrams/test_upload_admission.py
+++ b/tests/balancer/datagrams/test_upload_admission.py
@@ -1,4 +1,4 @@
-"""Uploads on a thin link: opened as it has room, the others wait or are told to come back."""
+"""Admission of uploads on a low-bandwidth link: the others wait, and are reset if too late."""
 
 import pytest
 
@@ -47,7 +47,7 @@
 
 
 def bulk_harness(megabits=MEGABITS, is_bulk=True):
-    """Return a balancer whose only route takes uploads, on a link of this rate."""
+    """Return a balancer whose only route is for uploads, on a link of this rate."""
     harness = Harness(record(1), record(2), version=0)
     backends = [RouteBackend("web", 1.0)]
     harness.routes.replace(RouteSet(1, [FlowRoute("r", LISTENER, backends, is_bulk)]))
@@ -61,7 +61,7 @@
 
 
 def opened(harness, now=1.0):
-    """Return the callers' ports whose openings went to an agent, which takes them."""
+    """Return the ports of the callers whose openings went to an agent, which accepts them."""
     ports = []
     for kind, number, body in harness.take_sent():
         if kind is FrameKind.OPEN:
@@ -71,7 +71,7 @@
 
 
 def full(waiting=(3, 4)):
-    """Return a balancer that expects as much as its link carries, and some uploads that wait."""
+    """Return a balancer whose link has no capacity left, with some uploads that wait."""
     harness = bulk_harness()
     for number in (1, 2, *waiting):
         harness.core.receive(packet(number, OPENING), 1.0)
@@ -138,7 +138,7 @@
 
 
 def keep_the_link_full(harness, now):
-    """Let two open uploads send more than the link carries."""
+    """Let two open uploads send more than the link can carry."""
     for number in (1, 2):
         for position in range(40):
             receive(harness, now, number, 0, bytes((position,)).ljust(1000, b"."))
--- a/tests/balancer/datagrams/test_zones.py
+++ b/tests/balancer/datagrams/test_zones.py
@@ -126,7 +126,7 @@
 
 
 def test_a_flow_that_was_opened_before_a_restriction_is_still_found_elsewhere():
-    """The questions of the second round go everywhere; they hold no packet."""
+    """The queries of the second round go to every region; they carry no packet."""
     harness = Harness(record(1, zone="a"), record(2, zone="c"))
     restrict(harness, "there")
     harness.core.receive(from_caller(0, b"data"), 10.0)
--- a/tests/balancer/test_core.py
+++ b/tests/balancer/test_core.py
@@ -129,7 +129,7 @@
     core = make_core(fresh=False)
     payload = short(connection_id(), size)
     wanted = expected(UREDNIK, UREDNIK_ID, [], payload)
-    # The first packet takes the long path, the second the short one.
+    # The first packet takes the slow path, the second the fast one.
     for _ in range(2):
         outcome = core.handle(wrap(payload), NOW)
         assert outcome == Forward(("127.0.0.1", 7001), codec.encode(wanted))
@@ -155,7 +155,7 @@
 
 
 def test_many_datagrams_get_the_answers_of_single_ones_in_their_order():
-    # Met and unmet agents, long and short headers: packets for one agent keep their order.
+    # Known and new agents, long and short headers: packets for one agent keep their order.
     handshake = wrap(long(0xE0, connection_id(), size=ESTABLISHED_SIZE))
     other = wrap(short(connection_id(Endpoint("127.0.0.2", 7001))))
     datagrams = [handshake, GOOD, wrap(long()), other, b"junk", wrap(short(connection_id(), 200))]
--- a/tests/balancer/test_process.py
+++ b/tests/balancer/test_process.py
@@ -144,7 +144,7 @@
         data = await asyncio.wait_for(loop.sock_recv(agent, 4096), timeout=10)
         assert (await fetch(process, "/healthz"))[0] == 200
 
-        # Control is lost; the last table goes on serving.
+        # Control is lost; the last table still serves.
         await replica.server.close()
         sender.sendto(DATAGRAM, target)
         again = await asyncio.wait_for(loop.sock_recv(agent, 4096), timeout=10)
--- a/tests/balancer/test_queues.py
+++ b/tests/balancer/test_queues.py
@@ -1,4 +1,4 @@
-"""Datagrams of new flows wait in a queue of their own, and give way to established ones."""
+"""Datagrams of new flows have a queue of their own, with lower priority than established ones."""
 
 import socket
 
--- a/tests/balancer/test_receiver.py
+++ b/tests/balancer/test_receiver.py
@@ -11,7 +11,7 @@
 
 
 class Handler:
-    """Forwards to one place, drops what is empty, and reports what it saw."""
+    """Forwards to one destination, drops empty datagrams, and records what it received."""
 
     def __init__(self, destination, wanted, repeat, alternative=None):
         self.destination = destination
@@ -82,7 +82,7 @@
         closed_port = agent.getsockname()
     receiver, handler = asyncio.run(exchange([b"one", b"two", b"three"], closed_port))
     assert len(handler.seen) == 3
-    # The refusal of one datagram comes back with the next send.
+    # The refusal of one datagram is reported by the next send.
     assert receiver.send_failures > 0
 
 
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("with_alternative", [False, True])
 def test_what_reports_an_earlier_refusal_is_sent_all_the_same(with_alternative):
-    # A connected socket answers the next send with the ICMP error of the one before.
+    # A connected socket fails the next send with the ICMP error of the one before.
     agent, other, sender = open_socket(), open_socket(), open_socket()
     address = agent.getsockname()
     agent.close()
--- a/tests/fleet/test_dialing.py
+++ b/tests/fleet/test_dialing.py
@@ -1,4 +1,4 @@
-"""Several replicas are dialled one after the other, and the first that answers is taken."""
+"""Several replicas are dialled one after the other, and the first that answers is used."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Replicas:
-    """Answer, refuse, hang, or answer even though nobody waits any longer."""
+    """Replicas that answer, refuse, hang, or answer although the attempt was cancelled."""
 
     def __init__(self, **behaviour):
         self.behaviour = {
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -38,7 +38,7 @@
 
 
 class Home:
-    """The home's side, without a log."""
+    """The home's side of a link."""
 
     def __init__(self):
         self.current = True
@@ -46,7 +46,7 @@
         self.routes = RouteSet(1, [route(1), route(2)])
         self.directory = NodeDirectory(1)
         self.reported = []
-        # Each change is sent by itself; how several are put together: test_home_links.
+        # Each change is sent by itself; test_home_links covers how several are combined.
         self.links = HomeLinks(
             self.directory, self._view, self.reported.append, fleet_interval_seconds=0.0
         )
@@ -60,7 +60,7 @@
 
 
 class Node:
-    """The node's side, and what it was told."""
+    """The node's side of a link, and the messages that it received."""
 
     def __init__(self, *seeds, role=NodeRole.BALANCER, number=1):
         self.messages, self.linked = [], []
@@ -146,7 +146,7 @@
 
 
 def test_an_agent_gets_the_agents_but_no_routes(play):
-    """It searches flows among them on behalf of balancers."""
+    """It searches for flows among them on behalf of balancers."""
 
     async def scenario(homes, start):
         (home,) = homes
@@ -248,7 +248,7 @@
 
 
 def test_a_replica_that_gets_power_during_an_attempt_is_dialled_again_at_once(play, monkeypatch):
-    """A connection whose first packet was dropped hangs, though the replica is there by now."""
+    """A connection whose first packet was dropped hangs, although the replica is up by now."""
     waited = []
     real_connect = home_link.connect
 
--- a/tests/fleet/test_host_slowdowns.py
+++ b/tests/fleet/test_host_slowdowns.py
@@ -1,4 +1,4 @@
-"""How a balancer weighs agents by what they tell of their hosts' pace."""
+"""How a balancer weighs agents by their hosts' reported service times."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 
 class Harness:
-    """A balancer's agents, all but the first as usual."""
+    """A balancer's agents, all but the first with typical service times."""
 
     def __init__(self, weighs_slowdown=True, hosts=HOSTS):
         self.pool = TargetPool("a", random.Random(SEED), weighs_slowdown=weighs_slowdown)
@@ -164,7 +164,9 @@
 def test_nothing_is_compared_with_few_or_old_samples():
     slowdowns = HostSlowdowns()
     for number in range(MIN_SAMPLES - 1):
-        assert slowdowns.slowdown_of("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
+        assert (
+            slowdowns.slowdown_of("web", KIND, encode_service_time(TYPICAL), 0.2 * number) is None
+        )
     assert slowdowns.slowdown_of("web", KIND, encode_service_time(TYPICAL), 1.0) == 1.0
     late = 1.0 + MAX_SAMPLE_AGE_SECONDS + 1.0
     assert slowdowns.slowdown_of("web", KIND, encode_service_time(9 * TYPICAL), late) is None
--- a/tests/fleet/test_targets.py
+++ b/tests/fleet/test_targets.py
@@ -204,7 +204,7 @@
 
 
 def test_an_agent_that_was_lost_long_ago_counts_as_lost_at_once():
-    """A balancer that starts after an outage must not wait for it all over again."""
+    """A balancer that starts after an outage must not wait the full time again."""
     made = pool()
     lost = [address_of(1), address_of(2)]
     made.update(FleetUpdate(True, [record(1), record(2)], lost, [4.0, 0.5]), 10.0)
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize(("busy", "expected"), [(0, 1), (3, 1), (5, 2)])
 def test_an_upload_leaves_its_zone_only_where_hosts_there_are_much_busier(busy, expected):
-    """Its every packet would cross; other flows move at a fraction of that difference."""
+    """All its packets would cross zones; other flows move at a fraction of that difference."""
     made = pool(record(1, zone="a"), record(2, zone="b"))
     load(made, 1, busy)
     target = made.choose("web", KEY, (), 1.0, is_bulk=True)
@@ -224,7 +224,7 @@
 
 
 def test_an_agent_without_a_host_is_asked_for_no_flow_and_gets_none():
-    """After a loss of power machines come back whose hosts had left, and go again silently."""
+    """After a loss of power, machines of hosts that had left come back and leave silently again."""
     made = pool(record(1), record(2, HostPhase.ABSENT))
     assert [each.record.name for each in made.all_targets()] == ["agent-1"]
     assert [each.record.name for each in made.candidates(["web"], KEY)] == ["agent-1"]
@@ -240,16 +240,15 @@
 
 
 UNABLE = 64.0
-"""What an agent answers whose host hands openings back or is silent."""
+"""The load in the answers of an agent whose host returns openings or is silent."""
 
 
 def test_an_agent_that_once_seemed_unable_is_asked_again():
-    """An idle host stayed without new flows for good.
+    """Guards against an idle host that never gets new flows again (soak, seed 304).
 
-    Soak, seed 304: agent-1 answered `reason=returned load=64.0` to balancers 0 and 2 at 26.2 s, and
-    its log has `host-takes-openings` at 29.9 s. Neither balancer asked it again, not after its
-    restart either, and 0 of 40 new flows went there at the end. Nothing but an answer replaced the
-    figure, and with that figure nobody asked.
+    An agent that had answered `reason=returned load=64.0` was not tried again with that load, and
+    only an answer replaced the load. So its host stayed without new flows after it had recovered
+    (`host-takes-openings`), even after a restart of the agent.
     """
     made = pool(record(1), record(2), record(3))
     load(made, 1, UNABLE, now=1.0)
@@ -261,7 +260,7 @@
 
 
 def test_what_was_sent_without_an_answer_ages_as_well():
-    """Answers may be lost: an agent that got flows and could not say so is not busy for good."""
+    """Answers may be lost: an agent whose answers to new flows were lost is not busy forever."""
     made = pool(record(1), record(2))
     for _ in range(10):
         made.at(("10.0.0.1", 7602)).record_sent(1.0)
--- a/tests/flows/fleet_model.py
+++ b/tests/flows/fleet_model.py
@@ -1,8 +1,8 @@
 """A model of a whole fleet on virtual time: fabric, balancers, agents, hosts, callers, faults.
 
-The product's own cores run in it, on a network that delays and loses datagrams. Everything is
-drawn from one seed; the same seed plays the same day. What callers and hosts see is checked
-while it runs: see `Violation`.
+The product's own cores run in it, on a network that delays and loses datagrams. Everything is drawn
+from one seed; the same seed gives the same run. Invariants of what callers and hosts see are
+checked while it runs (`Violation`).
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 SPRAY_SECONDS = 2.0
 SPRAY_PACKETS = 3
 QUIET_SECONDS = 6.0
-"""After the last fault, before the end is judged."""
+"""Time after the last fault, before the final state is checked."""
 OTHER_LISTENER = Endpoint("198.18.0.2", 443)
 SLOW_SECONDS = 2.5
-"""How long an overloaded balancer gets to its packets late."""
+"""How long an overloaded balancer reads its packets with a delay."""
 ZONES = ("a", "b")
 CUT_OFF_SECONDS = 3.0
 """How late balancers, or else agents, learn that a zone is drained."""
 UPDATE_DELAY_SECONDS = 0.05
-"""Longest way of the directory's news."""
+"""Delay of the directory's updates."""
 SERVICES = {"web": LISTENER, "export": OTHER_LISTENER}
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken promise: what, when, and to which flow."""
+    """A violated invariant: which, when, and at which host or flow."""
 
     invariant: str
     at: float
@@ -61,7 +61,7 @@
 
 
 class Host:
-    """Holds flows; hands back what it does not hold; forgets all when it crashes."""
+    """Holds flows and returns packets of others; loses all flows when it crashes."""
 
     def __init__(self, world, slot, service, number):
         self.world, self.slot, self.service = world, slot, service
@@ -154,7 +154,7 @@
         self.world.schedule(0.0005, lambda: host.receive(packet))
 
     def send_heartbeats(self):
-        """The host speaks to its agent, again and again."""
+        """Let the host announce itself to its agent at intervals."""
         if self.agent is not None and self.host.alive:
             self.speak()
         self.world.schedule(HEARTBEAT * self.world.random.uniform(0.8, 1.2), self.send_heartbeats)
@@ -210,7 +210,7 @@
         self.start()
 
     def delay(self):
-        """Return how long packets lie in this balancer's sockets before it reads them."""
+        """Return how long packets wait in this balancer's sockets before it reads them."""
         return self.lag if self.world.now < self.slow_until else 0.0
 
     def start(self):
@@ -232,7 +232,7 @@
 
 @dataclass
 class Caller:
-    """A flow as its caller sees it; it sends from time to time until it is reset."""
+    """A flow as its caller sees it; the caller sends at intervals until the flow is reset."""
 
     world: object
     endpoint: Endpoint
@@ -275,7 +275,7 @@
 
 @dataclass
 class World:
-    """Everything of one played day."""
+    """The complete state of one run."""
 
     seed: int
     slot_count: int = 6
@@ -356,7 +356,7 @@
             self.schedule(self.random.uniform(0.0003, 0.003), lambda: caller.receive(packet))
 
     def announce_agent(self, slot):
-        """Pass an agent's record on, after a delay that differs between balancers."""
+        """Deliver an agent's record, after a delay that differs between balancers."""
         record = slot.record()
         for balancer in self.balancers:
             delay = self.random.uniform(0.001, 0.05)
@@ -366,7 +366,7 @@
             self.schedule(delay, lambda other=other: self._notify(other.helper, record))
 
     def directory(self):
-        """Return the directory whole; it remembers for a while agents that left silently."""
+        """Return a snapshot of the directory, which still lists agents that left silently."""
         records = [slot.record() for slot in self.slots.values()]
         lost = [slot.address for slot in self.slots.values() if slot.agent is None]
         return FleetUpdate(True, records, lost)
@@ -375,7 +375,7 @@
         core.fleet_changed(FleetUpdate(False, [record], []), self.now)
 
     def order_zone(self, zone, drained, cut_off):
-        """Drain or restore a zone; `cut_off` says who is cut off and learns it long after."""
+        """Drain or restore a zone; `cut_off` names the kind of node that learns it late."""
         held = set(self.zones.zones) - {zone}
         names = sorted(held | {zone} if drained else held)
         self.zones = zones = DrainedZones(self.zones.revision + 1, names)
@@ -439,7 +439,7 @@
             self.violate("an open flow is not reset", f"{holder.host_id} {caller.endpoint}")
 
     def check_end(self):
-        """Each open flow of a living host is known to be held, by whoever asks."""
+        """Check that packets of each open flow of a living host still reach it."""
         for key, host in self.holders.items():
             caller = self.callers[Endpoint.unpack(key[:6])]
             if not host.alive or caller.ended or key not in host.flows:
@@ -482,7 +482,7 @@
 
 
 def schedule_zone_orders(world, seconds):
-    """Let an operator drain a zone and restore it, once or twice; drawn apart from the faults."""
+    """Let an operator drain and restore a zone up to twice; drawn independently of the faults."""
     drawn = random.Random(f"zones {world.seed}")
     for _ in range(drawn.randint(0, 2)):
         zone, cut_off = drawn.choice(ZONES), drawn.choice(("balancers", "agents", ""))
@@ -498,7 +498,7 @@
 
 
 def replace_host(world, slot, service):
-    """The machine goes, and its address comes back with another host."""
+    """Remove the machine, and start another host at its address."""
     slot.host.alive = False
     slot.agent = None
     slot.new_host(service)
@@ -506,7 +506,7 @@
 
 
 def play(seed, seconds=16.0, **options):
-    """Play one day and return what was violated."""
+    """Run the model once and return its final state with the violations."""
     world = World(seed, **options)
     world.run(1.5)
     for number in range(40):
--- a/tests/flows/support.py
+++ b/tests/flows/support.py
@@ -1,4 +1,4 @@
-"""A codec of the tests' own, and builders of packets: the cores know no platform's head."""
+"""A codec for the tests and builders of packets: the cores know no platform's packet heads."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         return bool(packet[12] & OPENING)
 
     def opening_age_seconds(self, packet):
-        """A copy of an opening packet carries its age in tenths of a second as its data."""
+        """The data of a copy of an opening packet is its age in tenths of a second."""
         return packet[HEAD.size] / 10 if len(packet) > HEAD.size else 0.0
 
     def is_returned(self, packet):
@@ -77,7 +77,7 @@
 
 
 class SilentLog:
-    """Collects decisions instead of writing them."""
+    """Collects logged decisions instead of writing them."""
 
     def __init__(self):
         self.events = []
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -1,4 +1,4 @@
-"""Seeded days of a whole fleet of cores, and mutants that show that the checks can fail."""
+"""Seeded runs of a whole fleet of cores, and mutants that show that the checks can fail."""
 
 import os
 
@@ -65,13 +65,13 @@
 
 
 def test_mutant_balancers_send_into_a_drained_zone(monkeypatch):
-    # Agents that are cut off from control do not know that they should refuse.
+    # Agents that are cut off from control do not know that they should refuse new flows.
     monkeypatch.setattr(targets.TargetPool, "drain_zones", lambda *_: True)
     assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_agents_take_flows_in_a_drained_zone(monkeypatch):
-    # Balancers that are cut off from control go on sending.
+    # Balancers that are cut off from control keep sending new flows there.
     monkeypatch.setattr(flow_agent.HostAdmission, "is_zone_drained", lambda *_: False)
     assert "a drained zone gets no new flow" in violated_invariants()
 
--- a/tests/flows/test_service_time.py
+++ b/tests/flows/test_service_time.py
@@ -1,4 +1,4 @@
-"""The pace of a host in one byte."""
+"""The encoding of a host's service time in one byte."""
 
 import pytest
 
--- a/tests/flows/test_terms.py
+++ b/tests/flows/test_terms.py
@@ -1,4 +1,4 @@
-"""Terms of routes: what counts as one, and which services' agents are told of them."""
+"""Terms of routes: which values are valid, and to which services' agents they are sent."""
 
 import pytest
 
