--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -102,7 +102,7 @@
     assert found.complete is complete
 
 
-def test_a_silent_subscriber_is_forgotten():
+def test_a_silent_subscriber_expires():
     ledger = leading()
     ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
     for sequence, (now, silence_ms, balancers) in enumerate(
@@ -127,7 +127,7 @@
     ],
     ids=["never heard", "up to date", "behind", "just started", "silent", "gone"],
 )
-def test_nothing_is_claimed_for_replicas_that_may_know_more(
+def test_counts_are_unknown_while_a_replica_may_have_unreported_subscribers(
     reports, recorded_ms, laggards, known, complete
 ):
     ledger = leading()
@@ -140,7 +140,7 @@
     assert (found.balancers is not None) is known
 
 
-def test_counts_are_unknown_until_a_new_leader_has_heard_everyone():
+def test_counts_are_unknown_until_every_replica_has_reported_to_a_new_leader():
     ledger = leading(since=99.0)
     ledger.record_report(1, report(sighting()), now=100.0)
     found = in_force(ledger, 100.0)
@@ -161,7 +161,7 @@
     assert in_force(ledger, 106.0).complete
 
 
-def test_a_report_after_a_lost_one_is_refused_and_a_whole_one_starts_anew():
+def test_a_report_after_a_lost_one_is_refused_and_a_full_one_starts_again():
     ledger = leading()
     assert not ledger.record_report(1, report(sighting(), sequence=1), now=100.0)
     assert ledger.record_report(1, report(sighting(), sighting("balancer-2")), now=100.0)
