--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -238,7 +238,7 @@
     if kind == FrameKind.REFUSED and flags not in REFUSAL_FLAGS:
         raise MalformedMessage(reason=f"refusal with unknown reason {flags}")
     if kind == FrameKind.LOCATED and not is_verdict(flags, data[key_end:]):
-        raise MalformedMessage(reason=f"verdict {flags} with {len(data) - key_end} bytes")
+        raise MalformedMessage(reason=f"LOCATED frame with verdict {flags} and {len(data) - key_end} bytes")
     return AgentReply(
         kind=FrameKind(kind),
         flags=flags,
@@ -279,12 +279,12 @@
 def decode_locate(data: bytes) -> LocateRequest:
     """Decode a `LOCATE` frame; raises `MalformedMessage`. The packet is not parsed."""
     if len(data) < REQUEST_HEAD.size:
-        raise MalformedMessage(reason=f"question of {len(data)} bytes")
+        raise MalformedMessage(reason=f"truncated LOCATE frame: {len(data)} bytes")
     _, count, _ = REQUEST_HEAD.unpack_from(data)
     tags = struct.Struct(f"!{count}I")
     packet_starts = REQUEST_HEAD.size + tags.size
     if len(data) <= packet_starts:
-        raise MalformedMessage(reason=f"question of {len(data)} bytes")
+        raise MalformedMessage(reason=f"truncated LOCATE frame: {len(data)} bytes")
     return LocateRequest(tags.unpack_from(data, REQUEST_HEAD.size), data[packet_starts:])
 
 
