--- a/src/jasperwalk/flows/frames.py
+++ b/src/jasperwalk/flows/frames.py
@@ -238,7 +238,9 @@
     if kind == FrameKind.REFUSED and flags not in REFUSAL_FLAGS:
         raise MalformedMessage(reason=f"refusal with unknown reason {flags}")
     if kind == FrameKind.LOCATED and not is_verdict(flags, data[key_end:]):
-        raise MalformedMessage(reason=f"LOCATED frame with verdict {flags} and {len(data) - key_end} bytes")
+        raise MalformedMessage(
+            reason=f"LOCATED frame with verdict {flags} and {len(data) - key_end} bytes"
+        )
     return AgentReply(
         kind=FrameKind(kind),
         flags=flags,
