--- a/src/jasperwalk/distribution/follower_table.py
+++ b/src/jasperwalk/distribution/follower_table.py
@@ -1,4 +1,4 @@
-"""A subscriber's copy of the routing table, with the indexes that lookups need."""
+"""A subscriber's copy of the routing table, with indexes for lookups."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FollowerTable:
-    """Entries at `revision`; an update touches only the entries that it names."""
+    """The entries at `revision`; an update changes only the entries that it names."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -41,7 +41,7 @@
         return self._services_by_listener.get(listener)
 
     def services(self) -> Iterable[ServiceEntry]:
-        """Return all services, in no set order."""
+        """Return all services, in no particular order."""
         return self._services.values()
 
     def member(self, address: Endpoint) -> MemberEntry | None:
@@ -49,11 +49,11 @@
         return self._members.get(address)
 
     def members(self) -> Iterable[MemberEntry]:
-        """Return all members, in no set order."""
+        """Return all members, in no particular order."""
         return self._members.values()
 
     def members_of(self, service_id: int) -> Iterable[MemberEntry]:
-        """Return the members of one service, in no set order."""
+        """Return the members of one service, in no particular order."""
         return self._members_by_service.get(service_id, NO_MEMBERS).values()
 
     def keys_for(self, purpose: KeyPurpose) -> list[KeyEntry]:
@@ -69,12 +69,12 @@
         return None
 
     def entries(self) -> list[TableEntry]:
-        """Return every entry, in no set order."""
+        """Return every entry, in no particular order."""
         keys = [key for rotations in self._keys.values() for key in rotations.values()]
         return [*self._services.values(), *self._members.values(), *keys]
 
     def replace(self, revision: int, entries: Iterable[TableEntry]) -> None:
-        """Take over a whole table."""
+        """Replace all entries by those of a complete table."""
         self._services.clear()
         self._services_by_listener.clear()
         self._members.clear()
--- a/tests/flows/test_fleet_model.py
+++ b/tests/flows/test_fleet_model.py
@@ -1,4 +1,4 @@
-"""Seeded days of a whole fleet of cores, and mutants that show that the checks can fail."""
+"""Seeded runs of a whole fleet of cores, and mutants that show that the checks can fail."""
 
 import os
 
@@ -65,13 +65,13 @@
 
 
 def test_mutant_balancers_send_into_a_drained_zone(monkeypatch):
-    # Agents that are cut off from control do not know that they should refuse.
+    # Agents that are cut off from control do not know that they should refuse new flows.
     monkeypatch.setattr(targets.TargetPool, "drain_zones", lambda *_: True)
     assert "a drained zone gets no new flow" in violated_invariants()
 
 
 def test_mutant_agents_take_flows_in_a_drained_zone(monkeypatch):
-    # Balancers that are cut off from control go on sending.
+    # Balancers that are cut off from control keep sending new flows there.
     monkeypatch.setattr(flow_agent.HostAdmission, "is_zone_drained", lambda *_: False)
     assert "a drained zone gets no new flow" in violated_invariants()
 
@@ -115,5 +115,5 @@
             self.queried[target] = kind
 
     monkeypatch.setattr(search.Search, "advance", spray)
-    monkeypatch.setattr(search.Search, "note_answer", answered)
+    monkeypatch.setattr(search.Search, "record_answer", answered)
     assert "an open flow is found again" in violated_invariants()
