--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -73,7 +73,7 @@
         ("agent", "agent", KIND.LENDING),
     ],
 )
-def test_both_sides_prove_who_they_are(certificates, run, server_role, role, kind):
+def test_both_sides_prove_their_identity(certificates, run, server_role, role, kind):
     async def scenario():
         async with serving(certificates.tls(server_role, "one"), "one") as server:
             tls = certificates.tls(role, "two")
@@ -132,7 +132,7 @@
     asyncio.run(scenario())
 
 
-def test_a_subscribers_claim_is_held_against_its_certificate():
+def test_a_subscribers_claim_is_checked_against_its_certificate():
     identity = Identity("zagreb", ProcessRole.BALANCER, "b")
     check_claim(identity, "balancer", "b")
     check_claim(None, "agent", "anyone")
@@ -143,9 +143,7 @@
 
 @LOOPS
 @pytest.mark.parametrize("case", ["wrong CA", "expired", "wrong CA of server", "expired server"])
-def test_certificates_that_do_not_hold_are_refused(
-    certificates, other_cluster_certificates, run, case
-):
+def test_invalid_certificates_are_refused(certificates, other_cluster_certificates, run, case):
     async def scenario():
         server_side = other_cluster_certificates if case == "wrong CA of server" else certificates
         client_side = other_cluster_certificates if case == "wrong CA" else certificates
@@ -207,7 +205,7 @@
         client_tls = certificates.tls("control", "control-2", client_life)
         async with serving(server_tls) as server:
             if renewed == "ca":
-                standing = await connect(
+                open_connection = await connect(
                     server.endpoint, make_hello(KIND.PEER, "control-2", "zagreb"), tls=client_tls
                 )
                 former_tls = certificates.tls("control", "control-3")
@@ -225,9 +223,9 @@
                 )  # a process that kept its old files
                 with pytest.raises(TlsError):
                     await echoed(server, former_tls, name="control-3")
-                await standing.send(b"still here")
-                assert await standing.receive() == b"still here"
-                standing.abort()
+                await open_connection.send(b"still here")
+                assert await open_connection.receive() == b"still here"
+                open_connection.abort()
 
     run(scenario())
 
@@ -237,13 +235,13 @@
         server_tls = certificates.tls("control", "control-1")
         client_tls = certificates.tls("control", "control-2")
         key_file = tls_files_of(client_tls.identity, certificates.folder).private_key_file
-        whole = key_file.read_bytes()
+        valid_key = key_file.read_bytes()
         async with serving(server_tls) as server:
             for content in (b"", certificates.folder.joinpath("ca.key").read_bytes()):
                 key_file.write_bytes(content)
                 certificates.advance_past_poll()
                 assert await echoed(server, client_tls) == b"hello"
-            key_file.write_bytes(whole)
+            key_file.write_bytes(valid_key)
             certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
 
