--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -48,7 +48,7 @@
             await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("dark", [hang, refuse])
+@pytest.mark.parametrize("dial_unpowered", [hang, refuse])
 def test_a_peer_that_dials_is_dialled_back_at_once(monkeypatch, dial_unpowered):
     dialer = Dialer(peer_links.connect, dial_unpowered)
     monkeypatch.setattr(peer_links, "connect", dialer)
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -248,7 +248,7 @@
     async def scenario():
         async with cluster(size=1) as running:
             await running.configure()
-            monkeypatch.setattr(proposals, "MAXIMUM_WAITING_PROPOSALS", 0)
+            monkeypatch.setattr(proposals, "MAX_WAITING_PROPOSALS", 0)
             refused = await running.call("PUT", TENANT, body=new_tenant(weight=5))
             assert (refused.status, refused.body["kind"]) == (503, "overloaded")
             assert "Retry-After" in refused.headers
--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -72,7 +72,7 @@
         job = background_plan(state, index, data)
         return job and wait_first(job)
 
-    monkeypatch.setattr(ControlState, "long_plan", blocked_plan)
+    monkeypatch.setattr(ControlState, "background_plan", blocked_plan)
     monkeypatch.setattr(FrozenState, "serialise", wait_first(FrozenState.serialise))
     monkeypatch.setattr(state_applier, "_restore", wait_first(state_applier._restore))
     return SimpleNamespace(release=release, started=started)
