--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -18,7 +18,7 @@
 from jasperwalk.cli.operation import ExampleCommand
 
 FIELD = re.compile(r'(?P<key>[A-Za-z_]+)=(?P<value>"(?:[^"\\]|\\.)*"|\S*)')
-BELIEF_EVENTS = frozenset(
+STATE_EVENTS = frozenset(
     {
         "agent-changed",
         "agent-started",
@@ -33,7 +33,7 @@
         "routes-in-force",
     }
 )
-OWN_KEYS = ("timestamp", "level", "process", "name", "event")
+COMMON_KEYS = ("timestamp", "level", "process", "name", "event")
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class FlowHistory:
     """A flow's lines, and what its processes believed before the first of them."""
 
     flow: str
@@ -64,30 +64,30 @@
 def parse_line(text: str) -> LogLine | None:
     """Parse one key=value line; None for a line that is none of the product's."""
     fields = {match["key"]: match["value"].strip('"') for match in FIELD.finditer(text)}
-    if any(key not in fields for key in OWN_KEYS):
+    if any(key not in fields for key in COMMON_KEYS):
         return None
-    timestamp, _level, process, name, event = (fields.pop(key) for key in OWN_KEYS)
+    timestamp, _level, process, name, event = (fields.pop(key) for key in COMMON_KEYS)
     return LogLine(timestamp, process, name, event, fields)
 
 
-def tell_story(flow: str, lines: Iterable[LogLine]) -> Story:
+def build_history(flow: str, lines: Iterable[LogLine]) -> FlowHistory:
     """Return the story of a flow from lines in any order."""
     ordered = sorted(lines, key=lambda line: line.timestamp)
     own = [line for line in ordered if line.fields.get("flow") == flow]
     if not own:
-        return Story(flow, [], [])
+        return FlowHistory(flow, [], [])
     names = {line.name for line in own} | {line.fields.get("agent", "") for line in own}
-    return Story(flow, list(_last_beliefs(ordered, names, own[0].timestamp)), own)
+    return FlowHistory(flow, list(_last_known_state(ordered, names, own[0].timestamp)), own)
 
 
-def _last_beliefs(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
+def _last_known_state(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
     """Yield each process' last line of a kind before a time, for what concerns the flow."""
     latest: dict[tuple[str, str, str], LogLine] = {}
     for line in ordered:
         subject = line.fields.get("agent", "")
         concerns = not subject or subject in names
-        is_belief = line.event in BELIEF_EVENTS and line.name in names and concerns
-        if line.timestamp <= until and is_belief:
+        is_state_event = line.event in STATE_EVENTS and line.name in names and concerns
+        if line.timestamp <= until and is_state_event:
             latest[line.name, line.event, subject] = line
     yield from sorted(latest.values(), key=lambda line: line.timestamp)
 
@@ -118,21 +118,21 @@
 
     Exit codes: 0 told; 1 no line names the flow.
     """
-    story = tell_story(flow, _read(logs))
+    history = build_history(flow, _read(logs))
     if as_json:
-        click.echo(json.dumps(asdict(story), indent=2))
-    elif story.lines:
-        _print(story)
-    if not story.lines:
+        click.echo(json.dumps(asdict(history), indent=2))
+    elif history.lines:
+        _print(history)
+    if not history.lines:
         if not as_json:
             click.echo(f"no line names the flow {flow}", err=True)
         raise SystemExit(1)
 
 
-def _print(story: Story) -> None:
+def _print(history: FlowHistory) -> None:
     click.echo("What its processes believed before:")
-    for line in story.beliefs:
+    for line in history.beliefs:
         click.echo(f"  {line.text()}")
     click.echo("What happened:")
-    for line in story.lines:
+    for line in history.lines:
         click.echo(f"  {line.text()}")
--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -19,7 +19,7 @@
 from jasperwalk.messages.datagrams import SealedDatagram
 
 MAC_LENGTH = 8
-LONGEST_SECRET = hashlib.blake2s.MAX_KEY_SIZE
+MAX_SECRET_BYTES = hashlib.blake2s.MAX_KEY_SIZE
 """Bytes of the secret that keyed BLAKE2s takes."""
 PERSONALISATION = b"jw-dgram"
 """Keeps MACs of this use apart from any other use of the key (BLAKE2s `person`, 8 bytes)."""
@@ -35,14 +35,14 @@
         """Take the fleet's keys; those of other purposes are ignored."""
         self._secrets: dict[int, bytes] = {}
         self._active_secret = b""
-        self._head = b""
+        self._prefix = b""
         for key in keys:
             if key.purpose is not KeyPurpose.DATAGRAM:
                 continue
             self._secrets[key.rotation] = key.secret
             if key.active:
                 self._active_secret = key.secret
-                self._head = _head_of(key.rotation)
+                self._prefix = _encode_prefix(key.rotation)
 
     @property
     def has_keys(self) -> bool:
@@ -55,7 +55,7 @@
             return datagram
         return b"".join(
             (
-                self._head,
+                self._prefix,
                 compute_mac(self._active_secret, datagram),
                 bytes((LONG_BYTE_STRING_HEAD,)),
                 len(datagram).to_bytes(2, "big"),
@@ -73,12 +73,12 @@
 
 def compute_mac(secret: bytes, datagram: bytes) -> bytes:
     """Return the MAC of an encoded datagram; control keeps the secret at 16 to 32 bytes."""
-    key = secret[:LONGEST_SECRET]
+    key = secret[:MAX_SECRET_BYTES]
     mac = hashlib.blake2s(datagram, key=key, digest_size=MAC_LENGTH, person=PERSONALISATION)
     return mac.digest()
 
 
-def _head_of(rotation: int) -> bytes:
+def _encode_prefix(rotation: int) -> bytes:
     """Encode all of a sealed datagram that comes before its MAC."""
     empty = encode(SealedDatagram(PROTOCOL_VERSION, rotation, bytes(MAC_LENGTH), b""))
     return empty[: -MAC_LENGTH - 1]
--- a/src/jasperwalk/transport/server.py
+++ b/src/jasperwalk/transport/server.py
@@ -28,7 +28,7 @@
 ACCEPTED_PER_TURN = 32
 """Connections that one turn of the event loop takes. A fleet that returns at once would hold
 up everything else on the loop for seconds; the others wait in the kernel's queue."""
-MAXIMUM_CONNECTIONS = 16_384
+MAX_CONNECTIONS = 16_384
 """Connections that a server carries at once; further ones are dropped."""
 
 logger = structlog.get_logger(__name__)
@@ -45,7 +45,7 @@
         hello_timeout_seconds: float = HELLO_TIMEOUT_SECONDS,
         tls: LinkTls | None = None,
     ) -> None:
-        self._requested = endpoint
+        self._requested_endpoint = endpoint
         self._hello = hello
         self._handlers = dict(handlers)
         self._hello_timeout_seconds = hello_timeout_seconds
@@ -59,7 +59,7 @@
     async def start(self) -> None:
         """Bind and listen; `endpoint` then holds the port in use. Raises `OSError`."""
         tls = self._tls
-        listener = _bind(self._requested)
+        listener = _bind(self._requested_endpoint)
         self._server = await asyncio.start_server(
             self._accept,
             sock=listener,
@@ -82,7 +82,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._tasks) >= MAXIMUM_CONNECTIONS:
+        if len(self._tasks) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
         keep_alive(writer)
@@ -100,7 +100,7 @@
                 from jasperwalk.transport.identity import identity_of  # noqa: PLC0415
 
                 connection.identity = identity_of(certificate)
-            await self._greet_and_handle(connection)
+            await self._exchange_hello_and_handle(connection)
         except JasperwalkError as error:
             self._count_refusal(error)
         except asyncio.CancelledError:
@@ -113,7 +113,7 @@
             return
         await connection.close()
 
-    async def _greet_and_handle(self, connection: FramedConnection) -> None:
+    async def _exchange_hello_and_handle(self, connection: FramedConnection) -> None:
         peer = await connection.exchange_hello(self._hello, self._hello_timeout_seconds)
         if connection.identity is not None:
             from jasperwalk.transport.identity import check_client  # noqa: PLC0415
--- a/tests/platform_adapter/test_http_calls.py
+++ b/tests/platform_adapter/test_http_calls.py
@@ -31,21 +31,21 @@
     return asyncio.run(handler(HttpRequest(method, path, body)))
 
 
-class Desk:
+class FakeAnnouncementHandler:
     def __init__(self):
-        self.heard = []
+        self.received = []
         self.refused = []
         self.outcome = AnnouncementOutcome.ACCEPTED
 
     def refuse(self, host_id, reason):
         self.refused.append((host_id, reason))
 
-    def announce(self, news):
-        self.heard.append(news)
+    def announce(self, announcement):
+        self.received.append(announcement)
         return self.outcome
 
     def leave(self, host_id):
-        self.heard.append(host_id)
+        self.received.append(host_id)
         return True
 
 
@@ -57,21 +57,34 @@
 
 
 def test_a_heartbeat():
-    desk = Desk()
-    response = ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode())
-    (news,) = desk.heard
+    announcements = FakeAnnouncementHandler()
+    response = ask(
+        host_calls(announcements), "PUT", "/instances/i-1", json.dumps(HEARTBEAT).encode()
+    )
+    (announcement,) = announcements.received
     assert response.status == 200
-    assert (news.host_id, news.phase, news.capacity) == ("i-1", HostPhase.READY, 3)
-    assert (news.slow_start_seconds, news.call_number, news.zone) == (1.5, 4, "a")
+    assert (announcement.host_id, announcement.phase, announcement.capacity) == (
+        "i-1",
+        HostPhase.READY,
+        3,
+    )
+    assert (announcement.slow_start_seconds, announcement.call_number, announcement.zone) == (
+        1.5,
+        4,
+        "a",
+    )
 
 
-def test_a_draining_heartbeat_and_a_goodbye():
-    desk = Desk()
-    handler = host_calls(desk)
+def test_a_draining_heartbeat_and_a_removal():
+    announcements = FakeAnnouncementHandler()
+    handler = host_calls(announcements)
     draining = json.dumps({**HEARTBEAT, "state": "draining"}).encode()
     assert ask(handler, "PUT", "/instances/i-1", draining).status == 200
     assert ask(handler, "DELETE", "/instances/i-1").status == 200
-    assert (desk.heard[0].phase, desk.heard[1]) == (HostPhase.DRAINING, "i-1")
+    assert (announcements.received[0].phase, announcements.received[1]) == (
+        HostPhase.DRAINING,
+        "i-1",
+    )
 
 
 @pytest.mark.parametrize(
@@ -79,28 +92,35 @@
     [(AnnouncementOutcome.STALE, 200), (AnnouncementOutcome.REFUSED, 400)],
 )
 def test_only_a_heartbeat_of_the_host_beside_the_agent_is_acknowledged(outcome, status):
-    desk = Desk()
-    desk.outcome = outcome
+    announcements = FakeAnnouncementHandler()
+    announcements.outcome = outcome
     body = json.dumps(HEARTBEAT).encode()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == status
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", body).status == status
 
 
 def test_a_heartbeat_tells_when_the_host_started():
-    desk = Desk()
+    announcements = FakeAnnouncementHandler()
     beat = json.dumps({**HEARTBEAT, "born": 1_700_000_000_123}).encode()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", beat).status == 200
-    assert desk.heard[0].started_unix_ms == 1_700_000_000_123
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", beat).status == 200
+    assert announcements.received[0].started_unix_ms == 1_700_000_000_123
 
 
-def test_a_heartbeat_without_what_may_be_left_out():
-    desk = Desk()
+def test_a_heartbeat_without_its_optional_fields():
+    announcements = FakeAnnouncementHandler()
     lean = {k: v for k, v in HEARTBEAT.items() if k not in ("zone", "coldLeftMs", "version")}
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", json.dumps(lean).encode()).status == 200
-    (news,) = desk.heard
-    assert (news.started_unix_ms, news.slow_start_seconds, news.zone) == (0, 0.0, "")
+    assert (
+        ask(host_calls(announcements), "PUT", "/instances/i-1", json.dumps(lean).encode()).status
+        == 200
+    )
+    (announcement,) = announcements.received
+    assert (announcement.started_unix_ms, announcement.slow_start_seconds, announcement.zone) == (
+        0,
+        0.0,
+        "",
+    )
 
 
-OTHER_WRITERS = [
+INVALID_HEARTBEATS = [
     *[
         {k: v for k, v in HEARTBEAT.items() if k != missing}
         for missing in ("service", "address", "capacity", "state", "callSeq")
@@ -148,13 +168,13 @@
 
 
 @pytest.mark.parametrize(
-    "body", [*(json.dumps(each).encode() for each in OTHER_WRITERS), *UNREADABLE]
+    "body", [*(json.dumps(each).encode() for each in INVALID_HEARTBEATS), *UNREADABLE]
 )
-def test_a_heartbeat_of_another_writer_names_no_host(body):
-    desk = Desk()
-    assert ask(host_calls(desk), "PUT", "/instances/i-1", body).status == 400
-    assert desk.heard == []
-    assert len(desk.refused) == 1
+def test_an_invalid_heartbeat_announces_no_host(body):
+    announcements = FakeAnnouncementHandler()
+    assert ask(host_calls(announcements), "PUT", "/instances/i-1", body).status == 400
+    assert announcements.received == []
+    assert len(announcements.refused) == 1
 
 
 @pytest.mark.parametrize(
@@ -173,21 +193,21 @@
     ],
 )
 def test_a_bad_call_of_a_host_changes_nothing(method, path, body, status):
-    desk = Desk()
-    assert ask(host_calls(desk), method, path, body).status == status
-    assert desk.heard == []
+    announcements = FakeAnnouncementHandler()
+    assert ask(host_calls(announcements), method, path, body).status == status
+    assert announcements.received == []
 
 
 @pytest.mark.parametrize("name", ["x" * 300, "%ff", "a b", "i-1/state"])
-def test_an_odd_name_is_no_hosts(name):
-    desk = Desk()
+def test_an_invalid_host_id_is_not_found(name):
+    announcements = FakeAnnouncementHandler()
     body = json.dumps(HEARTBEAT).encode()
-    assert ask(host_calls(desk), "PUT", f"/instances/{name}", body).status == 404
-    assert ask(host_calls(desk), "DELETE", f"/instances/{name}").status == 404
-    assert desk.heard == []
+    assert ask(host_calls(announcements), "PUT", f"/instances/{name}", body).status == 404
+    assert ask(host_calls(announcements), "DELETE", f"/instances/{name}").status == 404
+    assert announcements.received == []
 
 
-class Service:
+class FakeConfigurationService:
     def __init__(self, result):
         self.result = result
         self.taken = []
@@ -201,20 +221,22 @@
 
 
 def test_an_acknowledged_configuration():
-    service = Service(Acknowledged(1, 1))
+    service = FakeConfigurationService(Acknowledged(1, 1))
     assert ask(operator_calls(service, None, 8166), "PUT", "/config", VALID).status == 200
     assert service.taken[0].source == VALID
 
 
 def test_an_invalid_configuration_goes_no_further():
-    service = Service(Acknowledged(1, 1))
+    service = FakeConfigurationService(Acknowledged(1, 1))
     assert ask(operator_calls(service, None, 8166), "PUT", "/config", b"{}").status == 400
     assert service.taken == []
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT"])
 def test_a_replica_that_does_not_lead_sends_the_operator_to_the_leader(method):
-    handler = operator_calls(Service(AskLeader(Endpoint("10.0.0.4", 7600))), None, 8166)
+    handler = operator_calls(
+        FakeConfigurationService(AskLeader(Endpoint("10.0.0.4", 7600))), None, 8166
+    )
     response = ask(handler, method, "/config", VALID)
     assert response.status == 307
     assert response.headers["Location"] == "http://10.0.0.4:8166/config"
@@ -223,18 +245,21 @@
 @pytest.mark.parametrize("method", ["GET", "PUT"])
 def test_a_replica_that_is_not_sure_says_when_to_come_back(method):
     response = ask(
-        operator_calls(Service(Unavailable("no quorum")), None, 8166), method, "/config", VALID
+        operator_calls(FakeConfigurationService(Unavailable("no quorum")), None, 8166),
+        method,
+        "/config",
+        VALID,
     )
     assert response.status == 503
     assert response.headers["Retry-After"] == "1"
 
 
 def test_a_read_returns_what_the_operator_sent():
-    service = Service(HeldConfiguration(1, VALID, []))
+    service = FakeConfigurationService(HeldConfiguration(1, VALID, []))
     assert ask(operator_calls(service, None, 8166), "GET", "/config").body == VALID
 
 
-class Orders:
+class FakeZoneOrders:
     def __init__(self, result):
         self.result = result
         self.taken = []
@@ -245,7 +270,7 @@
 
 
 def evacuate(result, method, path):
-    orders = Orders(result)
+    orders = FakeZoneOrders(result)
     return ask(operator_calls(None, orders, 8166), method, path), orders.taken
 
 
