--- a/src/jasperwalk/control/state/__init__.py
+++ b/src/jasperwalk/control/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine of control: commands in, outcomes and a routing table out."""
+"""The replicated state machine of control: applies commands, returns outcomes, keeps the table."""
--- a/src/jasperwalk/control/state/canonical.py
+++ b/src/jasperwalk/control/state/canonical.py
@@ -1,4 +1,4 @@
-"""Canonical CBOR: the same bytes for the same content, whatever the order of its maps."""
+"""Canonical CBOR: equal content gives equal bytes, regardless of the order of map keys."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ARRAY_MAJOR_TYPE = 4 << 5
 MAX_SHORT_ARRAY_LENGTH = 23
-"""Items of an array whose header is one octet."""
+"""Maximum items of an array whose header is one octet."""
 ARRAY_LENGTH_FORMS = ((24, 1), (25, 2), (26, 4), (27, 8))
 """Low bits of a longer header, and the octets of the length that follow it."""
 
@@ -22,11 +22,11 @@
 
 
 def canonical_chunks(content: Any) -> Iterator[bytes]:
-    """Yield the bytes of `canonical_bytes` in many small pieces.
+    """Yield the bytes of `canonical_bytes` in many small chunks.
 
-    No single call into the encoder takes long, so that a thread which joins the pieces lets
-    other threads run between them. Arrays of lists and of `array_like` structs are taken apart
-    down to their items.
+    No single call into the encoder takes long, so that a thread that joins the chunks lets
+    other threads run between them. Lists and `array_like` structs are split down to their
+    items.
     """
     if isinstance(content, list):
         yield _array_header(len(content))
--- a/src/jasperwalk/control/state/change_register.py
+++ b/src/jasperwalk/control/state/change_register.py
@@ -1,4 +1,4 @@
-"""First outcomes by change ID, so that a resent change is not made twice."""
+"""Keeps the first outcome of each change ID, so that a resent change is not made twice."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 )
 
 DEFAULT_CHANGE_LIMIT = 4_096
-"""Outcomes remembered; the oldest is forgotten first."""
+"""Maximum outcomes kept; the oldest is removed first."""
 
 MAX_CHANGE_ID_LENGTH = 128
-"""Characters of a change ID."""
+"""Maximum characters of a change ID."""
 
 FINGERPRINT_LENGTH = 16
-"""Bytes of the hash that tells a resend from another change under the same ID."""
+"""Bytes of the hash that distinguishes a resend from another change with the same ID."""
 
 FIELDS_NOT_FINGERPRINTED = ("expected_revision", "secret")
-"""Fields in which a resend may differ from the first sending."""
+"""Fields in which a resend may differ from the first request."""
 
 
 class ChangeRecord(msgspec.Struct, frozen=True):
@@ -54,10 +54,10 @@
 
 
 def fingerprint_of(command: OperatorCommand) -> bytes:
-    """Hash what the command asks for.
+    """Hash the requested change.
 
-    The expected revision is left out: an operator who reads again before a resend still
-    resends the same change. So is a secret, which control draws anew for a resend.
+    The expected revision is left out: a resend after another read is still the same change. So
+    is a secret, which control generates again for a resend.
     """
     fields = msgspec.structs.asdict(command)
     for name in FIELDS_NOT_FINGERPRINTED:
@@ -74,21 +74,21 @@
         self._records: dict[str, ChangeRecord] = {}
 
     def __len__(self) -> int:
-        """Return the number of remembered changes."""
+        """Return the number of changes kept."""
         return len(self._records)
 
     def find(self, change_id: str) -> ChangeRecord | None:
-        """Return the record of a change ID, None where it is unknown or forgotten."""
+        """Return the record of a change ID, or None if it is unknown or was removed."""
         return self._records.get(change_id)
 
     def remember(self, record: ChangeRecord) -> None:
-        """Remember a first outcome, forgetting the oldest beyond the limit."""
+        """Add a first outcome and remove the oldest beyond the limit."""
         self._records[record.change_id] = record
         while len(self._records) > self._limit:
             del self._records[next(iter(self._records))]
 
     def copy(self) -> ChangeRegister:
-        """Return a copy that later changes leave as it is."""
+        """Return a copy that later changes do not affect."""
         copied = ChangeRegister(limit=self._limit)
         copied._records = dict(self._records)
         return copied
--- a/src/jasperwalk/control/state/commands.py
+++ b/src/jasperwalk/control/state/commands.py
@@ -1,8 +1,8 @@
 """Commands of the replicated log: every change of control's state is one of these.
 
-`change_id` names an operator's change; a resend of the same change ID is answered with the
-first outcome. `expected_revision` is the last-changed revision of the named template or
-tenant: None for "whatever it is", 0 for "it does not exist yet".
+`change_id` identifies an operator's change; a resend with the same change ID is answered with the
+first outcome. `expected_revision` is the last-changed revision of the named template or tenant:
+None for any revision, 0 if it must not exist yet.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 class ApplyTemplate(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Create or replace a template from TOML `text`; its tenants are rendered again.
 
-    `name`, where it is not empty, must be the name that the text gives.
+    `name`, if not empty, must equal the name in the text.
     """
 
     change_id: str
@@ -49,7 +49,7 @@
 
 
 class SetHostState(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """An operator's wish for a host: `host` is a host name or an agent's `IPV4:PORT`."""
+    """Set a host's admin state: `host` is a host name or an agent's `IPV4:PORT`."""
 
     change_id: str
     host: str
@@ -57,7 +57,7 @@
 
 
 class RegisterAgent(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """An agent's start: `boot_id` is drawn once per process start."""
+    """Register an agent's start: `boot_id` is generated once per process start."""
 
     address: Endpoint
     boot_id: str
@@ -66,13 +66,13 @@
 
 
 class SetMemberStatus(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Statuses seen by the leader; those of superseded incarnations are ignored."""
+    """Set statuses that the leader observed; those of superseded incarnations are ignored."""
 
     statuses: list[MemberStatus]
 
 
 class SetPlatformStates(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Changes of the platform's list of leaving machines; hosts not named keep theirs."""
+    """Apply changes of the platform's list of leaving machines; other hosts are unchanged."""
 
     states: list[PlatformState]
 
@@ -87,10 +87,10 @@
 
 
 class RotateKey(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """An operator's wish for another active key: installs `secret` as the newest one.
+    """Start an operator's key rotation: install `secret` as the newest key.
 
-    The replica that takes the change draws the secret, so a resend carries another one; the
-    first stays.
+    The replica that receives the change generates the secret, so a resend carries another one;
+    the first is kept.
     """
 
     change_id: str
@@ -108,7 +108,7 @@
 
 
 class RetireKey(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """Accept the superseded key `generation` no more."""
+    """Stop accepting the superseded key `generation`."""
 
     purpose: KeyPurpose
     rotation: int
@@ -119,7 +119,7 @@
 """Commands with a change ID."""
 
 KeyCommand = InstallKey | ActivateKey | RetireKey
-"""What the leader does about fleet keys."""
+"""Commands with which the leader maintains fleet keys."""
 
 SystemCommand = RegisterAgent | SetMemberStatus | SetPlatformStates | KeyCommand
 """Commands that control itself proposes; each is idempotent by its content."""
@@ -130,14 +130,14 @@
 
 
 MAX_INTEGER = 2**63 - 1
-"""Integers beyond this are not taken into the log."""
+"""Maximum magnitude of an integer in a tenant's values."""
 
 MAX_NESTING_LEVELS = 8
-"""Levels of lists and tables within a tenant's values."""
+"""Maximum levels of lists and tables in a tenant's values."""
 
 
 def encode_command(command: Command) -> bytes:
-    """Encode a command for the log; raise `MalformedMessage` where a value cannot be."""
+    """Encode a command for the log; raise `MalformedMessage` if a value is not encodable."""
     _check_plain(command)
     try:
         return codec.encode(command)
@@ -163,7 +163,7 @@
 
 
 def _is_plain(value: Any, depth: int) -> bool:
-    """Tell whether a value is what JSON or TOML without dates can say, and not too deep."""
+    """Return whether JSON and TOML without dates can express a value, and it is not too deep."""
     if value is None or isinstance(value, str | float):
         return True
     if isinstance(value, int):
--- a/src/jasperwalk/control/state/configuration.py
+++ b/src/jasperwalk/control/state/configuration.py
@@ -1,4 +1,7 @@
-"""Templates and tenants as accepted, and the decision whether a change of them is."""
+"""Accepted templates and tenants, and the decision whether a change of them is accepted.
+
+A change is refused if its revision is outdated, a tenant does not render, or two tenants conflict.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 MAX_TENANT_COUNT = 20_000
 
 MAX_SHOWN_NAME_LENGTH = 80
-"""Characters of a wrong name that an outcome repeats."""
+"""Maximum characters of an invalid name that an outcome repeats."""
 
 
 class StoredTemplate(msgspec.Struct, frozen=True):
@@ -54,7 +57,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """An acceptable change: what to store, and the renderings that replace the present ones."""
+    """An accepted change: what to store, and the renderings that replace the present ones."""
 
     template: StoredTemplate | None
     tenants: list[StoredTenant]
@@ -69,7 +72,7 @@
         self.tenants: dict[str, StoredTenant] = {}
 
     def copy(self) -> Configuration:
-        """Return a copy that later changes leave as it is."""
+        """Return a copy that later changes do not affect."""
         copied = Configuration()
         copied.templates = dict(self.templates)
         copied.tenants = dict(self.tenants)
@@ -123,7 +126,7 @@
         return Plan(template=None, tenants=[], renderings=[rendering])
 
     def store(self, plan: Plan) -> None:
-        """Store what a plan accepted."""
+        """Store the templates and tenants of a plan."""
         if plan.template is not None:
             self.templates[plan.template.template.name] = plan.template
         for stored in plan.tenants:
@@ -143,7 +146,7 @@
                 return TenantRenderingFailed(
                     template=stored.template.name, tenant=tenant.name, problems=error.problems
                 )
-            # The tenant keeps its own revision: its operators changed nothing.
+            # The tenant keeps its own revision: it was not changed by its operators.
             tenants.append(StoredTenant(tenant=tenant, revision=present.revision))
             renderings.append(RenderedTenant(tenant=tenant.name, services=services))
         conflicts = claims.find_conflicts(renderings)
@@ -166,14 +169,14 @@
 
 
 def _mismatch(subject: str, expected: int | None, current: int) -> RevisionMismatch | None:
-    """Check an expected revision, so that a race between operators has one winner."""
+    """Check an expected revision, so that of concurrent changes only one is accepted."""
     if expected is None or expected == current:
         return None
     return RevisionMismatch(subject=subject, expected=expected, current=current)
 
 
 def _conflict_outcome(conflict: Conflict) -> ConflictingListener | ConflictingAddress:
-    """Name both tenants of a conflict."""
+    """Return the refusal that names both tenants of a conflict."""
     names: dict[str, Any] = {
         "tenant": conflict.owner.tenant,
         "service": conflict.owner.service,
@@ -188,7 +191,7 @@
 def _plan_values(
     command: SetTenant, stored_template: StoredTemplate, index: int, claims: Claims
 ) -> Plan | Outcome:
-    """Render a tenant's values and look for conflicts."""
+    """Render a tenant's values and check for conflicts."""
     tenant = Tenant(
         name=command.name,
         template=command.template,
--- a/src/jasperwalk/control/state/configuration_refusals.py
+++ b/src/jasperwalk/control/state/configuration_refusals.py
@@ -19,7 +19,7 @@
     current: int
 
     def describe(self) -> str:
-        """Name both revisions and the mend."""
+        """Name both revisions and what to do."""
         return (
             f"{self.subject} is at revision {self.current}, not {self.expected}; "
             "read it again and decide anew"
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidIdentifier(BaseOutcome):
-    """A name or change ID of a wrong shape; `subject` says which."""
+    """A malformed name or change ID; `subject` says which."""
 
     kind: ClassVar[str] = "invalid-identifier"
     subject: str
@@ -138,12 +138,12 @@
     mend: str
 
     def describe(self) -> str:
-        """Name the text and the mend."""
+        """Name the text and what to use instead."""
         return f"{self.subject} {self.text!r} is not valid; {self.mend}"
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceIdsExhausted(BaseOutcome):
-    """Every service ID has been allotted."""
+    """Every service ID has been allocated."""
 
     kind: ClassVar[str] = "service-ids-exhausted"
--- a/src/jasperwalk/control/state/fleet_keys.py
+++ b/src/jasperwalk/control/state/fleet_keys.py
@@ -1,9 +1,9 @@
-"""The fleet keys in the table: installing, activating and retiring them.
+"""Installs, activates and retires the fleet keys in the table.
 
-Of each purpose one key is active. Newer ones wait: all processes hold them, and nobody uses
-them yet. Older ones are accepted until nothing rests on them. One key, the spare, always
-waits. A rotation installs another behind it, and the leader then activates the spare. So a
-process that missed a whole rotation already holds the key that this rotation activated.
+One key of each purpose is active. Newer keys wait: processes hold them but do not use them yet.
+Older keys are accepted until nothing depends on them. One key, the spare, always waits. A rotation
+installs another key after it, and the leader then activates the spare. A process that missed a
+complete rotation therefore already holds the key that this rotation activated.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 KEYS_PER_PURPOSE = MAX_ROTATION + 1
 
 SPARE_KEYS = 1
-"""Keys of a purpose that wait while no rotation is in progress."""
+"""Waiting keys of a purpose while no rotation is in progress."""
 
 KeyRefusal = InvalidKey | KeyAlreadyInstalled | LimitReached | RotationInProgress | UnknownKey
 
@@ -63,10 +63,10 @@
 
 
 def free_rotations(keys: list[KeyEntry]) -> list[int]:
-    """Return the rotations for further keys in the order in which to use them.
+    """Return the free rotations for further keys, in the order in which to use them.
 
-    Rotations go round, so that the one that was freed last is used again last: a process that
-    is far behind takes a value under a rotation that it knows for one of its own key.
+    Rotations are used cyclically, so that the one freed last is reused last: a process that is
+    far behind would attribute a value under a reused rotation to the old key that it holds.
     """
     taken = {key.rotation for key in keys}
     start = keys[-1].rotation + 1 if keys else 0
@@ -75,7 +75,7 @@
 
 
 def change_keys(table: VersionedTable, command: KeyCommand, revision: int) -> KeyRefusal | None:
-    """Carry out a step of the leader; return a refusal, or None where it is done."""
+    """Apply a key command of the leader; return the refusal, or None on success."""
     match command:
         case InstallKey():
             return _install_key(table, command, revision)
@@ -86,7 +86,7 @@
 
 
 def rotate_key(table: VersionedTable, command: RotateKey, revision: int) -> KeyRefusal | None:
-    """Install the key of an operator's rotation; return a refusal, or None where it waits."""
+    """Install the key of an operator's rotation; return the refusal, or None on success."""
     keys = keys_of(table, command.purpose)
     rotations = free_rotations(keys)
     if active_key(keys) is None or len(waiting_keys(keys)) != SPARE_KEYS:
@@ -108,8 +108,8 @@
         )
     present = table.key(command.purpose, command.rotation)
     if present is not None and present.secret != command.secret:
-        # Race: two leaders, one deposed, both drew a first key; the one committed first is
-        # already in use.
+        # Race: two leaders, one deposed, both generated a first key; the one committed first
+        # is already in use.
         return KeyAlreadyInstalled(purpose=command.purpose.value, rotation=command.rotation)
     if present is not None:
         return None
--- a/src/jasperwalk/control/state/fleet_refusals.py
+++ b/src/jasperwalk/control/state/fleet_refusals.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededBoot(BaseOutcome):
-    """A late registration of a start that a newer start at the address has replaced."""
+    """A stale registration: a newer start at the address has replaced that start."""
 
     kind: ClassVar[str] = "superseded-boot"
     address: str
@@ -41,13 +41,13 @@
     address: str
 
     def describe(self) -> str:
-        """Name the address and the mend."""
+        """Name the address and what to do."""
         return f"{self.address} has used all its incarnations; start the agent on another port"
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidKey(BaseOutcome):
-    """A fleet key of a wrong rotation or length."""
+    """A fleet key with an invalid rotation or length."""
 
     kind: ClassVar[str] = "invalid-key"
     purpose: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyAlreadyInstalled(BaseOutcome):
-    """Another secret was installed first under that purpose and rotation; it stands."""
+    """Another secret was installed first under that purpose and rotation; it is kept."""
 
     kind: ClassVar[str] = "key-already-installed"
     purpose: str
@@ -73,13 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RotationInProgress(BaseOutcome):
-    """The former rotation of that purpose has not come to its activation yet."""
+    """The key of the previous rotation of that purpose has not been activated yet."""
 
     kind: ClassVar[str] = "rotation-in-progress"
     purpose: str
 
     def describe(self) -> str:
-        """Name the purpose and the mend."""
+        """Name the purpose and what to wait for."""
         return (
             f"the {self.purpose} key is being rotated; wait until `jasperwalk keys show` "
             "names the newer key active"
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownKey(BaseOutcome):
-    """No key of that purpose, rotation and generation awaits this step; nothing changed."""
+    """No key of that purpose, rotation and generation is due for this step; nothing changed."""
 
     kind: ClassVar[str] = "unknown-key"
     purpose: str
--- a/src/jasperwalk/control/state/frozen_state.py
+++ b/src/jasperwalk/control/state/frozen_state.py
@@ -1,8 +1,8 @@
-"""A state as it was at one log index, to be serialised while the state itself goes on.
+"""A copy of the state at one log index, for serialising while the state itself advances.
 
-Copying takes milliseconds, for only the containers are copied: templates, tenants, records and
-table entries are immutable. Serialising a region's state takes most of a second, and may be
-done in another thread.
+Copying takes milliseconds, because only the containers are copied: templates, tenants, records and
+table entries are immutable. Serialising a region's state takes most of a second, and may run in
+another thread.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class FrozenState:
-    """Copies of a state's parts; nobody else holds them."""
+    """Copies of a state's parts, not shared with anything else."""
 
     last_index: int
     table: TableContent
@@ -36,7 +36,7 @@
     changes: ChangeRegister
 
     def serialise(self) -> bytes:
-        """Encode the whole state; equal states give equal bytes."""
+        """Encode the complete state; equal states give equal bytes."""
         image = StateImage(
             last_index=self.last_index,
             table=self.table.image(),
--- a/src/jasperwalk/control/state/host_changes.py
+++ b/src/jasperwalk/control/state/host_changes.py
@@ -1,4 +1,7 @@
-"""Changes of hosts and agents: admin states, registrations, statuses; members follow them."""
+"""Changes of hosts and agents: admin states, registrations, statuses.
+
+Each change also updates the entries of the affected members in the table.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 from jasperwalk.control.state.outcomes import LimitReached
 
 MAX_SHOWN_HOST_LENGTH = 80
-"""Characters of an unknown host that an outcome repeats."""
+"""Maximum characters of an unknown host that an outcome repeats."""
 
 
 class HostChanges:
-    """Applies what is said of hosts; each method returns its refusal, None where it is done."""
+    """Applies changes of hosts; methods that can refuse return the refusal, None on success."""
 
     def __init__(
         self, installer: Installer, incarnations: Incarnations, host_states: HostStates
@@ -31,7 +34,7 @@
     def set_host_state(
         self, index: int, command: SetHostState
     ) -> UnknownHost | LimitReached | None:
-        """Drain a host by an operator's wish, or let it take new work."""
+        """Drain or resume a host at an operator's request."""
         if not self._is_known_host(command.host):
             return UnknownHost(host=command.host[:MAX_SHOWN_HOST_LENGTH])
         if not self._host_states.set_by_operator(command.host, command.admin_state):
@@ -40,7 +43,7 @@
         return None
 
     def set_platform_states(self, index: int, command: SetPlatformStates) -> LimitReached | None:
-        """Take over what changed in the platform's list."""
+        """Apply the changes of the platform's list."""
         all_stored = True
         for state in command.states:
             stored = self._host_states.set_by_platform(state.host, state.admin_state)
@@ -60,20 +63,20 @@
         return record
 
     def set_member_status(self, index: int, command: SetMemberStatus) -> None:
-        """Take over what the leader has seen of members."""
+        """Apply the statuses of members that the leader observed."""
         for status in command.statuses:
             if self._incarnations.set_status(status):
                 self._installer.refresh_member(status.address, index)
 
     def _refresh_hosts(self, hosts: set[str], index: int) -> None:
-        """Bring the members on the named hosts in step with their admin state."""
+        """Update the entries of the members on the named hosts."""
         members = sorted(self._installer.table.members(), key=lambda member: member.address)
         for member in members:
             if member.host in hosts or str(member.address) in hosts:
                 self._installer.refresh_member(member.address, index)
 
     def _is_known_host(self, host: str) -> bool:
-        """Tell whether a host name or address is a member's, an agent's, or drained now."""
+        """Return whether a host name or address is a member's, an agent's, or drained."""
         is_drained = host in self._host_states.operator_draining()
         if is_drained or self._incarnations.has_host(host):
             return True
--- a/src/jasperwalk/control/state/host_states.py
+++ b/src/jasperwalk/control/state/host_states.py
@@ -1,4 +1,4 @@
-"""Which hosts are draining, by operators' and by the platform's wish, kept apart."""
+"""Hosts that are draining, kept separately for the two sources: operators and the platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from jasperwalk.config.table_entries import AdminState
 
 MAX_DRAINING_HOSTS = 100_000
-"""Hosts that may be draining at once, for each source; a bound on memory."""
+"""Maximum hosts that drain at once, per source; bounds memory."""
 
 
 class HostStatesImage(msgspec.Struct, frozen=True, array_like=True):
@@ -26,11 +26,11 @@
         self._platform_draining: set[str] = set()
 
     def set_by_operator(self, host: str, admin_state: AdminState) -> bool:
-        """Take an operator's wish; return False where there is no room for it."""
+        """Set a host's state by operators; return False if the limit is reached."""
         return _set_state(self._operator_draining, host, admin_state)
 
     def set_by_platform(self, host: str, admin_state: AdminState) -> bool:
-        """Take the platform's wish; return False where there is no room for it."""
+        """Set a host's state by the platform; return False if the limit is reached."""
         return _set_state(self._platform_draining, host, admin_state)
 
     def operator_draining(self) -> list[str]:
@@ -38,18 +38,18 @@
         return sorted(self._operator_draining)
 
     def platform_draining(self) -> list[str]:
-        """Return the hosts that the platform's list says are leaving, sorted."""
+        """Return the hosts that are leaving by the platform's list, sorted."""
         return sorted(self._platform_draining)
 
     def admin_state(self, host: str, address: Endpoint) -> AdminState:
-        """Return a member's state: draining if either source says so of host or address."""
+        """Return a member's state: draining if either source drains its host or address."""
         for draining in (self._operator_draining, self._platform_draining):
             if host in draining or str(address) in draining:
                 return AdminState.DRAINING
         return AdminState.ENABLED
 
     def copy(self) -> HostStates:
-        """Return a copy that later changes leave as it is."""
+        """Return a copy that later changes do not affect."""
         copied = HostStates()
         copied._operator_draining = set(self._operator_draining)
         copied._platform_draining = set(self._platform_draining)
--- a/src/jasperwalk/control/state/incarnations.py
+++ b/src/jasperwalk/control/state/incarnations.py
@@ -1,7 +1,7 @@
-"""Registered agents: the incarnation of each address, and what was last seen of it.
+"""Registered agents: the incarnation of each address, and its last known status.
 
-An incarnation is never given out twice for an address, even after its member is removed: a
-connection ID of an earlier owner of the address must never fit a later one.
+An incarnation is never assigned twice for an address, even after its member is removed: a
+connection ID of an earlier agent at the address must never match a later one.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 """An incarnation has two bytes in a connection ID."""
 
 REMEMBERED_BOOTS = 4
-"""Boot IDs an address remembers, to know a late registration of an earlier start."""
+"""Boot IDs kept per address, to recognise a stale registration of an earlier start."""
 
 MAX_AGENT_COUNT = 100_000
-"""Addresses that may ever register; a bound on memory."""
+"""Maximum addresses that ever register; bounds memory."""
 
 
 class AgentRecord(msgspec.Struct, frozen=True, gc=False, array_like=True):
@@ -46,7 +46,7 @@
         self._records: dict[Endpoint, AgentRecord] = {}
 
     def find(self, address: Endpoint) -> AgentRecord | None:
-        """Return what is known of the agent at an address."""
+        """Return the record of the agent at an address, or None."""
         return self._records.get(address)
 
     def records(self) -> list[AgentRecord]:
@@ -54,13 +54,13 @@
         return [self._records[address] for address in sorted(self._records)]
 
     def has_host(self, name: str) -> bool:
-        """Tell whether an agent has registered under a host name."""
+        """Return whether an agent has registered under a host name."""
         return any(record.name == name for record in self._records.values())
 
     def register(self, command: RegisterAgent) -> AgentRecord | RegistrationRefusal:
-        """Take a start: a new boot ID gets the next incarnation, a known one keeps its own.
+        """Register a start: a new boot ID gets the next incarnation, the current one keeps its own.
 
-        A new incarnation is offline until the leader has seen it healthy.
+        A new incarnation is offline until the leader has observed it to be healthy.
         """
         record = self._records.get(command.address)
         if record is None:
@@ -71,7 +71,7 @@
             return record
         if command.boot_id in record.boot_ids:
             # Race: a proposal of an earlier start, delayed past the registration of a later
-            # one, must not take the address back.
+            # one, must not reclaim the address.
             return SupersededBoot(address=str(command.address), incarnation=record.incarnation)
         if record.incarnation >= MAX_INCARNATION:
             return IncarnationsExhausted(address=str(command.address))
@@ -79,10 +79,10 @@
         return self._store(command, incarnation=record.incarnation + 1, boot_ids=boot_ids)
 
     def set_status(self, status: MemberStatus) -> bool:
-        """Take a status of the current incarnation; return whether it changed anything."""
+        """Set the status of the current incarnation; return whether anything changed."""
         record = self._records.get(status.address)
         if record is None or record.incarnation != status.incarnation:
-            # Race: the status was seen before a newer start registered.
+            # Race: the status was observed before a newer start registered.
             return False
         if record.operating_status is status.operating_status:
             return False
@@ -91,13 +91,13 @@
         return True
 
     def copy(self) -> Incarnations:
-        """Return a copy that later changes leave as it is."""
+        """Return a copy that later changes do not affect."""
         copied = Incarnations()
         copied._records = dict(self._records)
         return copied
 
     def restore(self, records: list[AgentRecord]) -> None:
-        """Take the records of a snapshot."""
+        """Replace all records by those of a snapshot."""
         self._records = {record.address: record for record in records}
 
     def _store(
--- a/src/jasperwalk/control/state/installer.py
+++ b/src/jasperwalk/control/state/installer.py
@@ -1,4 +1,4 @@
-"""Bringing renderings into the routing table: service IDs, claims, entries, removals."""
+"""Installs accepted renderings into the routing table: service IDs, claims, entries, removals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Installer:
-    """Keeps table, claims and service IDs in step with the accepted renderings."""
+    """Keeps table, claims and service IDs consistent with the accepted renderings."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._claim_present_entries()
 
     def can_allocate_ids(self, renderings: list[RenderedTenant]) -> bool:
-        """Tell whether there are service IDs enough for the renderings."""
+        """Return whether there are enough service IDs for the renderings."""
         owners = [
             Owner(tenant=rendering.tenant, service=service.name)
             for rendering in renderings
@@ -47,10 +47,10 @@
         return self.service_ids.can_allocate_ids(len(new_owners))
 
     def install(self, renderings: list[RenderedTenant], revision: int) -> None:
-        """Replace what the renderings' tenants had; they are free of conflicts.
+        """Replace the entries of the renderings' tenants; the renderings have no conflicts.
 
-        What is no longer rendered goes first, so that an address or listener may move from
-        one service to another in the same change.
+        Entries that are no longer rendered are removed first, so that an address or listener
+        may move from one service to another in the same change.
         """
         kept_addresses = _addresses_of(renderings)
         for rendering in renderings:
@@ -60,7 +60,7 @@
                 self._upsert_service(rendering.tenant, service, revision)
 
     def refresh_member(self, address: Endpoint, revision: int) -> None:
-        """Bring a member's entry in step with its agent's record and its host's state."""
+        """Update a member's entry from its agent's record and its host's state."""
         member = self.table.member(address)
         if member is not None:
             self._upsert_member(
@@ -76,7 +76,7 @@
             )
 
     def _claim_present_entries(self) -> None:
-        """Rebuild claims from the table, after a restore."""
+        """Rebuild the claims from the table after a restore."""
         for service in self.table.services():
             owner = Owner(tenant=service.tenant, service=service.name)
             self.claims.claim_listener(service.listener, owner)
@@ -89,7 +89,7 @@
     def _remove_superseded(
         self, rendering: RenderedTenant, kept_addresses: set[Endpoint], revision: int
     ) -> None:
-        """Remove the tenant's services and members that its new rendering lacks."""
+        """Remove the tenant's services and members that are not in its new rendering."""
         names = {service.name for service in rendering.services}
         present = self._services_by_tenant.get(rendering.tenant, {})
         for name in sorted(present):
@@ -145,7 +145,7 @@
 
 
 def _addresses_of(renderings: list[RenderedTenant]) -> set[Endpoint]:
-    """Return all addresses that the renderings give to members."""
+    """Return the addresses of all members in the renderings."""
     return {
         member.address
         for rendering in renderings
--- a/src/jasperwalk/control/state/machine.py
+++ b/src/jasperwalk/control/state/machine.py
@@ -1,7 +1,7 @@
 """The state machine of control: applies the log's commands, deterministically.
 
 Every replica that applies the same commands at the same indices holds the same state and
-serialises it into the same bytes: no clock, no randomness, no order of hashing is used.
+serialises it to the same bytes: no clock, randomness or hash order is used.
 """
 
 from __future__ import annotations
@@ -65,12 +65,12 @@
 from jasperwalk.errors import JasperwalkError, MalformedMessage
 
 PlanJob = Callable[[], Plan | Outcome]
-"""Works out whether and how a change can be made; pure, and long for a template of many."""
+"""Computes whether and how a change can be made; pure, and slow for a template of many tenants."""
 
 
 @dataclass(eq=False)
 class CommandOutOfOrder(JasperwalkError):
-    """A command's index is not above the last applied one; a fault of the host."""
+    """A command's index is not above the last applied one; an error of the calling process."""
 
     kind: ClassVar[str] = "command-out-of-order"
     index: int
@@ -82,7 +82,7 @@
 
 
 class ControlState:
-    """Configuration, agents and routing table as the log has them so far."""
+    """Configuration, agents and routing table after the commands applied so far."""
 
     def __init__(
         self,
@@ -109,13 +109,13 @@
 
     @property
     def revision(self) -> int:
-        """The log index of the last command that altered the table."""
+        """The log index of the last command that changed the table."""
         return self.table.revision
 
     def apply(self, index: int, command: Command, plan: Plan | Outcome | None = None) -> Outcome:
         """Apply one command; raise `CommandOutOfOrder` for an index already applied.
 
-        `plan` is what the job of `background_plan` returned, for this command and this very state.
+        `plan` is the result of the job of `background_plan` for this command and this state.
         """
         if index <= self.last_index:
             raise CommandOutOfOrder(index=index, last_index=self.last_index)
@@ -135,7 +135,7 @@
                 return self._finish(change_keys(self.table, command, index))
 
     def apply_encoded(self, index: int, data: bytes, plan: Plan | Outcome | None = None) -> Outcome:
-        """Apply a command as the log holds it; bytes that are none change nothing."""
+        """Apply an encoded command of the log; a malformed one changes nothing."""
         try:
             command = decode_command(data)
         except MalformedMessage as error:
@@ -144,9 +144,9 @@
         return self.apply(index, command, plan)
 
     def background_plan(self, index: int, data: bytes) -> PlanJob | None:
-        """Return the part of a command that may take long, None where there is none.
+        """Return the part of a command that may take long, or None.
 
-        Its result goes to `apply_encoded` with the same command. It only reads, so that it may
+        Its result is passed to `apply_encoded` with the same command. It only reads, so it may
         run in another thread as long as nothing is applied.
         """
         try:
@@ -181,11 +181,11 @@
         return sorted(self.table.members(), key=lambda member: member.address)
 
     def agents(self) -> list[AgentRecord]:
-        """Return all registered agents, also those that are no member, ordered by address."""
+        """Return all registered agents, including those that are no members, ordered by address."""
         return self._incarnations.records()
 
     def agent(self, address: Endpoint) -> AgentRecord | None:
-        """Return what is known of the agent at an address."""
+        """Return the record of the agent at an address, or None."""
         return self._incarnations.find(address)
 
     def operator_draining(self) -> list[str]:
@@ -193,16 +193,16 @@
         return self._host_states.operator_draining()
 
     def platform_draining(self) -> list[str]:
-        """Return the hosts that the platform's list says are leaving."""
+        """Return the hosts that are leaving by the platform's list."""
         return self._host_states.platform_draining()
 
     def outcome_of(self, change_id: str) -> Outcome | None:
-        """Return the first outcome of a change, None where it is unknown or forgotten."""
+        """Return the first outcome of a change, or None if it is unknown or no longer kept."""
         record = self._changes.find(change_id)
         return None if record is None else record.outcome
 
     def freeze(self) -> FrozenState:
-        """Return a copy that may be serialised in another thread while this state goes on."""
+        """Return a copy that may be serialised in another thread while this state advances."""
         return FrozenState(
             last_index=self.last_index,
             table=self.table.content(),
@@ -214,12 +214,12 @@
         )
 
     def serialise(self) -> bytes:
-        """Encode the whole state; equal states give equal bytes."""
+        """Encode the complete state; equal states give equal bytes."""
         return self.freeze().serialise()
 
     @classmethod
     def restore(cls, data: bytes) -> ControlState:
-        """Rebuild a state from its bytes; raise `MalformedState` for anything else."""
+        """Rebuild a state from its bytes; raise `MalformedState` if they are malformed."""
         image = decode_state(data)
         state = cls()
         state.last_index = image.last_index
@@ -282,7 +282,7 @@
                 return self._accepted() if refusal is None else refusal
 
     def _execute_plan(self, plan: Plan | Outcome, index: int, subject_revision: int) -> Outcome:
-        """Store and install a plan; pass a refusal on."""
+        """Store and install a plan; return a refusal unchanged."""
         if not isinstance(plan, Plan):
             return plan
         if not self._installer.can_allocate_ids(plan.renderings):
--- a/src/jasperwalk/control/state/outcome_base.py
+++ b/src/jasperwalk/control/state/outcome_base.py
@@ -1,4 +1,4 @@
-"""What all outcomes of commands have in common."""
+"""Base class of the outcomes of commands."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BaseOutcome:
-    """What every outcome has: `kind`, and whether the command took effect."""
+    """An outcome: its `kind`, and whether the command took effect."""
 
     kind: ClassVar[str] = "outcome"
     accepted: ClassVar[bool] = False
--- a/src/jasperwalk/control/state/outcomes.py
+++ b/src/jasperwalk/control/state/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of commands: tagged dataclasses, one class a kind.
+"""Outcomes of commands: tagged dataclasses, one class per kind.
 
 An outcome is part of the replicated state (a resent change gets its first outcome), so each
 converts to and from plain values.
@@ -39,9 +39,9 @@
 class Accepted(BaseOutcome):
     """The command took effect.
 
-    `revision` is the table revision that carries it: once that is in force everywhere, so is
+    `revision` is the table revision that includes it: once that is in force everywhere, so is
     the change. `subject_revision` is the new last-changed revision (ETag) of the template or
-    tenant, 0 where the command has no such subject or removed it.
+    tenant, 0 if the command has no such subject or removed it.
     """
 
     kind: ClassVar[str] = "accepted"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Registered(BaseOutcome):
-    """An agent's registration: its incarnation, and the table revision that carries it."""
+    """An agent's registration: its incarnation, and the table revision that includes it."""
 
     kind: ClassVar[str] = "registered"
     accepted: ClassVar[bool] = True
@@ -67,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeIdReused(BaseOutcome):
-    """The change ID was used before for another change, whose outcome stands."""
+    """The change ID was used before for another change, whose outcome is kept."""
 
     kind: ClassVar[str] = "change-id-reused"
     change_id: str
 
     def describe(self) -> str:
-        """Name the change ID and the mend."""
+        """Name the change ID and what to do."""
         return f"change ID {self.change_id!r} belongs to another change; use a new one"
 
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedCommand(BaseOutcome):
-    """Bytes of the log that are no command; they change nothing."""
+    """An entry of the log that is not a valid command; it changes nothing."""
 
     kind: ClassVar[str] = "malformed-command"
     reason: str
@@ -146,7 +146,7 @@
 
 
 def outcome_from_image(image: OutcomeImage) -> Outcome:
-    """Convert back; raise `msgspec.ValidationError` where kind or fields do not fit."""
+    """Convert back; raise `msgspec.ValidationError` if kind or fields are invalid."""
     outcome_class = _OUTCOME_CLASSES.get(image.kind)
     if outcome_class is None:
         raise msgspec.ValidationError(f"unknown outcome kind {image.kind!r}")
--- a/src/jasperwalk/control/state/service_ids.py
+++ b/src/jasperwalk/control/state/service_ids.py
@@ -1,4 +1,4 @@
-"""Service IDs: allotted once per service of a tenant, never used again."""
+"""Service IDs: allocated once per service of a tenant, never reused."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ServiceIdsImage(msgspec.Struct, frozen=True, array_like=True):
-    """Serialised form of all IDs, ordered by ID, and the next that is free."""
+    """Serialised form of all IDs, ordered by ID, and the next free one."""
 
     next_service_id: int
     services: list[ServiceIdImage]
 
 
 class ServiceIds:
-    """IDs of present services; those of removed ones are never given out again."""
+    """IDs of present services; those of removed services are never allocated again."""
 
     def __init__(self, next_service_id: int = 1) -> None:
         self._next_service_id = next_service_id
@@ -37,13 +37,13 @@
         return self._ids.get(owner)
 
     def can_allocate_ids(self, count: int) -> bool:
-        """Tell whether `count` more IDs can be allotted."""
+        """Return whether `count` more IDs can be allocated."""
         return self._next_service_id + count - 1 <= MAX_SERVICE_ID
 
     def allocate(self, owner: Owner) -> int:
-        """Return the service's ID, a new one where it has none.
+        """Return the service's ID, allocating one if it has none.
 
-        The caller asks `can_allocate_ids` first.
+        The caller checks `can_allocate_ids` first.
         """
         service_id = self._ids.get(owner)
         if service_id is None:
@@ -53,11 +53,11 @@
         return service_id
 
     def release(self, owner: Owner) -> None:
-        """Forget a removed service; if it comes back, it gets another ID."""
+        """Drop a removed service; if it is added again, it gets another ID."""
         self._ids.pop(owner, None)
 
     def copy(self) -> ServiceIds:
-        """Return a copy that later changes leave as it is."""
+        """Return a copy that later changes do not affect."""
         copied = ServiceIds(next_service_id=self._next_service_id)
         copied._ids = dict(self._ids)
         return copied
--- a/src/jasperwalk/control/state/state_image.py
+++ b/src/jasperwalk/control/state/state_image.py
@@ -1,4 +1,4 @@
-"""The serialised state: one canonical CBOR document, checked on the way in."""
+"""The serialised state: one canonical CBOR document, validated when decoded."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from jasperwalk.messages.codec import decode_single_item
 
 STATE_FORMAT = 1
-"""Version of the serialised form; raised when its shape changes."""
+"""Version of the serialised form; incremented when its structure changes."""
 
 
 @dataclass(eq=False)
@@ -55,7 +55,7 @@
 
 
 class StateImage(msgspec.Struct, frozen=True, array_like=True, tag=STATE_FORMAT):
-    """Serialised form of the whole state."""
+    """Serialised form of the complete state."""
 
     last_index: int
     table: TableImage
@@ -68,12 +68,12 @@
 
 
 def encode_state(image: StateImage) -> bytes:
-    """Encode an image; equal images give equal bytes, whatever the order of their maps."""
+    """Encode an image; equal images give equal bytes, regardless of the order of map keys."""
     return b"".join(canonical_chunks(image))
 
 
 def decode_state(data: bytes) -> StateImage:
-    """Decode an image; raise `MalformedState` for bytes that are none, or do not agree."""
+    """Decode an image; raise `MalformedState` if it is malformed or inconsistent."""
     try:
         image = msgspec.convert(decode_single_item(data), StateImage, strict=True)
         ChangeRegister.from_image(image.changes)
@@ -86,11 +86,11 @@
 
 
 def _check_agreement(image: StateImage) -> None:
-    """Raise `MalformedState` where parts that decode do not fit each other."""
+    """Raise `MalformedState` if the decoded parts are inconsistent with each other."""
     highest_id = max((service.service_id for service in image.service_ids.services), default=0)
     service_ids = {service.service_id for service in image.service_ids.services}
     if image.service_ids.next_service_id <= highest_id:
-        raise MalformedState(reason=f"service ID {highest_id} would be allotted again")
+        raise MalformedState(reason=f"service ID {highest_id} would be allocated again")
     if image.table.revision > image.last_index:
         raise MalformedState(reason="the table is newer than the last command")
     if any(not agent.boot_ids for agent in image.agents):
@@ -126,7 +126,7 @@
 
 
 def configuration_from_image(image: StateImage) -> Configuration:
-    """Rebuild templates and tenants; raise `MalformedState` where they do not agree."""
+    """Rebuild templates and tenants; raise `MalformedState` if they are inconsistent."""
     configuration = Configuration()
     for template_image in image.templates:
         try:
--- a/tests/control_state/conftest.py
+++ b/tests/control_state/conftest.py
@@ -1,4 +1,4 @@
-"""A small configuration, and a driver that applies commands at rising indices."""
+"""Fixtures: a small configuration, and a driver that applies commands at ascending indices."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         return self.state.apply(self.state.last_index + 1, command)
 
     def restart(self) -> None:
-        """Go on from the serialised state."""
+        """Continue from the serialised state."""
         self.state = ControlState.restore(self.state.serialise())
 
     def apply_template(
--- a/tests/control_state/test_canonical.py
+++ b/tests/control_state/test_canonical.py
@@ -1,4 +1,4 @@
-"""The bytes that come in pieces are those of one call."""
+"""The encoding in chunks equals the encoding in one call."""
 
 from __future__ import annotations
 
--- a/tests/control_state/test_determinism.py
+++ b/tests/control_state/test_determinism.py
@@ -1,4 +1,7 @@
-"""The same commands give the same bytes, whatever was serialised and restored between."""
+"""The same commands give the same bytes, also if the state is restored in between.
+
+Guards against replicas whose states differ, and against untyped errors for malformed states.
+"""
 
 from __future__ import annotations
 
@@ -139,7 +142,7 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(log=LOGS)
 def test_the_table_always_agrees_with_the_tenants(log: list[Command]) -> None:
-    """No two services share a listener, each is some tenant's, and IDs are not used again."""
+    """No two services share a listener, each belongs to a tenant, and IDs are not reused."""
     state = new_state()
     owners: dict[int, tuple[str, str]] = {}
     revision = 0
@@ -211,7 +214,7 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(position=st.integers(0, len(COMPLETE_STATE) - 1), byte=st.integers(0, 255))
 def test_a_changed_byte_never_raises_an_untyped_error(position: int, byte: int) -> None:
-    """A flipped byte that still decodes is the storage's checksum's to find, not ours."""
+    """A changed byte that still decodes is detected by the storage's checksum, not here."""
     data = COMPLETE_STATE[:position] + bytes([byte]) + COMPLETE_STATE[position + 1 :]
     try:
         ControlState.restore(data).serialise()
--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -1,4 +1,7 @@
-"""Rotation of fleet keys: the leader's decisions on the replicated state, step by step."""
+"""Rotation of fleet keys: the leader's decisions on the replicated state, step by step.
+
+Guards against a key being activated before every process holds it, or retired while flows use it.
+"""
 
 from dataclasses import dataclass, field
 
@@ -24,7 +27,7 @@
 
 @dataclass
 class Leader:
-    """Does what a leader's step does; it holds nothing that a new leader would lack."""
+    """Performs a leader's step; it keeps no state that a new leader would lack."""
 
     driver: object
     now_ms: int = START_MS
@@ -60,7 +63,7 @@
         return self.driver.apply(RotateKey(change_id, purpose, self.new_secret(16)))
 
     def generations_of(self, purpose=PURPOSE):
-        """Return generation and state of each key: A for active, w waiting, o older."""
+        """Return generation and state of each key: A active, w waiting, o older."""
         keys = keys_of(self.table, purpose)
         active = active_key(keys).generation
         marks = {True: "A", False: "w"}
@@ -109,7 +112,7 @@
 
 
 def test_a_balancer_one_rotation_behind_can_decode_every_flow(leader):
-    """A balancer that was cut off, so that nobody waited for it."""
+    """The balancer was cut off, so that the rotation did not wait for it."""
     balancer = leader.codec()
     leader.rotate()
     leader.step()
--- a/tests/control_state/test_machine.py
+++ b/tests/control_state/test_machine.py
@@ -1,4 +1,4 @@
-"""Outcomes of the state machine: races, resends, refusals, IDs and incarnations."""
+"""Outcomes of the state machine: races, resends, refusals, service IDs and incarnations."""
 
 from __future__ import annotations
 
