--- a/src/jasperwalk/control/api.py
+++ b/src/jasperwalk/control/api.py
@@ -27,9 +27,9 @@
 from jasperwalk.transport.tls import LinkTls
 
 MAX_BODY_BYTES = 512 * 1024
-"""Largest body of a request; a command of the log may not be larger than 1 MiB."""
+"""Largest request body; a command in the log may not exceed 1 MiB."""
 SHUTDOWN_SECONDS = 1.0
-"""How long a stop waits for requests in progress."""
+"""How long a shutdown waits for requests in progress."""
 
 ADMIN_OPERATIONS = frozenset({"get_metrics", "get_health"})
 """Operations whose routes `jasperwalk.observability` adds."""
@@ -50,7 +50,7 @@
         health: Callable[[], HealthReport],
         tls: LinkTls | None = None,
     ) -> None:
-        """Take the parts; with `tls` the API is served over https."""
+        """Build the application; with `tls` the API is served over https."""
         self.endpoint = endpoint
         self._context = None if tls is None else tls.server_context()
         cluster_id = None if tls is None else tls.identity.cluster_id
@@ -60,7 +60,7 @@
         )
 
     async def start(self) -> None:
-        """Open the port; raises `OSError` when it cannot be had."""
+        """Open the port; raises `OSError` when it cannot be opened."""
         await self._runner.setup()
         site = web.TCPSite(
             self._runner, self.endpoint.host, self.endpoint.port, ssl_context=self._context
@@ -129,6 +129,6 @@
     except web.HTTPException:
         raise
     except Exception:
-        # A fault in one handler must not be told to the caller, only that there was one.
+        # Internals of a failed handler are logged, not returned to the caller.
         logger.exception("request-failed", method=request.method, path=request.path)
         return problem_response(JasperwalkError())
--- a/src/jasperwalk/control/api_changes.py
+++ b/src/jasperwalk/control/api_changes.py
@@ -1,4 +1,8 @@
-"""Handlers of the operators' interface that change something."""
+"""Handlers of the operators' interface that change state.
+
+Each turns a request into a command or a change of the replicas, proposes it, and answers with
+the outcome.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,7 @@
 
 
 class ChangeHandlers:
-    """One method an operation, named by its `operation_id`."""
+    """One method per operation, named by its `operation_id`."""
 
     def __init__(self, replica: ControlReplica) -> None:
         self._replica = replica
@@ -86,7 +90,7 @@
         return await self._set_host(request, AdminState.ENABLED)
 
     async def rotate_key(self, request: web.Request) -> web.Response:
-        """Put another key in the place of the active one."""
+        """Start the rotation of a key."""
         command = RotateKey(
             change_id=change_id_of(request),
             purpose=key_purpose_of(request),
@@ -121,10 +125,10 @@
         try:
             outcome = await self._replica.change(command)
         except ProposalError as error:
-            # The caller needs the change ID to resend, also where it was drawn here.
+            # The caller needs the change ID for a resend, also if it was generated here.
             return problem_response(error, change_id)
         except MalformedMessage as error:
-            # The log takes no command that another replica could not decode or print.
+            # A command that another replica could not decode or print never enters the log.
             raise BadRequest(reason=error.reason) from error
         return outcome_response(change_id, outcome)
 
--- a/src/jasperwalk/control/api_identity.py
+++ b/src/jasperwalk/control/api_identity.py
@@ -1,4 +1,4 @@
-"""Who may use the operators' interface over https: certificates of operators and of control."""
+"""Authorises requests over https by certificate: operators and control, others for open paths."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def require_operator(cluster_id: str) -> Middleware:
-    """Return the middleware that refuses certificates of others."""
+    """Return middleware that refuses certificates of other roles or clusters."""
 
     @web.middleware
     async def check(request: web.Request, handler: Handler) -> web.StreamResponse:
--- a/src/jasperwalk/control/api_reads.py
+++ b/src/jasperwalk/control/api_reads.py
@@ -1,7 +1,7 @@
 """Handlers of the operators' interface that only read.
 
-All but the status are answered by a quorum-fresh replica alone: an old answer would have an
-operator decide on what is no longer so.
+All but the status require a replica with recent quorum contact, unless the request accepts a
+stale answer: an operator should not decide on outdated state.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 )
 
 IN_FORCE_POLL_SECONDS = 0.05
-"""Interval at which a waiting request looks at the acknowledgements again."""
+"""Interval at which a waiting request checks the acknowledgements again."""
 
 
 class ReadHandlers:
-    """One method an operation, named by its `operation_id`."""
+    """One method per operation, named by its `operation_id`."""
 
     def __init__(self, replica: ControlReplica) -> None:
         self._replica = replica
@@ -84,7 +84,7 @@
         return outcome_response(change_id, outcome)
 
     async def get_in_force(self, request: web.Request) -> web.Response:
-        """Tell, or wait until, a change is in force everywhere."""
+        """Show whether a change is in force everywhere, waiting for it if asked to."""
         self._require_fresh(request)
         revision = integer_query_of(request, "revision")
         if revision is None:
--- a/src/jasperwalk/control/api_requests.py
+++ b/src/jasperwalk/control/api_requests.py
@@ -1,4 +1,4 @@
-"""Reading what a request of the operators' interface says; anything else is a `BadRequest`."""
+"""Parsing of requests to the operators' interface; malformed input raises `BadRequest`."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def change_id_of(request: web.Request) -> str:
-    """Return the operator's change ID, a random one where none was given."""
+    """Return the operator's change ID, or a random one if none was given."""
     return request.headers.get(CHANGE_ID_HEADER) or uuid.uuid4().hex
 
 
 def expected_revision_of(request: web.Request) -> int | None:
-    """Return the revision that If-Match names, None without that header."""
+    """Return the revision in If-Match, or None without that header."""
     header = request.headers.get("If-Match")
     if header is None:
         return None
@@ -53,7 +53,7 @@
 
 
 def integer_query_of(request: web.Request, name: str) -> int | None:
-    """Return a query parameter that is a number of at least 0, None where it is left out."""
+    """Return a query parameter that is an integer of at least 0, or None if it is absent."""
     text = request.query.get(name)
     if text is None:
         return None
@@ -63,7 +63,7 @@
 
 
 def wait_seconds_of(request: web.Request) -> float:
-    """Return how long the request wants to wait, in seconds."""
+    """Return the requested wait in seconds."""
     wait_ms = integer_query_of(request, "wait_ms") or 0
     if wait_ms > MAX_WAIT_MS:
         raise BadRequest(reason=f"wait_ms may be at most {MAX_WAIT_MS}")
@@ -71,7 +71,7 @@
 
 
 def accepts_stale(request: web.Request) -> bool:
-    """Tell whether the request takes an answer that may be old."""
+    """Return whether the request accepts a stale answer."""
     text = request.query.get("stale", "false")
     if text not in ("true", "false"):
         raise BadRequest(reason=f"stale must be true or false, not {text!r}")
--- a/src/jasperwalk/control/applied.py
+++ b/src/jasperwalk/control/applied.py
@@ -1,4 +1,8 @@
-"""Who waits for which log entry to be applied, and what the latest entries came to."""
+"""Proposals that wait for their log entry to be applied, and results of the latest entries.
+
+A waiter is resolved by index and term: an entry of another term at its index means that the
+proposal was lost.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +14,8 @@
 from jasperwalk.control.proposal_errors import OutcomeUnknown, ProposalError, ProposalLost
 
 RETAINED_ENTRIES = 1024
-"""Latest entries whose results are kept: a forwarded entry may be applied here before the
-leader's reply with its index arrives."""
+"""Number of latest results kept: a forwarded entry may be applied here before the leader's
+reply with its index arrives."""
 
 
 OutcomeType = TypeVar("OutcomeType")
@@ -19,7 +23,7 @@
 
 @dataclass(frozen=True)
 class AppliedEntry(Generic[OutcomeType]):
-    """One applied entry; `outcome` is None where the entry was no command."""
+    """One applied entry; `outcome` is None if the entry was not a command."""
 
     index: int
     term: int
@@ -43,7 +47,7 @@
         self._waiters: dict[int, list[Waiter[OutcomeType]]] = {}
 
     def record(self, entry: AppliedEntry[OutcomeType]) -> None:
-        """Note an applied entry and answer those who wait for its index."""
+        """Record an applied entry and resolve the waiters for its index."""
         self.index = entry.index
         self._latest[entry.index] = entry
         if len(self._latest) > RETAINED_ENTRIES:
@@ -52,7 +56,7 @@
             _resolve(waiter, entry)
 
     def skip_to(self, index: int) -> None:
-        """Note that a snapshot replaced all entries up to `index`, whose results stay unknown."""
+        """Record that a snapshot replaced all entries up to `index`; their results are unknown."""
         self.index = index
         for waited_index in [each for each in self._waiters if each <= index]:
             for waiter in self._waiters.pop(waited_index):
@@ -61,7 +65,7 @@
     async def wait(
         self, index: int, term: int, timeout_seconds: float
     ) -> AppliedEntry[OutcomeType]:
-        """Return the entry once applied.
+        """Return the entry once it is applied.
 
         Raises `ProposalLost` when an entry of another term took its place, and
         `OutcomeUnknown` when it was not applied in time or was covered by a snapshot.
@@ -87,7 +91,7 @@
             _resolve(waiter, entry)
 
     def _discard(self, index: int, waiter: Waiter[OutcomeType]) -> None:
-        """Forget a waiter that gave up, so that a stalled log does not collect them."""
+        """Remove a waiter that timed out, so that a stalled log does not accumulate them."""
         waiters = self._waiters.get(index)
         if waiters is not None and waiter in waiters:
             waiters.remove(waiter)
--- a/src/jasperwalk/control/control_runner.py
+++ b/src/jasperwalk/control/control_runner.py
@@ -1,4 +1,4 @@
-"""The consensus adapter of a control replica: it feeds the fleet's state machine."""
+"""The consensus adapter of a control replica, which feeds committed entries to `ControlState`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ControlRunner(RaftRunner):
-    """A consensus adapter whose entries go to a `ControlState`."""
+    """Consensus adapter that applies its entries to a `ControlState`."""
 
     def __init__(
         self,
@@ -32,5 +32,5 @@
 
     @property
     def applied(self) -> AppliedEntries[Outcome]:
-        """The applied entries, and who waits for them."""
+        """The applied entries, and the proposals that wait for them."""
         return self._state_applier.applied
--- a/src/jasperwalk/control/in_force.py
+++ b/src/jasperwalk/control/in_force.py
@@ -1,20 +1,20 @@
 """On how many balancers and agents a revision is in force: the leader's merged view.
 
-Each replica reports its subscribers to the leader (see `subscriber_reports`). A subscriber
-that moved between replicas counts by its newest sighting. One that nobody has heard for
-`SUBSCRIBER_EXPIRY_SECONDS` no longer counts, so that a machine that is gone for good does not keep
-a change from being reported in force.
-
-What "in force" does not say: a balancer that is cut off from control, but alive and reached
-by callers, goes on deciding with its last table, by design. Once it is forgotten, a change is
-reported in force although that balancer still decides by an older table. The newer
-configuration takes effect all the same, at the agents: each compares the revision that a
-forwarded datagram carries with its own and decides anew where its own is newer and fresh
-(`jasperwalk.agent.handover`). An agent that is cut off too is offline in the table after a few
-seconds, and balancers that are in contact choose it no more.
-
-Counts are known only when no replica's report is missing: not just after a leader took over,
-nor while a replica that was heard a moment ago is silent. Until then they are None.
+Each replica reports its subscribers to the leader (see `subscriber_reports`). If several replicas
+report the same subscriber, the most recent report of it counts. A subscriber that no replica has
+received a message from for `SUBSCRIBER_EXPIRY_SECONDS` no longer counts, so that a machine that is
+permanently gone does not keep a change from being reported in force.
+
+Limit of "in force": a balancer that is cut off from control, but alive and reached by callers,
+continues to decide by its last table, by design. Once it has expired here, a change is reported in
+force although that balancer still decides by an older table. The newer configuration takes effect
+at the agents all the same: each compares the revision that a forwarded datagram carries with its
+own, and decides again if its own is newer and fresh (`jasperwalk.agent.handover`). An agent that is
+cut off too is offline in the table after a few seconds, and balancers in contact with control no
+longer choose it.
+
+Counts are known only while no replica's report is missing. They are None just after a change of
+leader, and while a replica that reported a moment ago is silent.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 from jasperwalk.messages.distribution import SubscriberRole
 
 REPORT_GAP_SECONDS = 1.25
-"""Silence of a replica after which subscribers may have come to it unseen.
+"""Silence of a replica after which it may have subscribers that it has not reported yet.
 
-This and the time that a subscriber takes from one replica to the next have to pass within
-`SUBSCRIBER_EXPIRY_SECONDS`: otherwise it would be forgotten before its new replica tells of it.
+The sum of this and of the time that a subscriber takes to move to another replica must be below
+`SUBSCRIBER_EXPIRY_SECONDS`: otherwise a subscriber would expire before its new replica reports it.
 """
 MAX_LAGGARDS_NAMED = 100
-"""Laggards that an answer names; `laggard_count` counts them all."""
+"""Maximum number of laggards named in an answer; `laggard_count` counts them all."""
 
 
 class InForce(msgspec.Struct, frozen=True):
@@ -65,8 +65,8 @@
 class SubscriberSighting(msgspec.Struct, frozen=True, gc=False):
     """What the leader knows of a subscriber; `revision` is the newest that it acknowledged.
 
-    `seen_at` is when it was last heard, in seconds; it may be up to `UNREPORTED_SILENCE_SECONDS` too late
-    for one that is heard regularly.
+    `seen_at` is the time of its last message, in seconds; for a subscriber that sends regularly
+    it may be up to `UNREPORTED_SILENCE_SECONDS` too late.
     """
 
     name: str
@@ -83,7 +83,7 @@
 
 @dataclass
 class _Origin:
-    """What one replica reported, by its own numbers."""
+    """What one replica reported; subscribers are keyed by the numbers that it gave them."""
 
     sequence: int
     revision: int
@@ -95,7 +95,7 @@
     silent_since: dict[int, float] = field(default_factory=dict)
 
     def subscriber_of(self, each: ReportedSubscriber) -> SubscriberSighting:
-        """Return a subscriber as this replica sees it."""
+        """Return a subscriber as this replica reported it."""
         key, condition = each.key, each.condition
         return SubscriberSighting(
             name=key.name,
@@ -112,7 +112,7 @@
 
 
 class InForceLedger:
-    """The newest report of every replica, for as long as this replica leads."""
+    """The newest report of every replica, kept while this replica leads."""
 
     def __init__(self, now: float, expiry_seconds: float = SUBSCRIBER_EXPIRY_SECONDS) -> None:
         self._expiry_seconds = expiry_seconds
@@ -122,7 +122,7 @@
         self._merged: dict[SubscriberKey, SubscriberSighting] | None = None
 
     def start_term(self, term: int, now: float) -> None:
-        """Start anew with a term that this replica leads; nothing happens within a term."""
+        """Discard all reports when a new term begins; does nothing within the current term."""
         if term != self._term:
             self._term = term
             self._leading_since = now
@@ -130,7 +130,7 @@
             self._merged = None
 
     def record_report(self, origin_id: int, report: SubscriberReport, now: float) -> bool:
-        """Take in a report; return False when reports before it are missing."""
+        """Record a report; return False if an earlier report is missing."""
         if report.term != self._term:
             return True
         former = self._origins.get(origin_id)
@@ -159,16 +159,16 @@
         return True
 
     def current(self, now: float) -> list[SubscriberSighting]:
-        """Return the subscribers that still count."""
+        """Return the subscribers that have not expired."""
         oldest = now - self._expiry_seconds
         return [each for each in self._merge().values() if each.seen_at >= oldest]
 
     def in_force(self, revision: int, contact_ages: Mapping[int, float], now: float) -> InForce:
-        """Tell on which subscribers `revision` (or a newer one) is in force.
+        """Return on which subscribers `revision` (or a newer one) is in force.
 
-        `contact_ages` holds, for every replica's ID, the seconds since it was heard in other
-        ways than by its reports (inf for never). It is complete when every balancer and agent
-        has the revision, there is a balancer, and no replica's report is missing.
+        `contact_ages` holds, by replica ID, the seconds since contact other than by reports (inf
+        for never). The result is complete if there is a balancer, every balancer and agent has
+        the revision, and no replica's report is missing or older than it.
         """
         seen = self.current(now)
         balancers = [each for each in seen if each.role is SubscriberRole.BALANCER]
@@ -204,7 +204,7 @@
     def _incomplete_replicas(
         self, revision: int, contact_ages: Mapping[int, float], now: float
     ) -> tuple[list[int], list[int]]:
-        """Return the replicas that may know of more, and those that reported before `revision`."""
+        """Return replicas that may have unreported subscribers, and those behind `revision`."""
         missing: list[int] = []
         late: list[int] = []
         for replica_id in sorted(contact_ages):
@@ -218,14 +218,15 @@
         return missing, late
 
     def _may_serve(self, origin: _Origin | None, contact_age: float, now: float) -> bool:
-        """Tell whether a replica may have subscribers: those of a stale one have left it."""
+        """Return whether a replica may have subscribers: they leave a replica that is stale."""
         received_at = self._leading_since if origin is None else origin.received_at
         return min(now - received_at, contact_age) < self._expiry_seconds
 
     def _may_have_unreported(self, origin: _Origin, now: float) -> bool:
-        """Tell whether a replica may have subscribers that no report tells of.
+        """Return whether a replica may have subscribers that it has not reported.
 
-        One that has just started has not seen yet who comes back to it.
+        This holds after a gap in its reports, and for one that has just started: subscribers
+        may still be reconnecting to it.
         """
         if now - origin.received_at > REPORT_GAP_SECONDS:
             return True
@@ -233,7 +234,7 @@
 
 
 def _supersedes(seen: SubscriberSighting, known: SubscriberSighting) -> bool:
-    """Tell whether a sighting is newer; the lower revision counts where that is not certain."""
+    """Return whether `seen` is newer; if the order is uncertain, the lower revision counts."""
     difference = seen.seen_at - known.seen_at
     if abs(difference) > UNREPORTED_SILENCE_SECONDS:
         return difference > 0
--- a/src/jasperwalk/control/key_duties.py
+++ b/src/jasperwalk/control/key_duties.py
@@ -1,9 +1,9 @@
-"""What the leader does about fleet keys, decided from committed state and reports (sans-IO).
+"""Decides which fleet keys the leader installs, activates and retires (sans-IO).
 
-A waiting key becomes active only once every live balancer and agent holds it. A superseded key
-is accepted until no open flow rests on it, and no longer than its purpose's latest age.
-Everything is decided anew from the table, so that a new leader goes on where the former one
-stopped.
+Decisions use the committed table and the reports of subscribers. A waiting key becomes active only
+once every live balancer and agent holds it. A superseded key is accepted until no open flow depends
+on it, and no longer than the maximum age of its purpose. No state is kept between decisions, so
+that a new leader continues where the former one stopped.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 
 MILLISECONDS_PER_SECOND = 1000
 FLOW_KEY_MIN_AGE_SECONDS = 60
-"""Least age at which a key without flows is retired: packets and reports may be under way."""
+"""Minimum age at which a key without flows is retired: packets and reports may be in transit."""
 FLOW_KEY_MAX_AGE_SECONDS = 24 * 3600
-"""Age at which a key is retired though an agent has flows on it, or was not heard."""
+"""Age at which a key is retired even if an agent has flows on it, or has not reported."""
 TICKET_KEY_AGE_SECONDS = 2 * 3600
-"""Tickets live an hour from their issue; agents may have got the next key somewhat later."""
+"""Tickets are valid for an hour; agents may have received the next key somewhat later."""
 DATAGRAM_KEY_AGE_SECONDS = 3600
-"""Time for a balancer that was cut off to seal with the former key."""
+"""Time for which a balancer that was cut off may still seal with the former key."""
 
 SecretSource = Callable[[int], bytes]
-"""Returns that many random bytes."""
+"""Returns the given number of random bytes."""
 
 InForceEverywhere = Callable[[int], bool]
-"""Tells whether a revision is in force on every live balancer and agent."""
+"""Returns whether a revision is in force on every live balancer and agent."""
 
 
 @dataclass(frozen=True)
 class AgentKeys:
-    """Generations of the oldest keys that a live agent's flows rest on, 0 where not known."""
+    """Generations of the oldest keys that a live agent's flows depend on, 0 if not known."""
 
     address: Endpoint
     connection_id_generation: int
@@ -57,9 +57,10 @@
 
 @dataclass(frozen=True)
 class RetirementRule:
-    """Ages in ms since a key was superseded: between them it goes once no flow rests on it.
+    """When a superseded key is retired, by its age in ms since it was superseded.
 
-    Without `generation_of`, flows do not rest on keys of the purpose.
+    From `min_age_ms` it is retired if no flow depends on it, from `max_age_ms` in any case.
+    Without `generation_of`, flows do not depend on keys of the purpose.
     """
 
     min_age_ms: int
@@ -89,7 +90,7 @@
 
 
 def missing_keys(table: VersionedTable, new_secret: SecretSource) -> list[KeyCommand]:
-    """Return what installs the first key, or the spare, of each purpose that has none."""
+    """Return commands that install the first key, or the spare, of each purpose without one."""
     commands: list[KeyCommand] = []
     for purpose in KeyPurpose:
         keys = keys_of(table, purpose)
@@ -103,7 +104,7 @@
 def keys_to_activate(
     table: VersionedTable, in_force: InForceEverywhere, now_ms: Callable[[], int]
 ) -> list[KeyCommand]:
-    """Return what ends the rotations whose newest key every live process holds.
+    """Return commands that complete the rotations whose newest key every live process holds.
 
     `now_ms` returns the Unix time in ms.
     """
@@ -125,13 +126,13 @@
     live_agents: Callable[[], Sequence[AgentKeys]],
     now_ms: Callable[[], int],
 ) -> list[KeyCommand]:
-    """Return what retires the superseded keys that nothing rests on, or that are too old."""
+    """Return commands that retire superseded keys that are unused or too old."""
     commands: list[KeyCommand] = []
     for purpose in KeyPurpose:
         keys = keys_of(table, purpose)
         active = active_key(keys)
         for key in keys:
-            # Without a time of its supersession a key has no age.
+            # Without the time at which it was superseded, a key has no age.
             if active is None or key.generation >= active.generation or not key.superseded_at_ms:
                 continue
             age_ms = now_ms() - key.superseded_at_ms
@@ -151,10 +152,10 @@
     agents: Sequence[AgentKeys],
     table: VersionedTable,
 ) -> bool:
-    """Tell whether every agent was heard and has moved its flows to newer keys.
+    """Return whether every agent has reported and has moved its flows to newer keys.
 
-    An agent that is cut off from control may still serve flows, so that a registered member
-    that was not heard holds the key back.
+    An agent that is cut off from control may still serve flows, so a registered member that has
+    not reported keeps the key in use.
     """
     generation_of = rule.generation_of
     if generation_of is None:
--- a/src/jasperwalk/control/leader_duties.py
+++ b/src/jasperwalk/control/leader_duties.py
@@ -1,8 +1,9 @@
-"""What the leader does besides answering: one loop of small named steps.
+"""Background work of the leader: fleet keys, statuses of members, and the platform's list.
 
-Each step looks at the committed state and proposes what is missing, so that it may be repeated
-at any time. A leader that was deposed without knowing it cannot commit; what it proposed
-before is guarded by the state machine (statuses name an incarnation, the first key stands).
+One loop runs the steps in order. Each step compares the committed state with its input and proposes
+the difference, so that it may be repeated at any time. A leader that was deposed without knowing it
+cannot commit; the state machine rejects stale proposals of it (statuses name an incarnation, and
+the first key under a rotation number stays).
 """
 
 from __future__ import annotations
@@ -39,19 +40,19 @@
 
 STEP_INTERVAL_SECONDS = 0.2
 EVALUATION_INTERVAL_SECONDS = 0.5
-"""Replicas report as often; judging 24,000 members takes the leader most of 100 ms."""
+"""Same as the interval of reports; evaluating 24,000 members takes close to 100 ms."""
 QUORUM_CONTACT_SECONDS = 1.0
-"""A leader whose quorum contact is older than this decides nothing."""
+"""A leader whose quorum contact is older than this makes no decisions."""
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 MAX_LOGGED_CHANGES = 50
-"""Lines for the members or hosts of one round; a zone that is lost names thousands."""
+"""Maximum log lines for the changes of one round; losing a zone changes thousands."""
 
 logger = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True)
 class DutiesConfig:
-    """Settings of the leader's duties."""
+    """Settings of the leader's background work."""
 
     liveness: LivenessConfig = field(default_factory=LivenessConfig)
     reconciler: ReconcilerConfig = field(default_factory=ReconcilerConfig)
@@ -95,11 +96,11 @@
             await self._evaluate_members()
             await self._apply_platform_list()
         except ProposalError as error:
-            # The next round starts from what has been committed by then.
+            # The next round starts from the state committed by then.
             logger.info("leader-step-failed", kind=error.kind)
 
     def _update_leadership(self) -> bool:
-        """Tell whether this replica leads; start anew with every term that it leads."""
+        """Return whether this replica leads; reset the trackers for every term that it leads."""
         if not self._runner.is_leader or self._runner.quorum_age() > QUORUM_CONTACT_SECONDS:
             if not self._runner.is_leader:
                 self._led_term = None
@@ -113,7 +114,7 @@
         return True
 
     async def _maintain_keys(self) -> None:
-        """Install missing keys, activate those that are in force and retire the free ones."""
+        """Install missing keys, activate those that are in force and retire unused ones."""
         table = self._runner.state.table
         for command in (
             *missing_keys(table, secrets.token_bytes),
@@ -133,7 +134,7 @@
         ]
 
     async def _evaluate_members(self) -> None:
-        """Set the statuses of members that came, went silent or reported their back end down."""
+        """Set the statuses of members that appeared, went silent or reported a failed backend."""
         now = time.monotonic()
         if now < self._next_evaluation_at:
             return
@@ -147,7 +148,7 @@
             _log_statuses(statuses)
 
     async def _apply_platform_list(self) -> None:
-        """Drain the hosts that the platform takes away, and take back those that stay."""
+        """Drain the hosts that the platform will remove, and enable those that it keeps."""
         platform_list = None if self._poller is None else self._poller.take()
         if platform_list is None:
             return
@@ -163,7 +164,7 @@
         _log_platform_states(states)
 
     def _changed_only(self, states: list[PlatformState]) -> list[PlatformState]:
-        """Leave out states that are committed already: a new leader's first poll names all."""
+        """Omit states that are already committed: a new leader's first poll names all hosts."""
         draining = set(self._runner.state.platform_draining())
         return [
             state
--- a/src/jasperwalk/control/leader_queries.py
+++ b/src/jasperwalk/control/leader_queries.py
@@ -1,4 +1,4 @@
-"""Questions that only the leader can answer, asked from any replica over its peer link."""
+"""Queries that only the leader can answer, sent from any replica over its peer link."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 )
 
 QUERY_TIMEOUT_SECONDS = 1.0
-"""Time for the leader's answer; without it the asker says that it does not know."""
+"""Time-out of the leader's answer; without one the result is reported as unknown."""
 
 
 class LeaderQueries:
-    """Asks the leader, and matches its answers to those who wait."""
+    """Sends queries to the leader and matches its answers to the waiting callers."""
 
     def __init__(self, runner: ControlRunner, network: PeerNetwork) -> None:
         self._runner = runner
@@ -31,17 +31,17 @@
         self._waiting: dict[int, asyncio.Future[LeaderAnswer]] = {}
 
     async def in_force(self, revision: int) -> InForceAnswer | None:
-        """Ask where a revision is in force; None without an answer."""
+        """Query where a revision is in force; None without an answer."""
         answer = await self._ask(lambda number: InForceQuery(number, revision))
         return answer if isinstance(answer, InForceAnswer) else None
 
     async def agents(self) -> AgentsAnswer | None:
-        """Ask what the agents say of themselves; None without an answer."""
+        """Query the state that agents report of themselves; None without an answer."""
         answer = await self._ask(AgentsQuery)
         return answer if isinstance(answer, AgentsAnswer) else None
 
     def handle_answer(self, answer: LeaderAnswer) -> None:
-        """Hand an answer to the one that waits for it, if it still does."""
+        """Deliver an answer to its caller, if that still waits."""
         waiting = self._waiting.get(answer.query_number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
--- a/src/jasperwalk/control/openapi.py
+++ b/src/jasperwalk/control/openapi.py
@@ -18,7 +18,7 @@
 
 
 def openapi_document() -> dict[str, Any]:
-    """Return the OpenAPI document of all operations, ready to be encoded as JSON."""
+    """Return the OpenAPI document of all operations, ready for encoding as JSON."""
     paths: dict[str, dict[str, Any]] = {}
     for operation in OPERATIONS:
         paths.setdefault(operation.path, {})[operation.method.lower()] = _describe(operation)
--- a/src/jasperwalk/control/operation_types.py
+++ b/src/jasperwalk/control/operation_types.py
@@ -1,4 +1,4 @@
-"""What describes an operation of the operators' interface: its parameters and its bodies."""
+"""Types that describe an operation of the operators' interface: parameters and bodies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ParameterLocation(enum.StrEnum):
-    """Where a parameter travels."""
+    """Part of the request that holds a parameter (`in` of the OpenAPI document)."""
 
     PATH = "path"
     QUERY = "query"
@@ -25,7 +25,7 @@
 
 
 class BodyKind(enum.StrEnum):
-    """Media types of request and answer bodies."""
+    """Media types of request and response bodies."""
 
     JSON = "application/json"
     TOML = "application/toml"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One method of one path; `answer` and `body` are the types of the bodies."""
+    """One method of one path; `answer` and `body` are the types of response and request body."""
 
     operation_id: str
     method: str
--- a/src/jasperwalk/control/operations.py
+++ b/src/jasperwalk/control/operations.py
@@ -1,7 +1,7 @@
 """The table of operations of the operators' interface.
 
-`OPERATIONS` is the one place that names paths and methods: the router binds a handler to each
-`operation_id`, and the OpenAPI document is made from the same table.
+`OPERATIONS` is the only definition of paths and methods: the router binds a handler to each
+`operation_id`, and the OpenAPI document is generated from the same table.
 """
 
 from __future__ import annotations
--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -1,10 +1,11 @@
 """Links between control replicas: one outgoing framed TCP connection to every peer.
 
-A link drops what it cannot send (not connected, or its queue is full): the consensus core
-repeats what matters, and waiting proposals have deadlines.
+A link drops messages that it cannot send (not connected, or its queue is full): the consensus core
+retransmits where needed, and waiting proposals have deadlines.
 
-A connection may go silent without a reset, both ways or one. Both sides therefore send signs of
-life, and each ends a connection on which none has come for a while; the opener dials a new one.
+A connection may go silent without a reset, in one direction or both. Both sides therefore send
+keepalives, and each closes a connection on which nothing has arrived for `SILENCE_LIMIT_SECONDS`;
+the opener then dials a new one.
 """
 
 from __future__ import annotations
@@ -33,20 +34,20 @@
 
 QUEUE_LIMIT_MESSAGES = 1024
 RECONNECT_SECONDS = 0.2
-"""Pause before a lost link is opened again."""
+"""Pause before a lost link is reopened."""
 MAX_PAUSE_SECONDS = 5.0
-"""Longest pause while TLS fails, which lasts until someone mends files; it doubles."""
+"""Limit of the pause, which doubles while TLS fails: that lasts until files are repaired."""
 KEEPALIVE_INTERVAL_SECONDS = 0.5
 SILENCE_LIMIT_SECONDS = 3.0
-"""A link on which nothing came for this long is ended; its opener opens it anew."""
+"""A link on which nothing arrives for this long is closed; its opener reopens it."""
 
 MessageHandler = Callable[[int, Any], None]
-"""Takes the sender's replica ID and the message (of the family that the decoder knows)."""
+"""Receives the sender's replica ID and the message, as the decoder returns it."""
 
 
 @dataclass(frozen=True)
 class LinkTimes:
-    """Times of a link in seconds: opening, reopening, signs of life and their absence."""
+    """Times of a link in seconds: connecting, reconnecting, keepalives and silence."""
 
     connect_timeout: float = CONNECT_TIMEOUT_SECONDS
     reconnect: float = RECONNECT_SECONDS
@@ -81,16 +82,16 @@
         self._redial = asyncio.Event()
 
     def peer_connected(self) -> None:
-        """Dial at once: the peer has just opened a link of its own, so it is there.
+        """Dial at once: the peer has just opened a link of its own, so it is reachable.
 
-        An attempt that began while the peer's machine had no power hangs until its time-out,
-        though the peer has come back meanwhile.
+        An attempt started while the peer's machine had no power would hang until its time-out,
+        although the peer is back by then.
         """
         if not self.connected:
             self._redial.set()
 
     def send(self, payload: bytes) -> bool:
-        """Queue one message; False when it was dropped."""
+        """Queue one message; False if it was dropped."""
         if not self.connected or self._queue.full():
             self.dropped_messages += 1
             return False
@@ -115,7 +116,7 @@
                 await self._pause(pause_seconds)
 
     async def _connect(self) -> FramedConnection:
-        """Open a connection; an attempt under way when the peer is heard is begun anew."""
+        """Open a connection; a redial request restarts the attempt in progress."""
         while True:
             self._redial.clear()
             dialing = asyncio.create_task(
@@ -132,7 +133,7 @@
                 await asyncio.gather(dialing, redial_requested, return_exceptions=True)
 
     async def _pause(self, seconds: float) -> None:
-        """Wait before the next attempt, but not once the peer was heard."""
+        """Wait before the next attempt, or until a redial is requested."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._redial.wait()
@@ -150,7 +151,7 @@
                 job.result()
         finally:
             self.connected = False
-            # What waited for the old connection is out of date on the next one.
+            # Messages queued for the old connection are out of date on the next one.
             while not self._queue.empty():
                 self._queue.get_nowait()
             for job in jobs:
@@ -163,7 +164,7 @@
             await connection.send(await self._next_payload())
 
     async def _next_payload(self) -> bytes:
-        """Return the next queued message, or a sign of life where none comes for a while."""
+        """Return the next queued message, or a keepalive if there is none within the interval."""
         try:
             async with asyncio.timeout(self._times.keepalive_interval):
                 return await self._queue.get()
@@ -172,7 +173,7 @@
 
 
 async def _receive_until_silent(connection: FramedConnection, limit_seconds: float) -> None:
-    """Raise `PeerSilent` when the peer has been silent for too long, or why the link is lost."""
+    """Receive until the link fails; raise `PeerSilent` or the failure of the connection."""
     while True:
         await _receive_within(connection, limit_seconds)
 
@@ -187,7 +188,7 @@
 
 
 class PeerNetwork:
-    """All links of one replica, and the handler of the links that peers opened to it."""
+    """All outgoing links of one replica, and the handler of links that peers opened to it."""
 
     def __init__(
         self,
@@ -212,7 +213,7 @@
         self.malformed_messages = 0
 
     def set_peers(self, peers: Mapping[int, Endpoint]) -> None:
-        """Open links to new or moved peers and close those to peers that left."""
+        """Open links to new or moved peers and close those to removed peers."""
         wanted = {each: peers[each] for each in peers if each != self._replica_id}
         for replica_id in list(self._links):
             if wanted.get(replica_id) != self._links[replica_id].endpoint:
@@ -222,22 +223,22 @@
                 self._open(replica_id, endpoint)
 
     def send(self, replica_id: int, message: msgspec.Struct) -> bool:
-        """Send one message to a peer; False when it was certainly not sent."""
+        """Send one message to a peer; False if it was certainly not sent."""
         link = self._links.get(replica_id)
         if link is None:
             return False
         return link.send(codec.encode(message))
 
     def dropped_messages(self) -> int:
-        """Count the messages that were dropped on the links that stand now."""
+        """Return the number of messages dropped on the present links."""
         return sum(link.dropped_messages for link in self._links.values())
 
     def connected_ids(self) -> list[int]:
-        """Return the IDs of the peers to which a link stands."""
+        """Return the IDs of the peers to which a link is connected."""
         return [each for each, link in self._links.items() if link.connected]
 
     async def serve(self, connection: FramedConnection) -> None:
-        """Take messages from a link that a peer opened, until it ends."""
+        """Receive messages on a link that a peer opened, until it ends."""
         keepalive = asyncio.create_task(
             _send_keepalives(connection, self._times.keepalive_interval)
         )
@@ -248,7 +249,7 @@
                 payload = await _receive_within(connection, self._times.silence_limit)
                 self._take(connection, payload)
         except PeerSilent:
-            # What waits to be sent would only hold up the connection's end.
+            # Unsent data would only delay the close.
             connection.abort()
             raise
         finally:
@@ -256,10 +257,10 @@
             keepalive.cancel()
 
     async def close(self) -> None:
-        """Close all links, those that peers opened too.
+        """Close all links, including those that peers opened.
 
-        A peer takes a link that stands for a replica that hears it: left open, it would go to
-        a replica that is gone while its successor in the same process hears nothing.
+        A peer takes an open link for a replica that receives: left open, its messages would
+        go to a replica that has ended, and a successor in the same process would get none.
         """
         for connection in list(self._accepted):
             connection.abort()
--- a/src/jasperwalk/control/peer_messages.py
+++ b/src/jasperwalk/control/peer_messages.py
@@ -1,8 +1,7 @@
 """Messages between control replicas, each framed on a TCP link opened by the sender.
 
-Links are one-way: an answer travels on the answering replica's own link. The sender is known
-from the link's Hello. Every request carries a number that its sender does not use twice while
-it runs.
+Links are one-way: an answer is sent on the answering replica's own link. The sender is identified
+by the link's Hello. Every request carries a number that is unique for its sender's process.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class ForwardProposal(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A follower's request that the leader append `command` to the log."""
+    """A follower's request that the leader appends `command` to the log."""
 
     request_number: int
     command: bytes
@@ -38,13 +37,13 @@
 
 
 class ReplicaPromotion(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A learner that shall vote."""
+    """A learner that becomes a voter."""
 
     replica_id: int
 
 
 class ReplicaRemoval(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A replica that leaves for good; its ID is never used again."""
+    """A replica that is removed permanently; its ID is never used again."""
 
     replica_id: int
 
@@ -53,7 +52,7 @@
 
 
 class ForwardReplicaChange(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A follower's request that the leader propose a change of the replicas."""
+    """A follower's request that the leader proposes a change of the replicas."""
 
     request_number: int
     change: ReplicaChange
@@ -72,8 +71,8 @@
 class ForwardReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """The leader's answer: the entry's term and index when it was appended.
 
-    Appended is not accepted: the sender waits until its own log has applied the index, and
-    the entry was lost if that index holds another term. `detail` explains a refusal.
+    Appended is not yet accepted: the sender waits until its own log has applied the index. If
+    that index then holds another term, the entry was lost. `detail` explains a refusal.
     """
 
     request_number: int
@@ -84,15 +83,15 @@
 
 
 class LinkAlive(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Sent back on an otherwise one-way link, so that its opener notices a silent cut."""
+    """Keepalive, sent in both directions, so that both ends detect a silent connection."""
 
 
 class FullReportRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The leader's answer to a report that follows one which it did not get."""
+    """The leader's answer to a report when an earlier one is missing."""
 
 
 class InForceQuery(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A follower's question to the leader: where `revision` is in force."""
+    """A follower's query to the leader: where `revision` is in force."""
 
     query_number: int
     revision: int
@@ -106,7 +105,7 @@
 
 
 class AgentCondition(msgspec.Struct, frozen=True, array_like=True):
-    """What an agent says of itself; zero open flows are exactly none, others nearly so."""
+    """What an agent reports of itself; 0 open flows is exact, other counts are approximate."""
 
     address: Endpoint
     healthy: bool
@@ -114,13 +113,13 @@
 
 
 class AgentsQuery(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """A follower's question to the leader: what the agents say of themselves."""
+    """A follower's query to the leader: what the agents report of themselves."""
 
     query_number: int
 
 
 class AgentsAnswer(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """The leader's answer: the agents that were heard lately."""
+    """The leader's answer: the agents that have not expired."""
 
     query_number: int
     agents: list[AgentCondition]
--- a/src/jasperwalk/control/platform_poller.py
+++ b/src/jasperwalk/control/platform_poller.py
@@ -1,4 +1,4 @@
-"""Fetches the platform's list of machines at an interval; the newest good one is kept."""
+"""Fetches the platform's list of machines at an interval and keeps the newest valid one."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class PlatformPoller:
     """Polls while `enabled` is set; `take` returns each fetched list once.
 
-    Lists fetched before a pause are never returned: a replica that leads again would take a
-    host back into service that has been leaving since.
+    Lists fetched before a pause are never returned: a replica that leads again would otherwise
+    return a host to service that has started leaving in the meantime.
     """
 
     def __init__(self, url: str, interval_seconds: float) -> None:
@@ -31,7 +31,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether the list is wanted now, that is, while this replica leads."""
+        """Whether to poll, that is, whether this replica leads."""
         return self._enabled
 
     @enabled.setter
@@ -41,7 +41,7 @@
         self._enabled = enabled
 
     def take(self) -> PlatformList | None:
-        """Return the list fetched since the last call, None where there is none."""
+        """Return the list fetched since the last call, or None."""
         latest = self._latest
         self._latest = None
         return latest
@@ -71,13 +71,13 @@
                 )
             self._latest = fetched if self._enabled else None
         except (aiohttp.ClientError, TimeoutError, OSError, JasperwalkError) as error:
-            # The list may be away for a while; what was set before stays in force.
+            # The list may be unavailable for a while; the states set before stay in force.
             self.failures += 1
             logger.warning("platform-list-unavailable", url=self._url, detail=str(error))
 
 
 async def _read_bounded(stream: aiohttp.StreamReader) -> bytes:
-    """Read to the end, or to just over the limit, which the parser then refuses."""
+    """Read to the end, or to just over the limit, which the parser then rejects."""
     chunks = bytearray()
     async for chunk in stream.iter_any():
         chunks.extend(chunk)
--- a/src/jasperwalk/control/problem.py
+++ b/src/jasperwalk/control/problem.py
@@ -1,7 +1,7 @@
-"""Failures on the operators' interface, as problem+json bodies (RFC 9457).
+"""Maps failures on the operators' interface to problem+json bodies (RFC 9457).
 
-Every failure has a stable `kind`; the table in this module gives its HTTP status. A failure
-that is not in the table is a fault of jasperwalk itself and is answered as 500.
+Every failure has a stable `kind`; the table in this module gives its HTTP status. A kind that is
+not in the table is an internal error and is answered with 500.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 PROBLEM_CONTENT_TYPE = "application/problem+json"
 PROBLEM_TYPE_PREFIX = "urn:jasperwalk:problem:"
 RETRY_AFTER_SECONDS = 1
-"""Seconds that a caller is asked to wait after a 503; elections take one to three."""
+"""Value of Retry-After with a 503; elections take one to three seconds."""
 
 STATUS_BY_KIND: dict[str, HTTPStatus] = {
     "bad-request": HTTPStatus.BAD_REQUEST,
@@ -67,7 +67,7 @@
 
 @dataclass(eq=False)
 class BadRequest(JasperwalkError):
-    """A request whose headers, query or body do not have the documented shape."""
+    """A request whose headers, query or body are not as documented."""
 
     kind: ClassVar[str] = "bad-request"
     reason: str
@@ -79,26 +79,26 @@
 
 @dataclass(eq=False)
 class UnknownPath(JasperwalkError):
-    """A path that the interface does not have."""
+    """A path that does not exist."""
 
     kind: ClassVar[str] = "unknown-path"
     path: str
 
     def describe(self) -> str:
-        """Name the path and where the document of all paths is."""
+        """Name the path and where all paths are documented."""
         return f"no such path: {self.path}; see /openapi.json"
 
 
 @dataclass(eq=False)
 class MethodNotAllowed(JasperwalkError):
-    """A method that the path does not offer."""
+    """A method that the path does not support."""
 
     kind: ClassVar[str] = "method-not-allowed"
     method: str
     allowed: list[str]
 
     def describe(self) -> str:
-        """Name the methods that the path offers."""
+        """Name the methods that the path supports."""
         return f"method {self.method} not allowed; allowed: {', '.join(self.allowed)}"
 
 
@@ -116,7 +116,7 @@
 
 @dataclass(eq=False)
 class UnknownChange(JasperwalkError):
-    """A change ID that control holds no outcome for."""
+    """A change ID without a known outcome."""
 
     kind: ClassVar[str] = "unknown-change"
     change_id: str
@@ -128,7 +128,7 @@
 
 @dataclass(eq=False)
 class StaleReplica(JasperwalkError):
-    """A replica that has not known of contact with a quorum for too long to answer reads."""
+    """A replica without quorum contact for too long to answer reads."""
 
     kind: ClassVar[str] = "stale-replica"
     quorum_age_ms: int | None
--- a/src/jasperwalk/control/process.py
+++ b/src/jasperwalk/control/process.py
@@ -22,14 +22,14 @@
 PROCESS_KIND = "control"
 MILLISECONDS_PER_SECOND = 1000
 SEED_BITS = 64
-"""Bits of the seed of election timeouts, so that replicas do not draw the same ones."""
+"""Bits of the seed of election timeouts, so that replicas draw different ones."""
 
 
 async def run_control(settings: ControlSettings) -> None:
     """Serve until SIGTERM or SIGINT.
 
-    Raises `OSError` when a port can't be had, `StorageError` for a data folder that is
-    damaged or belongs to another replica, and `UnusableCertificate`.
+    Raises `OSError` when a port cannot be opened, `StorageError` for a data folder that is
+    corrupt or belongs to another replica, and `UnusableCertificate`.
     """
     configure_logging(PROCESS_KIND, settings.name, settings.log_level)
     seed = random.SystemRandom().getrandbits(SEED_BITS)
@@ -57,11 +57,11 @@
 
     @property
     def api_endpoint(self) -> Endpoint:
-        """The end point of the operators' interface, with its real port once `run` serves."""
+        """The endpoint of the operators' interface, with its actual port once `run` serves."""
         return self._api.endpoint
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop` is set; raises the failure of a part that cannot go on."""
+        """Serve until `stop` is set; raises the failure of a component."""
         try:
             await self.replica.start()
             await self._api.start()
@@ -108,7 +108,7 @@
 
 
 def replica_config_of(settings: ControlSettings) -> ReplicaConfig:
-    """Translate the settings file into the replica's settings."""
+    """Convert the settings file into the replica's settings."""
     peers = {peer.replica_id: peer.address for peer in settings.peers}
     offline_seconds = settings.offline_ms / MILLISECONDS_PER_SECOND
     return ReplicaConfig(
--- a/src/jasperwalk/control/proposals.py
+++ b/src/jasperwalk/control/proposals.py
@@ -1,9 +1,9 @@
-"""Proposing a change from any replica, and waiting for its outcome.
+"""Proposes a change from any replica and waits for its outcome.
 
-The leader appends a command to its log by itself; another replica forwards it over its peer
-link. Either way the proposer waits until its *own* log has applied the entry, so that a read
-on the same replica sees the change afterwards. Nothing is sent twice from here: a caller that
-got no outcome resends with the same change ID, which the state answers with the first one.
+The leader appends a command to its own log; another replica forwards it to the leader over its peer
+link. Either way the proposer waits until its *own* log has applied the entry, so that a later read
+on the same replica sees the change. Nothing is retried here: a caller without an outcome resends
+with the same change ID, and the state answers with the first outcome.
 """
 
 from __future__ import annotations
@@ -112,7 +112,7 @@
             self._waiting -= 1
 
     async def _forward(self, forwarded: Callable[[int], ForwardedMessage]) -> Proposed:
-        """Hand a request to the leader; return where it appended the entry."""
+        """Forward a request to the leader; return where it appended the entry."""
         leader_id = self._runner.leader_id
         number = next(self._numbers)
         if leader_id is None or not self._network.send(leader_id, forwarded(number)):
@@ -128,7 +128,7 @@
             del self._replies[number]
 
     def handle_request(self, sender: int, message: ForwardedMessage) -> None:
-        """Answer a request that another replica forwarded to this one as the leader."""
+        """Answer a request that another replica forwarded to this replica as the leader."""
         outcome: ProposalOutcome | MembershipOutcome
         match message:
             case ForwardProposal():
@@ -138,7 +138,7 @@
         self._network.send(sender, _reply_to(message.request_number, outcome))
 
     def handle_reply(self, reply: ForwardReply) -> None:
-        """Hand the leader's reply to the proposal that waits for it, if it still does."""
+        """Deliver the leader's reply to its proposal, if that still waits."""
         waiting = self._replies.get(reply.request_number)
         if waiting is not None and not waiting.done():
             waiting.set_result(reply)
--- a/src/jasperwalk/control/publishing.py
+++ b/src/jasperwalk/control/publishing.py
@@ -1,4 +1,8 @@
-"""The asyncio adapter of the publisher core: the connections of balancers and agents."""
+"""The asyncio adapter of the publisher core: serves the connections of balancers and agents.
+
+It sends updates of the routing table and heartbeats to subscribers, and proposes the registration
+of agents that connect.
+"""
 
 from __future__ import annotations
 
@@ -33,9 +37,9 @@
 from jasperwalk.transport.identity import check_claim
 
 MAX_WAIT_SECONDS = 0.25
-"""Longest sleep between two ticks, so that heartbeats carry a recent quorum age."""
+"""Maximum sleep between two ticks, so that heartbeats carry a recent quorum age."""
 MAX_RECEIVED_BYTES = 4096
-"""Longest frame of a subscriber; it sends a Subscribe and then acknowledgements."""
+"""Maximum frame from a subscriber, which sends a Subscribe and then acknowledgements."""
 
 QuorumAgeSource = Callable[[], float]
 """Returns seconds since contact with a quorum."""
@@ -98,9 +102,9 @@
             self._core.subscriber_closed(subscriber_id)
 
     async def run(self) -> None:
-        """Send heartbeats and waiting updates until cancelled, a slice in a turn of the loop.
+        """Send heartbeats and waiting updates until cancelled, a slice per turn of the event loop.
 
-        Between two slices everything else that is ready runs, consensus above all.
+        Other tasks that are ready run between two slices, above all consensus.
         """
         while True:
             self._wake.clear()
@@ -117,35 +121,35 @@
         self._perform(self._core.tick(time.monotonic(), self._quorum_age()))
 
     def table_advanced(self, table: VersionedTable) -> None:
-        """Publish the table's changes, if its revision moved."""
+        """Publish the table's changes if its revision has advanced."""
         if table.revision != self._revision:
             self._revision = table.revision
             self._perform(self._core.table_advanced(time.monotonic()))
             self._wake.set()
 
     def table_replaced(self, table: VersionedTable) -> None:
-        """Go on with the table of a restored state machine."""
+        """Continue with the table of a restored state machine."""
         self._revision = table.revision
         self._perform(self._core.table_replaced(table, time.monotonic()))
         self._wake.set()
 
     def replicas_changed(self, index: int, endpoints: list[Endpoint]) -> None:
-        """Tell subscribers of the voting replicas as committed at log index `index`."""
+        """Announce the voting replicas, as committed at log index `index`, to subscribers."""
         self._perform(self._core.replicas_changed(index, endpoints))
 
     def agent_registered(self, record: AgentRecord) -> None:
-        """Tell the agent, if it is connected here, of its committed incarnation."""
+        """Send an agent its committed incarnation, if it is connected to this replica."""
         effects = self._core.agent_registered(
             record.address, record.boot_ids[-1], record.incarnation, time.monotonic()
         )
         self._perform(effects)
 
     def links(self) -> Collection[SubscriberLink]:
-        """Return what this replica knows of its subscribers."""
+        """Return the links of this replica's subscribers."""
         return self._core.links()
 
     async def close(self) -> None:
-        """End what runs in the background."""
+        """Cancel the background tasks."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -168,7 +172,7 @@
         try:
             connection.write(effect.payload)
         except JasperwalkError as error:
-            # The task that reads from the connection ends and has the core forget it.
+            # The task that reads from the connection then ends and removes it from the core.
             logger.debug("subscriber-send-failed", kind=error.kind)
             connection.abort()
 
@@ -191,7 +195,7 @@
         try:
             outcome = await self._proposals.propose(command)
         except ProposalError as error:
-            # The core asks again while the agent stays; its boot ID makes that harmless.
+            # The core requests it again while the agent is connected; its boot ID makes that safe.
             logger.info("registration-delayed", agent=request.name, kind=error.kind)
             return
         finally:
@@ -215,5 +219,5 @@
         raise HelloTimeout(timeout_seconds=HELLO_TIMEOUT_SECONDS) from error
     message = FROM_SUBSCRIBER_DECODER.decode(payload)
     if not isinstance(message, Subscribe):
-        raise MalformedMessage(reason="a subscriber must begin with Subscribe")
+        raise MalformedMessage(reason="the first message of a subscriber must be Subscribe")
     return message
--- a/src/jasperwalk/control/raft_runner.py
+++ b/src/jasperwalk/control/raft_runner.py
@@ -1,8 +1,8 @@
 """The asyncio adapter of the consensus core: its clock, its disk and its peers.
 
-One task drives the core. It persists what the core hands out on a thread of its own, and only
-then sends messages and applies entries. Proposals and messages that arrive while the disk
-syncs are taken in by the core at once and go to disk together in the next batch.
+One task drives the core. It persists each batch from the core in a separate thread, and only then
+sends messages and applies entries. Proposals and messages that arrive while the disk syncs enter
+the core at once and are written together in the next batch.
 """
 
 from __future__ import annotations
@@ -54,15 +54,15 @@
 
 HEARTBEAT_INTERVAL_SECONDS = 0.15
 ELECTION_TIMEOUT_SECONDS = 0.9
-"""Least time without a leader before a campaign; the longest is twice that. A busy machine
+"""Minimum time without a leader before a campaign; the maximum is twice that. A busy machine
 delays a process by a few hundred milliseconds, which must not look like a lost leader."""
 SNAPSHOT_INTERVAL_ENTRIES = 1024
 """Applied entries after which the state is written as a snapshot."""
 MAX_WAIT_SECONDS = 1.0
-"""Longest sleep between two ticks of the core."""
+"""Maximum sleep between two ticks of the core."""
 TRANSFER_POLL_SECONDS = 0.01
 DISK_ID_BYTES = 16
-"""Length of the random name of a new data folder."""
+"""Length of the random ID of a new data folder."""
 
 RAFT_DECODER: codec.Decoder[RaftMessage] = codec.Decoder(RaftMessage)
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class RaftRunnerConfig:
-    """Settings of the adapter; `peers` are the end points known from the settings file."""
+    """Settings of the adapter; `peers` are the endpoints known from the settings file."""
 
     cluster_id: str
     replica_id: int
@@ -82,19 +82,19 @@
 
 
 class EntryApplier(Protocol):
-    """The replicated state machine, as the adapter feeds it."""
+    """The replicated state machine, as the adapter uses it."""
 
     def bind(self, take_snapshot: Callable[[int, bytes], None]) -> None:
-        """Learn where serialised states go; called once, before anything else."""
+        """Set the receiver of serialised states; called once, before anything else."""
 
     def load(self, snapshot: SnapshotData) -> None:
         """Start from a snapshot, before anything runs."""
 
     def submit_snapshot(self, snapshot: SnapshotData) -> None:
-        """Go on from a leader's snapshot, after what was submitted before."""
+        """Continue from a leader's snapshot, after everything submitted before."""
 
     def submit(self, entries: Sequence[LogEntry]) -> None:
-        """Apply these committed entries, after what was submitted before."""
+        """Apply these committed entries, after everything submitted before."""
 
     async def run(self) -> None:
         """Apply until cancelled."""
@@ -104,14 +104,13 @@
         """Index of the newest entry that the state holds."""
 
     def close(self) -> None:
-        """Let go of threads."""
+        """Stop the threads."""
 
 
 class RaftRunner:
     """Runs one replica's core on a disk and a network, and feeds the state machine.
 
-    `run` ends only
-    by cancellation or with the failure of the disk or of an invariant of the core.
+    `run` ends only by cancellation, a disk failure, or a violated invariant of the core.
     """
 
     def __init__(
@@ -148,12 +147,12 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Whether this replica leads, as far as it knows."""
         return self._node.is_leader
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether this replica leads and its state holds all that was committed before.
+        """Whether this replica leads and its state includes everything committed before its term.
 
         The core commits while the disk is still syncing, before the entries reach the state:
         until then the state of a new leader may be older than what was acknowledged.
@@ -165,7 +164,7 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The leader's replica ID, None when this replica knows of none."""
+        """The leader's replica ID, None if it is unknown."""
         return self._node.leader_id
 
     @property
@@ -180,7 +179,7 @@
 
     @property
     def is_displaced(self) -> bool:
-        """Tell whether the cluster knows this replica by another disk: it must be replaced."""
+        """Whether the cluster knows this replica with another disk; it must then be replaced."""
         return self._node.is_displaced
 
     @property
@@ -193,7 +192,7 @@
         return self._node.quorum_age(time.monotonic())
 
     def contact_ages(self) -> dict[int, float]:
-        """On the leader: seconds since the last contact with each replica, inf without any."""
+        """Return, on the leader, seconds since contact with each replica, inf for never."""
         now = time.monotonic()
         ages: dict[int, float] = {}
         for replica_id in self.membership.replica_ids():
@@ -205,32 +204,32 @@
         return ages
 
     def propose(self, command: bytes) -> ProposalOutcome:
-        """Append a command to the log, if this replica leads."""
+        """Append a command to the log if this replica leads."""
         outcome = self._node.propose(command, time.monotonic())
         self._wake.set()
         return outcome
 
     def change_members(self, change: MembershipChange) -> MembershipOutcome:
-        """Append a change of the replicas, as the core names it, if this replica leads."""
+        """Append a change of the replicas, in the core's form, if this replica leads."""
         outcome = self._node.propose_membership(change, time.monotonic())
         self._wake.set()
         return outcome
 
     def add_peers(self, peers: Mapping[int, Endpoint]) -> None:
-        """Learn of replicas that neither the settings nor the log of a joining replica name."""
+        """Add replicas that neither the settings nor the log of a joining replica names."""
         known = self._config.peers
         if any(known.get(replica_id) != address for replica_id, address in peers.items()):
             known.update(peers)
             self._network.set_peers(self.endpoints())
 
     def propose_replica_change(self, change: ReplicaChange) -> MembershipOutcome:
-        """Append a change of the replicas to the log, if this replica leads."""
+        """Append a change of the replicas to the log if this replica leads."""
         return self.change_members(core_change(change))
 
     async def transfer_leadership(self) -> None:
-        """Let another replica lead, if this one does, and wait until it is known to.
+        """Transfer leadership, if this replica leads, and wait until another leader is known.
 
-        Gives up after an election timeout; the others elect a leader by themselves then.
+        Returns after an election timeout at the latest; the others then elect a leader.
         """
         own_id = self._config.replica_id
         deadline = time.monotonic() + self._config.raft.election_timeout_seconds
@@ -241,7 +240,7 @@
             await asyncio.sleep(TRANSFER_POLL_SECONDS)
 
     def handle_message(self, sender: int, message: RaftPayload) -> None:
-        """Hand a peer's message to the core; malformed ones are counted and dropped."""
+        """Pass a peer's message to the core; malformed ones are counted and dropped."""
         try:
             decoded = RAFT_DECODER.decode(message.payload)
         except JasperwalkError as error:
@@ -251,12 +250,12 @@
         try:
             self._node.receive(sender, decoded, time.monotonic())
         except InvariantViolation as error:
-            # `run` must end with it; the link that brought the message is not at fault.
+            # `run` must fail with it, not the link on which the message arrived.
             self._failure = error
         self._wake.set()
 
     async def run(self) -> None:
-        """Drive the core and apply what it commits, until cancelled."""
+        """Drive the core and apply committed entries until cancelled."""
         await run_together([self._drive(), self._applier.run()])
 
     async def _drive(self) -> None:
@@ -275,7 +274,7 @@
                 continue
 
     def close(self) -> None:
-        """Wait for the disk and let go of the log's files."""
+        """Wait for the disk and close the log's files."""
         self._applier.close()
         self._disk.shutdown(wait=True)
         self._storage.close()
@@ -286,7 +285,7 @@
             logger.error(
                 "replica-displaced",
                 replica_id=self._config.replica_id,
-                mend="the cluster knows this replica by another disk; remove it and join anew "
+                mend="the cluster knows this replica with another disk; remove it and join again "
                 "under a new replica_id",
             )
 
@@ -320,7 +319,7 @@
         self._wake.set()
 
     def _link_members(self) -> None:
-        """Keep a link to every member; those of the settings file stand in until it is known."""
+        """Keep a link to every member, or to the configured peers until the members are known."""
         membership = self._node.membership
         if membership == self._linked_membership:
             return
@@ -328,16 +327,16 @@
         self._network.set_peers(self.endpoints())
 
     def committed_voters(self) -> list[Endpoint]:
-        """Return the end points of the voting replicas by the newest committed list."""
+        """Return the endpoints of the voting replicas in the newest committed membership."""
         members = self._node.committed_membership.members
         voters = (member for member in members if member.voting)
         return list(endpoints_of(voters, self._config.peers).values())
 
     def endpoints(self) -> dict[int, Endpoint]:
-        """Return the end points of the replicas by ID."""
+        """Return the endpoints of the replicas by ID."""
         membership = self._node.membership
         endpoints = endpoints_of(membership.members, self._config.peers)
         if membership.find(self._config.replica_id) is None:
-            # Not (yet, or no longer) a member: the settings tell where the others are.
+            # Not (yet, or no longer) a member: the settings name the endpoints of the others.
             return {**self._config.peers, **endpoints}
         return endpoints
--- a/src/jasperwalk/control/region_view.py
+++ b/src/jasperwalk/control/region_view.py
@@ -1,7 +1,7 @@
-"""What a replica knows of the region's balancers and agents: its report, and the leader's view.
+"""A replica's view of the region's balancers and agents: its own report, and the leader's view.
 
-Only the leader holds the view of all subscribers. Other replicas ask it; where it gives no
-answer, they say that they do not know.
+Only the leader holds the view of all subscribers. Other replicas query it; without an answer they
+report the result as unknown.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 """Interval at which a replica reports its subscribers to the leader."""
 
 FIRST_SEQUENCE_BITS = 32
-"""Bits of the random number that the reports of a process count from."""
+"""Bits of the random first sequence number of a process's reports."""
 
 
 class RegionView:
-    """Reports to the leader while `run` runs; answers from the leader's ledger."""
+    """Sends reports to the leader in `run`; answers from the leader's ledger."""
 
     def __init__(
         self, replica_id: int, runner: ControlRunner, network: PeerNetwork, publishing: Publishing
@@ -59,33 +59,33 @@
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
     def ledger(self) -> InForceLedger | None:
-        """Return the ledger of this term where this replica leads, None elsewhere."""
+        """Return the ledger of this term if this replica leads, None otherwise."""
         if not self._runner.is_leader:
             return None
         self._ledger.start_term(self._runner.term, time.monotonic())
         return self._ledger
 
     def subscribers(self) -> list[SubscriberSighting]:
-        """Return the leader's view of all subscribers; nothing on other replicas."""
+        """Return the leader's view of all subscribers; empty on other replicas."""
         ledger = self.ledger()
         return [] if ledger is None else ledger.current(time.monotonic())
 
     def known_in_force(self, revision: int) -> InForce:
-        """Tell where a revision is in force, as far as this replica knows by itself."""
+        """Return where a revision is in force, as known to this replica without a query."""
         ledger = self.ledger()
         if ledger is None:
             return InForce(revision=revision)
         return ledger.in_force(revision, self._runner.contact_ages(), time.monotonic())
 
     async def in_force(self, revision: int) -> InForce:
-        """Tell where a revision is in force, from the leader's view."""
+        """Return where a revision is in force, from the leader's view."""
         if self._runner.is_leader:
             return self.known_in_force(revision)
         answer = await self._queries.in_force(revision)
         return InForce(revision=revision) if answer is None else answer.in_force
 
     async def agents(self) -> dict[Endpoint, AgentCondition]:
-        """Return what the agents say of themselves, from the leader's view, by address."""
+        """Return what the agents report of themselves, from the leader's view, by address."""
         if self._runner.is_leader:
             facts = self._known_agents()
         else:
@@ -94,17 +94,17 @@
         return {each.address: each for each in facts}
 
     def handle_report(self, sender: int, report: SubscriberReport) -> None:
-        """Take in another replica's report; ask for a whole one where some are missing."""
+        """Record another replica's report; request a full one if an earlier one is missing."""
         ledger = self.ledger()
         if ledger is not None and not ledger.record_report(sender, report, time.monotonic()):
             self._network.send(sender, FullReportRequest())
 
     def handle_report_request(self) -> None:
-        """Let the next report be a whole one."""
+        """Make the next report a full one."""
         self._reporter.restart()
 
     def handle_query(self, sender: int, query: LeaderQuery) -> None:
-        """Answer a follower's question; a replica that does not lead says that it knows nothing."""
+        """Answer a follower's query; a replica that does not lead answers with unknown values."""
         answer: LeaderAnswer
         match query:
             case InForceQuery():
@@ -115,7 +115,7 @@
         self._network.send(sender, answer)
 
     def handle_answer(self, answer: LeaderAnswer) -> None:
-        """Hand the leader's answer to the one that waits for it."""
+        """Deliver the leader's answer to its caller."""
         self._queries.handle_answer(answer)
 
     def _known_agents(self) -> list[AgentCondition]:
--- a/src/jasperwalk/control/replica.py
+++ b/src/jasperwalk/control/replica.py
@@ -1,4 +1,4 @@
-"""One control replica: its parts, and which message goes to which of them."""
+"""One control replica: assembles its components and dispatches peer messages to them."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 from jasperwalk.transport.tls import LinkTls
 
 STALE_SECONDS = 2.0
-"""A replica whose quorum contact is older than this answers no reads and takes no changes."""
+"""A replica whose quorum contact is older than this refuses reads and changes."""
 
 logger = structlog.get_logger(__name__)
 
@@ -63,7 +63,7 @@
 class ReplicaConfig:
     """Settings of a replica, all times in seconds.
 
-    `peers` are the end points of the initial replicas by ID, the same on each of them.
+    `peers` are the endpoints of the initial replicas by ID, the same on each of them.
     `tls` protects the links with other replicas and subscribers, None for plain TCP.
     """
 
@@ -105,10 +105,10 @@
 
 
 class ControlReplica:
-    """Owns the parts of one replica; `run` serves until cancelled or a part fails."""
+    """Owns the components of one replica; `run` serves until cancelled or one of them fails."""
 
     def __init__(self, config: ReplicaConfig, registry: MetricsRegistry, random: Random) -> None:
-        """Read the log and bind nothing yet; raises `StorageError` for a damaged data folder."""
+        """Read the log without opening a port; raises `StorageError` for a corrupt data folder."""
         self._config = config
         self.replica_id = config.replica_id
         self.network = PeerNetwork(
@@ -143,15 +143,15 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The end point for replicas and subscribers, with its real port once `start` ran."""
+        """The endpoint for replicas and subscribers, with its actual port after `start`."""
         return self._server.endpoint
 
     async def start(self) -> None:
-        """Open the peer port; raises `OSError` when it cannot be had."""
+        """Open the peer port; raises `OSError` when it cannot be opened."""
         await self._server.start()
 
     async def run(self) -> None:
-        """Run all parts until cancelled; raises the failure of the part that ended first."""
+        """Run all components until cancelled; raises the failure of the first that ends."""
         jobs = [
             self.runner.run(),
             self.publishing.run(),
@@ -163,7 +163,7 @@
         await run_together(jobs)
 
     async def close(self) -> None:
-        """Close connections and files; what was accepted is on disk already."""
+        """Close connections and files; accepted changes are already on disk."""
         await self._server.close()
         await self.publishing.close()
         await self.network.close()
@@ -172,7 +172,7 @@
     async def change(self, command: OperatorCommand) -> Outcome:
         """Propose an operator's change; raises as `Proposals.propose` does."""
         if not self.has_quorum():
-            # Answered at once: a proposal here could only run into its time-out.
+            # Refused at once: a proposal from here could only time out.
             self._metrics.count_proposal(NoLeader.kind)
             raise NoLeader(leader_id=self.runner.leader_id)
         try:
@@ -190,30 +190,30 @@
         return await self.proposals.propose_replica_change(change)
 
     def has_quorum(self) -> bool:
-        """Tell whether this replica knows of recent contact with a quorum."""
+        """Return whether this replica has recent quorum contact."""
         return self.runner.quorum_age() <= self._config.stale_seconds
 
     def require_quorum(self) -> None:
-        """Raise `StaleReplica` when this replica may be behind."""
+        """Raise `StaleReplica` if this replica may be behind."""
         if not self.has_quorum():
             quorum_age = self.runner.quorum_age()
             age_ms = int(quorum_age * 1000) if math.isfinite(quorum_age) else None
             raise StaleReplica(quorum_age_ms=age_ms, leader_id=self.runner.leader_id)
 
     def entry_applied(self, entry: AppliedEntry[Outcome]) -> None:
-        """Tell the publisher of committed registrations."""
+        """Pass a committed registration to the publisher."""
         if isinstance(entry.outcome, Registered):
             record = self.state.agent(Endpoint.parse(entry.outcome.address))
             if record is not None:
                 self.publishing.agent_registered(record)
 
     def batch_applied(self) -> None:
-        """Publish what a batch of entries changed."""
+        """Publish the changes of a batch of entries."""
         self.publishing.table_advanced(self.state.table)
         self._publish_replicas()
 
     def state_replaced(self) -> None:
-        """Publish from the state machine that a snapshot brought."""
+        """Publish from the state machine that a snapshot has installed."""
         self._register_known_agents()
         self.publishing.table_replaced(self.state.table)
         self._publish_replicas()
--- a/src/jasperwalk/control/replica_members.py
+++ b/src/jasperwalk/control/replica_members.py
@@ -1,4 +1,4 @@
-"""Replicas as operators and settings name them, and as the consensus core lists them."""
+"""Converts replicas between the form of operators and settings and that of the core."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def core_change(change: ReplicaChange) -> MembershipChange:
-    """Return an operator's change of the replicas as the core takes it."""
+    """Return an operator's change of the replicas in the core's form."""
     match change:
         case ReplicaAddition():
             return AddLearner(replica_id=change.replica_id, address=str(change.address))
@@ -35,7 +35,7 @@
 def endpoints_of(
     members: Iterable[Member], configured: Mapping[int, Endpoint]
 ) -> dict[int, Endpoint]:
-    """Return the members' end points by ID; the configured one where a member lists none."""
+    """Return the members' endpoints by ID; the configured one if a member lists none."""
     endpoints: dict[int, Endpoint] = {}
     for member in members:
         endpoint = _parse_endpoint(member.address) or configured.get(member.replica_id)
--- a/src/jasperwalk/control/replica_metrics.py
+++ b/src/jasperwalk/control/replica_metrics.py
@@ -28,7 +28,7 @@
 
 
 class ReplicaMetrics:
-    """Gauges that read the replica when scraped, and the counter of proposals."""
+    """Gauges that read the replica on each scrape, and the counter of proposals."""
 
     def __init__(self, registry: MetricsRegistry, replica: MeasuredReplica) -> None:
         self._proposals = registry.counter(
--- a/src/jasperwalk/control/state_applier.py
+++ b/src/jasperwalk/control/state_applier.py
@@ -1,9 +1,9 @@
-"""Applies the committed log to the state machine without holding up the event loop.
+"""Applies the committed log to the state machine without blocking the event loop.
 
-What takes long at a region's size (rendering all tenants of a template, serialising the state,
-restoring it) runs in threads of its own. None of that races with the state: entries are
-applied one after the other on the event loop, a rendering is worked out from a state that
-nobody changes meanwhile, and a snapshot is encoded from a copy.
+Work that takes long at a region's size (rendering all tenants of a template, serialising the state,
+restoring it) runs in worker threads. None of it races with the state: entries are applied one after
+the other on the event loop, a template is rendered while nothing changes the state, and a snapshot
+is encoded from a copy.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from jasperwalk.control.state.outcomes import Outcome
 
 WORKER_COUNT = 2
-"""One thread works for the entries that are applied, one for the snapshot."""
+"""One thread for the entries that are applied, one for the snapshot."""
 
 SnapshotTaker = Callable[[int, bytes], None]
-"""Takes the index and the bytes of a serialised state."""
+"""Receives the index and the bytes of a serialised state."""
 
 
 class AppliedListener(Protocol):
-    """What is told of the state machine's progress."""
+    """Is notified of the state machine's progress."""
 
     def entry_applied(self, entry: AppliedEntry[Outcome]) -> None:
-        """Take note of one applied entry."""
+        """Handle one applied entry."""
 
     def batch_applied(self) -> None:
-        """Take note that a batch of applied entries is complete."""
+        """Handle the end of a batch of applied entries."""
 
     def state_replaced(self) -> None:
-        """Take note that a snapshot replaced the state machine."""
+        """Handle the replacement of the state machine by a snapshot."""
 
 
 class StateApplier:
-    """Owns the state machine; `run` applies what was submitted, in that order.
+    """Owns the state machine; `run` applies submitted work in order.
 
-    `state` is replaced as an object by a leader's snapshot.
+    A leader's snapshot replaces the object `state`.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._workers = ThreadPoolExecutor(WORKER_COUNT, thread_name_prefix="state")
 
     def bind(self, take_snapshot: SnapshotTaker) -> None:
-        """Learn where serialised states go; called once, before anything else."""
+        """Set the receiver of serialised states; called once, before anything else."""
         self._take_snapshot = take_snapshot
 
     def load(self, snapshot: SnapshotData) -> None:
@@ -74,11 +74,11 @@
         self._replace(snapshot, _restore(snapshot.state))
 
     def submit_snapshot(self, snapshot: SnapshotData) -> None:
-        """Go on from a leader's snapshot, after what was submitted before."""
+        """Continue from a leader's snapshot, after everything submitted before."""
         self._submit(snapshot)
 
     def submit(self, entries: Sequence[LogEntry]) -> None:
-        """Apply these committed entries, after what was submitted before."""
+        """Apply these committed entries, after everything submitted before."""
         if entries:
             self._submit(entries)
 
@@ -88,7 +88,7 @@
         return self.applied.index
 
     async def run(self) -> None:
-        """Apply until cancelled; raises `MalformedState` for a snapshot that is none."""
+        """Apply until cancelled; raises `MalformedState` for a malformed snapshot."""
         while True:
             self._wake.clear()
             while self._waiting:
@@ -97,7 +97,7 @@
             await self._wake.wait()
 
     def close(self) -> None:
-        """Wait for the threads."""
+        """Cancel a running snapshot and wait for the threads."""
         if self._snapshot_task is not None:
             self._snapshot_task.cancel()
         self._workers.shutdown(wait=True, cancel_futures=True)
@@ -156,14 +156,14 @@
 
 
 def _refuse_snapshot(index: int, state: bytes) -> None:
-    raise RuntimeError(f"state at {index} ({len(state)} bytes) has no log to go to")
+    raise RuntimeError(f"no receiver is set for the state at index {index} ({len(state)} bytes)")
 
 
 def _restore(data: bytes) -> ControlState:
     """Restore a state; raises `MalformedState`.
 
-    The cycle collection is off meanwhile: it would look through the half-built state again and
-    again, which stops all threads and finds nothing.
+    The garbage collector is disabled meanwhile: it would scan the partly built state again and
+    again, which stops all threads and frees nothing.
     """
     gc.disable()
     try:
--- a/src/jasperwalk/control/storage_faults.py
+++ b/src/jasperwalk/control/storage_faults.py
@@ -1,8 +1,8 @@
-"""Storage that misbehaves on purpose, for trials of failures on a running replica.
+"""Injects storage faults into a running replica, for failure tests.
 
-The settings name a file; while it is there, each write to the log first does what its one line
-says: `slow SECONDS`, `full` or `sync-fails`. Without the setting nothing of this is in the way, and
-with it the process says so at its start.
+The settings name a file; while it exists, each write to the log is first delayed or failed as its
+one line says: `slow SECONDS`, `full` or `sync-fails`. Without the setting nothing is injected, and
+with it the process logs that at its start.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class StorageFault(enum.StrEnum):
-    """What a write does before it begins, or instead."""
+    """What happens before a write, or instead of it."""
 
     SLOW = "slow"
     FULL = "full"
@@ -31,13 +31,13 @@
 
 
 class StorageFaults:
-    """Reads the file at every write, on the storage's own thread."""
+    """Reads the file at every write, in the storage thread."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
     def wrap(self, write: Callable[[PersistBatch], None]) -> Callable[[PersistBatch], None]:
-        """Return a write that first does as the file says."""
+        """Return a write function that first injects the fault in the file."""
 
         def write_after_fault(batch: PersistBatch) -> None:
             self.before_write()
@@ -46,7 +46,7 @@
         return write_after_fault
 
     def before_write(self) -> None:
-        """Wait, or raise `WriteFailed`, as the file says; an unreadable or odd one does nothing."""
+        """Wait or raise `WriteFailed`, as the file says; an unknown line is ignored."""
         try:
             words = self._path.read_text(encoding="ascii").split()
         except (OSError, UnicodeDecodeError):
--- a/src/jasperwalk/control/subscriber_reports.py
+++ b/src/jasperwalk/control/subscriber_reports.py
@@ -1,13 +1,13 @@
-"""What a replica reports of its subscribers to the leader (sans-IO).
+"""Reports of a replica's subscribers to the leader (sans-IO).
 
-A report says what changed since the one before it; the first to a leader says everything.
-Subscribers are introduced once with a number, and named by it from then on. What a report
-does not name is vouched for: it holds the common revision, and was heard within
-`UNREPORTED_SILENCE_SECONDS`. So a report of a steady replica is a few dozen bytes.
+A report holds the changes since the previous one; the first to a leader is full. A subscriber is
+introduced once with a number and identified by it from then on. A known subscriber that a report
+does not name has acknowledged the common revision, and its last message is no older than
+`UNREPORTED_SILENCE_SECONDS`. A report without changes is therefore a few dozen bytes.
 
-A subscriber whose connection ended stays in the reports, as a silent one, until it is back or
-forgotten everywhere. A new leader learns in this way of subscribers that are under way from
-one replica to another.
+A subscriber whose connection ended stays in the reports, as a silent one, until it reconnects or
+has expired everywhere. This is how a new leader learns of subscribers that are moving from one
+replica to another.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from jasperwalk.messages.distribution import SubscriberRole
 
 SUBSCRIBER_EXPIRY_SECONDS = 5.0
-"""Seconds without a message of a subscriber after which it no longer counts."""
+"""Seconds without a message from a subscriber after which it no longer counts."""
 UNREPORTED_SILENCE_SECONDS = 1.25
-"""Longest silence of a subscriber that a report does not name; two acknowledgements."""
+"""Maximum silence of a subscriber that a report does not name; two acknowledgements."""
 FLOW_CHANGE_DIVISOR = 8
-"""The number of open flows is reported anew when it moved by more than one part of these."""
+"""A count of open flows is reported again once it differs by more than 1 / this."""
 MILLISECONDS_PER_SECOND = 1000
 
 
 class SubscriberKey(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """What tells subscribers apart; a host may run agents at several addresses."""
+    """Identity of a subscriber; a host may run agents at several addresses."""
 
     role: SubscriberRole
     name: str
@@ -40,10 +40,10 @@
 
 
 class SubscriberCondition(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """What a subscriber says of itself; all but its revision, and its open flows roughly.
+    """What a subscriber reports of itself, except its revision; `open_flows` is approximate.
 
-    Zero open flows are exactly none. The generations are those of the oldest keys that the
-    agent's flows rest on, 0 where that is not known.
+    0 open flows is exact. The generations are those of the oldest keys that the agent's flows
+    depend on, 0 if not known.
     """
 
     incarnation: int
@@ -54,7 +54,7 @@
 
 
 class ReportedSubscriber(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """A subscriber that is new, or whose condition changed; `number` names it in its origin."""
+    """A new subscriber, or one whose condition changed; `number` identifies it at its replica."""
 
     number: int
     key: SubscriberKey
@@ -62,14 +62,14 @@
 
 
 class RevisionGroup(msgspec.Struct, frozen=True, array_like=True):
-    """The subscribers that acknowledged another revision than the common one."""
+    """Subscribers that acknowledged a revision other than the common one."""
 
     revision: int
     numbers: list[int]
 
 
 class SilentSubscriber(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """A subscriber that was not heard for a while, or whose connection ended."""
+    """A subscriber without a message for a while, or whose connection ended."""
 
     number: int
     silence_ms: int
@@ -78,10 +78,10 @@
 class SubscriberReport(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """The subscribers of the sender, for the leader of `term`.
 
-    `sequence` counts the sender's reports. A `full` one clears what was reported before; any
-    other follows the report of the sequence below, and is worth nothing without it.
-    `revision` is that of the sender's table. `recorded_ms` tells for how long the sender has
-    kept its record of subscribers. `groups` and `silent` are whole in every report.
+    `sequence` counts the sender's reports. A `full` report replaces everything reported before;
+    any other is valid only after the report of the previous sequence number. `revision` is that
+    of the sender's table. `recorded_ms` is the time for which the sender has recorded its
+    subscribers. `groups` and `silent` are complete in every report.
     """
 
     term: int
@@ -107,8 +107,8 @@
 class SubscriberReporter:
     """Keeps what was reported to the leader; `now` is in seconds of one monotonic clock.
 
-    `first_sequence` differs between two starts of a process, so that a report of the former
-    one is not taken for the next of this one.
+    `first_sequence` differs between two starts of a process, so that its reports are not taken
+    for a continuation of those from before the restart.
     """
 
     def __init__(
@@ -124,13 +124,13 @@
         self._sequence = first_sequence
 
     def restart(self) -> None:
-        """Let the next report say everything, because one was lost."""
+        """Make the next report a full one, because a report was lost."""
         self._destination = None
 
     def report(
         self, links: Iterable[SubscriberLink], leader_id: int, term: int, revision: int, now: float
     ) -> SubscriberReport:
-        """Return the next report to the leader of `term`; it has to be sent, or `restart`."""
+        """Return the next report to the leader of `term`; call `restart` if it is not sent."""
         full = self._destination != (leader_id, term)
         if full:
             self._destination = (leader_id, term)
@@ -155,7 +155,7 @@
         return report
 
     def _update_records(self, links: Iterable[SubscriberLink], now: float) -> list[int]:
-        """Take in who is connected now; return the numbers of those that no longer count."""
+        """Update the records from the present links; return the numbers of removed subscribers."""
         for record in self._records.values():
             record.connected = False
         present: set[SubscriberKey] = set()
@@ -219,7 +219,7 @@
 
 
 def _is_condition_current(record: _Record) -> bool:
-    """Tell whether what was last reported of a subscriber is still near enough."""
+    """Return whether what was last reported of a subscriber is still accurate enough."""
     reported, link = record.condition, record.link
     return (
         reported is not None
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,4 +1,4 @@
-"""Control replicas on loopback in one process, with their operators' interface."""
+"""Fixtures: a cluster of control replicas on loopback in one process, with its HTTP API."""
 
 import asyncio
 import json
@@ -60,7 +60,7 @@
 
 
 async def eventually(condition):
-    """Wait until the condition holds and return what it gave; fail after the deadline."""
+    """Wait until the condition is true and return its value; fail after the deadline."""
     async with asyncio.timeout(DEADLINE_SECONDS):
         while not (value := condition()):
             await asyncio.sleep(0.02)
@@ -82,7 +82,7 @@
 
 @dataclass
 class Cluster:
-    """Replicas 1 to `size`; `processes` holds those that run."""
+    """Replicas 1 to `size`; `processes` holds the running ones."""
 
     folder: object
     size: int = 3
@@ -152,7 +152,7 @@
         return leaders.pop() if fresh and len(leaders) == 1 else None
 
     def cut(self, replica_id):
-        """Cut a replica off from its peers; returns what heals it."""
+        """Cut a replica off from its peers; return the function that reconnects it."""
         network = self.processes[replica_id].replica.network
         former = (network.send, network.on_message)
         network.send = lambda *_: False
@@ -164,7 +164,7 @@
         return reconnect
 
     def cut_link(self, sender_id, receiver_id):
-        """Lose what one replica sends to another."""
+        """Drop the messages that one replica sends to another."""
         network = self.processes[sender_id].replica.network
         send = network.send
 
@@ -174,7 +174,7 @@
         network.send = send_to_others
 
     async def call(self, method, path, replica_id=1, change_id=None, if_match=None, body=None):
-        """Send one request to a replica; a dict travels as JSON."""
+        """Send one request to a replica; a dict is sent as JSON."""
         headers = {}
         if change_id is not None:
             headers["Idempotency-Key"] = change_id
@@ -188,7 +188,7 @@
             return Answer(response.status, json.loads(raw) if is_json else raw, response.headers)
 
     async def accept(self, method, path, **options):
-        """Send a change, again under its change ID until it has an outcome; it is accepted."""
+        """Send a change, with one change ID, until it has an outcome, which must be accepted."""
         options.setdefault("change_id", uuid.uuid4().hex)
         async with asyncio.timeout(DEADLINE_SECONDS):
             while (answer := await self.call(method, path, **options)).status in (503, 504):
@@ -226,7 +226,7 @@
 
 @pytest.fixture
 def run():
-    """Run one scenario with a bound on its time."""
+    """Run one scenario with a time limit."""
 
     def run_scenario(scenario):
         async def bounded():
--- a/tests/control/test_api_errors.py
+++ b/tests/control/test_api_errors.py
@@ -1,4 +1,4 @@
-"""Bad requests, in a table: each is refused with its kind and leaves control serving."""
+"""A table of invalid requests: each is refused with its kind, and control continues to serve."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 import pytest
 
 QUICK = {"heartbeat_interval_seconds": 0.02, "election_timeout_seconds": 0.1}
-"""One replica alone can't lose an election by being late."""
+"""Short time-outs are safe with one replica, which cannot lose an election."""
 
 TENANT = "/v1/tenants/mreza"
 PROOFS = "/v1/templates/proofs"
@@ -19,7 +19,7 @@
 
 
 def values_body(value):
-    """A tenant whose values no replica takes into its log."""
+    """Return a tenant whose values are refused before they enter the log."""
     return {"template": "proofs", "values": {"weight": value}}
 
 
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def options_of(new_tenant, template_text):
-    """Options of a request, by name where they need the valid bodies."""
+    """Resolve a request's options; those that need valid bodies are given by name."""
     named = {
         "template": {"body": template_text},
         "same listener": {"body": new_tenant(first_member=7500)},
@@ -132,7 +132,7 @@
     run(scenario())
 
 
-# Bytes that are not UTF-8 where a text is expected; aiohttp's client would not send them.
+# Bytes that are not UTF-8 where text is expected; aiohttp's client would not send them.
 RAW_CASES = [
     (b"DELETE /v1/tenants/mreza", b"Idempotency-Key: a\xff", b"400", b"bad-request"),
     (b"DELETE /v1/tenants/mreza", b"If-Match: \xff", b"400", b"bad-request"),
--- a/tests/control/test_in_force.py
+++ b/tests/control/test_in_force.py
@@ -1,4 +1,7 @@
-"""Merging of replicas' reports at the leader, and waiting for entries of the log."""
+"""The leader's merge of the replicas' reports, and waiting for log entries to be applied.
+
+Guards against a change being reported in force while a balancer or agent may lack it.
+"""
 
 import asyncio
 import math
@@ -28,7 +31,7 @@
 
 
 def report(*sightings, sequence=0, revision=10, recorded_ms=60_000, term=TERM, removed=()):
-    """A report of these sightings, numbered from 1."""
+    """Return a report of these subscribers, numbered from 1."""
     numbered = list(enumerate(sightings, start=1))
     condition = SubscriberCondition(incarnation=0, healthy=True, open_flows=0)
     return SubscriberReport(
@@ -54,7 +57,7 @@
 
 
 def in_force(ledger, now, *replicas, contact_age=math.inf):
-    """Ask for revision 10, of replicas 1 and 2 where none are named."""
+    """Return where revision 10 is in force, with replicas 1 and 2 if none are named."""
     return ledger.in_force(10, dict.fromkeys(replicas or (1, 2), contact_age), now)
 
 
@@ -78,10 +81,10 @@
             ["balancer-2"],
             False,
         ),
-        # It moved: the newest sighting counts, whichever replica reported it first.
+        # It moved between replicas: the newest report of it counts, in any order of arrival.
         ([sighting(revision=9, age_ms=1900), sighting(revision=10)], (1, 1), (0, 0), [], True),
         ([sighting(revision=10), sighting(revision=9, age_ms=1900)], (1, 1), (0, 0), [], True),
-        # Which one is newer is not certain: the older revision counts.
+        # The order of the two is uncertain: the lower revision counts.
         (
             [sighting(revision=10), sighting(revision=9, age_ms=900)],
             (0, 1),
@@ -117,7 +120,7 @@
 @pytest.mark.parametrize(
     ("reports", "recorded_ms", "laggards", "known", "complete"),
     [
-        # Pairs of time and revision of the reports of replica 2; asked at 100 s.
+        # Pairs of time and revision of the reports of replica 2; evaluated at 100 s.
         ([], 60_000, [], True, True),
         ([(91.0, 10), (99.0, 10)], 60_000, [], True, True),
         ([(91.0, 9), (99.0, 9)], 60_000, ["replica-2"], True, False),
@@ -150,14 +153,14 @@
     assert in_force(ledger, 100.5).balancers == 2
     ledger.start_term(TERM + 1, now=101.0)
     assert in_force(ledger, 101.0).balancers is None
-    # What was meant for the former term is no answer.
+    # A report for the previous term is ignored.
     assert ledger.record_report(1, report(sighting(), sequence=1), now=101.0)
     assert ledger.current(101.0) == []
     ledger.record_report(1, report(sighting(), term=TERM + 1), now=105.5)
     assert in_force(ledger, 105.5).balancers is None
-    # Replica 2 is there, but its reports do not arrive.
+    # Replica 2 is alive, but its reports do not arrive.
     assert in_force(ledger, 106.0, contact_age=1.0).balancers is None
-    # Replica 2 is gone: its subscribers have come to another one or are gone too.
+    # Replica 2 is gone: its subscribers have moved to another replica or are gone too.
     assert in_force(ledger, 106.0).complete
 
 
--- a/tests/control/test_keys.py
+++ b/tests/control/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys through the operators' interface, and TLS on a replica's ports."""
+"""Rotation of keys through the operators' interface, and TLS on a replica's ports."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 async def generations(running, replica_id=1):
-    """Return the states of the connection ID keys by generation, as a replica shows them."""
+    """Return a replica's view of the connection ID keys: states by generation."""
     answer = await running.call("GET", "/v1/keys", replica_id)
     keys = answer.body.get("keys", [])
     return {
--- a/tests/control/test_openapi.py
+++ b/tests/control/test_openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI document against the router, and kinds of failures against their statuses."""
+"""The OpenAPI document matches the router, and every kind of failure has an HTTP status."""
 
 import re
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 from jasperwalk.observability.metrics import MetricsRegistry
 
 INTERNAL_KINDS = {
-    # Successes, and refusals of what only control itself proposes.
+    # Successes, and refusals of commands that only control itself proposes.
     "accepted",
     "registered",
     "superseded-boot",
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -1,4 +1,8 @@
-"""Links to peers that come back while an attempt hangs, and whose connections go silent."""
+"""Links to peers that return while a connection attempt hangs, or that go silent.
+
+Guards against a link that stays down until a time-out although the peer is reachable again, and
+against a connection without a reset that neither side replaces.
+"""
 
 import asyncio
 
@@ -20,7 +24,7 @@
 
 
 class Dialer:
-    """Stands for `connect`: the attempts before the peer's power is back do what `dial_unpowered` says."""
+    """Replaces `connect`: until the peer has power, attempts end as `dial_unpowered` does."""
 
     def __init__(self, real, dial_unpowered):
         self.real, self.dial_unpowered = real, dial_unpowered
@@ -104,7 +108,7 @@
 
 
 class Peers:
-    """Two replicas; the first one reaches the second through a relay."""
+    """Two replicas; the first connects to the second through a relay."""
 
     def __init__(self, times):
         self.received = []
--- a/tests/control/test_peer_port.py
+++ b/tests/control/test_peer_port.py
@@ -1,4 +1,4 @@
-"""Hostile bytes on the port for replicas and subscribers, and a replica that lost its disk."""
+"""Malformed input on the port for replicas and subscribers, and a replica that lost its disk."""
 
 import shutil
 
@@ -59,7 +59,7 @@
             await connection.send(payload)
             await connection.close()
         except JasperwalkError:
-            # The other side may end the connection at any point.
+            # The other side may close the connection at any point.
             return
 
     run(scenario())
@@ -71,14 +71,14 @@
             await one.configure()
             replica = one.processes[1].replica
             contents = contents_by_index(replica)
-            # The leader's own commands may land before it or after it.
+            # The leader's own commands may be appended before or after it.
             position = replica.runner.propose(b"not a command")
             entry = await replica.runner.applied.wait(position.index, position.term, 30.0)
             assert isinstance(entry.outcome, MalformedCommand)
             assert contents[position.index] == contents[position.index - 1]
 
     def contents_by_index(replica):
-        """Note the whole state, but for its index, now and after every entry from now on."""
+        """Record the complete state except its index, now and after every further entry."""
         contents = {}
         notify = replica.entry_applied
 
--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -1,4 +1,7 @@
-"""The poller of the platform's list: a list from before a pause is never acted on."""
+"""The poller of the platform's list: a list fetched before a pause is never used.
+
+A replica that leads again would otherwise enable hosts that have started leaving since.
+"""
 
 import asyncio
 
@@ -10,7 +13,7 @@
 
 
 async def poll(then):
-    """Poll a small server until a list has come, and return what `then` makes of it."""
+    """Poll a small server until it has served a list, and return the result of `then`."""
     served = asyncio.Event()
 
     async def answer(_request):
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -1,4 +1,4 @@
-"""Three replicas: crashes, cuts, races, resends, and changes of the replicas."""
+"""Three control replicas: crashes, partitions, races, resends, and changes of the replicas."""
 
 import asyncio
 
@@ -308,7 +308,7 @@
             await wait_for(lambda: status() is OperatingStatus.UNHEALTHY)
             agent.healthy = True
             await wait_for(lambda: status() is OperatingStatus.ONLINE)
-            # Another leader goes on from the committed state and judges anew.
+            # Another leader continues from the committed state and evaluates the members again.
             await running.kill(await running.leader())
             await running.leader()
             assert status() is OperatingStatus.ONLINE
@@ -431,7 +431,7 @@
 
 
 async def change(running, method, body, learner, queried_id=1):
-    """Repeat until there are four replicas and these learners: one has to catch up first."""
+    """Repeat until there are four replicas and these learners: a learner has to catch up first."""
     while True:
         await running.call(method, "/v1/replicas", queried_id, body=body)
         listed = await running.call("GET", "/v1/replicas", queried_id)
--- a/tests/control/test_state_applier.py
+++ b/tests/control/test_state_applier.py
@@ -1,4 +1,4 @@
-"""Applying the log beside what takes long: order, and an event loop that goes on."""
+"""Applying the log beside slow work: entries keep their order and the event loop is not blocked."""
 
 import asyncio
 import threading
@@ -30,7 +30,7 @@
 
 
 class RunningApplier:
-    """An applier that runs, and what it told its listener."""
+    """A running applier, and the notifications of its listener."""
 
     def __init__(self, snapshot_interval_entries=1_000_000):
         self.notifications, self.snapshots = [], []
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def blocked(monkeypatch):
-    """Make serialising, restoring and planning wait until `release` is set (from the loop)."""
+    """Block serialising, restoring and planning until `release` is set (from the event loop)."""
     release, started = threading.Event(), threading.Event()
 
     def wait_first(work):
--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -1,4 +1,8 @@
-"""Reports of subscribers, from random worlds to the leader's counts."""
+"""Reports of subscribers in randomly simulated regions, up to the leader's counts.
+
+Guards against a revision being reported in force too early while reports are lost, subscribers move
+between replicas, and leaders change.
+"""
 
 import random
 
@@ -16,7 +20,7 @@
 CONTACT_AGES = dict.fromkeys(REPLICAS, 0.1)
 STEP_SECONDS = 0.5
 AWAY_STEPS = 6
-"""Longest time from one replica to the next: less than a forgotten subscriber is away."""
+"""Maximum steps between two replicas: less than the time after which a subscriber expires."""
 
 
 def subscribe(number, revision=0):
@@ -26,7 +30,7 @@
 
 
 class SimulatedRegion:
-    """Subscribers that acknowledge, fall silent and move between three reporting replicas."""
+    """Subscribers that acknowledge, go silent and move between three reporting replicas."""
 
     def __init__(self, seed, size=12):
         self.random = random.Random(seed)
@@ -56,7 +60,7 @@
         node["seen"] = node["since"] = self.now
 
     def settled(self):
-        """Those that did not come to their replica just now: its report may be lost."""
+        """Return the nodes that did not connect just now: the report of a new one may be lost."""
         nodes = self.nodes.values()
         return [node for node in nodes if self.now - node["since"] > REPORT_GAP_SECONDS]
 
