--- a/tests/transport/test_concurrency.py
+++ b/tests/transport/test_concurrency.py
@@ -35,7 +35,7 @@
 
 def test_a_part_that_outlasts_its_cancellation_is_named(monkeypatch):
     """Without the line, a process that does not end tells nothing of which part holds it."""
-    monkeypatch.setattr(concurrency, "LATE_END_SECONDS", 0.01)
+    monkeypatch.setattr(concurrency, "CANCELLATION_WARNING_SECONDS", 0.01)
 
     async def scenario():
         released = asyncio.Event()
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -43,9 +43,9 @@
 
 @pytest.mark.parametrize("kind", list(HANDLERS))
 def test_a_request_that_does_not_come_is_a_typed_refusal(monkeypatch, kind):
-    monkeypatch.setattr(relay_server, "REQUEST_SECONDS", 0.05)
+    monkeypatch.setattr(relay_server, "RECEIVE_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.05)
-    monkeypatch.setattr(operator_requests, "REQUEST_SECONDS", 0.05)
+    monkeypatch.setattr(operator_requests, "REQUEST_TIMEOUT_SECONDS", 0.05)
 
     async def scenario():
         server = FramedServer(ANY_PORT, make_hello(ConnectionKind.PEER, "c", "zagreb"), HANDLERS)
