--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -52,18 +52,18 @@
         self._file_monitor = FileMonitor(paths, clock)
         self._warned_at: float | None = None
         self._load()
-        self._listening = self._server
-        self._listening.sni_callback = self._choose_context
+        self._listening_context = self._server
+        self._listening_context.sni_callback = self._choose_context
         self._warn_of_expiry()
 
     def client_context(self) -> ssl.SSLContext:
         """Return the context for a connection that opens now."""
-        self._renew()
+        self._reload_if_changed()
         return self._client
 
     def server_context(self) -> ssl.SSLContext:
         """Return the context to listen with; its connections take renewed files by themselves."""
-        return self._listening
+        return self._listening_context
 
     def explain_close_after_handshake(self) -> CertificateRefused | TlsFailed:
         """Return why the other side may have closed a connection right after the handshake."""
@@ -76,10 +76,10 @@
         self, connection: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
     ) -> None:
         """Give a connection that opens now the newest files (called by OpenSSL)."""
-        self._renew()
+        self._reload_if_changed()
         connection.context = self._server
 
-    def _renew(self) -> None:
+    def _reload_if_changed(self) -> None:
         if self._file_monitor.changed():
             try:
                 self._load()
--- a/tests/control/test_storage_faults.py
+++ b/tests/control/test_storage_faults.py
@@ -13,11 +13,11 @@
 
 
 @pytest.mark.parametrize("line", ["", "slow", "slow x", "slow 0", "odd words"])
-def test_what_says_nothing_changes_nothing(tmp_path, line):
+def test_an_unreadable_fault_is_ignored(tmp_path, line):
     path = tmp_path / "fault"
     path.write_text(line)
     StorageFaults(path).before_write()
 
 
-def test_without_the_file_nothing_is_in_the_way(tmp_path):
+def test_without_the_file_nothing_fails(tmp_path):
     StorageFaults(tmp_path / "none").before_write()
--- a/tests/control_state/test_fleet_keys.py
+++ b/tests/control_state/test_fleet_keys.py
@@ -108,7 +108,7 @@
     assert leader.generations_of() == ["1A", "2w", "3w"]
 
 
-def test_a_balancer_behind_by_one_rotation_reaches_every_flow(leader):
+def test_a_balancer_one_rotation_behind_can_decode_every_flow(leader):
     """A balancer that was cut off, so that nobody waited for it."""
     balancer = leader.codec()
     leader.rotate()
@@ -159,7 +159,7 @@
     ],
     ids=str,
 )
-def test_a_deposed_leaders_late_step_changes_nothing(leader, command):
+def test_a_stale_command_of_a_deposed_leader_changes_nothing(leader, command):
     leader.rotate()
     leader.step()
     assert not leader.driver.apply(command).accepted
@@ -212,7 +212,7 @@
     assert leader.generations_of(purpose) == (["2A", "3w"] if retired else ["1o", "2A", "3w"])
 
 
-def test_rotations_end_where_no_place_is_left(leader):
+def test_a_rotation_without_a_free_key_slot_is_refused(leader):
     leader.generations[AGENT] = 1
     kinds = []
     for number in range(KEYS_PER_PURPOSE):
