--- a/src/jasperwalk/transport/__init__.py
+++ b/src/jasperwalk/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Framed TCP and UDP end points for the internal protocol."""
+"""Transports between processes: framed TCP with mutual TLS, and a small HTTP/1.1 server."""
--- a/src/jasperwalk/transport/certificates.py
+++ b/src/jasperwalk/transport/certificates.py
@@ -1,4 +1,7 @@
-"""A cluster's certificate authority: makes the CA and the certificates of processes."""
+"""A cluster's certificate authority: creates the CA and issues the certificates of processes.
+
+`jasperwalk keys init` writes them as PEM files; `tls` loads those of one process.
+"""
 
 from __future__ import annotations
 
@@ -20,23 +23,23 @@
 CA_KEY_FILE = "ca.key"
 CA_LIFETIME = datetime.timedelta(days=3650)
 CLOCK_SKEW = datetime.timedelta(hours=1)
-"""Certificates are valid from so long before they were made."""
+"""Certificates are valid from this long before their issue, for machines whose clock is behind."""
 PRIVATE_MODE = 0o600
 PUBLIC_MODE = 0o644
 CONTROL_HOST_NAME = "control.jasperwalk.internal"
-"""DNS name in the certificates of control replicas, which clients of the API verify."""
+"""DNS name in the certificates of control replicas; clients of the HTTP API verify it."""
 
 
 @dataclass(frozen=True)
 class Authority:
-    """A CA that can sign."""
+    """A CA certificate with the private key that signs with it."""
 
     certificate: x509.Certificate
     private_key: ec.EllipticCurvePrivateKey
 
 
 def make_authority(common_name: str, lifetime: datetime.timedelta = CA_LIFETIME) -> Authority:
-    """Make a new CA."""
+    """Create a self-signed CA that may sign end-entity certificates only."""
     private_key = ec.generate_private_key(ec.SECP256R1())
     name = _name(common_name)
     builder = _builder(name, name, private_key, lifetime)
@@ -64,7 +67,7 @@
 
 
 def tls_files_of(identity: Identity, folder: Path) -> TlsFiles:
-    """Return where the certificate of a process stands in `folder`."""
+    """Return the paths in `folder` of the PEM files of a process."""
     stem = f"{identity.role}-{identity.name}"
     return TlsFiles(folder / CA_FILE, folder / f"{stem}.pem", folder / f"{stem}.key")
 
@@ -72,7 +75,7 @@
 def issue_process_certificate(
     authority: Authority, identity: Identity, folder: Path, lifetime: datetime.timedelta
 ) -> TlsFiles:
-    """Make a key and a certificate for a process, and write them to `folder`."""
+    """Generate a key, issue a certificate for a process, and write both to `folder`."""
     names: list[x509.GeneralName] = [x509.UniformResourceIdentifier(str(identity))]
     if identity.role is ProcessRole.CONTROL:
         names.append(x509.DNSName(CONTROL_HOST_NAME))
@@ -88,7 +91,7 @@
     files: TlsFiles,
     lifetime: datetime.timedelta,
 ) -> None:
-    """Make a key and a certificate for `names`, and write them to the files."""
+    """Generate a key, issue a certificate for `names`, and write both to the files."""
     private_key = ec.generate_private_key(ec.SECP256R1())
     issuer = authority.certificate.subject
     builder = _builder(_name(common_name), issuer, private_key, lifetime)
@@ -107,7 +110,7 @@
 
 
 def write_atomically(path: Path, content: bytes, mode: int) -> None:
-    """Replace a file whole, so that no reader sees a part of it."""
+    """Replace a file by a rename, so that no reader sees a partly written one."""
     temporary = path.with_name(path.name + ".new")
     temporary.unlink(missing_ok=True)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
@@ -117,12 +120,12 @@
 
 
 def certificate_pem(certificate: x509.Certificate) -> bytes:
-    """Encode a certificate."""
+    """Encode a certificate as PEM."""
     return certificate.public_bytes(serialization.Encoding.PEM)
 
 
 def private_key_pem(private_key: ec.EllipticCurvePrivateKey) -> bytes:
-    """Encode a private key, unencrypted."""
+    """Encode a private key as unencrypted PEM (PKCS #8)."""
     return private_key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
--- a/src/jasperwalk/transport/client.py
+++ b/src/jasperwalk/transport/client.py
@@ -1,4 +1,4 @@
-"""Opening framed connections."""
+"""Client side of framed connections: TCP connect, TLS where configured, then the Hello exchange."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from jasperwalk.transport.tls import LinkTls
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""Time within which a TCP connection has to stand."""
+"""Time-out of a TCP connect, with the TLS handshake where there is one."""
 
 
 async def connect(
@@ -56,7 +56,7 @@
         connection.abort()
         if tls is None:
             raise
-        # asyncio's server ends a handshake that it refuses without sending its alert.
+        # asyncio's server closes a handshake that it refuses without sending a TLS alert.
         raise tls.explain_close_after_handshake() from error
     except (JasperwalkError, asyncio.CancelledError):
         connection.abort()
@@ -70,8 +70,8 @@
     timeout_seconds: float,
     certificate: Mapping[str, Any] | None,
 ) -> None:
-    """Exchange Hellos with a server whose certificate has to fit the connection's kind."""
-    # Loaded here only: processes without TLS start without a certificate library.
+    """Exchange Hellos with a server, and check that its certificate may serve this kind."""
+    # Imported here, so that processes without TLS load no certificate library.
     from jasperwalk.transport.identity import check_server, identity_of  # noqa: PLC0415
 
     connection.identity = identity_of(certificate)
@@ -80,9 +80,9 @@
 
 
 async def port_accepts(endpoint: Endpoint, timeout_seconds: float) -> bool:
-    """Tell whether a TCP connection to `endpoint` can be opened; nothing is said on it.
+    """Tell whether a TCP connection to `endpoint` can be opened; nothing is sent on it.
 
-    The kernel answers for a process that stands still, but not for one that is gone.
+    The kernel accepts for a process that is suspended, but not for one that has ended.
     """
     try:
         async with asyncio.timeout(timeout_seconds):
--- a/src/jasperwalk/transport/errors.py
+++ b/src/jasperwalk/transport/errors.py
@@ -1,4 +1,4 @@
-"""Failures of the framed transport."""
+"""Typed failures of framed connections; `kind` names each in logs and counters."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(eq=False, repr=False)
 class TransportError(JasperwalkError):
-    """Root of the failures of one connection; the connection is of no more use."""
+    """Base of the failures of one connection, which can't be used any more."""
 
     kind: ClassVar[str] = "transport"
 
@@ -30,7 +30,7 @@
 
 @dataclass(eq=False, repr=False)
 class OversizedFrame(TransportError):
-    """A frame that is longer than the limit; its payload is not read."""
+    """A frame is longer than the limit; its payload is not read."""
 
     kind: ClassVar[str] = "oversized-frame"
     length: int
@@ -68,7 +68,7 @@
 
 @dataclass(eq=False, repr=False)
 class HelloTimeout(TransportError):
-    """The other side did not introduce itself in time."""
+    """The other side sent no Hello in time."""
 
     kind: ClassVar[str] = "hello-timeout"
     timeout_seconds: float
@@ -80,7 +80,7 @@
 
 @dataclass(eq=False, repr=False)
 class RequestTimeout(TransportError):
-    """The other side introduced itself and then sent no request in time."""
+    """The other side sent a Hello, but no request in time."""
 
     kind: ClassVar[str] = "request-timeout"
     timeout_seconds: float
@@ -117,7 +117,7 @@
 
 @dataclass(eq=False, repr=False)
 class PeerSilent(TransportError):
-    """Nothing came on a connection on which the other side sends signs of life."""
+    """Nothing came on a connection on which the other side sends heartbeats."""
 
     kind: ClassVar[str] = "peer-silent"
     limit_seconds: float
@@ -142,14 +142,14 @@
 
 @dataclass(eq=False, repr=False)
 class TlsError(TransportError):
-    """Root of the failures of TLS; they stay until someone mends files or settings."""
+    """Base of the failures of TLS; they last until files or settings are corrected."""
 
     kind: ClassVar[str] = "tls"
 
 
 @dataclass(eq=False, repr=False)
 class TlsFailed(TlsError):
-    """The two sides did not get to speak TLS with each other."""
+    """The TLS handshake failed."""
 
     kind: ClassVar[str] = "tls-failed"
     reason: str
@@ -164,7 +164,7 @@
 
 @dataclass(eq=False, repr=False)
 class CertificateRefused(TlsError):
-    """A certificate was refused: the other side's here, or ours by the other side."""
+    """A certificate was refused: the peer's by this process, or this process's by the peer."""
 
     kind: ClassVar[str] = "certificate-refused"
     reason: str
@@ -176,26 +176,26 @@
 
 @dataclass(eq=False, repr=False)
 class CertificateWithoutIdentity(TlsError):
-    """A certificate of our CA that names no process of ours, or several."""
+    """A certificate of the cluster's CA names no process, or several."""
 
     kind: ClassVar[str] = "certificate-without-identity"
     count: int
 
     def describe(self) -> str:
-        """Give the number of names and the mend."""
+        """Give the number of names and the remedy."""
         return f"certificate names {self.count} processes; make it with `jasperwalk keys init`"
 
 
 @dataclass(eq=False, repr=False)
 class IdentityMismatch(TlsError):
-    """The holder of a certificate claims what the certificate does not allow."""
+    """A peer claims a name, cluster or role that its certificate does not allow."""
 
     kind: ClassVar[str] = "identity-mismatch"
     identity: str
     claim: str
 
     def describe(self) -> str:
-        """Name both."""
+        """Name the identity and the claim."""
         return f"the certificate of {self.identity} does not allow it to {self.claim}"
 
 
--- a/src/jasperwalk/transport/file_monitor.py
+++ b/src/jasperwalk/transport/file_monitor.py
@@ -1,4 +1,7 @@
-"""Noticing that files were replaced, by their modification times."""
+"""Detects that files were replaced, by modification time, inode and size.
+
+Used for certificates and keys, which are renewed while a process runs.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 from pathlib import Path
 
 POLL_SECONDS = 5.0
-"""Least time between two looks at the files."""
+"""Minimum time between two checks of the files."""
 
 
 class FileMonitor:
-    """Tells when one of the files has changed since it was last found changed."""
+    """Reports when one of the files has changed since the last check."""
 
     def __init__(self, paths: Iterable[Path], clock: Callable[[], float] = time.monotonic) -> None:
         self._paths = tuple(paths)
@@ -21,7 +24,7 @@
         self._file_states = self._read()
 
     def changed(self) -> bool:
-        """Look at the files, unless that was done a moment ago."""
+        """Check the files, at most once in `POLL_SECONDS`; False in between."""
         now = self._clock()
         if now - self._checked_at < POLL_SECONDS:
             return False
@@ -36,7 +39,7 @@
 
 
 def _file_state(path: Path) -> tuple[int, int, int]:
-    """Return what differs once a file was replaced; zeros while it is missing."""
+    """Return values of which one differs once a file was replaced; zeros while it is missing."""
     try:
         status = os.stat(path)
     except OSError:
--- a/src/jasperwalk/transport/framed.py
+++ b/src/jasperwalk/transport/framed.py
@@ -1,6 +1,7 @@
 """Framed TCP: a four-byte big-endian length, then that many bytes of payload.
 
-The first frame each way is a `Hello` (see `hello`).
+The first frame each way is a `Hello` (see `hello`). Both directions are bounded: the length of
+a frame, and the bytes that wait to be sent to a slow reader.
 """
 
 from __future__ import annotations
@@ -30,20 +31,20 @@
 LENGTH_PREFIX = struct.Struct("!I")
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-"""Longest payload of a frame, both ways."""
+"""Maximum payload of a frame, both ways."""
 
 MAX_HELLO_BYTES = 1024
-"""Longest payload of a Hello; an unknown sender may not make us hold more."""
+"""Maximum payload of a Hello; bounds the memory that an unidentified sender can claim."""
 
 MAX_SEND_BUFFER_BYTES = 8 * 1024 * 1024
-"""Bytes that may wait in the send buffer before `write` refuses."""
+"""Bytes in the send buffer above which `write` refuses."""
 
 HELLO_TIMEOUT_SECONDS = 2.0
-"""Time within which each side has to introduce itself."""
+"""Time within which each side has to send its Hello."""
 
 
 ALERT_MARKER = "ALERT"
-"""Part of OpenSSL's reasons for what the other side refused."""
+"""Part of OpenSSL's reasons where the other side sent an alert."""
 
 CERTIFICATE_ALERTS = ("CERTIFICATE", "UNKNOWN_CA")
 
@@ -51,7 +52,7 @@
 class FramedConnection:
     """One connection that carries frames; `peer` is the other side's Hello once exchanged.
 
-    `identity` is whom the other side's certificate names, None without TLS.
+    `identity` is the process that the other side's certificate names, None without TLS.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.identity: Identity | None = None
 
     def limit_received_frames(self, max_frame_bytes: int) -> None:
-        """Lower the limit of received frames, where the other side has only short ones to send."""
+        """Lower the limit of received frames, where the other side sends only short ones."""
         self._max_received_bytes = max_frame_bytes
 
     def write(self, payload: bytes) -> None:
@@ -129,12 +130,12 @@
             raise ConnectionLost(reason=str(error)) from error
 
     async def exchange_hello(self, hello: Hello, timeout_seconds: float) -> Hello:
-        """Send our Hello, take and check the other side's, and return it.
+        """Send our Hello, receive and check the other side's, and return it.
 
-        Ours goes out before theirs is checked, so that both sides learn of a mismatch.
+        Ours is sent before theirs is checked, so that both sides learn of a mismatch.
         Raises `HelloTimeout`, `UnsupportedVersion`, `WrongCluster`, `MalformedMessage` and
         whatever `send` and `receive` raise.
-        A certificate that the other side refuses shows here: it ends the connection.
+        A certificate that the other side refuses shows here, as the end of the connection.
         """
         self.write(codec.encode(hello))
         try:
@@ -146,11 +147,11 @@
         return self.peer
 
     def abort(self) -> None:
-        """Drop the connection at once, with whatever waits to be sent."""
+        """Drop the connection at once; unsent data is lost."""
         self._writer.transport.abort()
 
     async def close(self, timeout_seconds: float = 1.0) -> None:
-        """Close after sending what waits; drop the connection if that takes too long."""
+        """Close after the send buffer is flushed; drop the connection if that takes too long."""
         self._writer.close()
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -161,7 +162,7 @@
 
 
 def convert_ssl_error(error: ssl.SSLError) -> CertificateRefused | TlsFailed:
-    """Turn a failure of OpenSSL into a typed one."""
+    """Convert a failure of OpenSSL into a typed one."""
     if isinstance(error, ssl.SSLCertVerificationError):
         return CertificateRefused(reason=error.verify_message)
     reason = error.reason or str(error)
--- a/src/jasperwalk/transport/hello.py
+++ b/src/jasperwalk/transport/hello.py
@@ -1,7 +1,7 @@
-"""The first message each way on a framed connection, and what a connection is for.
+"""The Hello: the first message each way on a framed connection, with the connection's purpose.
 
-Its shape never changes between versions, so that both sides can name the version that the other
-one speaks.
+It decides whether two processes may talk: same protocol version, same cluster. Its shape is the
+same in every version, so that each side can name the version that the other one speaks.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """First message each way. `sender_id` is the replica's identity, 0 for other processes."""
+    """First message each way. `sender_id` is the ID of a control replica, 0 for other processes."""
 
     version: int
     kind: ConnectionKind
@@ -40,7 +40,7 @@
 
 
 def check_hello(hello: Hello, cluster_id: str) -> Hello:
-    """Return the Hello of a fitting peer; raise `UnsupportedVersion` or `WrongCluster`."""
+    """Return the Hello of a compatible peer; raise `UnsupportedVersion` or `WrongCluster`."""
     if hello.version != codec.PROTOCOL_VERSION:
         raise UnsupportedVersion(version=hello.version, supported=codec.PROTOCOL_VERSION)
     if hello.cluster_id != cluster_id:
@@ -49,7 +49,7 @@
 
 
 def make_hello(kind: ConnectionKind, name: str, cluster_id: str, sender_id: int = 0) -> Hello:
-    """Build the Hello of this process in the version that it speaks."""
+    """Build the Hello of this process in its own protocol version."""
     return Hello(
         version=codec.PROTOCOL_VERSION,
         kind=kind,
--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -1,4 +1,7 @@
-"""One connection to the small HTTP server: h11 parses and writes, this module moves bytes."""
+"""One connection to the small HTTP server, as an asyncio protocol over the h11 state machine.
+
+Requests are read completely into memory, handled one at a time, and answered in order.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,13 @@
 
 MAX_BODY_BYTES = 2 * 1024 * 1024
 IDLE_SECONDS = 20.0
-"""A connection without a request for this long is closed."""
+"""A connection on which nothing is received for this long is closed."""
 
 logger = structlog.get_logger(__name__)
 
 
 class HttpConnection(asyncio.Protocol):
-    """One caller's connection; requests are answered one after the other."""
+    """One client's connection; requests are answered one after the other."""
 
     def __init__(self, handler: HttpHandler, connections: set[HttpConnection]) -> None:
         self._handler = handler
@@ -30,17 +33,17 @@
         self._transport: asyncio.Transport | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
         self._client_closed = False
-        """True once the caller has closed its side."""
+        """True once the client has closed its sending side."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Register a new connection and start its idle timer."""
         # uvloop's transports have the methods of asyncio's, but not its base class.
         self._transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection; a handler at work ends by itself."""
+        """Remove the connection; a handler that still runs ends by itself."""
         self._connections.discard(self)
         self._transport = None
         if self._idle_timer is not None:
@@ -60,13 +63,13 @@
         self._idle_timer = asyncio.get_running_loop().call_later(IDLE_SECONDS, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes, and handle the request once it is complete."""
         self._restart_idle_timer()
         self._parser.receive_data(data)
         self._process_events()
 
     def eof_received(self) -> bool:
-        """Note that the caller sends no more."""
+        """Handle the end of the client's data; the connection stays open for a pending response."""
         self._client_closed = True
         self._parser.receive_data(b"")
         self._process_events()
@@ -104,7 +107,7 @@
         try:
             response = await self._handler(request)
         except Exception:
-            # A fault in a handler must not take the server along.
+            # A fault in a handler must not end the server.
             logger.exception("http-handler-failed", method=request.method, path=request.path)
             response = HttpResponse(500)
         self._task = None
--- a/src/jasperwalk/transport/http_messages.py
+++ b/src/jasperwalk/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the small HTTP server."""
+"""Requests and responses of the small HTTP server, and the type of its handlers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class HttpRequest(msgspec.Struct, frozen=True):
     """One request; `path` is the target without its query.
 
-    `client_connected` tells whether the connection on which it came still stands.
+    `client_connected` tells whether its connection is still open.
     """
 
     method: str
@@ -20,7 +20,7 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """One response; a body has the type JSON unless the headers say otherwise."""
+    """One response; the body is sent as JSON unless the headers name another type."""
 
     status: int
     body: bytes = b""
--- a/src/jasperwalk/transport/http_server.py
+++ b/src/jasperwalk/transport/http_server.py
@@ -1,8 +1,8 @@
-"""A small HTTP/1.1 server: one handler, bodies in memory, no waiting for slow callers.
+"""A small HTTP/1.1 server: one handler, bodies in memory, idle connections closed.
 
-`http_connection` parses and writes. It serves the product's few plain calls
-(readiness, heartbeats of hosts, operators of the datagram plane) on processes that have to
-start within a tenth of a second.
+It serves the few plain calls of the datagram plane (readiness, heartbeats of hosts, operators)
+in processes that have to start within a tenth of a second. `http_connection` parses requests
+and writes responses.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
     def _connect(self) -> HttpConnection:
         """Return the protocol of a new connection.
 
-        It is loaded with the first caller: h11 takes a fourteenth of a balancer's start, in which
-        packets wait.
+        Its module is imported with the first connection: h11 takes a fourteenth of a balancer's
+        start-up time, during which packets wait.
         """
         from jasperwalk.transport.http_connection import HttpConnection  # noqa: PLC0415
 
@@ -52,7 +52,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The end point, with its real port once `start` ran."""
+        """The end point, with the bound port once `start` has run."""
         if self._server is None:
             return self._endpoint
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -68,7 +68,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(*servers: HttpServer | None) -> AsyncIterator[None]:
-    """Keep servers open for a while; those that the settings leave out are None."""
+    """Start servers and close them on exit; those that the settings leave out are None."""
     present = [server for server in servers if server is not None]
     try:
         for server in present:
--- a/src/jasperwalk/transport/identity.py
+++ b/src/jasperwalk/transport/identity.py
@@ -1,7 +1,7 @@
-"""Who a certificate names: a process's cluster, role and name, and what each role may open.
+"""Identity in certificates: a process's cluster, role and name, and what each role may open.
 
-The name stands in the certificate as the URI `jasperwalk://CLUSTER/ROLE/NAME` (subject
-alternative name). Addresses say nothing about a process, so host names are not checked.
+The identity is the URI `jasperwalk://CLUSTER/ROLE/NAME` in the subject alternative name. Host
+names are not checked, because a process may run at any address.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ProcessRole(enum.StrEnum):
-    """What the holder of a certificate is."""
+    """Role of the holder of a certificate."""
 
     CONTROL = "control"
     BALANCER = "balancer"
@@ -48,7 +48,7 @@
     ConnectionKind.LENDING: frozenset({ProcessRole.AGENT}),
     ConnectionKind.OPERATOR: frozenset({ProcessRole.OPERATOR}),
 }
-"""Who may open a connection of a kind; nobody where the kind is not named."""
+"""Roles that may open a connection of a kind; none for a kind that is not listed."""
 
 SERVER_ROLES: dict[ConnectionKind, frozenset[ProcessRole]] = {
     ConnectionKind.PEER: frozenset({ProcessRole.CONTROL}),
@@ -57,11 +57,11 @@
     ConnectionKind.LENDING: frozenset({ProcessRole.AGENT}),
     ConnectionKind.OPERATOR: frozenset({ProcessRole.CONTROL}),
 }
-"""Who serves connections of a kind."""
+"""Roles that may serve connections of a kind."""
 
 
 def parse_identity(uri: str) -> Identity | None:
-    """Return whom a URI names, None where it is none of ours."""
+    """Return the identity that a URI names, None where it is not of this form."""
     parts = urlsplit(uri)
     path = parts.path.lstrip("/").split("/")
     if parts.scheme != URI_SCHEME or len(path) != PATH_PARTS or not all((parts.netloc, *path)):
@@ -73,9 +73,9 @@
 
 
 def identity_of(peer_certificate: Mapping[str, Any] | None) -> Identity:
-    """Return whom a certificate names, given as `SSLObject.getpeercert` describes it.
+    """Return the identity in a certificate, given as `SSLObject.getpeercert` returns it.
 
-    Raises `CertificateWithoutIdentity` where it names nobody, or several.
+    Raises `CertificateWithoutIdentity` where it names no process, or several.
     """
     names = (peer_certificate or {}).get("subjectAltName", ())
     parsed = [parse_identity(text) for kind, text in names if kind == "URI"]
@@ -98,7 +98,7 @@
 def check_claim(identity: Identity | None, role: str, name: str) -> None:
     """Raise `IdentityMismatch` unless a claimed role and name are the certificate's.
 
-    Without TLS there is no identity, and every claim is taken.
+    Without TLS there is no identity, and every claim is accepted.
     """
     if identity is not None and (identity.role != role or identity.name != name):
         raise IdentityMismatch(identity=str(identity), claim=f"be {role} {name!r}")
--- a/src/jasperwalk/transport/keep_alive.py
+++ b/src/jasperwalk/transport/keep_alive.py
@@ -1,7 +1,7 @@
 """TCP keep-alive: ends idle connections whose other side can no longer be reached.
 
-Links that carry signs of life of their own notice silence sooner; this is for those on which a side
-may wait for long with good reason, such as a relayed answer that rests.
+Links with heartbeats of their own detect silence sooner. This is for connections on which a side
+may wait long with good reason, such as a relayed response that pauses.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import socket
 
 IDLE_SECONDS = 10
-"""Time without a packet after which the kernel asks the other side's kernel."""
+"""Idle time after which the kernel sends the first keep-alive probe."""
 PROBE_INTERVAL_SECONDS = 5
-"""Time between two questions."""
+"""Time between two probes."""
 PROBE_COUNT = 4
-"""Unanswered questions after which the connection fails."""
+"""Unanswered probes after which the connection fails."""
 
 
 def keep_alive(writer: asyncio.StreamWriter) -> None:
-    """Let the kernel end this connection once the other side is silent for 30 s."""
+    """Have the kernel end this connection once the other side is silent for 30 s."""
     connection = writer.get_extra_info("socket")
     if connection is None:
         return
--- a/src/jasperwalk/transport/server.py
+++ b/src/jasperwalk/transport/server.py
@@ -1,4 +1,8 @@
-"""A TCP server that hands each framed connection to the handler of its kind."""
+"""A TCP server that exchanges Hellos and passes each framed connection to the handler of its kind.
+
+It bounds the connections that wait, that are accepted in one turn of the event loop, and that
+are open at once, and refuses peers whose version, cluster, certificate or kind does not fit.
+"""
 
 from __future__ import annotations
 
@@ -20,22 +24,22 @@
     from jasperwalk.transport.tls import LinkTls
 
 ConnectionHandler = Callable[[FramedConnection], Awaitable[None]]
-"""Serves one connection until it returns; the server closes the connection afterwards."""
+"""Serves one connection; the server closes the connection when the handler returns."""
 
 LISTEN_BACKLOG = 4_096
-"""Connections that may wait to be taken: asyncio's 100 would have most of a region, returning
-at once, dial again and again. The kernel's own limit is the same on current Linux."""
+"""Connections that may wait to be accepted. With asyncio's default of 100, most processes of a
+region that reconnect at once would have to retry. Current Linux has the same limit."""
 ACCEPTED_PER_TURN = 32
-"""Connections that one turn of the event loop takes. A fleet that returns at once would hold
-up everything else on the loop for seconds; the others wait in the kernel's queue."""
+"""Connections accepted in one turn of the event loop; the others wait in the kernel's backlog.
+Without the bound, a fleet that reconnects at once would block the loop for seconds."""
 MAX_CONNECTIONS = 16_384
-"""Connections that a server carries at once; further ones are dropped."""
+"""Open connections of a server; further ones are dropped."""
 
 logger = structlog.get_logger(__name__)
 
 
 class FramedServer:
-    """Listens on one end point. Garbage from a connection ends that connection alone."""
+    """Listens on one end point. Invalid data on a connection ends that connection only."""
 
     def __init__(
         self,
@@ -54,7 +58,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.endpoint = endpoint
         self.refused: dict[str, int] = {}
-        """Connections that ended with an error, counted by the error's kind."""
+        """Number of connections that ended with an error, by the error's kind."""
 
     async def start(self) -> None:
         """Bind and listen; `endpoint` then holds the port in use. Raises `OSError`."""
@@ -67,7 +71,7 @@
             ssl=None if tls is None else tls.server_context(),
             ssl_handshake_timeout=None if tls is None else self._hello_timeout_seconds,
         )
-        # For asyncio the backlog is also what it takes in one turn: the queue is set apart.
+        # asyncio also accepts up to its backlog in one turn, so the kernel's is set separately.
         listener.listen(LISTEN_BACKLOG)
         host, port = listener.getsockname()[:2]
         self.endpoint = Endpoint(host=host, port=port)
@@ -96,7 +100,7 @@
     ) -> None:
         try:
             if self._tls is not None:
-                # Loaded here only: processes without TLS start without a certificate library.
+                # Imported here, so that processes without TLS load no certificate library.
                 from jasperwalk.transport.identity import identity_of  # noqa: PLC0415
 
                 connection.identity = identity_of(certificate)
@@ -107,7 +111,7 @@
             connection.abort()
             raise
         except Exception:
-            # A fault in one handler must not take the listener or other connections along.
+            # A fault in one handler must not end the listener or other connections.
             logger.exception("connection-handler-failed")
             connection.abort()
             return
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -1,8 +1,8 @@
 """Mutual TLS 1.3 of the internal links, from three PEM files that may be renewed at any time.
 
-The files are looked at when a connection opens, at most once in `POLL_SECONDS`; new
-connections use what they then hold. Files that can't be used (a key that was replaced before
-its certificate) are logged, and what was loaded before stays in use until they can.
+The files are checked when a connection opens, at most once in `POLL_SECONDS`; new connections
+use the content of that time. Files that can't be used (a key that was replaced before its
+certificate) are logged, and the former content stays in use until they can.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
 EXPIRY_WARNING_TIME = datetime.timedelta(days=7)
-"""Remaining life of a certificate below which each look at the files warns of its end."""
+"""Remaining lifetime of a certificate below which its expiry is logged as a warning."""
 WARNING_INTERVAL_SECONDS = 3600.0
 
 logger = structlog.get_logger(__name__)
@@ -39,7 +39,7 @@
 
 
 class LinkTls:
-    """Makes the TLS contexts of one process; `expires_at` is its certificate's end."""
+    """Holds the TLS contexts of one process; `expires_at` is its certificate's expiry."""
 
     def __init__(
         self, files: TlsFiles, identity: Identity, clock: Callable[[], float] = time.monotonic
@@ -62,11 +62,11 @@
         return self._client
 
     def server_context(self) -> ssl.SSLContext:
-        """Return the context to listen with; its connections take renewed files by themselves."""
+        """Return the context to listen with; each new connection uses the newest files."""
         return self._listening_context
 
     def explain_close_after_handshake(self) -> CertificateRefused | TlsFailed:
-        """Return why the other side may have closed a connection right after the handshake."""
+        """Return the likely reason why the other side closed right after the handshake."""
         if self.expires_at < datetime.datetime.now(datetime.UTC):
             ended = f"this process's own expired at {self.expires_at.isoformat()}"
             return CertificateRefused(reason=ended)
@@ -75,7 +75,7 @@
     def _choose_context(
         self, connection: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
     ) -> None:
-        """Give a connection that opens now the newest files (called by OpenSSL)."""
+        """Switch a connection that opens now to the newest files (OpenSSL's SNI callback)."""
         self._reload_if_changed()
         connection.context = self._server
 
@@ -94,7 +94,7 @@
         certificate = _read_certificate(self._files.certificate_file)
         _check_identity(certificate, self.identity, self._files.certificate_file)
         server = _load_context(ssl.PROTOCOL_TLS_SERVER, self._files)
-        # Sessions are never resumed: each connection proves its certificate anew.
+        # Sessions are never resumed: each connection has to prove its certificate again.
         server.num_tickets = 0
         client = _load_context(ssl.PROTOCOL_TLS_CLIENT, self._files)
         self._server, self._client = server, client
@@ -131,7 +131,7 @@
 
 
 def describe_links(tls: LinkTls | None) -> str:
-    """Say in a few words how the internal links are protected."""
+    """Describe in a few words how the internal links are protected."""
     if tls is None:
         return "internal links: plain TCP, no [tls] in the settings"
     return f"internal links: TLS, certificate until {tls.expires_at.isoformat()}"
