--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -1,8 +1,9 @@
-"""Client of control's HTTP API: tries the replicas in turn, bounded in time.
+"""Client of control's HTTP API: tries the replicas in turn until a deadline.
 
-A request goes to the next replica when the connection fails, when no answer comes, and on
-503 or 504. A change carries its change ID, so sending it again is safe: it gets the first
-outcome. A request without change ID that may have arrived is never sent again.
+A request goes to the next replica when the connection fails, when no response comes, and on any
+5xx status. A change carries its change ID, so that resending it is safe: control returns the
+first outcome. A request that changes something without a change ID is not resent once it may
+have arrived.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from jasperwalk.transport.certificates import CONTROL_HOST_NAME
 
 ATTEMPT_TIMEOUT_SECONDS = 5.0
-"""How long one replica may take to answer, besides a wait that was asked for."""
+"""Time-out of one replica, on top of the wait that the request asks for."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 INITIAL_PAUSE_SECONDS = 0.2
-"""Pause after the first round over all replicas; it doubles with each round."""
+"""Pause after the first round over all replicas; it doubles with each further round."""
 
 MAX_PAUSE_SECONDS = 2.0
 RETRY_AFTER = "Retry-After"
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class ApiRequest:
-    """One request; `wait_seconds` is time that the replica is asked to hold it."""
+    """One request; `wait_seconds` is how long the replica is asked to hold it."""
 
     method: str
     path: str
@@ -51,7 +52,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether it may be sent again after it may have arrived."""
+        """Tell whether it may be resent once it may have arrived."""
         return self.method == "GET" or self.change_id is not None
 
     def headers(self) -> dict[str, str]:
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True)
 class DefiniteAnswer:
-    """A replica's definite answer."""
+    """A response that settles the request: any status below 500."""
 
     status: int
     body: bytes
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class FailedAttempt:
-    """An attempt without a definite answer."""
+    """An attempt that did not settle the request; `may_have_run` tells if it may have acted."""
 
     reason: str
     may_have_run: bool
@@ -86,8 +87,8 @@
 class ApiClient:
     """Talks to the replicas' API end points, in the order given.
 
-    `timeout_seconds` bounds a request over all its attempts, besides its own wait. With `tls`
-    requests travel over https, to certificates of control alone.
+    `timeout_seconds` bounds a request over all its attempts, on top of its own wait. With `tls`
+    requests are sent over https, and only certificates of control replicas are accepted.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
 
         Raises `OperationRefused`, `ControlUnreachable` or `ChangeOutcomeUnknown`.
         """
-        # Connections are not kept: aiohttp would resend by itself on one that has gone stale.
+        # Connections are not reused: aiohttp would itself resend on one that has gone stale.
         connector = aiohttp.TCPConnector(force_close=True, ssl=self._tls or True)
         async with aiohttp.ClientSession(connector=connector) as session:
             answer = await self._send_until_answered(session, request)
@@ -151,7 +152,7 @@
         request: ApiRequest,
         remaining: float,
     ) -> DefiniteAnswer | FailedAttempt:
-        """Send the request to one replica, within `remaining` seconds."""
+        """Send the request to one replica, for at most `remaining` seconds."""
         total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
         timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_TIMEOUT_SECONDS)
         try:
@@ -178,7 +179,7 @@
 def _classify(
     endpoint: Endpoint, response: aiohttp.ClientResponse, body: bytes
 ) -> DefiniteAnswer | FailedAttempt:
-    """Tell definite answers from those that send the client to another replica."""
+    """Separate definite answers from those after which another replica is tried."""
     answer = DefiniteAnswer(status=response.status, body=body)
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return answer
@@ -207,7 +208,7 @@
 
 
 def _parse_seconds(text: str) -> float:
-    """Read a Retry-After of seconds; a date or nonsense counts as none."""
+    """Parse a Retry-After in seconds; a date or an invalid value counts as 0."""
     try:
         seconds = float(text)
     except ValueError:
--- a/src/jasperwalk/cli/api_requests.py
+++ b/src/jasperwalk/cli/api_requests.py
@@ -1,4 +1,4 @@
-"""The requests that commands send, one function an operation of the API."""
+"""The requests that commands send: one function per operation of the HTTP API."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read(*parts: str) -> ApiRequest:
-    """Read what stands under `/v1/` and the parts."""
+    """Read the resource at `/v1/` followed by the parts."""
     return ApiRequest(method="GET", path=_path(*parts))
 
 
--- a/src/jasperwalk/cli/api_tls.py
+++ b/src/jasperwalk/cli/api_tls.py
@@ -1,4 +1,4 @@
-"""The command line's side of https: an operator's certificate, checked before anything is sent."""
+"""TLS of API calls: loads an operator's certificate and checks it before anything is sent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class ApiTlsFiles:
-    """The files that the flags name; all three together, or none for plain http."""
+    """The files that the flags name: all three for https, or none for plain http."""
 
     ca_file: Path | None = None
     certificate_file: Path | None = None
--- a/src/jasperwalk/cli/change_submission.py
+++ b/src/jasperwalk/cli/change_submission.py
@@ -1,4 +1,4 @@
-"""Sending a change and, where asked for, waiting until it is in force."""
+"""Sends a change and, with --wait, polls until it is in force on all balancers and agents."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from jasperwalk.control.views import ChangeView
 
 MAX_POLL_SECONDS = 5.0
-"""How long one request asks the replica to wait; longer waits take several."""
+"""Longest wait that one request asks of the replica; longer waits take several requests."""
 
 MILLISECONDS = 1000
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """What a command prints of an accepted change; `in_force` is null without --wait.
+    """JSON object of an accepted change; `in_force` is null without --wait.
 
     `revision` is the table's, `subject_revision` the template's or tenant's own (0 for none).
     """
@@ -60,7 +60,7 @@
 
 
 def describe_change(change: ChangeView) -> str:
-    """Return the line of an accepted change; its own revision is that of --expect-revision."""
+    """Return the line of an accepted change; --expect-revision takes its "own revision"."""
     line = f"{change.outcome} at table revision {change.revision}"
     if change.subject_revision:
         line += f", own revision {change.subject_revision}"
--- a/src/jasperwalk/cli/changes.py
+++ b/src/jasperwalk/cli/changes.py
@@ -1,4 +1,4 @@
-"""`jasperwalk change`: submit a change document, show a change, wait for it."""
+"""`jasperwalk change`: submit a change document, show a change, wait until it is in force."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     """Submit the change document FILE (TOML, or JSON in a .json file).
 
     The document holds one of [template] (file or text), [tenant] (name, template, values)
-    and remove_tenant, and may hold change_id and expected_revision; flags come first.
+    and remove_tenant, and may hold change_id and expected_revision; flags take precedence.
     """
     document = read_change(file)
     request = _request_of(document, file)
@@ -67,7 +67,7 @@
 
 
 def _flags_of(document: ChangeDocument, flags: ChangeFlags) -> ChangeFlags:
-    """Take change ID and expected revision from the document where no flag gave them."""
+    """Take change ID and expected revision from the document where no flag sets them."""
     if document.change_id is not None and not flags.is_resend:
         flags = replace(flags, change_id=document.change_id)
     if flags.expected_revision is None:
@@ -104,7 +104,7 @@
 def wait(change_id: str, wait_seconds: float, operation: Operation) -> None:
     """Wait until the change CHANGE_ID is in force on every balancer and agent.
 
-    Ends with exit code 5, and names the processes that are behind, when it is not in time.
+    Exits with code 5, and names the processes that are behind, when it is not in force in time.
     """
     report = operation.run(wait_until_in_force(operation.client, change_id, wait_seconds))
     operation.printer.result(report, [describe_report(report)])
--- a/src/jasperwalk/cli/daemons.py
+++ b/src/jasperwalk/cli/daemons.py
@@ -1,4 +1,4 @@
-"""`jasperwalk control|balancer|agent`: the daemons."""
+"""`jasperwalk control|balancer|agent`: check the settings of a daemon and run it."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from jasperwalk.transport.identity import ProcessRole
 from jasperwalk.transport.tls import describe_links, link_tls_of
 
-# The daemons' own modules are imported when they run: operators' commands, and --check, do
-# not pay for QUIC and consensus.
+# The daemons' own modules are imported when they run, so that operators' commands and --check
+# do not load QUIC and consensus.
 # ruff: noqa: PLC0415
 
 Command = TypeVar("Command", bound=Callable[..., object])
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class DaemonFlags:
-    """The flags that every daemon has; `overrides` holds the named ones and --set."""
+    """Flags that every daemon has; `overrides` holds --set and the flags of single keys."""
 
     settings_path: Path | None
     overrides: tuple[str | Override, ...]
@@ -66,7 +66,7 @@
             "--settings",
             "settings_path",
             type=click.Path(path_type=Path),
-            help="Settings file (TOML). Without it the flags alone make the settings.",
+            help="Settings file (TOML). Without it the settings come from the flags alone.",
         )(command)
 
     return decorate
@@ -78,7 +78,7 @@
     single_overrides: tuple[str, ...],
     named: dict[str, str | None],
 ) -> DaemonFlags:
-    """Gather the flags; a named flag comes before --set of the same key."""
+    """Collect the flags; a key's own flag takes precedence over --set of the same key."""
     overrides: list[str | Override] = list(single_overrides)
     for key, value in named.items():
         if value is not None:
@@ -95,7 +95,7 @@
     model: type[Settings],
     main: Callable[[Settings], Coroutine[Any, Any, None]],
 ) -> None:
-    """Check the settings, then run the daemon; end with one line and exit code 2 if wrong."""
+    """Check the settings and run the daemon; invalid settings are one line and exit code 2."""
     try:
         settings = load_settings(flags.settings_path, model, flags.overrides)
         source = source_name(flags.settings_path)
@@ -182,6 +182,6 @@
     single_overrides: tuple[str, ...],
     **named: str | None,
 ) -> None:
-    """Run the agent beside a back end."""
+    """Run the agent beside a backend."""
     flags = collect_flags(settings_path, check_only, single_overrides, named)
     start("agent", flags, AgentSettings, _run_agent)
--- a/src/jasperwalk/cli/documents.py
+++ b/src/jasperwalk/cli/documents.py
@@ -16,14 +16,14 @@
 
 
 class TemplateChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A template to apply: its file, counted from the document's folder, or its text."""
+    """A template to apply: its file, relative to the document's folder, or its text."""
 
     file: str | None = None
     text: str | None = None
 
 
 class TenantChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant to set."""
+    """A tenant to create or change."""
 
     name: str
     template: str
@@ -57,7 +57,7 @@
 
 
 def read_document(path: Path, shape: type[Document]) -> Document:
-    """Read a TOML file (JSON where its name ends in .json) of the given shape."""
+    """Read a TOML file (JSON where its name ends in .json) of the given type."""
     text = read_text(path)
     try:
         if path.suffix == JSON_SUFFIX:
@@ -86,7 +86,7 @@
 
 
 def template_text(change: TemplateChange, document_path: Path) -> str:
-    """Return the text of a document's template."""
+    """Return the text of a document's template, from the document or its file."""
     if (change.file is None) == (change.text is None):
         raise InvalidInput(
             source=str(document_path),
@@ -99,7 +99,7 @@
 
 
 def template_name(text: str, source: str) -> str:
-    """Return the `name` that a template's TOML text gives itself."""
+    """Return the `name` in a template's TOML text."""
     try:
         name = tomllib.loads(text).get("name")
     except tomllib.TOMLDecodeError as error:
--- a/src/jasperwalk/cli/exit_codes.py
+++ b/src/jasperwalk/cli/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit status says."""
+    """Exit status of a command."""
 
     OK = 0
     REFUSED = 1
@@ -14,10 +14,10 @@
     USAGE = 2
     """Wrong flags, settings or input files; nothing was sent."""
     CONTROL_UNREACHABLE = 3
-    """No control replica took the request; nothing was changed."""
+    """No control replica accepted the request; nothing was changed."""
     OUTCOME_UNKNOWN = 4
     """The change may have been accepted; resend it with the same --change-id."""
     NOT_IN_FORCE = 5
-    """Accepted, but not in force everywhere within the time."""
+    """Accepted, but not in force everywhere within the wait limit."""
     INTERRUPTED = 130
     """Stopped by the operator (Ctrl-C)."""
--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -1,8 +1,8 @@
-"""`jasperwalk explain`: the story of one flow, drawn together from the logs of many processes.
+"""`jasperwalk explain`: the history of one flow, collected from the logs of many processes.
 
-Lines that name the flow are shown in the order of time, and with them what the processes that
-acted on it had last come to believe before (routes in force, agents, the host's phase, the
-home), because a decision rests on that. Works on log files alone; nothing needs to run.
+Lines that name the flow are shown in order of time. Before them stands the last logged state of
+the processes that acted on it (routes in force, agents, phase of the host, home replica),
+because their decisions depend on it. Only log files are read; no process needs to run.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One parsed line; `fields` holds the keys beyond those that every line has."""
+    """One parsed line; `fields` holds the keys beside those that every line has."""
 
     timestamp: str
     process: str
@@ -47,14 +47,17 @@
     fields: dict[str, str]
 
     def text(self) -> str:
-        """Return the line for people."""
+        """Return the line as text for people."""
         details = " ".join(f"{key}={value}" for key, value in self.fields.items())
         return f"{self.timestamp} {self.name:<24} {self.event:<20} {details}"
 
 
 @dataclass(frozen=True)
 class FlowHistory:
-    """A flow's lines, and what its processes believed before the first of them."""
+    """Lines of a flow, and the last state that its processes logged before the first of them.
+
+    The field names are the keys of the JSON output.
+    """
 
     flow: str
     beliefs: list[LogLine]
@@ -62,7 +65,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Parse one key=value line; None for a line that is none of the product's."""
+    """Parse one key=value line; None for a line without the keys that every log line has."""
     fields = {match["key"]: match["value"].strip('"') for match in FIELD.finditer(text)}
     if any(key not in fields for key in COMMON_KEYS):
         return None
@@ -71,7 +74,7 @@
 
 
 def build_history(flow: str, lines: Iterable[LogLine]) -> FlowHistory:
-    """Return the story of a flow from lines in any order."""
+    """Return the history of a flow, from lines in any order."""
     ordered = sorted(lines, key=lambda line: line.timestamp)
     own = [line for line in ordered if line.fields.get("flow") == flow]
     if not own:
@@ -81,7 +84,7 @@
 
 
 def _last_known_state(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
-    """Yield each process' last line of a kind before a time, for what concerns the flow."""
+    """Yield the last line per process, state event and agent up to a time that concerns the flow."""
     latest: dict[tuple[str, str, str], LogLine] = {}
     for line in ordered:
         subject = line.fields.get("agent", "")
@@ -112,11 +115,11 @@
 @click.argument(
     "logs", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
-@click.option("--json", "as_json", is_flag=True, help="Print the story as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the history as JSON.")
 def explain(flow: str, logs: tuple[Path, ...], as_json: bool) -> None:
-    """Tell the story of FLOW (CALLER:PORT>LISTENER:PORT) from the processes' LOGS.
+    """Show the history of FLOW (CALLER:PORT>LISTENER:PORT) from the processes' LOGS.
 
-    Exit codes: 0 told; 1 no line names the flow.
+    Exit codes: 0 shown; 1 no line names the flow.
     """
     history = build_history(flow, _read(logs))
     if as_json:
@@ -130,9 +133,9 @@
 
 
 def _print(history: FlowHistory) -> None:
-    click.echo("What its processes believed before:")
+    click.echo("Last known state before the flow:")
     for line in history.beliefs:
         click.echo(f"  {line.text()}")
-    click.echo("What happened:")
+    click.echo("Events of the flow:")
     for line in history.lines:
         click.echo(f"  {line.text()}")
--- a/src/jasperwalk/cli/failures.py
+++ b/src/jasperwalk/cli/failures.py
@@ -13,7 +13,7 @@
 
 @dataclass(eq=False)
 class CommandError(JasperwalkError):
-    """Root of the failures that a command ends with."""
+    """Base of the failures that end a command."""
 
     kind: ClassVar[str] = "command-failed"
     exit_code: ClassVar[ExitCode] = ExitCode.REFUSED
@@ -27,7 +27,7 @@
     problem: Problem
 
     def describe(self) -> str:
-        """Give control's own kind and words."""
+        """Return control's kind and detail."""
         return f"{self.problem.kind}: {self.problem.detail}"
 
 
@@ -42,13 +42,13 @@
     mend: str
 
     def describe(self) -> str:
-        """Name the source, the problem and the mend."""
+        """Name the source, the problem and the remedy."""
         return f"{self.source}: {self.problem}; {self.mend}"
 
 
 @dataclass(eq=False)
 class ControlUnreachable(CommandError):
-    """No replica answered; `attempts` has the last reason of each."""
+    """No replica settled the request; `attempts` has the reason of each one tried."""
 
     kind: ClassVar[str] = "control-unreachable"
     exit_code: ClassVar[ExitCode] = ExitCode.CONTROL_UNREACHABLE
@@ -69,8 +69,8 @@
     attempts: tuple[str, ...]
 
     def describe(self) -> str:
-        """Name the mend: a resend, or a look at the state."""
-        mend = "look at the present state before you repeat it"
+        """Name the remedy: a resend, or a check of the current state."""
+        mend = "check the current state before you repeat it"
         if self.change_id is not None:
             mend = f"resend it with --change-id {self.change_id}"
         return f"the outcome is not known ({'; '.join(self.attempts)}); {mend}"
@@ -78,7 +78,7 @@
 
 @dataclass(eq=False)
 class NotInForce(CommandError):
-    """An accepted change was not in force everywhere when the time was up."""
+    """An accepted change was not in force everywhere within the wait limit."""
 
     kind: ClassVar[str] = "not-in-force"
     exit_code: ClassVar[ExitCode] = ExitCode.NOT_IN_FORCE
@@ -86,7 +86,7 @@
     in_force: InForce
 
     def describe(self) -> str:
-        """Give the counts and the laggards."""
+        """Return the counts and the processes that are behind."""
         return (
             f"change {self.change_id} is accepted, but revision {self.in_force.revision} is not "
             f"in force everywhere yet: {describe_in_force(self.in_force)}"
@@ -94,7 +94,7 @@
 
 
 def describe_in_force(report: InForce) -> str:
-    """Return counts and laggards of a report in one line."""
+    """Return the counts and the laggards of a report in one line."""
     text = describe_counts(report.in_force, report.balancers, report.agents_in_force, report.agents)
     if report.laggards:
         text += f"; behind: {describe_laggards(report.laggards, report.laggard_count)}"
@@ -111,6 +111,6 @@
 
 
 def describe_laggards(laggards: list[str], count: int) -> str:
-    """Name the laggards, and tell how many more there are."""
+    """Return the names of the laggards, and how many more there are."""
     names = ", ".join(laggards)
     return names if count <= len(laggards) else f"{names} and {count - len(laggards)} more"
--- a/src/jasperwalk/cli/keys.py
+++ b/src/jasperwalk/cli/keys.py
@@ -1,4 +1,4 @@
-"""`jasperwalk keys`: make certificates, rotate fleet keys, and show which are in use."""
+"""`jasperwalk keys`: issue certificates, rotate fleet keys, and show which are in use."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class CertificateView(msgspec.Struct, frozen=True):
-    """One certificate: its holder, its files, its end (ISO 8601), and whether it was made now."""
+    """One certificate: holder, files, expiry (ISO 8601), and whether this run issued it."""
 
     holder: str
     certificate_file: str
@@ -52,7 +52,7 @@
 
 
 class CertificateList(msgspec.Struct, frozen=True):
-    """What `keys init` made and found."""
+    """The JSON object of `keys init`: certificates that it issued or found."""
 
     ca_file: str
     certificates: list[CertificateView]
@@ -60,7 +60,7 @@
 
 @click.group()
 def keys() -> None:
-    """Make certificates for processes and operators, and rotate the fleet's secret keys."""
+    """Issue certificates to processes and operators, and rotate the fleet's secret keys."""
 
 
 @keys.command(
@@ -75,7 +75,7 @@
     "folder",
     type=click.Path(path_type=Path, file_okay=False),
     required=True,
-    help="Folder of the CA and of what it signs; it is made, and only you may read it.",
+    help="Folder of the CA and its certificates; created where missing, readable by you only.",
 )
 @click.option("--cluster", "cluster_id", required=True, help="The cluster_id of the settings.")
 @click.option("--control", "control", multiple=True, metavar="NAME", help="A control replica.")
@@ -87,9 +87,9 @@
     type=click.IntRange(min=1, max=3650),
     default=DEFAULT_DAYS,
     show_default=True,
-    help="Life of the certificates.",
+    help="Lifetime of the certificates, in days.",
 )
-@click.option("--renew", is_flag=True, help="Make the named ones anew, also where they exist.")
+@click.option("--renew", is_flag=True, help="Issue the named ones again, also where they exist.")
 @click.option("--json", "json_output", is_flag=True, help="Print one JSON object.")
 def init(
     folder: Path,
@@ -99,9 +99,9 @@
     json_output: bool,
     **names: tuple[str, ...],
 ) -> None:
-    """Make the cluster's CA and one certificate for each process and operator named.
+    """Create the cluster's CA and one certificate for each process and operator named.
 
-    Run it again to add or renew some: the CA stays, and so does what is not to be renewed.
+    Run it again to add or renew some: the CA stays, and so do certificates not to be renewed.
     """
     holders = [
         Identity(_validated_name(cluster_id), ProcessRole(role), _validated_name(name))
@@ -120,10 +120,10 @@
 @api_options
 @change_options
 def rotate(purpose: str, operation: Operation, flags: ChangeFlags) -> None:
-    """Put the next key of PURPOSE in the place of the active one.
+    """Replace the active key of PURPOSE by the next one.
 
     A new key is installed; once every balancer and agent holds it, the next one becomes
-    active. No flow breaks: the former key stays accepted while something rests on it.
+    active. No flow breaks: the former key stays accepted while something still uses it.
     """
     operation.run(send_change(operation, api_requests.rotate_key(purpose), flags))
 
@@ -152,7 +152,7 @@
 
 
 def _load_or_create_authority(folder: Path, cluster_id: str) -> Authority:
-    """Read the folder's CA, or make one where there is none."""
+    """Read the folder's CA, or create one where there is none."""
     try:
         folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
         if not (folder / CA_FILE).exists() and not (folder / CA_KEY_FILE).exists():
--- a/src/jasperwalk/cli/main.py
+++ b/src/jasperwalk/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `jasperwalk`."""
+"""The command `jasperwalk`, with its subcommands."""
 
 from __future__ import annotations
 
--- a/src/jasperwalk/cli/operation.py
+++ b/src/jasperwalk/cli/operation.py
@@ -1,4 +1,4 @@
-"""What operators' commands share: flags, the API client, and how failures end a command."""
+"""Shared parts of operators' commands: flags, the API client, and the exit code of failures."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     (CERTIFICATE_FLAG, "certificate_file", "JASPERWALK_CERTIFICATE", "the operator's certificate"),
     (KEY_FLAG, "private_key_file", "JASPERWALK_KEY", "its private key"),
 )
-"""Flag, argument, environment variable and content of each file of https."""
+"""Flag, argument, environment variable and content of each file that https needs."""
 
 Command = TypeVar("Command", bound=Callable[..., object])
 Result = TypeVar("Result")
 
 
 class EndpointType(click.ParamType[Endpoint]):
-    """A flag's value of the shape `IPV4:PORT`, or a URL `http[s]://IPV4:PORT`."""
+    """A flag's value of the form `IPV4:PORT`, or a URL `http[s]://IPV4:PORT`."""
 
     name = "ipv4:port"
 
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> Endpoint:
-        """Parse the text; a wrong one ends the command with exit code 2."""
+        """Parse the text; an invalid one ends the command with exit code 2."""
         if isinstance(value, Endpoint):
             return value
         text = str(value).strip().rstrip("/")
@@ -61,7 +61,7 @@
         self.examples = tuple(examples)
 
     def format_epilog(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the examples, one a line."""
+        """Write the examples, one per line."""
         if not self.examples:
             return
         with formatter.section("Examples"):
@@ -70,7 +70,7 @@
 
 
 class OperatorCommand(ExampleCommand):
-    """A command that turns typed failures into one line and an exit code."""
+    """A command that reports a typed failure as one line, and ends with its exit code."""
 
     def invoke(self, ctx: click.Context) -> Any:
         """Run the command."""
@@ -94,7 +94,7 @@
     printer: Printer
 
     def run(self, main: Coroutine[Any, Any, Result]) -> Result:
-        """Run the command's coroutine to its end."""
+        """Run the command's coroutine to completion."""
         return asyncio.run(main)
 
 
@@ -113,7 +113,7 @@
 
 
 def api_options(command: Command) -> Command:
-    """Add --api, the https flags, --timeout and --json; they arrive as `operation`."""
+    """Add --api, the https flags, --timeout and --json; the command gets them as `operation`."""
 
     def run(
         *arguments: Any,
@@ -142,7 +142,7 @@
             required=True,
             envvar=API_VARIABLE,
             help="API address of a control replica; give it once for each, they are tried in "
-            f"turn. Default: the addresses in ${API_VARIABLE}, with blanks between them.",
+            f"turn. Default: the addresses in ${API_VARIABLE}, separated by blanks.",
         ),
         click.option(
             "--timeout",
@@ -167,7 +167,7 @@
 
 
 def change_options(command: Command) -> Command:
-    """Add --change-id and --wait; they arrive as one `flags` argument."""
+    """Add --change-id and --wait; the command gets them as `flags`."""
 
     def run(
         *arguments: Any, change_id: str | None, wait_seconds: float | None, **options: Any
@@ -185,13 +185,13 @@
         command,
         click.option(
             "--change-id",
-            help="Resend an earlier change: it is applied once, and gets its first outcome.",
+            help="Resend an earlier change: it is applied once, and returns its first outcome.",
         ),
         click.option(
             "--wait",
             "wait_seconds",
             type=click.FloatRange(min=0.0, max=3600.0),
-            help="Wait up to so many seconds until the change is in force everywhere.",
+            help="Wait up to this many seconds until the change is in force everywhere.",
         ),
     )
 
@@ -202,7 +202,7 @@
         "--expect-revision",
         "expected_revision",
         type=click.IntRange(min=0),
-        help="Refuse the change unless this is the present revision (0: must not exist yet).",
+        help="Refuse the change unless this is the current revision (0: must not exist yet).",
     )
     return option(command)
 
@@ -210,7 +210,7 @@
 def _with_options(
     run: Callable[..., object], command: Command, *options: Callable[[Command], Command]
 ) -> Command:
-    """Give `run` the name, help and earlier options of `command`, and `options` on top."""
+    """Give `run` the name, help and existing options of `command`, and add `options`."""
     run.__name__ = getattr(command, "__name__", run.__name__)
     run.__doc__ = command.__doc__
     earlier = getattr(command, "__click_params__", [])
--- a/src/jasperwalk/cli/output.py
+++ b/src/jasperwalk/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: a table or lines for people, one JSON object for programs."""
+"""Output of commands: a table or lines for people, one JSON object for programs."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
             click.echo(line)
 
     def note(self, line: str) -> None:
-        """Tell people something beside the result."""
+        """Print a message to standard error, beside the result."""
         click.echo(line, err=True)
 
     def failure(self, error: JasperwalkError, exit_code: int) -> None:
-        """Print a failure as one line, and as JSON where that was asked for."""
+        """Print a failure as one line, and as JSON with --json."""
         click.echo(f"error: {error.describe()}", err=True)
         if self.json_output:
             click.echo(msgspec.json.encode(_view_failure(error, exit_code)).decode())
--- a/src/jasperwalk/cli/replicas.py
+++ b/src/jasperwalk/cli/replicas.py
@@ -1,4 +1,4 @@
-"""`jasperwalk member`: the control replicas."""
+"""`jasperwalk member`: list control replicas and change which of them vote."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 @click.argument("replica_id", type=REPLICA_ID)
 @api_options
 def remove(replica_id: int, operation: Operation) -> None:
-    """Remove the replica REPLICA_ID for good."""
+    """Remove the replica REPLICA_ID permanently."""
     _change_replicas(operation, api_requests.delete_replica(replica_id))
 
 
--- a/src/jasperwalk/cli/templates.py
+++ b/src/jasperwalk/cli/templates.py
@@ -38,10 +38,10 @@
 @change_options
 @expect_revision_option
 def apply(file: Path, operation: Operation, flags: ChangeFlags) -> None:
-    """Create or change the template in FILE (TOML), under the name that it gives itself.
+    """Create or change the template in FILE (TOML), under the `name` in the file.
 
     Every tenant of the template is rendered again; the change is refused when one of them
-    does not fit any more.
+    is no longer valid.
     """
     text = read_text(file)
     request = api_requests.put_template(template_name(text, str(file)), text)
--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class TenantInput:
-    """What the operator gave for a tenant; what is None is taken from the present one."""
+    """Tenant as the flags give it; what is None is taken from the current tenant."""
 
     name: str
     template: str | None
@@ -41,7 +41,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the present tenant need not be read first."""
+        """Tell whether nothing has to be read from the current tenant."""
         return self.template is not None and self.values is not None
 
 
@@ -77,12 +77,12 @@
     ),
 )
 @click.argument("name")
-@click.option("--template", "template", help="Template of the tenant. Default: the present one.")
+@click.option("--template", "template", help="Template of the tenant. Default: the current one.")
 @click.option(
     "--values",
     "values_file",
     type=click.Path(path_type=Path),
-    help="TOML file (or .json) with all values of the tenant. Default: the present ones.",
+    help="TOML file (or .json) with all values of the tenant. Default: the current ones.",
 )
 @click.option(
     VALUE_FLAG,
@@ -104,7 +104,7 @@
 ) -> None:
     """Create or change the tenant NAME.
 
-    Without --template and --values the present tenant is read first, and the change is
+    Without --template and --values the current tenant is read first, and the change is
     refused when somebody else changes the tenant in between.
     """
     values = None if values_file is None else read_values(values_file)
@@ -123,8 +123,8 @@
         await _send(operation, given, flags)
         return
     if flags.is_resend and await _report_if_known(operation, flags):
-        # Read again, the present tenant may hold the change already: it would not be the
-        # same change any more.
+        # The current tenant may contain the change already: built from it, the resend would be
+        # a different change under the same ID.
         return
     current = await _read_current(operation, given.name)
     if current is None and given.template is None:
--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -1,4 +1,8 @@
-"""`jasperwalk zone`: drain, restore and list zones of a datagram fleet."""
+"""`jasperwalk zone`: drain, restore and list zones of a datagram fleet.
+
+Unlike the other commands, these send operator messages over framed TCP to the control replicas of
+the datagram plane, not HTTP.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,7 @@
 
 REPLICAS_VARIABLE = "JASPERWALK_REPLICAS"
 ATTEMPT_TIMEOUT_SECONDS = 2.0
-"""How long one replica may take."""
+"""Time-out of one replica, connecting included."""
 RETRY_PAUSE_SECONDS = 0.2
 DEFAULT_TIMEOUT_SECONDS = 10.0
 SUCCESS_OUTCOMES = frozenset(("zone-acknowledged", "zones-listed"))
@@ -46,19 +50,19 @@
 
 @dataclass(eq=False)
 class ZoneRefused(CommandError):
-    """No node and no setting names the zone; nothing was changed."""
+    """Neither a node nor a setting names the zone; nothing was changed."""
 
     kind: ClassVar[str] = UNKNOWN_ZONE
     zone: str
 
     def describe(self) -> str:
-        """Name the zone and the mend."""
+        """Name the zone and the remedy."""
         return f"no zone {self.zone!r}; `jasperwalk zone list` names those that are known"
 
 
 @dataclass(eq=False)
 class ZoneNotInForce(CommandError):
-    """An acknowledged order was not in force on every linked node when the time was up."""
+    """An acknowledged order was not in force on every linked node within the wait limit."""
 
     kind: ClassVar[str] = "not-in-force"
     exit_code: ClassVar[ExitCode] = ExitCode.NOT_IN_FORCE
@@ -68,8 +72,8 @@
     def describe(self) -> str:
         """Give both revisions."""
         return (
-            f"revision {self.revision} is acknowledged, but some linked node still goes by "
-            f"{self.in_force}; it holds for the others"
+            f"revision {self.revision} is acknowledged, but some linked node still has "
+            f"{self.in_force} in force; the others have the new one"
         )
 
 
@@ -90,7 +94,7 @@
 
 
 class ZoneListView(msgspec.Struct, frozen=True):
-    """The JSON object of `list`; `in_force` tells whether every linked node goes by it."""
+    """The JSON object of `list`; `in_force`: whether `revision` is in force on every linked node."""
 
     revision: int
     in_force: bool
@@ -99,7 +103,7 @@
 
 @dataclass(frozen=True)
 class ReplicaClient:
-    """Asks replicas in turn, following them to the leader, until the time is up."""
+    """Sends a request to the replicas in turn, redirected to the leader, until a deadline."""
 
     replicas: tuple[Endpoint, ...]
     timeout_seconds: float
@@ -124,7 +128,7 @@
 async def _ask_with_redirect(
     replica: Endpoint, request: OperatorRequest, reasons: dict[Endpoint, str]
 ) -> OperatorReply | None:
-    """Ask one replica, and the leader that it names; None where neither settles it."""
+    """Ask one replica, and the leader that it names; None where neither settles the request."""
     target: Endpoint | None = replica
     for _ in range(2):
         if target is None:
@@ -159,7 +163,7 @@
 
 
 def replica_options(command: Command) -> Command:
-    """Add --replica, --timeout and --json; they arrive as `replica_client` and `printer`."""
+    """Add --replica, --timeout and --json; the command gets `replica_client` and `printer`."""
 
     @functools.wraps(command)
     def run(
@@ -182,7 +186,7 @@
             type=click.FloatRange(min=0.1),
             default=DEFAULT_TIMEOUT_SECONDS,
             show_default=True,
-            help="Seconds to go on trying the replicas.",
+            help="Seconds to keep trying the replicas.",
         ),
         click.option(
             "--replica",
@@ -200,7 +204,7 @@
 
 @click.group()
 def zone() -> None:
-    """Empty zones of a datagram fleet and take them back."""
+    """Drain zones of a datagram fleet and restore them."""
 
 
 @zone.command(
@@ -213,7 +217,8 @@
 def drain(name: str, wait_seconds: float, replica_client: ReplicaClient, printer: Printer) -> None:
     """Send no new flow to the hosts of the zone NAME; open flows stay.
 
-    With --wait the command ends once every linked node goes by the order, or with exit code 5.
+    With --wait the command ends once the order is in force on every linked node, or exits with
+    code 5.
     """
     _send_order(name, True, wait_seconds, replica_client, printer)
 
@@ -228,7 +233,7 @@
 def restore(
     name: str, wait_seconds: float, replica_client: ReplicaClient, printer: Printer
 ) -> None:
-    """Let the hosts of the zone NAME take new flows again, as fast as cold hosts bear them."""
+    """Let the hosts of the zone NAME take new flows again, at the rate that cold hosts can take."""
     _send_order(name, False, wait_seconds, replica_client, printer)
 
 
@@ -237,7 +242,7 @@
 )
 @replica_options
 def list_zones(replica_client: ReplicaClient, printer: Printer) -> None:
-    """List the zones that are known, and which of them are drained."""
+    """List the known zones, and which of them are drained."""
     reply = replica_client.ask(ZoneListRequest(), ZoneListReply)
     rows = [ZoneRow(each.zone, each.drained) for each in reply.zones]
     view = ZoneListView(reply.revision, reply.in_force >= reply.revision, rows)
@@ -259,7 +264,7 @@
 
 
 def _wait_in_force(revision: int, wait_seconds: float, replica_client: ReplicaClient) -> int:
-    """Return the revision in force, asked again for a while as long as it is older."""
+    """Poll until `revision` is in force or the wait ends; return the revision in force."""
     deadline = time.monotonic() + wait_seconds
     while True:
         in_force = replica_client.ask(ZoneListRequest(), ZoneListReply).in_force
--- a/src/jasperwalk/messages/codec.py
+++ b/src/jasperwalk/messages/codec.py
@@ -1,9 +1,9 @@
 """Encoding of typed messages: a CBOR array `[tag, field, field, ...]` per message.
 
 A message is a `msgspec.Struct` declared with `array_like=True` and a unique integer `tag`.
-cbor2 turns it into bytes; msgspec checks every field's type on the way in, so a decoder
-never hands an untyped value to a core. The protocol version is exchanged once per
-connection (see `jasperwalk.transport`) and in the first field of datagrams.
+cbor2 encodes it; on receipt msgspec checks the type of every field, so that a decoder never
+returns an untyped value. The protocol version is exchanged once per connection (see
+`jasperwalk.transport`), and is the first field of datagrams.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from jasperwalk.errors import MalformedMessage
 
 PROTOCOL_VERSION = 1
-"""Version of the internal protocol; raised when a message changes its shape."""
+"""Version of the internal protocol; incremented when a message changes its shape."""
 
 MessageType = TypeVar("MessageType")
 
@@ -54,7 +54,7 @@
         self._family = family
 
     def decode(self, data: bytes) -> MessageType:
-        """Decode one message; raise `MalformedMessage` for anything that does not fit."""
+        """Decode one message; raise `MalformedMessage` for anything else."""
         value = decode_single_item(data)
         try:
             return msgspec.convert(value, self._family, strict=True)  # type: ignore[no-any-return]
--- a/src/jasperwalk/messages/datagram_seal.py
+++ b/src/jasperwalk/messages/datagram_seal.py
@@ -1,11 +1,11 @@
 """The seal on datagrams that open or hand over a flow: a MAC with the fleet's datagram key.
 
-Whoever can reach an agent's port could otherwise open flows past the balancers' limits, in
-the name of any caller, or have an agent send datagrams to addresses of his choice (the
-candidates). Packets of open flows need no seal: QUIC authenticates them end to end.
+Without it, anyone who can reach an agent's port could open flows past the balancers' limits, in
+the name of any caller, or have an agent send datagrams to arbitrary addresses (the candidates).
+Packets of open flows need no seal: QUIC authenticates them end to end.
 
-The MAC is keyed BLAKE2s (RFC 7693) cut to 8 bytes. A forger has no way to test a guess but to
-send it, one chance in 2**64 a datagram.
+The MAC is keyed BLAKE2s (RFC 7693) truncated to 8 bytes. A forger can test a guess only by
+sending it, with one chance in 2**64 per datagram.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 MAC_LENGTH = 8
 MAX_SECRET_BYTES = hashlib.blake2s.MAX_KEY_SIZE
-"""Bytes of the secret that keyed BLAKE2s takes."""
+"""Maximum key length of BLAKE2s; further bytes of the secret are not used."""
 PERSONALISATION = b"jw-dgram"
-"""Keeps MACs of this use apart from any other use of the key (BLAKE2s `person`, 8 bytes)."""
+"""Separates these MACs from any other use of the key (BLAKE2s `person`, 8 bytes)."""
 
 LONG_BYTE_STRING_HEAD = 0x59
 """CBOR: a byte string with a length of two octets."""
 
 
 class DatagramSeal:
-    """Seals datagrams with the active key and checks those of every known rotation."""
+    """Seals datagrams with the active key, and verifies seals made with any known rotation."""
 
     def __init__(self, keys: Iterable[KeyEntry] = ()) -> None:
         """Take the fleet's keys; those of other purposes are ignored."""
@@ -46,11 +46,11 @@
 
     @property
     def has_keys(self) -> bool:
-        """Tell whether any key is known, so that seals can be asked for."""
+        """Tell whether any key is known, so that seals can be required."""
         return bool(self._secrets)
 
     def seal(self, datagram: bytes) -> bytes:
-        """Wrap an encoded datagram (below 64 KiB); without an active key it stays as it is."""
+        """Wrap an encoded datagram (below 64 KiB); without an active key return it unchanged."""
         if not self._active_secret:
             return datagram
         return b"".join(
@@ -64,7 +64,7 @@
         )
 
     def accepts(self, sealed: SealedDatagram) -> bool:
-        """Tell whether a seal was made with one of the known keys over just this datagram."""
+        """Tell whether the MAC is that of this datagram under the known key of its rotation."""
         secret = self._secrets.get(sealed.rotation)
         if secret is None:
             return False
@@ -79,6 +79,6 @@
 
 
 def _encode_prefix(rotation: int) -> bytes:
-    """Encode all of a sealed datagram that comes before its MAC."""
+    """Encode the part of a sealed datagram that precedes its MAC."""
     empty = encode(SealedDatagram(PROTOCOL_VERSION, rotation, bytes(MAC_LENGTH), b""))
     return empty[: -MAC_LENGTH - 1]
--- a/src/jasperwalk/messages/datagrams.py
+++ b/src/jasperwalk/messages/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between balancers and agents (UDP, one message a datagram)."""
+"""Datagrams between balancers and agents (UDP, one message per datagram)."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 ADDRESS_BLOCK_LENGTH = 12
 """Bytes of an address block: source IPv4, destination IPv4, source port, destination port.
 
-It is the address part of a PROXY protocol v2 header for UDP over IPv4, carried untouched:
+It is the address part of a PROXY protocol v2 header for UDP over IPv4, forwarded unchanged:
 the source is the caller, the destination the VIP.
 """
 
 
 class ForwardedDatagram(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A caller's datagram on its way to an agent.
+    """A caller's datagram, forwarded to an agent.
 
     `candidates` is empty for a packet of an established flow. For a new flow it holds the
     packed end points (six bytes each) of the ordered candidates, first and second choice.
@@ -32,7 +32,7 @@
 class SealedDatagram(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """An encoded `ForwardedDatagram` with its MAC; see `jasperwalk.messages.datagram_seal`.
 
-    `rotation` names the fleet's datagram key that made the MAC (8 bytes).
+    `rotation` identifies the fleet's datagram key of the MAC (8 bytes).
     """
 
     version: int
@@ -42,4 +42,4 @@
 
 
 DatagramMessage = ForwardedDatagram | SealedDatagram
-"""All messages that an agent takes on its forwarding port."""
+"""All messages that an agent accepts on its forwarding port."""
--- a/src/jasperwalk/messages/distribution.py
+++ b/src/jasperwalk/messages/distribution.py
@@ -1,6 +1,6 @@
 """Messages between control replicas (publishers) and balancers or agents (subscribers).
 
-All travel over one framed TCP connection a subscriber, opened by the subscriber.
+All are sent over one framed TCP connection per subscriber, which the subscriber opens.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class SubscriberRole(enum.StrEnum):
-    """What kind of process subscribes; it decides which entries it is sent."""
+    """Kind of process that subscribes; it determines which entries are sent."""
 
     BALANCER = "balancer"
     AGENT = "agent"
@@ -26,8 +26,8 @@
 
     `boot_id` is drawn once per process start. `address` is the forwarding end point.
     `revision` is the newest revision that the subscriber holds, 0 for none.
-    `incarnation` is the committed incarnation that this process last heard of, 0 for none: a
-    process that was replaced while it stood still is known by it.
+    `incarnation` is the newest committed incarnation that this process has received, 0 for
+    none; it identifies a process that was replaced while it was suspended.
     An agent is sent the keys, its own service and the members of that service; a balancer
     is sent everything.
     """
@@ -42,7 +42,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The whole table (of the subscriber's scope) at `revision`, in numbered parts.
+    """The complete table (of the subscriber's scope) at `revision`, in numbered parts.
 
     A subscriber replaces its table only after part `parts - 1` of the same revision.
     """
@@ -54,7 +54,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """What changed after `base_revision`, up to and including `revision`."""
+    """Changes after `base_revision`, up to and including `revision`."""
 
     base_revision: int
     revision: int
@@ -66,7 +66,7 @@
     """Sent by a replica every heartbeat interval.
 
     `quorum_age_ms` is the time since the replica last knew that its leader had contact with
-    a quorum, in milliseconds; a subscriber leaves a replica whose age is too high.
+    a quorum, in milliseconds; a subscriber changes to another replica when it is too high.
     `incarnation` is the agent's committed incarnation, 0 while it has none (or a balancer).
     """
 
@@ -78,10 +78,10 @@
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Sent by a subscriber when `revision` is in force, and as its own heartbeat.
 
-    `healthy` is an agent's own view of its back end: False when the back end does not answer.
-    `open_flows` counts the agent's connections (0 for a balancer).
+    `healthy` is an agent's view of its backend: False when the backend does not answer.
+    `open_flows` is the number of the agent's connections (0 for a balancer).
     `connection_id_generation` and `stateless_reset_generation` are those of the oldest keys
-    that the agent's open flows still rest on, 0 where that is not known.
+    that the agent's open flows still use, 0 where that is not known.
     """
 
     revision: int
@@ -92,7 +92,7 @@
 
 
 class Reject(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """A replica's refusal of a subscriber, with when to come back, in milliseconds."""
+    """A replica's refusal of a subscriber, with the time after which to retry."""
 
     kind: str
     detail: str
@@ -102,8 +102,8 @@
 class ReplicaEndpoints(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The voting replicas as committed at log index `index`; sent first and when they change.
 
-    A subscriber keeps the list of the highest index, beside the replicas of its settings: so
-    it finds control again after every machine that its settings name was replaced.
+    A subscriber keeps the list of the highest index, beside the replicas of its settings, so
+    that it still finds control after every machine that its settings name was replaced.
     """
 
     index: int
--- a/src/jasperwalk/messages/proxy_protocol.py
+++ b/src/jasperwalk/messages/proxy_protocol.py
@@ -1,7 +1,7 @@
 """The PROXY protocol v2 header on datagrams between the fabric, balancers and agents.
 
 Source: "The PROXY protocol, versions 1 & 2" (haproxy.org), section 2.2. Only UDP over IPv4
-without extensions is taken, so that the header is a constant prefix and an address block.
+without extensions is accepted, so that the header is a constant prefix and an address block.
 "Packed" end points are the six bytes of `Endpoint.pack`.
 """
 
@@ -26,7 +26,7 @@
 
 ADDRESS_BLOCK_START: Final = len(HEADER_PREFIX)
 HEADER_LENGTH: Final = ADDRESS_BLOCK_START + ADDRESS_BLOCK_LENGTH
-"""28 bytes: the whole header; the caller's datagram, or the answer to it, follows."""
+"""28 bytes: the complete header; the caller's datagram, or the response to it, follows."""
 
 
 @dataclass(eq=False)
