--- a/src/jasperwalk/cli/explain.py
+++ b/src/jasperwalk/cli/explain.py
@@ -84,7 +84,7 @@
 
 
 def _last_known_state(ordered: list[LogLine], names: set[str], until: str) -> Iterator[LogLine]:
-    """Yield the last line per process, state event and agent up to a time that concerns the flow."""
+    """Yield the last line of each state event, per process and agent in `names`, up to `until`."""
     latest: dict[tuple[str, str, str], LogLine] = {}
     for line in ordered:
         subject = line.fields.get("agent", "")
--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -94,7 +94,7 @@
 
 
 class ZoneListView(msgspec.Struct, frozen=True):
-    """The JSON object of `list`; `in_force`: whether `revision` is in force on every linked node."""
+    """The JSON object of `list`; `in_force`: `revision` is in force on every linked node."""
 
     revision: int
     in_force: bool
