--- a/deploy/bundle.py
+++ b/deploy/bundle.py
@@ -1,7 +1,7 @@
-"""Writes the modules of one role into one file, from which `start.py` imports them.
+"""Writes the compiled modules of one role into one file, from which `start.py` imports them.
 
-Run by the build. A process on a small machine spends more on finding two hundred files than on
-running them; one file is read at once. Libraries' extension modules stay files of their own.
+Run by the build. On a small machine a process spends more time on finding two hundred files than
+on running them; one file is read at once. Extension modules of libraries stay separate files.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
         "jasperwalk.control.fleet.settings",
     ),
 }
-"""What a role imports, with all that these import in turn."""
+"""Modules that are imported for a role; all that they import is bundled with them."""
 
 
 def collect(role: str) -> dict[str, tuple[bool, str, bytes]]:
-    """Return name, whether it is a package, its file, and its code, for each module loaded.
+    """Return, by name of each loaded module: whether it is a package, its file, and its code.
 
-    The code of an extension module is empty: it stays a file of its own.
+    The code of an extension module is empty: it stays a separate file.
     """
     for name in ENTRY_MODULES[role]:
         importlib.import_module(name)
@@ -53,7 +53,7 @@
 
 
 def main(role: str) -> None:
-    """Write a role's file anew, whole or not at all."""
+    """Replace a role's file atomically."""
     sys.path[:0] = [str(ROOT / "platform"), str(ROOT / "src"), str(TARGET / "deps")]
     unfinished = TARGET / f"{role}.unfinished"
     unfinished.write_bytes(marshal.dumps(collect(role)))
--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,6 +1,6 @@
 """Starts a process of the product from the one file that `bundle.py` wrote: `start.py ROLE`.
 
-Without that file the modules are imported from where they lie.
+Without that file the modules are imported from their folders.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from _frozen_importlib_external import ExtensionFileLoader
 
 TYPE_CHECKING = False
-"""Stands for the one of `typing`, which takes long to load."""
+"""Replaces that of `typing`, which takes long to load."""
 if TYPE_CHECKING:
     from types import ModuleType
 
@@ -21,20 +21,20 @@
 
 
 class BundleImporter:
-    """Finds and runs modules by their names; what is not in the file is found as usual.
+    """Finds and runs the modules of the file; other modules are found as usual.
 
-    An extension module has no code there, only its place: looking for it in five folders costs
-    more than loading it.
+    For an extension module the file has no code, only its path: searching for it in five folders
+    takes longer than loading it.
     """
 
     def __init__(self, modules: dict[str, tuple[bool, str, bytes]]) -> None:
-        """`modules` has, by name: whether it is a package, its file, its code."""
+        """`modules` has by name: whether it is a package, its file, and its code."""
         self._modules = modules
 
     def find_spec(
         self, name: str, _path: object = None, _target: object = None
     ) -> ModuleSpec | None:
-        """Return the spec of a module in the file, None for others."""
+        """Return the spec of a module in the file, None for other modules."""
         entry = self._modules.get(name)
         if entry is None:
             return None
@@ -48,10 +48,10 @@
         return spec
 
     def create_module(self, _spec: ModuleSpec) -> None:
-        """Leave it to the import system."""
+        """Leave the creation of the module to the import system."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run a module's code, and let go of it."""
+        """Run a module's code, and release it."""
         _, _, code = self._modules.pop(module.__spec__.name)
         exec(marshal.loads(code), module.__dict__)
 
@@ -67,9 +67,9 @@
 
 
 if __name__ == "__main__":
-    # The default would end a process that is told of new settings before its event loop runs.
+    # By default SIGHUP (reload the settings) would end a process whose event loop does not run yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Modules make no garbage while they load; the process turns collection on again.
+    # Loading modules creates no garbage; the process enables collection again later.
     gc.disable()
     sys.path[0] = f"{ROOT}/platform"
     sys.path.insert(1, f"{ROOT}/src")
