--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""A stand-in for control's HTTP API that answers what a test told it to."""
+"""A fake of control's HTTP API that gives the answers that a test sets."""
 
 import asyncio
 import threading
@@ -11,7 +11,7 @@
 from jasperwalk.cli.main import main
 
 CUT = "cut"
-"""An answer that closes the connection after the request has been read."""
+"""In place of an answer: the connection is closed after the request has been read."""
 
 
 @dataclass
@@ -25,7 +25,7 @@
 
 @dataclass
 class FakeReplica:
-    """Answers each request with the next of `answers`, the last one again and again."""
+    """Answers each request with the next of `answers`, and repeats the last one."""
 
     answers: list = field(default_factory=list)
     seen: list = field(default_factory=list)
--- a/tests/cli/test_api_client.py
+++ b/tests/cli/test_api_client.py
@@ -1,4 +1,4 @@
-"""How commands end when replicas are lost, busy, behind, or refuse."""
+"""Retries and exit codes when replicas are unreachable, overloaded, stale, or refuse."""
 
 import json
 import socket
--- a/tests/cli/test_daemons.py
+++ b/tests/cli/test_daemons.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def started(monkeypatch):
-    """Put a stand-in in the place of the balancer's process; returns the settings it got."""
+    """Replace the balancer's process by a fake; return the list of settings that it was given."""
     seen = []
 
     async def run_balancer(settings):
--- a/tests/cli/test_keys.py
+++ b/tests/cli/test_keys.py
@@ -1,4 +1,4 @@
-"""`jasperwalk keys init`, and the files that https takes; the API's own part is control's."""
+"""`jasperwalk keys init`, and the files for https; the API's side is tested with control."""
 
 import json
 from pathlib import Path
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What each command sends and prints."""
+"""Requests and output of each operator command."""
 
 import json
 
--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def replicas(tmp_path):
-    """Run three replicas on a loop of their own; return their end points."""
+    """Run three replicas on an event loop in a thread; return their end points."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever)
     thread.start()
@@ -27,7 +27,7 @@
 
     asyncio.run_coroutine_threadsafe(found(), loop).result()
     try:
-        # The replicas run in this process, whose standard output is the command's.
+        # The replicas run in this process, and their log lines would go to the command's output.
         with structlog.testing.capture_logs():
             yield [f"{each.host}:{cluster.replica_port}" for each in cluster.replicas]
     finally:
--- a/tests/messages/test_addresses.py
+++ b/tests/messages/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses are taken in one form only."""
+"""Only the canonical form of an address is accepted."""
 
 import ipaddress
 
--- a/tests/messages/test_codec.py
+++ b/tests/messages/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec takes exactly one well-formed message and refuses everything else with a type."""
+"""The codec accepts exactly one well-formed message; anything else is `MalformedMessage`."""
 
 import cbor2
 import pytest
--- a/tests/messages/test_datagram_seal.py
+++ b/tests/messages/test_datagram_seal.py
@@ -1,4 +1,4 @@
-"""Seals: which are accepted, through rotations, and that a forger gets nowhere."""
+"""Seals: accepted throughout a key rotation, and refused where forged."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/messages/test_proxy_protocol.py
+++ b/tests/messages/test_proxy_protocol.py
@@ -1,4 +1,4 @@
-"""The PROXY v2 header: its bytes, and what is refused."""
+"""The PROXY v2 header: its bytes, and malformed headers."""
 
 import pytest
 from hypothesis import given
--- a/tests/platform_adapter/conftest.py
+++ b/tests/platform_adapter/conftest.py
@@ -1,4 +1,4 @@
-"""Makes the modules of `platform/` importable as they are in its processes."""
+"""Makes the modules of `platform/` importable by the names that its processes use."""
 
 import sys
 from pathlib import Path
--- a/tests/platform_adapter/test_boundary.py
+++ b/tests/platform_adapter/test_boundary.py
@@ -1,4 +1,8 @@
-"""What `platform/` may know and the product may not, and what each role loads."""
+"""The boundary between product and platform, and the modules that each role loads.
+
+Words and modules of the platform appear only in `platform/`, which stays small; a role imports no
+heavy library, and a node imports neither consensus nor control.
+"""
 
 import os
 import re
@@ -98,7 +102,7 @@
 )
 def test_a_role_loads_no_library_that_it_does_not_use(module):
     modules = loaded(f"run, node_calls, {module}")
-    # structlog loads rich where it is installed, as it is for developers, not on the platform.
+    # structlog imports rich where it is installed: for developers, not on the platform.
     assert modules.intersection(HEAVY_LIBRARIES) <= {"rich"}
 
 
--- a/tests/platform_adapter/test_early_sockets.py
+++ b/tests/platform_adapter/test_early_sockets.py
@@ -1,4 +1,7 @@
-"""A process binds its sockets before it loads what makes its start long."""
+"""A process binds its sockets before it imports the modules that make its start-up slow.
+
+Packets that arrive during the start then wait in the kernel instead of being lost.
+"""
 
 import subprocess
 import sys
--- a/tests/platform_adapter/test_processes.py
+++ b/tests/platform_adapter/test_processes.py
@@ -1,7 +1,7 @@
 """The real programs as processes on loopback: a configuration is sent, a flow is served.
 
 Three control replicas, one balancer and one agent are started as the platform starts them. The
-test is the operator, the fabric, the host and the caller.
+test plays the operator, the fabric, the host and the caller.
 """
 
 import json
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """The started programs; ended by their process IDs."""
+    """The started programs; they are ended by process ID."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -95,7 +95,7 @@
         )
 
     def call(self, method, host, port, path, body=None):
-        """Make one call, following redirects by hand; return status and body."""
+        """Make one HTTP call and follow redirects; return status and body, status 0 without one."""
         url = f"http://{host}:{self.ports[port]}{path}"
         for _ in range(3):
             request = urllib.request.Request(url, data=body, method=method)
@@ -111,7 +111,7 @@
         return 0, b""
 
     def until(self, *call):
-        """Repeat a call until it succeeds; return its body."""
+        """Repeat a call until it returns 200; return its body."""
         deadline = time.monotonic() + WAIT_LIMIT_SECONDS
         while time.monotonic() < deadline:
             status, body = self.call(*call)
@@ -148,10 +148,10 @@
 
 
 def assert_flows_are_reset_soon(fabric, client, host, listener, ingress):
-    """Open flows until one is reset: the order is in force a moment after it is acknowledged.
+    """Open flows until one is reset: an order is in force shortly after it is acknowledged.
 
-    Each try is another flow, for copies of one that was admitted in that moment belong to it. In
-    the end each opening has been answered by a reset of its own or is with the host.
+    Each attempt is another flow, because copies of an admitted opening packet belong to its flow.
+    At the end each opening packet has either been answered by its own reset or reached the host.
     """
     openings = {}
     for attempt in range(int(WAIT_LIMIT_SECONDS / POLL_SECONDS)):
@@ -173,7 +173,7 @@
 
 
 def received_soon(receiver):
-    """Return the next datagram, None where none comes within a moment."""
+    """Return the next datagram, None where none comes within `POLL_SECONDS`."""
     receiver.settimeout(POLL_SECONDS)
     try:
         return receiver.recv(2048)
--- a/tests/platform_adapter/test_reload_at_start.py
+++ b/tests/platform_adapter/test_reload_at_start.py
@@ -1,11 +1,8 @@
-"""A reload signal does not end a process that is only starting.
+"""A reload signal (SIGHUP) does not end a process that is still starting.
 
-What happened: in a soak (seed 101, 60 s) balancer-0 was ended and started again while it was told
-again and again that its settings had changed, and was gone without a word. Its log ends with
-`settings-changed` of the process before; `ended_processes` of the history names it.
-
-Why: a process answers the signal from the moment at which its event loop runs, some 0.2 s after its
-start. Until then the system's default holds, which is to end the process.
+A process handles the signal once its event loop runs, some 0.2 s after its start. Until then the
+system's default would hold and end the process without a log line, as happened to a balancer that
+was restarted while its settings changed repeatedly.
 """
 
 import errno
@@ -24,7 +21,7 @@
 
 
 def open_when_read(path):
-    """Open a pipe for writing once its reader waits for the first byte."""
+    """Open a named pipe for writing once a reader has opened it."""
     deadline = time.monotonic() + WAIT_LIMIT_SECONDS
     while time.monotonic() < deadline:
         try:
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -1,4 +1,4 @@
-"""Modules that come out of one file."""
+"""`deploy/start.py`: modules are imported from a role's bundle file where there is one."""
 
 import marshal
 import sys
--- a/tests/transport/steps.py
+++ b/tests/transport/steps.py
@@ -1,17 +1,17 @@
-"""Cancelling work after a number of steps of the event loop."""
+"""Helpers that cancel a task after a number of steps of the event loop."""
 
 from __future__ import annotations
 
 import asyncio
 
 WAIT_LIMIT_SECONDS = 10.0
-"""Bound of every wait; a cancelled task here ends within a few steps."""
+"""Bound of every wait; a cancelled task in these tests ends within a few steps."""
 CANCELLATION_GRACE_SECONDS = 0.5
-"""A task that runs this long after a cancellation that it took has lost it."""
+"""A task that still runs this long after its cancellation has lost it."""
 
 
 async def cancel_after(task, steps):
-    """Cancel a task after some steps; it has to end as cancelled unless it ended before."""
+    """Cancel a task after some steps; assert that it ends as cancelled, unless it ended before."""
     for _ in range(steps):
         await asyncio.sleep(0)
     if not task.cancel():
@@ -22,7 +22,7 @@
 
 
 async def lost_cancellations(make, max_steps):
-    """Return after how many steps a cancellation was lost: the work went on, or ended normally."""
+    """Return after which numbers of steps a cancellation was lost: the task did not end by it."""
     lost = []
     for steps in range(max_steps):
         task = asyncio.ensure_future(make())
@@ -43,7 +43,7 @@
 
 
 def _drop(task):
-    """Close what a task opened that ended before its cancellation."""
+    """Close the connection of a task that ended before its cancellation."""
     if task.exception() is None:
         connection = getattr(task.result(), "connection", task.result())
         if connection is not None:
--- a/tests/transport/test_cancellation.py
+++ b/tests/transport/test_cancellation.py
@@ -1,20 +1,12 @@
-"""A cancellation that was taken ends the work that it was meant for, in whatever step it comes.
+"""A cancellation ends the task that it was meant for, in whatever step of the loop it comes.
 
-What happened: a control replica was told to end and never did. Its `_live` was cancelled and
-waited in `run_together` for a part that went on as if nothing had been said; the killer of the
-process, a test here, waited for ever.
+`asyncio.wait_for` of Python 3.11 returns the result where the awaited work ends in the same step of
+the event loop as the cancellation comes, and the cancellation is lost. A control replica that asks
+to join waits for the connection and the Hello; when it lost its cancellation there, it went on
+sending requests, `run_together` waited for it, and the process never ended. With two nested time
+limits the outer one's expiry is lost in the same way, and the work has no bound any more.
 
-Why: `asyncio.wait_for` of Python 3.11 returns the result where the awaited work ends in the same
-step of the event loop as the cancellation comes, and the cancellation is gone. A replica that
-asks to be taken in waits so for the connection and for the Hello. With two time limits, one within
-the other, the outer one's expiry is lost in the same way, and what it bounded has no bound left.
-
-What showed it: the stacks of a run that hung had `FleetReplica._join` marked as `cancelling` and
-asleep before its next request. A copy of `wait_for` that prints each cancellation that it drops
-wrote `CANCEL LOST in Task-1550 FleetReplica._join ... inner FramedConnection._receive` for the
-very task that was found asleep later.
-
-So each test cancels after every number of steps of the event loop that the work takes.
+Each test cancels after every number of steps of the event loop that the work takes.
 """
 
 import asyncio
@@ -42,11 +34,11 @@
 HELLO = make_hello(ConnectionKind.PEER, "tester", CLUSTER_ID, sender_id=3)
 PROJECT_FILE = Path(__file__).resolve().parents[2] / "pyproject.toml"
 MAX_STEPS = 80
-"""More steps of the loop than any of the work here takes on loopback."""
+"""More steps of the event loop than any work in these tests takes on loopback."""
 
 
 class SilentTransport:
-    """Takes what is written; closing is over when `closed` is set."""
+    """Transport with an empty write buffer that ignores `abort`."""
 
     def get_write_buffer_size(self):
         return 0
@@ -184,7 +176,7 @@
 
 
 def test_a_cancelled_link_leaves_no_connection_open_at_its_peer():
-    """A peer takes a link that stands for a replica that hears it."""
+    """A peer takes an open link for a replica that receives what it sends."""
 
     async def scenario():
         open_connections = set()
@@ -211,7 +203,7 @@
 
 
 def test_the_outer_time_limit_of_a_join_request_holds_where_the_inner_one_is_met(monkeypatch):
-    """The replica greets in the step in which the whole time is over, and then says nothing."""
+    """The replica sends its Hello in the step in which the outer limit expires, then nothing."""
     monkeypatch.setattr(joining, "ANSWER_TIMEOUT_SECONDS", 0.02)
 
     async def greet_at_the_end(*_):
--- a/tests/transport/test_concurrency.py
+++ b/tests/transport/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Parts that run together: how they end, and what is said of one that does not."""
+"""`run_together`: how its parts end, and the warning about one that does not."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 def test_a_part_that_outlasts_its_cancellation_is_named(monkeypatch):
-    """Without the line, a process that does not end tells nothing of which part holds it."""
+    """Without the log line, a process that does not end gives no hint which part blocks it."""
     monkeypatch.setattr(concurrency, "CANCELLATION_WARNING_SECONDS", 0.01)
 
     async def scenario():
--- a/tests/transport/test_framed.py
+++ b/tests/transport/test_framed.py
@@ -1,4 +1,4 @@
-"""Framed TCP: round trips, and a table of what a broken or foreign sender may send."""
+"""Framed TCP: round trips, and a table of invalid input from faulty or foreign senders."""
 
 import asyncio
 import contextlib
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -8,7 +8,7 @@
 
 
 def exchange(sent, handler=None, expected=1, slowly=False):
-    """Send bytes to a server and return what came back until it answered `expected` times."""
+    """Send bytes to a server; return what it sent until it had answered `expected` times."""
 
     async def echo(request):
         text = f"{request.method} {request.path} {len(request.body)}"
--- a/tests/transport/test_server_backlog.py
+++ b/tests/transport/test_server_backlog.py
@@ -1,4 +1,4 @@
-"""A returning region: many connections at once wait to be taken instead of being dropped."""
+"""Many connections at once, as when a region reconnects, wait in the backlog and aren't dropped."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 def count_established(endpoint: Endpoint) -> int:
-    """Dial while the server's loop stands still; loopback completes a handshake at once."""
+    """Connect while the server's loop is blocked; loopback completes a handshake at once."""
     with contextlib.ExitStack() as stack:
         poll = select.poll()
         for _ in range(SIMULTANEOUS_CONNECTIONS):
--- a/tests/transport/test_silent_callers.py
+++ b/tests/transport/test_silent_callers.py
@@ -1,9 +1,8 @@
-"""Sides that go silent without a reset, while new connections to them work, hold nothing up.
+"""A peer that goes silent without a reset, while new connections to it work, blocks nothing.
 
-A caller that introduces itself and then says nothing ends with a typed error, not with a fault.
-
-Soaks: 98 lines `connection-handler-failed ... TimeoutError` in 49 logs of control replicas, each
-with a stack of 30 lines, where a replica that asked to join was killed or cut off in between.
+A client that sends its Hello and no request ends with a typed error. As an untyped time-out it was
+logged as a fault of the handler (`connection-handler-failed`, with a stack of 30 lines) whenever a
+replica that asked to join was killed or cut off in between.
 """
 
 import asyncio
@@ -66,7 +65,7 @@
 
 GET = b"GET /path HTTP/1.1\r\nHost: x\r\n\r\n"
 LONG_BODY = b"x" * (8 << 20)
-"""More than the socket buffers of both sides hold."""
+"""More than fits into the socket buffers of both sides."""
 
 
 async def never():
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS of framed links: who gets in, who does not, and renewal while they stand."""
+"""Mutual TLS of framed links: accepted and refused peers, and renewal of files in use."""
 
 import asyncio
 import contextlib
@@ -88,7 +88,7 @@
 
 
 def test_every_kind_that_is_opened_names_its_roles():
-    assert set(KIND) - set(CLIENT_ROLES) == {KIND.REPORTER}  # nobody opens one
+    assert set(KIND) - set(CLIENT_ROLES) == {KIND.REPORTER}  # no role may open one
     assert set(CLIENT_ROLES) == set(SERVER_ROLES)
 
 
@@ -163,7 +163,7 @@
 def test_a_client_whose_ca_the_server_does_not_know_learns_of_it(
     certificates, other_cluster_certificates, run
 ):
-    """The client knows both CAs, as in the middle of a change of the CA."""
+    """The client trusts both CAs, as during a replacement of the CA."""
 
     async def scenario():
         async with serving(certificates.tls("control", "control-1")) as server:
@@ -220,9 +220,8 @@
             certificates.advance_past_poll()
             assert await echoed(server, client_tls) == b"hello"
             if renewed == "ca":
-                former_tls._file_monitor.changed = lambda: (
-                    False
-                )  # a process that kept its old files
+                # A process that keeps its old files.
+                former_tls._file_monitor.changed = lambda: False
                 with pytest.raises(TlsError):
                     await echoed(server, former_tls, name="control-3")
                 await standing.send(b"still here")
