--- a/src/jasperwalk/cli/zones.py
+++ b/src/jasperwalk/cli/zones.py
@@ -1,7 +1,7 @@
 """`jasperwalk zone`: drain, restore and list zones of a datagram fleet.
 
-Unlike the other commands, these send operator messages over framed TCP to the control replicas of
-the datagram plane, not HTTP.
+The commands send operator messages over framed TCP to the control replicas of the datagram plane,
+not requests of the HTTP API.
 """
 
 from __future__ import annotations
