--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -34,7 +34,7 @@
 from jasperwalk_lab.simulator.backend import ModelBackend
 from jasperwalk_lab.simulator.disk import Disk
 from jasperwalk_lab.simulator.run import Defect
-from jasperwalk_lab.simulator.seams import Replacement
+from jasperwalk_lab.simulator.system_substitutes import Replacement
 
 SEEDS_TRIED = 8
 """Runs that have to catch a defect, at the latest."""
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -21,7 +21,7 @@
 from jasperwalk_lab.simulator.faults import Fault, FaultInjector
 from jasperwalk_lab.simulator.operators import Administrator, Console, Operator
 from jasperwalk_lab.simulator.scenarios import Scenario
-from jasperwalk_lab.simulator.seams import Replacement, product_seams, replaced
+from jasperwalk_lab.simulator.system_substitutes import Replacement, product_seams, replaced
 from jasperwalk_lab.simulator.verdicts import (
     Measures,
     check_calls,
