--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -11,9 +11,9 @@
 
 from jasperwalk_lab.simulator.campaign import RunSummary, default_processes, run_campaign
 from jasperwalk_lab.simulator.distribution import Distribution, distributions
+from jasperwalk_lab.simulator.minimization import kind_of, shorten
 from jasperwalk_lab.simulator.mutants import MUTANTS
 from jasperwalk_lab.simulator.scenarios import SCENARIOS, Scenario, scenario_named
-from jasperwalk_lab.simulator.shortening import kind_of, shorten
 
 EXIT_PROMISE_BROKEN = 1
 ALL = "all"
--- a/tests/simulator/test_mutants.py
+++ b/tests/simulator/test_mutants.py
@@ -3,8 +3,8 @@
 import pytest
 
 from jasperwalk_lab.simulator.campaign import Job, run_job
+from jasperwalk_lab.simulator.minimization import kind_of
 from jasperwalk_lab.simulator.mutants import MUTANTS
-from jasperwalk_lab.simulator.shortening import kind_of
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -25,8 +25,8 @@
     RefusedAt,
     find_order,
 )
+from jasperwalk_lab.simulator.minimization import kind_of
 from jasperwalk_lab.simulator.record import Attempt, Change, DrainSpan, Interval, Record, TableMark
-from jasperwalk_lab.simulator.shortening import kind_of
 from jasperwalk_lab.simulator.verdicts import (
     Measures,
     check_calls,
