--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -21,7 +21,7 @@
 from jasperwalk_lab.simulator.faults import Fault, FaultInjector
 from jasperwalk_lab.simulator.operators import Administrator, Console, Operator
 from jasperwalk_lab.simulator.scenarios import Scenario
-from jasperwalk_lab.simulator.system_substitutes import Replacement, product_seams, replaced
+from jasperwalk_lab.simulator.system_substitutes import Replacement, replaced, system_replacements
 from jasperwalk_lab.simulator.verdicts import (
     Measures,
     check_calls,
@@ -87,7 +87,7 @@
     structlog.configure(wrapper_class=quiet, cache_logger_on_first_use=False)
     loop = VirtualLoop()
     try:
-        with replaced([*product_seams(), *applied.replacements]):
+        with replaced([*system_replacements(), *applied.replacements]):
             result = loop.run_until_complete(_Run(scenario, seed, chosen, applied).perform())
         result.violations.extend(f"process-failed: {each}" for each in loop.failures[:3])
     finally:
--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -374,6 +374,6 @@
             setattr(owner, name, original)
 
 
-def product_seams() -> list[Replacement]:
+def system_replacements() -> list[Replacement]:
     """Return the seams of a run."""
     return [Replacement(owner, name, stand_in) for owner, name, stand_in in _seams()]
