--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -318,7 +318,7 @@
     ]
 
 
-def _general_seams() -> list[tuple[Any, str, Any]]:
+def _general_patch_points() -> list[tuple[Any, str, Any]]:
     stand_ins = {id(original): stand_in for original, stand_in in _general_stand_ins()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
@@ -334,7 +334,7 @@
 def _seams() -> list[tuple[Any, str, Any]]:
     random = types.SimpleNamespace(SystemRandom=_seeded, Random=_seeded)
     return [
-        *_general_seams(),
+        *_general_patch_points(),
         (agent_process, "random", random),
         (balancer_process, "random", random),
         (replica, "PlatformPoller", SimulatedPoller),
