--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -331,7 +331,7 @@
     ]
 
 
-def _seams() -> list[tuple[Any, str, Any]]:
+def _patch_points() -> list[tuple[Any, str, Any]]:
     random = types.SimpleNamespace(SystemRandom=_seeded, Random=_seeded)
     return [
         *_general_patch_points(),
@@ -376,4 +376,4 @@
 
 def system_replacements() -> list[Replacement]:
     """Return the seams of a run."""
-    return [Replacement(owner, name, stand_in) for owner, name, stand_in in _seams()]
+    return [Replacement(owner, name, stand_in) for owner, name, stand_in in _patch_points()]
