--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -165,8 +165,8 @@
     return ChangeRegister(limit=image.limit)
 
 
-def _one(owner: Any, name: str, stand_in: Any) -> Defect:
-    return Defect((Replacement(owner, name, stand_in),))
+def _one(owner: Any, name: str, substitute: Any) -> Defect:
+    return Defect((Replacement(owner, name, substitute),))
 
 
 MUTANTS: tuple[Mutant, ...] = (
--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -319,7 +319,7 @@
 
 
 def _general_patch_points() -> list[tuple[Any, str, Any]]:
-    stand_ins = {id(original): stand_in for original, stand_in in _general_substitutes()}
+    stand_ins = {id(original): substitute for original, substitute in _general_substitutes()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
     ]
@@ -358,7 +358,7 @@
 
     owner: Any
     name: str
-    stand_in: Any
+    substitute: Any
 
 
 @contextlib.contextmanager
@@ -367,7 +367,7 @@
     originals = [(each.owner, each.name, each.owner.__dict__[each.name]) for each in replacements]
     try:
         for each in replacements:
-            setattr(each.owner, each.name, each.stand_in)
+            setattr(each.owner, each.name, each.substitute)
         yield
     finally:
         for owner, name, original in reversed(originals):
@@ -376,4 +376,4 @@
 
 def system_replacements() -> list[Replacement]:
     """Return the seams of a run."""
-    return [Replacement(owner, name, stand_in) for owner, name, stand_in in _patch_points()]
+    return [Replacement(owner, name, substitute) for owner, name, substitute in _patch_points()]
