--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -319,15 +319,15 @@
 
 
 def _general_patch_points() -> list[tuple[Any, str, Any]]:
-    stand_ins = {id(original): substitute for original, substitute in _general_substitutes()}
+    substitutes = {id(original): substitute for original, substitute in _general_substitutes()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
     ]
     return [
-        (module, name, stand_ins[id(value)])
+        (module, name, substitutes[id(value)])
         for module in modules
         for name, value in vars(module).items()
-        if id(value) in stand_ins
+        if id(value) in substitutes
     ]
 
 
