--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class Moods:
+class BackendBehaviour:
     """How a back end behaves now.
 
     `refuses` takes no connection, `stalls` runs requests but answers too late, `shed_share`
@@ -61,7 +61,7 @@
     """The program beside one agent; it outlives restarts of the agent."""
 
     host: str
-    moods: Moods = field(default_factory=Moods)
+    moods: BackendBehaviour = field(default_factory=BackendBehaviour)
     arrivals: list[Arrival] = field(default_factory=list)
     late: bytes | None = None
     """An answer that nobody waited for any more, for the defect that reuses it."""
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Mood:
-    """A back end misbehaves for `seconds`; see `Moods` for the fields."""
+    """A back end misbehaves for `seconds`; see `BackendBehaviour` for the fields."""
 
     host: str
     seconds: float
