--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -61,7 +61,7 @@
     """The program beside one agent; it outlives restarts of the agent."""
 
     host: str
-    moods: BackendBehaviour = field(default_factory=BackendBehaviour)
+    behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     arrivals: list[Arrival] = field(default_factory=list)
     late: bytes | None = None
     """An answer that nobody waited for any more, for the defect that reuses it."""
@@ -96,8 +96,8 @@
     async def check(self, path: str, timeout_seconds: float) -> bool:
         """Ask the health path."""
         await asyncio.sleep(0.001)
-        moods = self._program.moods
-        return not moods.refuses if moods.lies is None else moods.lies
+        behaviour = self._program.behaviour
+        return not behaviour.refuses if behaviour.lies is None else behaviour.lies
 
     async def run(
         self,
@@ -108,11 +108,11 @@
     ) -> Outcome:
         """Run one request and pass its answer to `sink`."""
         await asyncio.sleep(0.001)
-        moods = self._program.moods
-        if moods.refuses:
+        behaviour = self._program.behaviour
+        if behaviour.refuses:
             return NotRun(NotRunReason.BACKEND_UNREACHABLE)
         service = self._process.world.service_of_host(self._host)
-        if self._process.random.random() < moods.shed_share:
+        if self._process.random.random() < behaviour.shed_share:
             self._program.arrived(service, request, RunOutcome.SHED)
             return NotRun(NotRunReason.SHEDDING)
         record = self._program.arrived(service, request, RunOutcome.RUNNING)
@@ -132,7 +132,7 @@
         return Answered(STATUS_OK)
 
     def _work_seconds(self) -> float:
-        if self._program.moods.stalls:
+        if self._program.behaviour.stalls:
             return STALL_SECONDS
         return self._process.random.uniform(*WORK_SECONDS)
 
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -288,11 +288,16 @@
     async def _mood(self, action: Mood) -> None:
         if action.stalls:
             self._disturb(action.host, action.seconds)
-        moods = self._world.program(action.host).moods
-        moods.refuses, moods.stalls = action.refuses, action.stalls
-        moods.shed_share, moods.lies = action.shed_share, action.lies
+        behaviour = self._world.program(action.host).behaviour
+        behaviour.refuses, behaviour.stalls = action.refuses, action.stalls
+        behaviour.shed_share, behaviour.lies = action.shed_share, action.lies
         await asyncio.sleep(action.seconds)
-        moods.refuses, moods.stalls, moods.shed_share, moods.lies = False, False, 0.0, None
+        behaviour.refuses, behaviour.stalls, behaviour.shed_share, behaviour.lies = (
+            False,
+            False,
+            0.0,
+            None,
+        )
 
     async def _weather(self, action: Weather) -> None:
         conditions = self._world.network.conditions
