--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -29,7 +29,7 @@
 from jasperwalk_lab.simulator.clock import current_process
 
 STATUS_OK = 200
-WORK_SECONDS = (0.01, 0.25)
+SERVICE_TIME_SECONDS = (0.01, 0.25)
 STALL_SECONDS = 30.0
 STREAM_PATH = "/stream"
 
@@ -134,7 +134,7 @@
     def _work_seconds(self) -> float:
         if self._program.behaviour.stalls:
             return STALL_SECONDS
-        return self._process.random.uniform(*WORK_SECONDS)
+        return self._process.random.uniform(*SERVICE_TIME_SECONDS)
 
     async def _answer(self, service: str, request: Request, sink: ResponseSink) -> None:
         identity = header_of(request, answers.REQUEST_HEADER)
