--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -118,7 +118,7 @@
         record = self._program.arrived(service, request, RunOutcome.RUNNING)
         try:
             async with asyncio.timeout(deadline_at - self._clock()):
-                await asyncio.sleep(self._work_seconds())
+                await asyncio.sleep(self._service_time())
         except TimeoutError:
             record.outcome = RunOutcome.EXPIRED
             self._program.late = _body(service, request)
@@ -131,7 +131,7 @@
         record.outcome = RunOutcome.COMPLETED
         return Answered(STATUS_OK)
 
-    def _work_seconds(self) -> float:
+    def _service_time(self) -> float:
         if self._program.behaviour.stalls:
             return STALL_SECONDS
         return self._process.random.uniform(*SERVICE_TIME_SECONDS)
