--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -63,7 +63,7 @@
     host: str
     behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     arrivals: list[Arrival] = field(default_factory=list)
-    late: bytes | None = None
+    late_answer: bytes | None = None
     """An answer that nobody waited for any more, for the defect that reuses it."""
 
     def arrived(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
@@ -121,7 +121,7 @@
                 await asyncio.sleep(self._service_time())
         except TimeoutError:
             record.outcome = RunOutcome.EXPIRED
-            self._program.late = _body(service, request)
+            self._program.late_answer = _body(service, request)
             return Unknown(UnknownReason.DEADLINE)
         except asyncio.CancelledError:
             record.outcome = RunOutcome.CANCELLED
@@ -145,8 +145,8 @@
             (HOST_HEADER, self._host),
         ]
         body = _body(service, request)
-        if self.reuses_late_answers and self._program.late is not None:
-            body, self._program.late = self._program.late, None
+        if self.reuses_late_answers and self._program.late_answer is not None:
+            body, self._program.late_answer = self._program.late_answer, None
         await sink.head(STATUS_OK, headers)
         if request.path.startswith(STREAM_PATH):
             await self._stream(service, identity, request.path, sink)
