--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -66,7 +66,7 @@
     late_answer: bytes | None = None
     """An answer that nobody waited for any more, for the defect that reuses it."""
 
-    def arrived(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
+    def record_arrival(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
         """Journal one arrival."""
         identity = header_of(request, answers.REQUEST_HEADER)
         record = JournalRecord(identity, service, self.host, request.path, outcome)
@@ -113,9 +113,9 @@
             return NotRun(NotRunReason.BACKEND_UNREACHABLE)
         service = self._process.world.service_of_host(self._host)
         if self._process.random.random() < behaviour.shed_share:
-            self._program.arrived(service, request, RunOutcome.SHED)
+            self._program.record_arrival(service, request, RunOutcome.SHED)
             return NotRun(NotRunReason.SHEDDING)
-        record = self._program.arrived(service, request, RunOutcome.RUNNING)
+        record = self._program.record_arrival(service, request, RunOutcome.RUNNING)
         try:
             async with asyncio.timeout(deadline_at - self._clock()):
                 await asyncio.sleep(self._service_time())
