--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -32,7 +32,7 @@
 from jasperwalk_lab.simulator.clock import SimulatedProcess
 
 POLL_SECONDS = 0.25
-CONNECT_PATIENCE_SECONDS = 6.0
+CONNECT_WAIT_LIMIT_SECONDS = 6.0
 ANSWER_PATIENCE_SECONDS = 8.0
 """Time without any progress after which a caller gives a flow up."""
 DEADLINE_MS = 4000
@@ -90,7 +90,7 @@
     async def connect(self) -> bool:
         """Open the flow; False when nobody answered."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + CONNECT_PATIENCE_SECONDS
+        until = loop.time() + CONNECT_WAIT_LIMIT_SECONDS
         source = self._random.randbytes(8)
         while not self._connected.is_set() and loop.time() < until:
             self._send(model_flow.initial_packet(self._destination, source))
