--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -33,7 +33,7 @@
 
 POLL_SECONDS = 0.25
 CONNECT_WAIT_LIMIT_SECONDS = 6.0
-ANSWER_PATIENCE_SECONDS = 8.0
+ANSWER_WAIT_LIMIT_SECONDS = 8.0
 """Time without any progress after which a caller gives a flow up."""
 DEADLINE_MS = 4000
 STATUS_OK, STATUS_CREATED = 200, 201
@@ -108,7 +108,7 @@
         while not stream.ended and not self.ended:
             if len(stream.frames) > count:
                 progress_at, count = loop.time(), len(stream.frames)
-            if loop.time() - progress_at > ANSWER_PATIENCE_SECONDS:
+            if loop.time() - progress_at > ANSWER_WAIT_LIMIT_SECONDS:
                 self._send_content([stream_id, None, b"", count, True])
                 return stream.frames, BreakReason.TIMED_OUT
             self._send_content([stream_id, headers, body, count, False])
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -29,7 +29,7 @@
 from jasperwalk_lab.simulator.record import Attempt, Change, DrainSpan
 from jasperwalk_lab.simulator.world import World
 
-ANSWER_PATIENCE_SECONDS = 3.0
+ANSWER_WAIT_LIMIT_SECONDS = 3.0
 LOST_ANSWERS = 0.15
 """Share of the answers that an operator loses, whatever the network does."""
 EXPECTED_REVISIONS = 0.7
@@ -80,7 +80,7 @@
         outcome: Outcome | None = None
         refusal = ""
         try:
-            async with asyncio.timeout(ANSWER_PATIENCE_SECONDS):
+            async with asyncio.timeout(ANSWER_WAIT_LIMIT_SECONDS):
                 answer = await answered
             if isinstance(answer, JasperwalkError):
                 refusal = answer.kind
