--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -39,7 +39,7 @@
 STATUS_OK, STATUS_CREATED = 200, 201
 FIRST_CONTENT_BYTE = 0x80
 """The model's packets are CBOR arrays, which begin with this byte or a higher one."""
-MOST_SENDS = 4
+MAX_SENDS = 4
 SUBMISSIONS, STREAMS = 0.35, 0.15
 """Shares of the operations; the rest are look-ups."""
 LOST_ANSWERS = 0.2
@@ -213,7 +213,7 @@
             ticket = await self._obtain_ticket()
             if not ticket:
                 return
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             outcome = await self._send(identity, operation, ticket)
             lost_the_answer = bool(ticket) and self._random.random() < LOST_ANSWERS
             if isinstance(outcome, Answered) and not lost_the_answer:
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -34,7 +34,7 @@
 """Share of the answers that an operator loses, whatever the network does."""
 EXPECTED_REVISIONS = 0.7
 """Share of the changes that name the revision that they expect."""
-MOST_SENDS = 6
+MAX_SENDS = 6
 LANES = 16
 """Changes of a burst that are under way at once."""
 STUDIO_TEMPLATE = "studio"
@@ -55,7 +55,7 @@
         self._count += 1
         return f"{self.name}/{self._count}"
 
-    async def carry_through(self, command: OperatorCommand, sends: int = MOST_SENDS) -> Change:
+    async def carry_through(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
         """Send a change again and again until an outcome comes back, to any replica."""
         change = Change(command, self.name)
         self.world.record.changes.append(change)
