--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -28,7 +28,7 @@
 TURNS_WITHOUT_TIME = 1_000
 """Turns of the loop after which some time has passed, as on a real machine. A deadline may be
 due by one rounding and not yet by another; whoever waits for it would spin for ever."""
-MOST_TURNS = 100_000
+MAX_TURNS_WITHOUT_WAIT = 100_000
 """Turns without a wait after which a process is held to spin."""
 DISK_SYNC_SECONDS = (0.001, 0.02)
 """Least and longest time that a sync of a simulated disk takes."""
@@ -156,7 +156,7 @@
         self._turns += 1
         if self._turns % TURNS_WITHOUT_TIME == 0:
             self.waited_seconds += SHORTEST_WAIT_SECONDS
-        if self._turns > MOST_TURNS:
+        if self._turns > MAX_TURNS_WITHOUT_WAIT:
             raise RuntimeError(f"a process spins at {self.waited_seconds} s of virtual time")
         return []
 
