--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -25,7 +25,7 @@
 SHORTEST_WAIT_SECONDS = 1e-4
 """Timers are no finer than this, as on a real machine. A drifting clock comes closer and closer
 to a deadline; it would never reach it by ever smaller steps."""
-TURNS_WITHOUT_TIME = 1_000
+TURNS_UNTIL_TIME_ADVANCES = 1_000
 """Turns of the loop after which some time has passed, as on a real machine. A deadline may be
 due by one rounding and not yet by another; whoever waits for it would spin for ever."""
 MAX_TURNS_WITHOUT_WAIT = 100_000
@@ -154,7 +154,7 @@
             self._turns = 0
             return []
         self._turns += 1
-        if self._turns % TURNS_WITHOUT_TIME == 0:
+        if self._turns % TURNS_UNTIL_TIME_ADVANCES == 0:
             self.waited_seconds += SHORTEST_WAIT_SECONDS
         if self._turns > MAX_TURNS_WITHOUT_WAIT:
             raise RuntimeError(f"a process spins at {self.waited_seconds} s of virtual time")
