--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -22,7 +22,7 @@
 
 CLOCK_START_SECONDS = 1000.0
 """Virtual time at which a run begins; not zero, so that ages never reach back before it."""
-SHORTEST_WAIT_SECONDS = 1e-4
+MIN_WAIT_SECONDS = 1e-4
 """Timers are no finer than this, as on a real machine. A drifting clock comes closer and closer
 to a deadline; it would never reach it by ever smaller steps."""
 TURNS_UNTIL_TIME_ADVANCES = 1_000
@@ -150,12 +150,12 @@
         if timeout is None:
             raise RuntimeError("nothing is left to run in virtual time")
         if timeout > 0.0:
-            self.waited_seconds += max(timeout, SHORTEST_WAIT_SECONDS)
+            self.waited_seconds += max(timeout, MIN_WAIT_SECONDS)
             self._turns = 0
             return []
         self._turns += 1
         if self._turns % TURNS_UNTIL_TIME_ADVANCES == 0:
-            self.waited_seconds += SHORTEST_WAIT_SECONDS
+            self.waited_seconds += MIN_WAIT_SECONDS
         if self._turns > MAX_TURNS_WITHOUT_WAIT:
             raise RuntimeError(f"a process spins at {self.waited_seconds} s of virtual time")
         return []
