--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -37,7 +37,7 @@
 INITIAL_LENGTH = 1200
 RETRANSMISSION_SECONDS = 0.3
 IDLE_SECONDS = 60.0
-MOST_FRAMES_IN_DATAGRAM = 16
+MAX_FRAMES_IN_DATAGRAM = 16
 
 CONNECTION_ID, FRAMES, CLOSE = "connection-id", "frames", "close"
 HEAD, DATA, END, RESET = "head", "data", "end", "reset"
@@ -238,7 +238,7 @@
                 first = stream.sent
                 if first == stream.acknowledged:
                     stream.waits_since = now
-                frames = stream.frames[first : first + MOST_FRAMES_IN_DATAGRAM]
+                frames = stream.frames[first : first + MAX_FRAMES_IN_DATAGRAM]
                 stream.sent += len(frames)
                 contents.append([FRAMES, stream_id, first, frames])
         if self._closing and not self.is_closed:
