--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -15,7 +15,7 @@
 RECOVERY_SECONDS = 4.0
 """Time after a fault for which a process still counts as disturbed: it reconnects and, where
 it was lost, is found out."""
-LONGEST_DRAIN_SECONDS = 20.0
+MAX_DRAIN_SECONDS = 20.0
 LONGEST_MOVE_SECONDS = 30.0
 MOVE_POLL_SECONDS = 0.02
 
@@ -262,7 +262,7 @@
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
 
     async def _wait_until_stopped(self, host: AgentHost) -> None:
-        until = self._world.now + LONGEST_DRAIN_SECONDS
+        until = self._world.now + MAX_DRAIN_SECONDS
         while host.process is not None and self._world.now < until:
             await asyncio.sleep(0.1)
 
