--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -16,7 +16,7 @@
 """Time after a fault for which a process still counts as disturbed: it reconnects and, where
 it was lost, is found out."""
 MAX_DRAIN_SECONDS = 20.0
-LONGEST_MOVE_SECONDS = 30.0
+MAX_MOVE_SECONDS = 30.0
 MOVE_POLL_SECONDS = 0.02
 
 
@@ -252,7 +252,7 @@
     async def _move(self, action: Move) -> None:
         world, host = self._world, self._world.host(action.host)
         await self._administrator.move(action.host, action.service)
-        until = world.now + LONGEST_MOVE_SECONDS
+        until = world.now + MAX_MOVE_SECONDS
         while not _serves(host, action.service) and world.now < until:
             await asyncio.sleep(MOVE_POLL_SECONDS)
         if not _serves(host, action.service):
