--- a/src/jasperwalk_lab/simulator/repair.py
+++ b/src/jasperwalk_lab/simulator/repair.py
@@ -16,7 +16,7 @@
 from jasperwalk_lab.simulator.world import World
 
 STEP_SECONDS = 0.5
-LONGEST_REPAIR_SECONDS = 60.0
+MAX_REPAIR_SECONDS = 60.0
 
 
 async def replace_replica(world: World, host: ControlHost, random: Random) -> None:
@@ -26,7 +26,7 @@
     host.wipe(new)
     await asyncio.sleep(random.uniform(0.5, 2.0))
     host.start()
-    until = world.now + LONGEST_REPAIR_SECONDS
+    until = world.now + MAX_REPAIR_SECONDS
     while world.now < until:
         step = _next_step(world, host, lost, new)
         if step is None:
