--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -24,7 +24,7 @@
 """Small, so that snapshots and the log's truncation happen in every run."""
 NO_PORT = Endpoint("127.0.0.1", 0)
 NO_FILE = Path("unused")
-HIGHEST_DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 
 
 class WatchedReplica(ControlReplica):
@@ -56,7 +56,7 @@
         """Start the process, if it is down."""
         if self.process is not None:
             return
-        drift = self.world.fault_random.uniform(-HIGHEST_DRIFT, HIGHEST_DRIFT)
+        drift = self.world.fault_random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.process = SimulatedProcess(self.name, self.zone, self.world, drift)
         self.process.random.seed(f"{self.world.seed}-{self.name}-{next(self._boots)}")
         self.process.start(self.main())
