--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -9,7 +9,7 @@
 from jasperwalk_lab.simulator.run import RunResult, planned_faults, run_scenario
 from jasperwalk_lab.simulator.scenarios import scenario_named
 
-MOST_EVENTS = 40
+MAX_EVENTS_SHOWN = 40
 """Longest list of events that is shown."""
 MOST_VIOLATIONS = 10
 VIOLATION = " VIOLATION "
@@ -63,4 +63,4 @@
     ]
     violated = [event for event in told if VIOLATION in event][:MOST_VIOLATIONS]
     others = [event for event in told if VIOLATION not in event]
-    return [*others[: MOST_EVENTS - len(violated)], *violated]
+    return [*others[: MAX_EVENTS_SHOWN - len(violated)], *violated]
