--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -11,7 +11,7 @@
 
 MAX_EVENTS_SHOWN = 40
 """Longest list of events that is shown."""
-MOST_VIOLATIONS = 10
+MAX_VIOLATIONS_SHOWN = 10
 VIOLATION = " VIOLATION "
 ALWAYS_SHOWN = (" fault ", " over ", VIOLATION, " restart ", " stopped ", " resumed ")
 
@@ -61,6 +61,6 @@
         for event in result.events
         if any(mark in event for mark in ALWAYS_SHOWN) or names & set(event.split())
     ]
-    violated = [event for event in told if VIOLATION in event][:MOST_VIOLATIONS]
+    violated = [event for event in told if VIOLATION in event][:MAX_VIOLATIONS_SHOWN]
     others = [event for event in told if VIOLATION not in event]
     return [*others[: MAX_EVENTS_SHOWN - len(violated)], *violated]
