--- a/src/jasperwalk_lab/baselines/flow_table.py
+++ b/src/jasperwalk_lab/baselines/flow_table.py
@@ -35,7 +35,7 @@
 from jasperwalk.routing.candidates import CandidateIndex
 from jasperwalk.routing.quic_packets import PacketKind, classify
 
-MOST_FLOWS = 200_000
+MAX_TABLE_FLOWS = 200_000
 ALREADY_HANDED_OVER = 1
 BALANCER_DECIDES_REVISION = 1 << 48
 """A revision newer than any agent's, so that agents take the flows that they are sent."""
@@ -97,7 +97,7 @@
         if pair is None:
             return None
         self._flows[block] = pair.first.address
-        if len(self._flows) > MOST_FLOWS:
+        if len(self._flows) > MAX_TABLE_FLOWS:
             self._flows.popitem(last=False)
         return pair.first.address
 
