--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -15,7 +15,7 @@
 from jasperwalk.routing.candidates import CandidateIndex, MemberSource
 from jasperwalk.routing.rendezvous import CandidatePair, PreparedMember
 
-MOST_REMEMBERED = 20_000
+MAX_REMEMBERED_INITIALS = 20_000
 """Initials whose choice a balancer remembers."""
 
 
@@ -35,7 +35,7 @@
         if chosen is None or chosen not in prepared_members:
             chosen = self.choose(service_id, prepared_members)
             self._chosen[service_id, flow_key] = chosen
-            if len(self._chosen) > MOST_REMEMBERED:
+            if len(self._chosen) > MAX_REMEMBERED_INITIALS:
                 self._chosen.popitem(last=False)
         return CandidatePair(first=chosen, second=None)
 
