--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -40,7 +40,7 @@
 FIRST_CONTENT_BYTE = 0x80
 """The model's packets are CBOR arrays, which begin with this byte or a higher one."""
 MAX_SENDS = 4
-SUBMISSION_SHARE, STREAMS = 0.35, 0.15
+SUBMISSION_SHARE, STREAM_SHARE = 0.35, 0.15
 """Shares of the operations; the rest are look-ups."""
 LOST_ANSWERS = 0.2
 """Share of the submissions' answers that a caller loses, so that it sends again."""
@@ -203,7 +203,7 @@
         drawn = self._random.random()
         if drawn < SUBMISSION_SHARE:
             return Submission(f"{self._name}/{self._count}".encode())
-        if drawn < SUBMISSION_SHARE + STREAMS:
+        if drawn < SUBMISSION_SHARE + STREAM_SHARE:
             return LongStream(self._random.choice((2.0, 5.0, 9.0)), STREAM_INTERVAL_MS)
         return Lookup(f"{self._count}")
 
