--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -42,7 +42,7 @@
 MAX_SENDS = 4
 SUBMISSION_SHARE, STREAM_SHARE = 0.35, 0.15
 """Shares of the operations; the rest are look-ups."""
-LOST_ANSWERS = 0.2
+LOST_ANSWER_SHARE = 0.2
 """Share of the submissions' answers that a caller loses, so that it sends again."""
 FLOW_USED_AGAIN = 0.8
 """Share of the requests that go over the flow that is open already."""
@@ -215,7 +215,7 @@
                 return
         for _ in range(MAX_SENDS):
             outcome = await self._send(identity, operation, ticket)
-            lost_the_answer = bool(ticket) and self._random.random() < LOST_ANSWERS
+            lost_the_answer = bool(ticket) and self._random.random() < LOST_ANSWER_SHARE
             if isinstance(outcome, Answered) and not lost_the_answer:
                 return
             if isinstance(outcome, Broken | Unknown) or lost_the_answer:
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -30,7 +30,7 @@
 from jasperwalk_lab.simulator.world import World
 
 ANSWER_WAIT_LIMIT_SECONDS = 3.0
-LOST_ANSWERS = 0.15
+LOST_ANSWER_SHARE = 0.15
 """Share of the answers that an operator loses, whatever the network does."""
 EXPECTED_REVISIONS = 0.7
 """Share of the changes that name the revision that they expect."""
@@ -111,7 +111,7 @@
                 answer = await host.replica.change(command)
             except JasperwalkError as error:
                 answer = error
-            if self.random.random() >= LOST_ANSWERS:
+            if self.random.random() >= LOST_ANSWER_SHARE:
                 network.send_once(process, self.process, take, answer)
 
         network.send_once(self.process, process, lambda: process.start(serve()))
