--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -44,7 +44,7 @@
 """Shares of the operations; the rest are look-ups."""
 LOST_ANSWER_SHARE = 0.2
 """Share of the submissions' answers that a caller loses, so that it sends again."""
-FLOW_USED_AGAIN = 0.8
+FLOW_REUSE_SHARE = 0.8
 """Share of the requests that go over the flow that is open already."""
 STREAM_INTERVAL_MS = 250.0
 
@@ -254,7 +254,7 @@
 
     async def _open_flow(self) -> Flow | None:
         flow = self._flow
-        if flow is not None and not flow.ended and self._random.random() < FLOW_USED_AGAIN:
+        if flow is not None and not flow.ended and self._random.random() < FLOW_REUSE_SHARE:
             return flow
         self._drop_flow()
         flow = Flow(self._process, self._service, self._world.next_flow_number(), self._random)
