--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -32,7 +32,7 @@
 ANSWER_WAIT_LIMIT_SECONDS = 3.0
 LOST_ANSWER_SHARE = 0.15
 """Share of the answers that an operator loses, whatever the network does."""
-EXPECTED_REVISIONS = 0.7
+EXPECTED_REVISION_SHARE = 0.7
 """Share of the changes that name the revision that they expect."""
 MAX_SENDS = 6
 LANES = 16
@@ -131,7 +131,7 @@
             await asyncio.sleep(random.uniform(*self._pause_seconds))
             number = random.randrange(STUDIO_COUNT)
             expected = None
-            if random.random() < EXPECTED_REVISIONS:
+            if random.random() < EXPECTED_REVISION_SHARE:
                 expected = self._read_revision(studio_name(number))
             command = SetTenant(
                 self.console.new_change_id(),
