--- a/src/jasperwalk_lab/simulator/disk.py
+++ b/src/jasperwalk_lab/simulator/disk.py
@@ -7,7 +7,7 @@
 
 from jasperwalk.consensus.durable import DurableState, PersistBatch
 
-NOTHING_REACHES_DISK = 0.5
+LOST_BATCH_SHARE = 0.5
 """Share of the crashes in which nothing of the batch under way reached the disk."""
 
 
@@ -43,7 +43,7 @@
     def crash(self) -> None:
         """Lose the batch under way, but for a beginning of it that may have reached the disk."""
         batch, self._under_way = self._under_way, None
-        if batch is None or self._random.random() < NOTHING_REACHES_DISK:
+        if batch is None or self._random.random() < LOST_BATCH_SHARE:
             return
         if batch.snapshot is not None or batch.reset_index is not None:
             # The log is replaced as a whole, by a rename: only the first file may be there.
