--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -10,7 +10,7 @@
 from jasperwalk.control.state.outcomes import Outcome
 from jasperwalk_lab.operations import CallRecord
 
-CROSSING_SECONDS = 0.1
+MAX_CLOSE_RACE_SECONDS = 0.1
 """Longest time from the invocation of a request until it meets the closing of its flow."""
 
 
@@ -125,7 +125,8 @@
         A request on the wire at that very moment meets a closed flow, too.
         """
         return any(
-            each.begin - CROSSING_SECONDS <= invoked <= each.end for each in self.planned_ends[name]
+            each.begin - MAX_CLOSE_RACE_SECONDS <= invoked <= each.end
+            for each in self.planned_ends[name]
         )
 
     def disturbed(self, name: str, begin: float, end: float) -> bool:
