--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -29,13 +29,13 @@
 from jasperwalk_lab.simulator.clock import current_process
 
 STATUS_OK = 200
-WORK_SECONDS = (0.01, 0.25)
+SERVICE_TIME_SECONDS = (0.01, 0.25)
 STALL_SECONDS = 30.0
 STREAM_PATH = "/stream"
 
 
 @dataclass
-class Moods:
+class BackendBehaviour:
     """How a back end behaves now.
 
     `refuses` takes no connection, `stalls` runs requests but answers too late, `shed_share`
@@ -61,12 +61,12 @@
     """The program beside one agent; it outlives restarts of the agent."""
 
     host: str
-    moods: Moods = field(default_factory=Moods)
+    behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     arrivals: list[Arrival] = field(default_factory=list)
-    late: bytes | None = None
+    late_answer: bytes | None = None
     """An answer that nobody waited for any more, for the defect that reuses it."""
 
-    def arrived(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
+    def record_arrival(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
         """Journal one arrival."""
         identity = header_of(request, answers.REQUEST_HEADER)
         record = JournalRecord(identity, service, self.host, request.path, outcome)
@@ -96,8 +96,8 @@
     async def check(self, path: str, timeout_seconds: float) -> bool:
         """Ask the health path."""
         await asyncio.sleep(0.001)
-        moods = self._program.moods
-        return not moods.refuses if moods.lies is None else moods.lies
+        behaviour = self._program.behaviour
+        return not behaviour.refuses if behaviour.lies is None else behaviour.lies
 
     async def run(
         self,
@@ -108,20 +108,20 @@
     ) -> Outcome:
         """Run one request and pass its answer to `sink`."""
         await asyncio.sleep(0.001)
-        moods = self._program.moods
-        if moods.refuses:
+        behaviour = self._program.behaviour
+        if behaviour.refuses:
             return NotRun(NotRunReason.BACKEND_UNREACHABLE)
         service = self._process.world.service_of_host(self._host)
-        if self._process.random.random() < moods.shed_share:
-            self._program.arrived(service, request, RunOutcome.SHED)
+        if self._process.random.random() < behaviour.shed_share:
+            self._program.record_arrival(service, request, RunOutcome.SHED)
             return NotRun(NotRunReason.SHEDDING)
-        record = self._program.arrived(service, request, RunOutcome.RUNNING)
+        record = self._program.record_arrival(service, request, RunOutcome.RUNNING)
         try:
             async with asyncio.timeout(deadline_at - self._clock()):
-                await asyncio.sleep(self._work_seconds())
+                await asyncio.sleep(self._service_time())
         except TimeoutError:
             record.outcome = RunOutcome.EXPIRED
-            self._program.late = _body(service, request)
+            self._program.late_answer = _body(service, request)
             return Unknown(UnknownReason.DEADLINE)
         except asyncio.CancelledError:
             record.outcome = RunOutcome.CANCELLED
@@ -131,10 +131,10 @@
         record.outcome = RunOutcome.COMPLETED
         return Answered(STATUS_OK)
 
-    def _work_seconds(self) -> float:
-        if self._program.moods.stalls:
+    def _service_time(self) -> float:
+        if self._program.behaviour.stalls:
             return STALL_SECONDS
-        return self._process.random.uniform(*WORK_SECONDS)
+        return self._process.random.uniform(*SERVICE_TIME_SECONDS)
 
     async def _answer(self, service: str, request: Request, sink: ResponseSink) -> None:
         identity = header_of(request, answers.REQUEST_HEADER)
@@ -145,8 +145,8 @@
             (HOST_HEADER, self._host),
         ]
         body = _body(service, request)
-        if self.reuses_late_answers and self._program.late is not None:
-            body, self._program.late = self._program.late, None
+        if self.reuses_late_answers and self._program.late_answer is not None:
+            body, self._program.late_answer = self._program.late_answer, None
         await sink.head(STATUS_OK, headers)
         if request.path.startswith(STREAM_PATH):
             await self._stream(service, identity, request.path, sink)
--- a/src/jasperwalk_lab/simulator/shortening.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -9,9 +9,9 @@
 from jasperwalk_lab.simulator.run import RunResult, planned_faults, run_scenario
 from jasperwalk_lab.simulator.scenarios import scenario_named
 
-MOST_EVENTS = 40
+MAX_EVENTS_SHOWN = 40
 """Longest list of events that is shown."""
-MOST_VIOLATIONS = 10
+MAX_VIOLATIONS_SHOWN = 10
 VIOLATION = " VIOLATION "
 ALWAYS_SHOWN = (" fault ", " over ", VIOLATION, " restart ", " stopped ", " resumed ")
 
@@ -61,6 +61,6 @@
         for event in result.events
         if any(mark in event for mark in ALWAYS_SHOWN) or names & set(event.split())
     ]
-    violated = [event for event in told if VIOLATION in event][:MOST_VIOLATIONS]
+    violated = [event for event in told if VIOLATION in event][:MAX_VIOLATIONS_SHOWN]
     others = [event for event in told if VIOLATION not in event]
-    return [*others[: MOST_EVENTS - len(violated)], *violated]
+    return [*others[: MAX_EVENTS_SHOWN - len(violated)], *violated]
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -29,12 +29,12 @@
 from jasperwalk_lab.simulator.record import Attempt, Change, DrainSpan
 from jasperwalk_lab.simulator.world import World
 
-ANSWER_PATIENCE_SECONDS = 3.0
-LOST_ANSWERS = 0.15
+ANSWER_WAIT_LIMIT_SECONDS = 3.0
+LOST_ANSWER_SHARE = 0.15
 """Share of the answers that an operator loses, whatever the network does."""
-EXPECTED_REVISIONS = 0.7
+EXPECTED_REVISION_SHARE = 0.7
 """Share of the changes that name the revision that they expect."""
-MOST_SENDS = 6
+MAX_SENDS = 6
 LANES = 16
 """Changes of a burst that are under way at once."""
 STUDIO_TEMPLATE = "studio"
@@ -55,7 +55,7 @@
         self._count += 1
         return f"{self.name}/{self._count}"
 
-    async def carry_through(self, command: OperatorCommand, sends: int = MOST_SENDS) -> Change:
+    async def carry_through(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
         """Send a change again and again until an outcome comes back, to any replica."""
         change = Change(command, self.name)
         self.world.record.changes.append(change)
@@ -80,7 +80,7 @@
         outcome: Outcome | None = None
         refusal = ""
         try:
-            async with asyncio.timeout(ANSWER_PATIENCE_SECONDS):
+            async with asyncio.timeout(ANSWER_WAIT_LIMIT_SECONDS):
                 answer = await answered
             if isinstance(answer, JasperwalkError):
                 refusal = answer.kind
@@ -111,7 +111,7 @@
                 answer = await host.replica.change(command)
             except JasperwalkError as error:
                 answer = error
-            if self.random.random() >= LOST_ANSWERS:
+            if self.random.random() >= LOST_ANSWER_SHARE:
                 network.send_once(process, self.process, take, answer)
 
         network.send_once(self.process, process, lambda: process.start(serve()))
@@ -131,7 +131,7 @@
             await asyncio.sleep(random.uniform(*self._pause_seconds))
             number = random.randrange(STUDIO_COUNT)
             expected = None
-            if random.random() < EXPECTED_REVISIONS:
+            if random.random() < EXPECTED_REVISION_SHARE:
                 expected = self._read_revision(studio_name(number))
             command = SetTenant(
                 self.console.new_change_id(),
