--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -15,8 +15,8 @@
 RECOVERY_SECONDS = 4.0
 """Time after a fault for which a process still counts as disturbed: it reconnects and, where
 it was lost, is found out."""
-LONGEST_DRAIN_SECONDS = 20.0
-LONGEST_MOVE_SECONDS = 30.0
+MAX_DRAIN_SECONDS = 20.0
+MAX_MOVE_SECONDS = 30.0
 MOVE_POLL_SECONDS = 0.02
 
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Mood:
-    """A back end misbehaves for `seconds`; see `Moods` for the fields."""
+    """A back end misbehaves for `seconds`; see `BackendBehaviour` for the fields."""
 
     host: str
     seconds: float
@@ -252,7 +252,7 @@
     async def _move(self, action: Move) -> None:
         world, host = self._world, self._world.host(action.host)
         await self._administrator.move(action.host, action.service)
-        until = world.now + LONGEST_MOVE_SECONDS
+        until = world.now + MAX_MOVE_SECONDS
         while not _serves(host, action.service) and world.now < until:
             await asyncio.sleep(MOVE_POLL_SECONDS)
         if not _serves(host, action.service):
@@ -262,7 +262,7 @@
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
 
     async def _wait_until_stopped(self, host: AgentHost) -> None:
-        until = self._world.now + LONGEST_DRAIN_SECONDS
+        until = self._world.now + MAX_DRAIN_SECONDS
         while host.process is not None and self._world.now < until:
             await asyncio.sleep(0.1)
 
@@ -288,11 +288,16 @@
     async def _mood(self, action: Mood) -> None:
         if action.stalls:
             self._disturb(action.host, action.seconds)
-        moods = self._world.program(action.host).moods
-        moods.refuses, moods.stalls = action.refuses, action.stalls
-        moods.shed_share, moods.lies = action.shed_share, action.lies
+        behaviour = self._world.program(action.host).behaviour
+        behaviour.refuses, behaviour.stalls = action.refuses, action.stalls
+        behaviour.shed_share, behaviour.lies = action.shed_share, action.lies
         await asyncio.sleep(action.seconds)
-        moods.refuses, moods.stalls, moods.shed_share, moods.lies = False, False, 0.0, None
+        behaviour.refuses, behaviour.stalls, behaviour.shed_share, behaviour.lies = (
+            False,
+            False,
+            0.0,
+            None,
+        )
 
     async def _weather(self, action: Weather) -> None:
         conditions = self._world.network.conditions
