--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -80,7 +80,7 @@
         self._stream_ids = itertools.count(0, 4)
         self._connected = asyncio.Event()
         self.ended = False
-        self._world.flows[self.address] = self.take
+        self._world.flows[self.address] = self.on_datagram
 
     @property
     def host(self) -> str:
@@ -125,7 +125,7 @@
         self.ended = True
         self._world.flows.pop(self.address, None)
 
-    def take(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
         """Take a datagram from the fabric."""
         if data[0] < FIRST_CONTENT_BYTE:
             # A stateless reset; while keys change, agents send one for each key.
