--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -134,13 +134,13 @@
             return
         content = cbor2.loads(data)
         if content[0] == model_flow.CONNECTION_ID:
-            self._take_connection_id(*content[1:])
+            self._on_connection_id(*content[1:])
         elif content[0] == model_flow.FRAMES:
             self._take_frames(*content[1:])
         elif content[0] == model_flow.CLOSE:
             self._end()
 
-    def _take_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
+    def _on_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
         if not self._connection_id:
             # Another agent may have answered too, where the Initial was sent again: the first
             # answer stands, and later ones of other agents are not followed.
