--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -136,7 +136,7 @@
         if content[0] == model_flow.CONNECTION_ID:
             self._on_connection_id(*content[1:])
         elif content[0] == model_flow.FRAMES:
-            self._take_frames(*content[1:])
+            self._on_frames(*content[1:])
         elif content[0] == model_flow.CLOSE:
             self._end()
 
@@ -150,7 +150,7 @@
         self._number, self._connection_id, self._reset_token = number, connection_id, token
         self._connected.set()
 
-    def _take_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
+    def _on_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
         stream = self._streams.get(stream_id)
         if stream is None or first > len(stream.frames):
             return
