--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -99,7 +99,7 @@
         self.alive = False
         self._waiting.clear()
 
-    def take(
+    def run_callback(
         self, callback: Callable[..., Any], arguments: tuple[Any, ...], handle: _HandleCell
     ) -> None:
         """Run a callback of this process now, later, or never."""
@@ -230,7 +230,7 @@
     if process is None:
         callback(*arguments)
     else:
-        process.take(callback, arguments, cell)
+        process.run_callback(callback, arguments, cell)
 
 
 def current_process() -> SimulatedProcess:
