--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -72,7 +72,7 @@
         self,
         sender: SimulatedProcess,
         receiver: SimulatedProcess,
-        take: Callable[..., Any],
+        deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
         """Carry one datagram, or lose or double it."""
@@ -82,18 +82,18 @@
             delay = self.delay(sender, receiver)
             if lost or self.is_cut(sender, receiver):
                 continue
-            deliver_at(delay, receiver, take, arguments)
+            deliver_at(delay, receiver, deliver, arguments)
 
     def send_once(
         self,
         sender: SimulatedProcess,
         receiver: SimulatedProcess,
-        take: Callable[..., Any],
+        deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
         """Carry one message of a connection that is not modelled: once, or not at all."""
         if not self.is_cut(sender, receiver):
-            deliver_at(self.delay(sender, receiver), receiver, take, arguments)
+            deliver_at(self.delay(sender, receiver), receiver, deliver, arguments)
 
     def listen(self, endpoint: Endpoint, listener: Listener) -> None:
         """Take connections at an end point, in place of any earlier listener."""
@@ -144,11 +144,14 @@
 
 
 def deliver_at(
-    delay: float, receiver: SimulatedProcess, take: Callable[..., Any], arguments: tuple[Any, ...]
+    delay: float,
+    receiver: SimulatedProcess,
+    deliver: Callable[..., Any],
+    arguments: tuple[Any, ...],
 ) -> None:
     """Hand something to a process after a delay; a dead process never gets it."""
     asyncio.get_running_loop().call_later(
-        delay, receiver.call, take, *arguments, context=contextvars.Context()
+        delay, receiver.call, deliver, *arguments, context=contextvars.Context()
     )
 
 
@@ -259,12 +262,12 @@
     def _arrive(self, frame: bytes | None) -> None:
         receiver = self.other.process
         if receiver.alive:
-            receiver.call(self.other.take, frame)
+            receiver.call(self.other.deliver, frame)
         elif not receiver.machine_lost:
             # Nobody is there any more: the machine's kernel resets the connection.
-            deliver_at(RESET_SECONDS, self.process, self.take, (None,))
+            deliver_at(RESET_SECONDS, self.process, self.deliver, (None,))
 
-    def take(self, frame: bytes | None) -> None:
+    def deliver(self, frame: bytes | None) -> None:
         """Take a frame of the other side; None is its end."""
         if frame is None:
             self.closed = True
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -169,14 +169,14 @@
             return
         receiver = self.receivers.get(to)
         if receiver is not None:
-            process, take = receiver
-            self.network.send_datagram(sender, process, take, data)
+            process, deliver = receiver
+            self.network.send_datagram(sender, process, deliver, data)
 
     def _to_caller(self, sender: SimulatedProcess, data: bytes) -> None:
         address = Endpoint.unpack(data[20:24] + data[26:28])
-        take = self.flows.get(address)
-        if take is not None:
-            self.network.send_datagram(sender, self.clients, take, data[HEADER_LENGTH:])
+        deliver = self.flows.get(address)
+        if deliver is not None:
+            self.network.send_datagram(sender, self.clients, deliver, data[HEADER_LENGTH:])
 
     def operators_outside(self, hosts: tuple[str, ...]) -> list[str]:
         """Return the operators who are not on the side of a cut-off group."""
