--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -99,7 +99,7 @@
     ) -> None:
         network = self.world.network
 
-        def take(answer: Outcome | JasperwalkError) -> None:
+        def receive_answer(answer: Outcome | JasperwalkError) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
@@ -112,7 +112,7 @@
             except JasperwalkError as error:
                 answer = error
             if self.random.random() >= LOST_ANSWER_SHARE:
-                network.send_once(process, self.process, take, answer)
+                network.send_once(process, self.process, receive_answer, answer)
 
         network.send_once(self.process, process, lambda: process.start(serve()))
 
