--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -31,7 +31,7 @@
 """Time until the fabric notices that a balancer is gone or new."""
 WATCH_SECONDS = 0.05
 
-TakeDatagram = Callable[[bytes], None]
+DeliverDatagram = Callable[[bytes], None]
 
 
 class World:
@@ -44,8 +44,8 @@
         self.fault_random = Random(f"{seed}-faults")
         self.network = Network(Random(f"{seed}-network"), layout.conditions())
         self.record = Record()
-        self.receivers: dict[Endpoint, tuple[SimulatedProcess, TakeDatagram]] = {}
-        self.flows: dict[Endpoint, TakeDatagram] = {}
+        self.receivers: dict[Endpoint, tuple[SimulatedProcess, DeliverDatagram]] = {}
+        self.flows: dict[Endpoint, DeliverDatagram] = {}
         self.stop_events: dict[str, asyncio.Event] = {}
         self.ended: list[SimulatedProcess] = []
         self.traffic = True
