--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -136,7 +136,7 @@
             self.callback(*self.arguments)
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Reports nothing and, instead of waiting, tells how long the loop meant to wait."""
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
     """An event loop on virtual time; the same calls give the same order of callbacks."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
+        self._jumping = _VirtualTimeSelector()
         super().__init__(self._jumping)
         self.set_task_factory(_make_task)
         self.set_exception_handler(self._note_failure)
