--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -165,15 +165,15 @@
     """An event loop on virtual time; the same calls give the same order of callbacks."""
 
     def __init__(self) -> None:
-        self._jumping = _VirtualTimeSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self.set_task_factory(_make_task)
         self.set_exception_handler(self._note_failure)
         self.failures: list[str] = []
 
     def time(self) -> float:
         """Return the virtual time, seconds."""
-        return CLOCK_START_SECONDS + self._jumping.waited_seconds
+        return CLOCK_START_SECONDS + self._virtual_selector.waited_seconds
 
     def call_soon(
         self,
