--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -168,7 +168,7 @@
         self._virtual_selector = _VirtualTimeSelector()
         super().__init__(self._virtual_selector)
         self.set_task_factory(_make_task)
-        self.set_exception_handler(self._note_failure)
+        self.set_exception_handler(self._record_failure)
         self.failures: list[str] = []
 
     def time(self) -> float:
@@ -219,7 +219,7 @@
         await asyncio.sleep(process.random.uniform(*DISK_SYNC_SECONDS))
         return function(*arguments)
 
-    def _note_failure(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_failure(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None and not isinstance(error, asyncio.CancelledError):
             self.failures.append(f"{context.get('message')}: {error!r}")
