--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -183,7 +183,7 @@
     ) -> asyncio.Handle:
         """Run a callback in its process's turn."""
         cell = _HandleCell()
-        cell.handle = super().call_soon(_guarded, callback, args, cell, context=context)
+        cell.handle = super().call_soon(_run_in_process, callback, args, cell, context=context)
         return cell.handle
 
     def call_at(
@@ -195,7 +195,7 @@
     ) -> asyncio.TimerHandle:
         """Run a callback at a time, in its process's turn."""
         cell = _HandleCell()
-        handle = super().call_at(when, _guarded, callback, args, cell, context=context)
+        handle = super().call_at(when, _run_in_process, callback, args, cell, context=context)
         cell.handle = handle
         return handle
 
@@ -225,7 +225,9 @@
             self.failures.append(f"{context.get('message')}: {error!r}")
 
 
-def _guarded(callback: Callable[..., Any], arguments: tuple[Any, ...], cell: _HandleCell) -> None:
+def _run_in_process(
+    callback: Callable[..., Any], arguments: tuple[Any, ...], cell: _HandleCell
+) -> None:
     process = _running.get()
     if process is None:
         callback(*arguments)
