--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.soak.history import (
     HostAtEnd,
     MachineStall,
-    OpeningTaken,
+    OpeningReceived,
     RequestOutcome,
     RequestRun,
     SoakHistory,
@@ -127,7 +127,7 @@
 
 
 def _right_service(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
-    arrived: list[OpeningTaken | RequestRun] = [*history.openings, *history.runs]
+    arrived: list[OpeningReceived | RequestRun] = [*history.openings, *history.runs]
     for seen in arrived:
         if seen.service != seen.route_service:
             detail = f"{seen.host_id} of {seen.service} got a packet for {seen.route_service}"
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -20,7 +20,7 @@
     """Every try was refused before it ran."""
 
 
-class OpeningTaken(msgspec.Struct, frozen=True):
+class OpeningReceived(msgspec.Struct, frozen=True):
     """An opening packet that reached a host; `route_service` is whose listener it named.
 
     Here and below `host_id` names one start of a host.
@@ -180,7 +180,7 @@
 class SoakHistory:
     """Everything recorded; times are seconds of the run."""
 
-    openings: list[OpeningTaken] = field(default_factory=list)
+    openings: list[OpeningReceived] = field(default_factory=list)
     runs: list[RequestRun] = field(default_factory=list)
     requests: list[RequestEnded] = field(default_factory=list)
     asked: list[FlowAsked] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -14,7 +14,7 @@
     HostBegan,
     HostCold,
     HostDrained,
-    OpeningTaken,
+    OpeningReceived,
     RequestRun,
     SoakHistory,
     UnusableTaken,
@@ -233,7 +233,7 @@
         self, key: tuple[Endpoint, Endpoint], packet: Packet, datagram: bytes
     ) -> None:
         route = self.route_of(packet.target)
-        opening = OpeningTaken(
+        opening = OpeningReceived(
             self.clock(),
             self.start_id,
             self.place.service,
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -10,7 +10,7 @@
 from jasperwalk.scheduling.request_order import DEFAULT_LEAST_SHARE
 from jasperwalk_lab.soak.faults import PRESSURE
 from jasperwalk_lab.soak.history import (
-    OpeningTaken,
+    OpeningReceived,
     RequestRefused,
     SoakHistory,
 )
@@ -78,9 +78,9 @@
             yield UrgencyBreak(refused, counts)
 
 
-def _first_openings(history: SoakHistory) -> dict[str, list[OpeningTaken]]:
+def _first_openings(history: SoakHistory) -> dict[str, list[OpeningReceived]]:
     """Return the openings at each host, of the copies of a packet the first one only."""
-    found: dict[str, dict[str, OpeningTaken]] = defaultdict(dict)
+    found: dict[str, dict[str, OpeningReceived]] = defaultdict(dict)
     for opening in history.openings:
         found[opening.host_id].setdefault(opening.flow, opening)
     return defaultdict(list, {host: list(flows.values()) for host, flows in found.items()})
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -6,7 +6,7 @@
 from jasperwalk_lab.soak.history import (
     FlowAsked,
     HostBegan,
-    OpeningTaken,
+    OpeningReceived,
     RequestRefused,
     RequestRun,
     SoakHistory,
@@ -25,7 +25,7 @@
 
 
 def opening(host, at, priority=PATIENT, flow=None):
-    return OpeningTaken(at, host, "web", "web", "north", flow or f"{host}-{at}", priority)
+    return OpeningReceived(at, host, "web", "web", "north", flow or f"{host}-{at}", priority)
 
 
 def history(openings, sent_at=REFUSED_AT - 0.1, refused=REFUSED, faults=()):
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -25,7 +25,7 @@
     HostDrained,
     MachineStall,
     OpenFlowReset,
-    OpeningTaken,
+    OpeningReceived,
     ProcessKilledAtStop,
     ProcessUse,
     RequestEnded,
@@ -48,7 +48,7 @@
 
 
 def opening(at, host_id="h1", zone="north", route_service="web"):
-    return OpeningTaken(at, host_id, "web", route_service, zone)
+    return OpeningReceived(at, host_id, "web", route_service, zone)
 
 
 def history(**parts):
@@ -128,7 +128,7 @@
     SoakPromise.URGENT_FIRST: {
         "hosts_began": [HostBegan(0.0, "agent-1", "h1", "web")],
         "asked": [FlowAsked(9.0, "f2"), FlowAsked(9.0, "f3")],
-        "openings": [OpeningTaken(9.2, "h1", "web", "web", "north", f, 1) for f in ("f2", "f3")],
+        "openings": [OpeningReceived(9.2, "h1", "web", "web", "north", f, 1) for f in ("f2", "f3")],
         "refused": [RequestRefused(9.1, "q1", "f1", "web", 0)],
     },
     SoakPromise.REFUSED_NOT_RUN: {
