--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -55,7 +55,7 @@
         self.machine_lost = False
         """Whether the machine went with the process, so that nobody resets its connections."""
         self.random: Random = Random(f"{name}")
-        self._waiting: list[_Deferred] = []
+        self._waiting: list[_DeferredCallback] = []
         self._tasks: set[asyncio.Task[Any]] = set()
         self._context = contextvars.copy_context()
         self._context.run(_running.set, self)
@@ -107,7 +107,7 @@
             return
         if self.frozen:
             context = contextvars.copy_context()
-            self._waiting.append(_Deferred(callback, arguments, handle, context))
+            self._waiting.append(_DeferredCallback(callback, arguments, handle, context))
             return
         callback(*arguments)
 
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True)
-class _Deferred:
+class _DeferredCallback:
     """A callback that came due while its process was frozen."""
 
     callback: Callable[..., Any]
