--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -13,7 +13,7 @@
     MachineStall,
     OpeningReceived,
     RequestOutcome,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
     ZoneOrdered,
 )
@@ -127,7 +127,7 @@
 
 
 def _right_service(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
-    arrived: list[OpeningReceived | RequestRun] = [*history.openings, *history.runs]
+    arrived: list[OpeningReceived | RequestStarted] = [*history.openings, *history.runs]
     for seen in arrived:
         if seen.service != seen.route_service:
             detail = f"{seen.host_id} of {seen.service} got a packet for {seen.route_service}"
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -36,7 +36,7 @@
     priority: int = 0
 
 
-class RequestRun(msgspec.Struct, frozen=True):
+class RequestStarted(msgspec.Struct, frozen=True):
     """A request that a host began to run."""
 
     at: float
@@ -181,7 +181,7 @@
     """Everything recorded; times are seconds of the run."""
 
     openings: list[OpeningReceived] = field(default_factory=list)
-    runs: list[RequestRun] = field(default_factory=list)
+    runs: list[RequestStarted] = field(default_factory=list)
     requests: list[RequestEnded] = field(default_factory=list)
     asked: list[FlowAsked] = field(default_factory=list)
     refused: list[RequestRefused] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -15,7 +15,7 @@
     HostCold,
     HostDrained,
     OpeningReceived,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
     UnusableTaken,
 )
@@ -268,7 +268,7 @@
     async def _run(self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet) -> None:
         request_id, route = _request_id(packet), self.route_of(packet.target)
         async with self._slots:
-            run = RequestRun(
+            run = RequestStarted(
                 self.clock(),
                 request_id,
                 self.start_id,
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -8,7 +8,7 @@
     HostBegan,
     OpeningReceived,
     RequestRefused,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
 )
 from jasperwalk_lab.soak.refusal_checks import (
@@ -98,7 +98,7 @@
 def test_a_least_share_of_less_urgent_requests_is_allowed():
     made = history(AT_BOTH)
     made.runs.extend(
-        RequestRun(REFUSED_AT + at / 100, f"u{at}", host, "web", "web")
+        RequestStarted(REFUSED_AT + at / 100, f"u{at}", host, "web", "web")
         for host in HOSTS
         for at in range(1, 11)
     )
@@ -125,11 +125,11 @@
 @pytest.mark.parametrize(
     ("run", "is_by_host", "found"),
     [
-        (RequestRun(21.0, "q1", "h1", "web", "web", "f-other"), False, True),
-        (RequestRun(21.0, "q9", "h1", "web", "web", "f-refused"), False, True),
-        (RequestRun(19.0, "q1", "h1", "web", "web", "f-refused"), True, True),
-        (RequestRun(19.0, "q9", "h1", "web", "web", "f-refused"), True, False),
-        (RequestRun(21.0, "q2", "h1", "web", "web", "f-other"), False, False),
+        (RequestStarted(21.0, "q1", "h1", "web", "web", "f-other"), False, True),
+        (RequestStarted(21.0, "q9", "h1", "web", "web", "f-refused"), False, True),
+        (RequestStarted(19.0, "q1", "h1", "web", "web", "f-refused"), True, True),
+        (RequestStarted(19.0, "q9", "h1", "web", "web", "f-refused"), True, False),
+        (RequestStarted(21.0, "q2", "h1", "web", "web", "f-other"), False, False),
     ],
     ids=["same ID", "same flow", "refused by its host", "an earlier one of the flow", "another"],
 )
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -31,7 +31,7 @@
     RequestEnded,
     RequestOutcome,
     RequestRefused,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
     UnusableTaken,
     ZoneOrdered,
@@ -69,7 +69,10 @@
 def test_a_clean_run_breaks_nothing():
     made = history(
         openings=[opening(1.0), opening(1.1)],
-        runs=[RequestRun(1.2, "q1", "h1", "web", "web"), RequestRun(1.3, "q1", "h1", "web", "web")],
+        runs=[
+            RequestStarted(1.2, "q1", "h1", "web", "web"),
+            RequestStarted(1.3, "q1", "h1", "web", "web"),
+        ],
         acknowledged=[ConfigurationAcknowledged(1.0, 3)],
         reads=[ConfigurationRead(2.0, 1), ConfigurationRead(2.0 + CONFIGURATION_SECONDS, 3)],
         faults=[fault(FaultKind.AGENT_TERMINATED, 5.0, 6.0)],
@@ -81,8 +84,8 @@
 BROKEN = {
     SoakPromise.AT_MOST_ONCE: {
         "runs": [
-            RequestRun(1.0, "q1", "h1", "web", "web"),
-            RequestRun(2.0, "q1", "h2", "web", "web"),
+            RequestStarted(1.0, "q1", "h1", "web", "web"),
+            RequestStarted(2.0, "q1", "h2", "web", "web"),
         ]
     },
     SoakPromise.RIGHT_ANSWER: {"requests": [RequestEnded(1.0, 1.1, "q1", ANSWERED, "q2")]},
@@ -133,7 +136,7 @@
     },
     SoakPromise.REFUSED_NOT_RUN: {
         "refused": [RequestRefused(9.0, "q1", "f1", "web", 0)],
-        "runs": [RequestRun(9.1, "q1", "h1", "web", "web", "f1")],
+        "runs": [RequestStarted(9.1, "q1", "h1", "web", "web", "f1")],
     },
     SoakPromise.RESOURCES: {"uses": [ProcessUse("agent-0", 30 << 20, 90 << 20, 20, 20)]},
 }
