--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -77,7 +77,7 @@
         """Run a function at once as a part of this process."""
         return self._context.copy().run(function, *arguments)
 
-    def keep(self, task: asyncio.Task[Any]) -> None:
+    def hold_task(self, task: asyncio.Task[Any]) -> None:
         """Hold a task to the end of the run: a killed one must not run its `finally`."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard, context=contextvars.Context())
@@ -247,7 +247,7 @@
     task = asyncio.Task(job, loop=loop, **options)
     process = _running.get()
     if process is not None:
-        process.keep(task)
+        process.hold_task(task)
     return task
 
 
