--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.soak.history import (
-    FlowAsked,
+    FlowRequested,
     OpenFlowReset,
     RequestEnded,
     RequestOutcome,
@@ -226,7 +226,7 @@
         flow = CallerFlow(endpoint, listener, self._drawn.randrange(2**31), zone)
         self._flows[(endpoint, listener)] = flow
         began_at = self._clock()
-        self._history.asked.append(FlowAsked(began_at, flow.name()))
+        self._history.asked.append(FlowRequested(began_at, flow.name()))
         for copy, at in enumerate((*COPY_SECONDS, OPENING_SECONDS)):
             await self._wait(flow, began_at + at - self._clock())
             if flow.acknowledged is not None:
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -47,7 +47,7 @@
     flow: str = ""
 
 
-class FlowAsked(msgspec.Struct, frozen=True):
+class FlowRequested(msgspec.Struct, frozen=True):
     """A caller's first opening packet of a flow."""
 
     at: float
@@ -183,7 +183,7 @@
     openings: list[OpeningReceived] = field(default_factory=list)
     runs: list[RequestStarted] = field(default_factory=list)
     requests: list[RequestEnded] = field(default_factory=list)
-    asked: list[FlowAsked] = field(default_factory=list)
+    asked: list[FlowRequested] = field(default_factory=list)
     refused: list[RequestRefused] = field(default_factory=list)
     hosts_began: list[HostBegan] = field(default_factory=list)
     resets: list[OpenFlowReset] = field(default_factory=list)
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -4,7 +4,7 @@
 
 from jasperwalk_lab.soak.faults import FaultKind, HappenedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
-    FlowAsked,
+    FlowRequested,
     HostBegan,
     OpeningReceived,
     RequestRefused,
@@ -33,7 +33,7 @@
     flows = {each.flow for each in openings}
     return SoakHistory(
         openings=list(openings),
-        asked=[FlowAsked(sent_at, flow) for flow in sorted(flows)],
+        asked=[FlowRequested(sent_at, flow) for flow in sorted(flows)],
         refused=[refused],
         hosts_began=[HostBegan(0.0, f"agent-{host}", host, "web") for host in HOSTS],
         faults=list(faults),
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -18,7 +18,7 @@
 from jasperwalk_lab.soak.history import (
     ConfigurationAcknowledged,
     ConfigurationRead,
-    FlowAsked,
+    FlowRequested,
     HostAtEnd,
     HostBegan,
     HostCold,
@@ -130,7 +130,7 @@
     SoakPromise.OTHER_WRITERS: {"unusable_taken": [UnusableTaken(9.0, "agent-1", b"{}")]},
     SoakPromise.URGENT_FIRST: {
         "hosts_began": [HostBegan(0.0, "agent-1", "h1", "web")],
-        "asked": [FlowAsked(9.0, "f2"), FlowAsked(9.0, "f3")],
+        "asked": [FlowRequested(9.0, "f2"), FlowRequested(9.0, "f3")],
         "openings": [OpeningReceived(9.2, "h1", "web", "web", "north", f, 1) for f in ("f2", "f3")],
         "refused": [RequestRefused(9.1, "q1", "f1", "web", 0)],
     },
