--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -209,9 +209,11 @@
 
         A worker's `begin` is told of the work first, for a crash in the middle of it.
         """
-        return self.create_task(self._work(func, args))
+        return self.create_task(self._simulate_disk_work(func, args))
 
-    async def _work(self, function: Callable[..., Result], arguments: tuple[Any, ...]) -> Result:
+    async def _simulate_disk_work(
+        self, function: Callable[..., Result], arguments: tuple[Any, ...]
+    ) -> Result:
         process = current_process()
         begin = getattr(getattr(function, "__self__", None), "begin", None)
         if begin is not None:
