--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -65,7 +65,7 @@
     is_by_host: bool = False
 
 
-class HostBegan(msgspec.Struct, frozen=True):
+class HostStarted(msgspec.Struct, frozen=True):
     """A host that started beside an agent; it takes the place of the one before."""
 
     at: float
@@ -185,7 +185,7 @@
     requests: list[RequestEnded] = field(default_factory=list)
     asked: list[FlowRequested] = field(default_factory=list)
     refused: list[RequestRefused] = field(default_factory=list)
-    hosts_began: list[HostBegan] = field(default_factory=list)
+    hosts_began: list[HostStarted] = field(default_factory=list)
     resets: list[OpenFlowReset] = field(default_factory=list)
     drained: list[HostDrained] = field(default_factory=list)
     cold: list[HostCold] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -11,9 +11,9 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.soak.history import (
-    HostBegan,
     HostCold,
     HostDrained,
+    HostStarted,
     OpeningReceived,
     RequestStarted,
     SoakHistory,
@@ -120,7 +120,7 @@
         self.started_at = self.clock()
         self.started_unix_ms = round(1000 * time.time())
         self.history.hosts_began.append(
-            HostBegan(self.started_at, place.name, self.start_id, place.service)
+            HostStarted(self.started_at, place.name, self.start_id, place.service)
         )
         if self.is_cold:
             ends_at = self.started_at + COLD_SECONDS
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -5,7 +5,7 @@
 from jasperwalk_lab.soak.faults import FaultKind, HappenedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
     FlowRequested,
-    HostBegan,
+    HostStarted,
     OpeningReceived,
     RequestRefused,
     RequestStarted,
@@ -35,7 +35,7 @@
         openings=list(openings),
         asked=[FlowRequested(sent_at, flow) for flow in sorted(flows)],
         refused=[refused],
-        hosts_began=[HostBegan(0.0, f"agent-{host}", host, "web") for host in HOSTS],
+        hosts_began=[HostStarted(0.0, f"agent-{host}", host, "web") for host in HOSTS],
         faults=list(faults),
     )
 
@@ -91,7 +91,7 @@
     at_third = [opening("h3", REFUSED_AT + at) for at in (0.2, 0.3)]
     made = history([*AT_BOTH[:2], *at_third])
     assert breaks(made) == []
-    made.hosts_began.append(HostBegan(10.0, "agent-h2", "h3", "web"))
+    made.hosts_began.append(HostStarted(10.0, "agent-h2", "h3", "web"))
     assert breaks(made) == ["q1"]
 
 
