--- a/src/jasperwalk_lab/simulator/disk.py
+++ b/src/jasperwalk_lab/simulator/disk.py
@@ -17,7 +17,7 @@
     def __init__(self, replica_id: int, disk_id: str, random: Random) -> None:
         self.state = DurableState(replica_id=replica_id, disk_id=disk_id, fresh=True)
         self._random = random
-        self._under_way: PersistBatch | None = None
+        self._batch_in_flight: PersistBatch | None = None
 
     def load(self) -> DurableState:
         """Return what is on the disk, as a starting process reads it."""
@@ -28,13 +28,13 @@
 
     def write(self, batch: PersistBatch) -> None:
         """Note a batch that is being written; it may be torn by a crash."""
-        self._under_way = batch
+        self._batch_in_flight = batch
 
     def sync(self) -> None:
         """Make the batch under way durable."""
-        if self._under_way is not None:
-            self.keep(self._under_way)
-            self._under_way = None
+        if self._batch_in_flight is not None:
+            self.keep(self._batch_in_flight)
+            self._batch_in_flight = None
 
     def keep(self, batch: PersistBatch) -> None:
         """Apply a synced batch to the disk."""
@@ -42,7 +42,7 @@
 
     def crash(self) -> None:
         """Lose the batch under way, but for a beginning of it that may have reached the disk."""
-        batch, self._under_way = self._under_way, None
+        batch, self._batch_in_flight = self._batch_in_flight, None
         if batch is None or self._random.random() < LOST_BATCH_SHARE:
             return
         if batch.snapshot is not None or batch.reset_index is not None:
