--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -122,7 +122,7 @@
     ends_at: float
 
 
-class UnusableTaken(msgspec.Struct, frozen=True):
+class InvalidAnnouncementAccepted(msgspec.Struct, frozen=True):
     """An announcement that names no host to use, and that an agent acknowledged."""
 
     at: float
@@ -189,7 +189,7 @@
     resets: list[OpenFlowReset] = field(default_factory=list)
     drained: list[HostDrained] = field(default_factory=list)
     cold: list[HostCold] = field(default_factory=list)
-    unusable_taken: list[UnusableTaken] = field(default_factory=list)
+    unusable_taken: list[InvalidAnnouncementAccepted] = field(default_factory=list)
     zones: list[ZoneOrdered] = field(default_factory=list)
     acknowledged: list[ConfigurationAcknowledged] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -14,10 +14,10 @@
     HostCold,
     HostDrained,
     HostStarted,
+    InvalidAnnouncementAccepted,
     OpeningReceived,
     RequestStarted,
     SoakHistory,
-    UnusableTaken,
 )
 from jasperwalk_lab.soak.http_calls import HttpCaller
 from jasperwalk_lab.soak.relays import Address, DatagramReceiver
@@ -198,7 +198,7 @@
         for body in heartbeat.bodies_of_other_writers():
             answer = await self._caller.call(self.place.calls, "PUT", heartbeat.path(), body)
             if answer.status == OK_STATUS:
-                taken = UnusableTaken(self.clock(), self.place.name, body[:200])
+                taken = InvalidAnnouncementAccepted(self.clock(), self.place.name, body[:200])
                 self.history.unusable_taken.append(taken)
 
     def _note_drained(self) -> None:
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -23,6 +23,7 @@
     HostCold,
     HostDrained,
     HostStarted,
+    InvalidAnnouncementAccepted,
     MachineStall,
     OpenFlowReset,
     OpeningReceived,
@@ -33,7 +34,6 @@
     RequestRefused,
     RequestStarted,
     SoakHistory,
-    UnusableTaken,
     ZoneOrdered,
 )
 
@@ -127,7 +127,9 @@
     },
     SoakPromise.NO_EXIT: {"ended_processes": ["agent-1"]},
     SoakPromise.STOPS_IN_TIME: {"killed_at_stop": [ProcessKilledAtStop(9.0, "agent-1")]},
-    SoakPromise.OTHER_WRITERS: {"unusable_taken": [UnusableTaken(9.0, "agent-1", b"{}")]},
+    SoakPromise.OTHER_WRITERS: {
+        "unusable_taken": [InvalidAnnouncementAccepted(9.0, "agent-1", b"{}")]
+    },
     SoakPromise.URGENT_FIRST: {
         "hosts_began": [HostStarted(0.0, "agent-1", "h1", "web")],
         "asked": [FlowRequested(9.0, "f2"), FlowRequested(9.0, "f3")],
