--- a/src/jasperwalk_lab/simulator/disk.py
+++ b/src/jasperwalk_lab/simulator/disk.py
@@ -33,10 +33,10 @@
     def sync(self) -> None:
         """Make the batch under way durable."""
         if self._batch_in_flight is not None:
-            self.keep(self._batch_in_flight)
+            self.apply_synced(self._batch_in_flight)
             self._batch_in_flight = None
 
-    def keep(self, batch: PersistBatch) -> None:
+    def apply_synced(self, batch: PersistBatch) -> None:
         """Apply a synced batch to the disk."""
         self.state.apply(batch)
 
@@ -47,7 +47,7 @@
             return
         if batch.snapshot is not None or batch.reset_index is not None:
             # The log is replaced as a whole, by a rename: only the first file may be there.
-            self.keep(PersistBatch(hard_state=batch.hard_state))
+            self.apply_synced(PersistBatch(hard_state=batch.hard_state))
             return
         count = self._random.randint(0, len(batch.entries))
-        self.keep(PersistBatch(hard_state=batch.hard_state, entries=batch.entries[:count]))
+        self.apply_synced(PersistBatch(hard_state=batch.hard_state, entries=batch.entries[:count]))
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -70,8 +70,8 @@
         self._synced = self._copy()
         self._batches = 0
 
-    def keep(self, batch: PersistBatch) -> None:
-        super().keep(batch)
+    def apply_synced(self, batch: PersistBatch) -> None:
+        super().apply_synced(batch)
         self._batches += 1
         if self._batches % UNSYNCED_BATCHES == 0:
             self._synced = self._copy()
@@ -92,8 +92,8 @@
         super().__init__(replica_id, disk_id, random)
         self._synced = self.state.hard_state
 
-    def keep(self, batch: PersistBatch) -> None:
-        super().keep(batch)
+    def apply_synced(self, batch: PersistBatch) -> None:
+        super().apply_synced(batch)
         if batch.snapshot is not None:
             self._synced = self.state.hard_state
 
