--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -114,7 +114,7 @@
     started_at: float
 
 
-class HostCold(msgspec.Struct, frozen=True):
+class HostColdPeriod(msgspec.Struct, frozen=True):
     """A host is cold from its start on."""
 
     host_id: str
@@ -188,7 +188,7 @@
     hosts_began: list[HostStarted] = field(default_factory=list)
     resets: list[OpenFlowReset] = field(default_factory=list)
     drained: list[HostDrained] = field(default_factory=list)
-    cold: list[HostCold] = field(default_factory=list)
+    cold: list[HostColdPeriod] = field(default_factory=list)
     unusable_taken: list[InvalidAnnouncementAccepted] = field(default_factory=list)
     zones: list[ZoneOrdered] = field(default_factory=list)
     acknowledged: list[ConfigurationAcknowledged] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -11,7 +11,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.soak.history import (
-    HostCold,
+    HostColdPeriod,
     HostDrained,
     HostStarted,
     InvalidAnnouncementAccepted,
@@ -124,7 +124,7 @@
         )
         if self.is_cold:
             ends_at = self.started_at + COLD_SECONDS
-            self.history.cold.append(HostCold(self.start_id, self.started_at, ends_at))
+            self.history.cold.append(HostColdPeriod(self.start_id, self.started_at, ends_at))
         self._announcing = asyncio.create_task(self._announce_again())
 
     async def crash(self) -> None:
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -20,7 +20,7 @@
     ConfigurationRead,
     FlowRequested,
     HostAtEnd,
-    HostCold,
+    HostColdPeriod,
     HostDrained,
     HostStarted,
     InvalidAnnouncementAccepted,
@@ -99,7 +99,7 @@
         "openings": [opening(1.2 + ZONE_DRAIN_SECONDS)],
     },
     SoakPromise.WARM_UP: {
-        "cold": [HostCold("h1", 1.0, 3.0)],
+        "cold": [HostColdPeriod("h1", 1.0, 3.0)],
         "openings": [opening(1.9 + number / 100) for number in range(COLD_FLOWS + 1)],
     },
     SoakPromise.CONFIGURATION_KEPT: {
