--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -185,11 +185,11 @@
             self._after(FABRIC_LAG_SECONDS, _leave_fabric, world, host)
         await asyncio.sleep(action.seconds)
         host.start()
-        self._note_restart(host.name)
+        self._record_restart(host.name)
         if isinstance(host, BalancerHost):
             self._after(FABRIC_LAG_SECONDS, _join_fabric, world, host)
 
-    def _note_restart(self, name: str) -> None:
+    def _record_restart(self, name: str) -> None:
         world, replica = self._world, self._world.any_replica()
         revision = 0 if replica is None else replica.state.revision
         world.record.restarts.append(Restart(name, world.now, revision))
