--- a/src/jasperwalk_lab/soak/faults.py
+++ b/src/jasperwalk_lab/soak/faults.py
@@ -138,7 +138,7 @@
         return self.at + self.seconds
 
 
-class HappenedFault(msgspec.Struct, frozen=True):
+class InjectedFault(msgspec.Struct, frozen=True):
     """A fault as it took place; `ended_at` is None where the run ended before it was undone."""
 
     planned: PlannedFault
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasperwalk_lab.soak.faults import HappenedFault
+from jasperwalk_lab.soak.faults import InjectedFault
 
 
 class RequestOutcome(enum.StrEnum):
@@ -193,7 +193,7 @@
     zones: list[ZoneOrdered] = field(default_factory=list)
     acknowledged: list[ConfigurationAcknowledged] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
-    faults: list[HappenedFault] = field(default_factory=list)
+    faults: list[InjectedFault] = field(default_factory=list)
     ended_processes: list[str] = field(default_factory=list)
     killed_at_stop: list[ProcessKilledAtStop] = field(default_factory=list)
     uses: list[ProcessUse] = field(default_factory=list)
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import ClassVar
 
-from jasperwalk_lab.soak.faults import SHAPES, FaultKind, HappenedFault, PlannedFault
+from jasperwalk_lab.soak.faults import SHAPES, FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.fleet import SoakFleet
 from jasperwalk_lab.soak.history import ProcessKilledAtStop, SoakHistory
 from jasperwalk_lab.soak.operators import Operators
@@ -106,7 +106,7 @@
         finally:
             self.now.remove(label)
         ended_at = self._clock()
-        self._history.faults.append(HappenedFault(fault, began_at, ended_at, failure))
+        self._history.faults.append(InjectedFault(fault, began_at, ended_at, failure))
 
     async def _strike(self, fault: PlannedFault) -> None:
         kind, target = fault.kind, fault.target
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jasperwalk_lab.soak.faults import FaultKind, HappenedFault, PlannedFault
+from jasperwalk_lab.soak.faults import FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
     FlowRequested,
     HostStarted,
@@ -118,7 +118,7 @@
 )
 def test_only_refusals_for_want_of_room_count(kind, ended_before, found):
     ended_at = REFUSED_AT - ended_before
-    happened = HappenedFault(PlannedFault(1.0, kind, "x", 1.0), 1.0, ended_at)
+    happened = InjectedFault(PlannedFault(1.0, kind, "x", 1.0), 1.0, ended_at)
     assert breaks(history(AT_BOTH, faults=[happened])) == found
 
 
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -14,7 +14,7 @@
     check_all,
     not_excused,
 )
-from jasperwalk_lab.soak.faults import FaultKind, HappenedFault, PlannedFault
+from jasperwalk_lab.soak.faults import FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
     ConfigurationAcknowledged,
     ConfigurationRead,
@@ -44,7 +44,7 @@
 
 def fault(kind, began_at, ended_at):
     planned = PlannedFault(began_at, kind, "x", ended_at - began_at)
-    return HappenedFault(planned, began_at, ended_at)
+    return InjectedFault(planned, began_at, ended_at)
 
 
 def opening(at, host_id="h1", zone="north", route_service="web"):
