--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -269,13 +269,13 @@
     async def _leave(self, action: Leave) -> None:
         asked_at = self._world.now
         self._world.platform.leave(action.host)
-        await self._until_drained(action.host)
+        await self._wait_until_drained(action.host)
         self._administrator.note_drain(action.host, asked_at)
         await asyncio.sleep(action.seconds)
         self._administrator.close_drain(action.host)
         self._world.platform.stay(action.host)
 
-    async def _until_drained(self, host: str) -> None:
+    async def _wait_until_drained(self, host: str) -> None:
         for _ in range(300):
             replica = self._world.any_replica()
             if replica is not None and any(
