--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -159,7 +159,7 @@
     is_answered: bool = True
 
 
-class ProcessUse(msgspec.Struct, frozen=True):
+class ProcessResources(msgspec.Struct, frozen=True):
     """Memory and descriptors of a process when traffic had begun, and at the end."""
 
     process: str
@@ -196,7 +196,7 @@
     faults: list[InjectedFault] = field(default_factory=list)
     ended_processes: list[str] = field(default_factory=list)
     killed_at_stop: list[ProcessKilledAtStop] = field(default_factory=list)
-    uses: list[ProcessUse] = field(default_factory=list)
+    uses: list[ProcessResources] = field(default_factory=list)
     stalls: list[MachineStall] = field(default_factory=list)
     hosts_at_end: list[HostAtEnd] = field(default_factory=list)
     ends_at: float = 0.0
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -17,7 +17,7 @@
 from jasperwalk_lab.soak.callers import Callers, Router
 from jasperwalk_lab.soak.checks import BACK_SECONDS, check_all
 from jasperwalk_lab.soak.fleet import SERVICES, SIZES, ZONES, SoakFleet, SoakSize
-from jasperwalk_lab.soak.history import MachineStall, ProcessUse, SoakHistory
+from jasperwalk_lab.soak.history import MachineStall, ProcessResources, SoakHistory
 from jasperwalk_lab.soak.hosts import COLD_SECONDS, SoakHost
 from jasperwalk_lab.soak.http_calls import HttpCaller
 from jasperwalk_lab.soak.injector import SoakInjector
@@ -219,7 +219,7 @@
         for name, process in self._fleet.processes.items():
             first, last = self._first_use.get(name, (0, 0)), process.use()
             if all(first) and all(last):
-                use = ProcessUse(name, first[0], last[0], first[1], last[1])
+                use = ProcessResources(name, first[0], last[0], first[1], last[1])
                 self.history.uses.append(use)
 
 
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -28,7 +28,7 @@
     OpenFlowReset,
     OpeningReceived,
     ProcessKilledAtStop,
-    ProcessUse,
+    ProcessResources,
     RequestEnded,
     RequestOutcome,
     RequestRefused,
@@ -76,7 +76,7 @@
         acknowledged=[ConfigurationAcknowledged(1.0, 3)],
         reads=[ConfigurationRead(2.0, 1), ConfigurationRead(2.0 + CONFIGURATION_SECONDS, 3)],
         faults=[fault(FaultKind.AGENT_TERMINATED, 5.0, 6.0)],
-        uses=[ProcessUse("agent-0", 30 << 20, 32 << 20, 20, 22)],
+        uses=[ProcessResources("agent-0", 30 << 20, 32 << 20, 20, 22)],
     )
     assert promises(made) == set()
 
@@ -140,7 +140,7 @@
         "refused": [RequestRefused(9.0, "q1", "f1", "web", 0)],
         "runs": [RequestStarted(9.1, "q1", "h1", "web", "web", "f1")],
     },
-    SoakPromise.RESOURCES: {"uses": [ProcessUse("agent-0", 30 << 20, 90 << 20, 20, 20)]},
+    SoakPromise.RESOURCES: {"uses": [ProcessResources("agent-0", 30 << 20, 90 << 20, 20, 20)]},
 }
 
 
@@ -150,7 +150,7 @@
 
 
 def test_descriptors_that_stay_open_are_found():
-    made = history(uses=[ProcessUse("agent-0", 30 << 20, 30 << 20, 20, 80)])
+    made = history(uses=[ProcessResources("agent-0", 30 << 20, 30 << 20, 20, 80)])
     assert promises(made) == {SoakPromise.RESOURCES}
 
 
