--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -144,9 +144,9 @@
     async def run(self, faults: list[Fault]) -> None:
         """Carry out every fault at its time and return when the last one is over."""
         began = self._world.now
-        await asyncio.gather(*(self._at(began + fault.at, fault) for fault in faults))
+        await asyncio.gather(*(self._perform_at(began + fault.at, fault) for fault in faults))
 
-    async def _at(self, when: float, fault: Fault) -> None:
+    async def _perform_at(self, when: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, when - self._world.now))
         self._world.record.trace(self._world.now, f"fault {fault.action}")
         await self._perform(fault.action)
