--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -22,7 +22,7 @@
 FIRST_FAULT_SECONDS = 2.0
 LAST_FAULT_BEFORE_END_SECONDS = 8.0
 """Faults are over early enough for the service to come back and to be seen."""
-GAP_SECONDS = (0.4, 2.2)
+FAULT_INTERVAL_SECONDS = (0.4, 2.2)
 """Shortest and longest time between two strikes."""
 CONTROLS_OUT_AT_ONCE = 1
 """More than one of three would leave no quorum."""
@@ -168,7 +168,7 @@
         fault = _draw(kind, names, planned, at, drawn)
         if fault is not None and fault.ends_at <= seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0:
             planned.append(fault)
-        at += drawn.uniform(*GAP_SECONDS) / scale
+        at += drawn.uniform(*FAULT_INTERVAL_SECONDS) / scale
     return planned
 
 
