--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -270,7 +270,7 @@
         asked_at = self._world.now
         self._world.platform.leave(action.host)
         await self._wait_until_drained(action.host)
-        self._administrator.note_drain(action.host, asked_at)
+        self._administrator.record_drain(action.host, asked_at)
         await asyncio.sleep(action.seconds)
         self._administrator.close_drain(action.host)
         self._world.platform.stay(action.host)
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -191,9 +191,9 @@
         change_id = self.console.new_change_id()
         asked_at = self.world.now
         await self._insist(SetHostState(change_id, host, AdminState.DRAINING))
-        self.note_drain(host, asked_at)
+        self.record_drain(host, asked_at)
 
-    def note_drain(self, host: str, asked_at: float) -> None:
+    def record_drain(self, host: str, asked_at: float) -> None:
         """Note that a host, which was asked to leave earlier, gets no new work from now on."""
         span = DrainSpan(host, self.world.now, float("inf"), asked_at)
         self.world.record.drains.append(span)
