--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -24,7 +24,7 @@
 """Faults are over early enough for the service to come back and to be seen."""
 FAULT_INTERVAL_SECONDS = (0.4, 2.2)
 """Shortest and longest time between two strikes."""
-CONTROLS_OUT_AT_ONCE = 1
+MAX_CONTROLS_DOWN = 1
 """More than one of three would leave no quorum."""
 AGENTS_OUT_AT_ONCE = 2
 BALANCERS_OUT_AT_ONCE = 1
@@ -71,7 +71,7 @@
 
 
 MOST_OUT = {
-    TargetGroup.CONTROL: CONTROLS_OUT_AT_ONCE,
+    TargetGroup.CONTROL: MAX_CONTROLS_DOWN,
     TargetGroup.BALANCER: BALANCERS_OUT_AT_ONCE,
     TargetGroup.AGENT: AGENTS_OUT_AT_ONCE,
     TargetGroup.HOST: AGENTS_OUT_AT_ONCE,
