--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -272,7 +272,7 @@
         await self._wait_until_drained(action.host)
         self._administrator.record_drain(action.host, asked_at)
         await asyncio.sleep(action.seconds)
-        self._administrator.close_drain(action.host)
+        self._administrator.record_drain_end(action.host)
         self._world.platform.stay(action.host)
 
     async def _wait_until_drained(self, host: str) -> None:
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -200,11 +200,11 @@
 
     async def resume(self, host: str) -> None:
         """Take a host back into service."""
-        self.close_drain(host)
+        self.record_drain_end(host)
         change_id = self.console.new_change_id()
         await self._insist(SetHostState(change_id, host, AdminState.ENABLED))
 
-    def close_drain(self, host: str) -> None:
+    def record_drain_end(self, host: str) -> None:
         """Note that a host may get new work again."""
         drains = self.world.record.drains
         for position, span in enumerate(drains):
