--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -26,7 +26,7 @@
 """Shortest and longest time between two strikes."""
 MAX_CONTROLS_DOWN = 1
 """More than one of three would leave no quorum."""
-AGENTS_OUT_AT_ONCE = 2
+MAX_AGENTS_DOWN = 2
 BALANCERS_OUT_AT_ONCE = 1
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again, and before all are killed."""
@@ -73,8 +73,8 @@
 MOST_OUT = {
     TargetGroup.CONTROL: MAX_CONTROLS_DOWN,
     TargetGroup.BALANCER: BALANCERS_OUT_AT_ONCE,
-    TargetGroup.AGENT: AGENTS_OUT_AT_ONCE,
-    TargetGroup.HOST: AGENTS_OUT_AT_ONCE,
+    TargetGroup.AGENT: MAX_AGENTS_DOWN,
+    TargetGroup.HOST: MAX_AGENTS_DOWN,
     TargetGroup.ZONE: 1,
     TargetGroup.CALLERS: 1,
     TargetGroup.ALL: 1,
@@ -88,7 +88,7 @@
     if group is TargetGroup.BALANCER:
         return max(BALANCERS_OUT_AT_ONCE, len(names.balancers) // 3)
     if group in (TargetGroup.AGENT, TargetGroup.HOST):
-        return max(AGENTS_OUT_AT_ONCE, len(names.agents) // 3)
+        return max(MAX_AGENTS_DOWN, len(names.agents) // 3)
     return MOST_OUT[group]
 
 
