--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -169,7 +169,7 @@
         self._send(model_flow.short_packet(self._connection_id, content))
 
     def _send(self, payload: bytes) -> None:
-        self._world.spray(self._process, self.address, self._vip, payload)
+        self._world.send_from_caller(self._process, self.address, self._vip, payload)
 
 
 async def _wait(event: asyncio.Event, seconds: float) -> None:
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -152,7 +152,7 @@
 
     # Datagrams
 
-    def spray(
+    def send_from_caller(
         self, caller: SimulatedProcess, source: Endpoint, vip: Endpoint, payload: bytes
     ) -> None:
         """Hand a caller's datagram to some balancer, as the fabric does."""
