--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -27,7 +27,7 @@
 MAX_CONTROLS_DOWN = 1
 """More than one of three would leave no quorum."""
 MAX_AGENTS_DOWN = 2
-BALANCERS_OUT_AT_ONCE = 1
+MAX_BALANCERS_DOWN = 1
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again, and before all are killed."""
 EVERYTHING = "everything"
@@ -72,7 +72,7 @@
 
 MOST_OUT = {
     TargetGroup.CONTROL: MAX_CONTROLS_DOWN,
-    TargetGroup.BALANCER: BALANCERS_OUT_AT_ONCE,
+    TargetGroup.BALANCER: MAX_BALANCERS_DOWN,
     TargetGroup.AGENT: MAX_AGENTS_DOWN,
     TargetGroup.HOST: MAX_AGENTS_DOWN,
     TargetGroup.ZONE: 1,
@@ -86,7 +86,7 @@
     if group is TargetGroup.CONTROL:
         return (len(names.controls) - 1) // 2
     if group is TargetGroup.BALANCER:
-        return max(BALANCERS_OUT_AT_ONCE, len(names.balancers) // 3)
+        return max(MAX_BALANCERS_DOWN, len(names.balancers) // 3)
     if group in (TargetGroup.AGENT, TargetGroup.HOST):
         return max(MAX_AGENTS_DOWN, len(names.agents) // 3)
     return MOST_OUT[group]
