--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -256,7 +256,7 @@
         while not _serves(host, action.service) and world.now < until:
             await asyncio.sleep(MOVE_POLL_SECONDS)
         if not _serves(host, action.service):
-            world.violated(f"move-stuck: {action.host} to {action.service}")
+            world.record_violation(f"move-stuck: {action.host} to {action.service}")
         world.moving.discard(action.host)
         world.record.trace(world.now, f"serving {action.host} {action.service}")
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
--- a/src/jasperwalk_lab/simulator/repair.py
+++ b/src/jasperwalk_lab/simulator/repair.py
@@ -34,7 +34,7 @@
             return
         await _propose(world, step)
         await asyncio.sleep(STEP_SECONDS)
-    world.violated(f"repair-stuck: replica {lost} as {new}")
+    world.record_violation(f"repair-stuck: replica {lost} as {new}")
 
 
 def _next_step(world: World, host: ControlHost, lost: int, new: int) -> ReplicaChange | None:
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -166,7 +166,7 @@
         until = world.now + seconds
         while not condition():
             if world.now >= until:
-                world.violated(f"{violation}: within {seconds} s")
+                world.record_violation(f"{violation}: within {seconds} s")
                 return False
             await asyncio.sleep(0.05)
         return True
@@ -203,7 +203,7 @@
         measure_leaders(record, controls, self._measures)
         measure_restarts(record, self._measures)
         for finding in findings:
-            world.violated(finding)
+            world.record_violation(finding)
 
     def _judge_replica(self, world: World, name: str, replica: ControlReplica) -> None:
         found = {
@@ -211,7 +211,7 @@
             for change in world.record.changes
         }
         for finding in check_kept(world.record.changes, name, found):
-            world.violated(finding)
+            world.record_violation(finding)
 
     def _result(self, world: World) -> RunResult:
         record = world.record
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -144,7 +144,7 @@
         if host.process is not None:
             self.clients.call(host.kill)
 
-    def violated(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Record a broken promise."""
         if text not in self.record.violations:
             self.record.violations.append(text)
@@ -277,12 +277,12 @@
         term = host.replica.runner.term
         identity = f"{host.replica_id}"
         if self._leaders.setdefault(term, identity) != identity:
-            self.violated(f"two-leaders: term {term}")
+            self.record_violation(f"two-leaders: term {term}")
 
     def applied(self, name: str, entry: AppliedEntry[Outcome]) -> None:
         """State machine safety: no two replicas apply different entries at an index."""
         if self._committed.setdefault(entry.index, entry) != entry:
-            self.violated(f"entries-differ: index {entry.index} at {name}")
+            self.record_violation(f"entries-differ: index {entry.index} at {name}")
 
 
 def _term_of(host: ControlHost) -> int:
