--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -70,7 +70,7 @@
         }[group]
 
 
-MOST_OUT = {
+MAX_DOWN = {
     TargetGroup.CONTROL: MAX_CONTROLS_DOWN,
     TargetGroup.BALANCER: MAX_BALANCERS_DOWN,
     TargetGroup.AGENT: MAX_AGENTS_DOWN,
@@ -89,7 +89,7 @@
         return max(MAX_BALANCERS_DOWN, len(names.balancers) // 3)
     if group in (TargetGroup.AGENT, TargetGroup.HOST):
         return max(MAX_AGENTS_DOWN, len(names.agents) // 3)
-    return MOST_OUT[group]
+    return MAX_DOWN[group]
 
 
 def plan_rushes(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -15,7 +15,7 @@
 )
 from jasperwalk_lab.soak.schedule import (
     LAST_FAULT_BEFORE_END_SECONDS,
-    MOST_OUT,
+    MAX_DOWN,
     RUSH_FAULTS,
     RUSH_NEVER_STRIKES,
     SoakNames,
@@ -56,7 +56,7 @@
             for each in planned
             if SHAPES[each.kind].group is group and each.at <= fault.at < each.ends_at
         ]
-        assert len(others) <= MOST_OUT[group]
+        assert len(others) <= MAX_DOWN[group]
         if group is TargetGroup.ALL:
             assert len([each for each in planned if each.at <= fault.at < each.ends_at]) == 1
 
@@ -127,7 +127,7 @@
 
 def test_a_large_fleet_bears_the_same_share():
     assert [most_out(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
-    assert {group: most_out(NAMES, group) for group in TargetGroup} == MOST_OUT
+    assert {group: most_out(NAMES, group) for group in TargetGroup} == MAX_DOWN
     assert len(plan_run(LARGE, 60.0, 1)) > 2 * len(plan_run(NAMES, 60.0, 1))
 
 
