--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -94,7 +94,7 @@
         for host in self.hosts:
             host.start()
         self.fabric_balancers = [each.endpoint for each in self.balancers]
-        self.clients.start(self._watch())
+        self.clients.start(self._monitor_leaders())
 
     def _machines(self) -> list[PlatformMachine]:
         return [
@@ -256,7 +256,7 @@
 
     # Invariants that are watched all the time
 
-    async def _watch(self) -> None:
+    async def _monitor_leaders(self) -> None:
         last_led: float | None = None
         while True:
             leader = self.leader()
