--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -81,7 +81,7 @@
 }
 
 
-def most_out(names: SoakNames, group: TargetGroup) -> int:
+def max_down(names: SoakNames, group: TargetGroup) -> int:
     """Return how many targets of a group may be out at once: the same share in every fleet."""
     if group is TargetGroup.CONTROL:
         return (len(names.controls) - 1) // 2
@@ -190,7 +190,7 @@
     if any(SHAPES[each.kind].group is TargetGroup.ALL for each in near):
         return None
     same_group = {each.target for each in near if SHAPES[each.kind].group is shape.group}
-    is_too_much = target in same_group or len(same_group) >= most_out(names, shape.group)
+    is_too_much = target in same_group or len(same_group) >= max_down(names, shape.group)
     return None if is_too_much else fault
 
 
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -19,7 +19,7 @@
     RUSH_FAULTS,
     RUSH_NEVER_STRIKES,
     SoakNames,
-    most_out,
+    max_down,
     plan_run,
     plan_rushes,
     plan_soak,
@@ -126,8 +126,8 @@
 
 
 def test_a_large_fleet_bears_the_same_share():
-    assert [most_out(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
-    assert {group: most_out(NAMES, group) for group in TargetGroup} == MAX_DOWN
+    assert [max_down(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
+    assert {group: max_down(NAMES, group) for group in TargetGroup} == MAX_DOWN
     assert len(plan_run(LARGE, 60.0, 1)) > 2 * len(plan_run(NAMES, 60.0, 1))
 
 
