--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -29,7 +29,7 @@
 HEADER_LENGTH = 28
 FABRIC_LAG_SECONDS = 1.0
 """Time until the fabric notices that a balancer is gone or new."""
-WATCH_SECONDS = 0.05
+MONITOR_INTERVAL_SECONDS = 0.05
 
 DeliverDatagram = Callable[[bytes], None]
 
@@ -261,13 +261,13 @@
         while True:
             leader = self.leader()
             if leader is not None:
-                if last_led is not None and self.now - last_led > 2 * WATCH_SECONDS:
+                if last_led is not None and self.now - last_led > 2 * MONITOR_INTERVAL_SECONDS:
                     self.record.leader_gaps.append(Interval(last_led, self.now))
                 last_led = self.now
             for host in self.controls:
                 if host.replica is not None:
                     self._check_leader(host)
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
 
     def _check_leader(self, host: ControlHost) -> None:
         """Election safety: one leader a term."""
