--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -92,7 +92,7 @@
     return MAX_DOWN[group]
 
 
-def plan_rushes(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_fault_bursts(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"rushes {seed}")
     kinds = [kind for kind in STRUCK_KINDS if kind not in RUSH_NEVER_STRIKES]
@@ -135,7 +135,7 @@
 
 def plan_run(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
-    rushes = plan_rushes(names, seconds, seed)
+    rushes = plan_fault_bursts(names, seconds, seed)
     steady = [each for each in plan_soak(names, seconds, seed) if not _needs_calm(each, rushes)]
     return sorted([*steady, *rushes], key=lambda each: each.at)
 
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -20,8 +20,8 @@
     RUSH_NEVER_STRIKES,
     SoakNames,
     max_down,
+    plan_fault_bursts,
     plan_run,
-    plan_rushes,
     plan_soak,
 )
 
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_of_a_rush_overlap(seed):
-    rushes = plan_rushes(NAMES, 120.0, seed)
+    rushes = plan_fault_bursts(NAMES, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
     assert max(at_once) >= RUSH_FAULTS[0] - 1
     assert not {fault.kind for fault in rushes} & RUSH_NEVER_STRIKES
@@ -105,8 +105,8 @@
     met = [
         (one, other)
         for seed in range(20)
-        for one in plan_rushes(NAMES, 120.0, seed)
-        for other in plan_rushes(NAMES, 120.0, seed)
+        for one in plan_fault_bursts(NAMES, 120.0, seed)
+        for other in plan_fault_bursts(NAMES, 120.0, seed)
         if one is not other and one.target == other.target and one.at <= other.at < one.ends_at
     ]
     assert met
@@ -117,7 +117,7 @@
     planned = plan_run(NAMES, 120.0, seed)
     rushes = [
         each
-        for each in plan_rushes(NAMES, 120.0, seed)
+        for each in plan_fault_bursts(NAMES, 120.0, seed)
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     ]
     for fault in planned:
