--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class TableMark:
+class TableRevision:
     """A process had `revision` in force from `at` on."""
 
     at: float
@@ -96,7 +96,7 @@
 
     changes: list[Change] = field(default_factory=list)
     calls: list[CallRecord] = field(default_factory=list)
-    marks: defaultdict[str, list[TableMark]] = field(default_factory=lambda: defaultdict(list))
+    marks: defaultdict[str, list[TableRevision]] = field(default_factory=lambda: defaultdict(list))
     disturbances: defaultdict[str, list[Interval]] = field(
         default_factory=lambda: defaultdict(list)
     )
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -24,7 +24,7 @@
 from jasperwalk_lab.simulator.layout import FABRIC, Layout
 from jasperwalk_lab.simulator.network import CLIENT_ZONE, Network
 from jasperwalk_lab.simulator.platform import Platform
-from jasperwalk_lab.simulator.record import Interval, Record, TableMark
+from jasperwalk_lab.simulator.record import Interval, Record, TableRevision
 
 HEADER_LENGTH = 28
 FABRIC_LAG_SECONDS = 1.0
@@ -130,12 +130,12 @@
 
     def table_changed(self, process: SimulatedProcess, table: Any) -> None:
         """Note that a process has another revision in force."""
-        self.record.marks[process.name].append(TableMark(self.now, table.revision))
+        self.record.marks[process.name].append(TableRevision(self.now, table.revision))
         self.record.trace(self.now, f"table {process.name} {table.revision}")
 
     def follower_started(self, process: SimulatedProcess, core: Any) -> None:
         """Note a fresh process, whose revisions begin anew."""
-        self.record.marks[process.name].append(TableMark(self.now, 0))
+        self.record.marks[process.name].append(TableRevision(self.now, 0))
 
     def agent_stopped(self, host: AgentHost) -> None:
         """Note that an agent ended by itself."""
