--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -37,7 +37,7 @@
 """Shortest and longest time between two faults of `LATER_KINDS`."""
 RUSH_SECONDS = 1.0
 """Time within which the faults of a rush begin."""
-RUSH_FAULTS = (4, 8)
+FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
 STRUCK_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
 RUSH_NEVER_STRIKES = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
@@ -101,7 +101,7 @@
     planned: list[PlannedFault] = []
     at = drawn.uniform(*RUSH_EVERY_SECONDS)
     while at < latest:
-        for _ in range(scale * drawn.randint(*RUSH_FAULTS)):
+        for _ in range(scale * drawn.randint(*FAULTS_PER_BURST)):
             kind = drawn.choice(kinds)
             shape = SHAPES[kind]
             begins_at = round(at + drawn.uniform(0.0, RUSH_SECONDS), 2)
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -14,9 +14,9 @@
     plan_with_pressure,
 )
 from jasperwalk_lab.soak.schedule import (
+    FAULTS_PER_BURST,
     LAST_FAULT_BEFORE_END_SECONDS,
     MAX_DOWN,
-    RUSH_FAULTS,
     RUSH_NEVER_STRIKES,
     SoakNames,
     max_down,
@@ -97,7 +97,7 @@
 def test_faults_of_a_rush_overlap(seed):
     rushes = plan_fault_bursts(NAMES, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
-    assert max(at_once) >= RUSH_FAULTS[0] - 1
+    assert max(at_once) >= FAULTS_PER_BURST[0] - 1
     assert not {fault.kind for fault in rushes} & RUSH_NEVER_STRIKES
 
 
