--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -96,7 +96,9 @@
 
     changes: list[Change] = field(default_factory=list)
     calls: list[CallRecord] = field(default_factory=list)
-    marks: defaultdict[str, list[TableRevision]] = field(default_factory=lambda: defaultdict(list))
+    table_revisions: defaultdict[str, list[TableRevision]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     disturbances: defaultdict[str, list[Interval]] = field(
         default_factory=lambda: defaultdict(list)
     )
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -216,7 +216,7 @@
 
 
 def _seconds_until(record: Record, name: str, revision: int, begin: float) -> float:
-    reached = (mark.at for mark in record.marks[name] if mark.revision >= revision)
+    reached = (mark.at for mark in record.table_revisions[name] if mark.revision >= revision)
     return max(0.0, next(reached, math.inf) - begin)
 
 
@@ -233,7 +233,7 @@
     for restart in record.restarts:
         reached = [
             mark.at - restart.at
-            for mark in record.marks.get(restart.host, [])
+            for mark in record.table_revisions.get(restart.host, [])
             if mark.at >= restart.at and mark.revision >= restart.revision
         ]
         if reached:
@@ -242,7 +242,7 @@
 
 def check_revisions(record: Record) -> Iterator[str]:
     """Check that no process goes back to an older revision; a start begins at 0."""
-    for name, marks in sorted(record.marks.items()):
-        for before, after in itertools.pairwise(marks):
+    for name, table_revisions in sorted(record.table_revisions.items()):
+        for before, after in itertools.pairwise(table_revisions):
             if 0 < after.revision < before.revision:
                 yield f"revision-went-back: {name} from {before.revision} to {after.revision}"
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -130,12 +130,12 @@
 
     def table_changed(self, process: SimulatedProcess, table: Any) -> None:
         """Note that a process has another revision in force."""
-        self.record.marks[process.name].append(TableRevision(self.now, table.revision))
+        self.record.table_revisions[process.name].append(TableRevision(self.now, table.revision))
         self.record.trace(self.now, f"table {process.name} {table.revision}")
 
     def follower_started(self, process: SimulatedProcess, core: Any) -> None:
         """Note a fresh process, whose revisions begin anew."""
-        self.record.marks[process.name].append(TableRevision(self.now, 0))
+        self.record.table_revisions[process.name].append(TableRevision(self.now, 0))
 
     def agent_stopped(self, host: AgentHost) -> None:
         """Note that an agent ended by itself."""
@@ -249,7 +249,7 @@
         current = all(
             each.balancer is not None
             and each.balancer.core.accepts_new_flows
-            and self.record.marks[each.name][-1].revision == replica.state.revision
+            and self.record.table_revisions[each.name][-1].revision == replica.state.revision
             for each in self.balancers
         )
         return len(members) == len(live) and online and current
--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -249,7 +249,7 @@
 )
 def test_revisions_of_a_process(revisions, expected):
     record = Record()
-    record.marks["balancer-1"] = [
+    record.table_revisions["balancer-1"] = [
         TableRevision(float(at), each) for at, each in enumerate(revisions)
     ]
     assert [kind_of(each) for each in check_revisions(record)] == expected
@@ -261,7 +261,7 @@
 )
 def test_changes_come_into_force(reached_at, cut, expected):
     record = Record(changes=[change(1, 0, attempt(0, accepted(5)))])
-    record.marks["balancer-1"] = [TableRevision(0.0, 4), TableRevision(reached_at, 5)]
+    record.table_revisions["balancer-1"] = [TableRevision(0.0, 4), TableRevision(reached_at, 5)]
     if cut is not None:
         record.disturbances["balancer-1"].append(cut)
     found = check_in_force(record, ["balancer-1"], ["control-1"], Measures(), end=60.0)
