--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -35,7 +35,7 @@
 """Shortest and longest time between the beginnings of two rushes."""
 LATER_KINDS_EVERY_SECONDS = (5.0, 10.0)
 """Shortest and longest time between two faults of `LATER_KINDS`."""
-RUSH_SECONDS = 1.0
+FAULT_BURST_SECONDS = 1.0
 """Time within which the faults of a rush begin."""
 FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
@@ -104,7 +104,7 @@
         for _ in range(scale * drawn.randint(*FAULTS_PER_BURST)):
             kind = drawn.choice(kinds)
             shape = SHAPES[kind]
-            begins_at = round(at + drawn.uniform(0.0, RUSH_SECONDS), 2)
+            begins_at = round(at + drawn.uniform(0.0, FAULT_BURST_SECONDS), 2)
             length = round(drawn.uniform(shape.shortest, shape.longest), 2)
             if begins_at + length <= latest + 1.0:
                 target = drawn.choice(names.of(shape.group))
