--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -68,7 +68,7 @@
         self.process.machine_lost = machine_lost
         self.process.kill()
         self.world.network.process_ended(self.process)
-        self.world.ended.append(self.process)
+        self.world.ended_processes.append(self.process)
         self.process = None
 
     def freeze(self) -> None:
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -47,7 +47,7 @@
         self.receivers: dict[Endpoint, tuple[SimulatedProcess, DeliverDatagram]] = {}
         self.flows: dict[Endpoint, DeliverDatagram] = {}
         self.stop_events: dict[str, asyncio.Event] = {}
-        self.ended: list[SimulatedProcess] = []
+        self.ended_processes: list[SimulatedProcess] = []
         self.traffic = True
         self.fabric_balancers: list[Endpoint] = []
         self.operator_sides: dict[str, str] = {}
