--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -40,7 +40,7 @@
 FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
 STRUCK_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
-RUSH_NEVER_STRIKES = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
+NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
 DISK_CALM_SECONDS = 8.0
 """No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
@@ -95,7 +95,7 @@
 def plan_fault_bursts(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"rushes {seed}")
-    kinds = [kind for kind in STRUCK_KINDS if kind not in RUSH_NEVER_STRIKES]
+    kinds = [kind for kind in STRUCK_KINDS if kind not in NEVER_IN_BURSTS]
     scale = _scale(names)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
@@ -142,7 +142,7 @@
 
 def _needs_calm(fault: PlannedFault, rushes: list[PlannedFault]) -> bool:
     """Tell whether a disk would be lost, or all be killed, near a rush that strikes replicas."""
-    if fault.kind not in RUSH_NEVER_STRIKES:
+    if fault.kind not in NEVER_IN_BURSTS:
         return False
     return any(
         fault.at < each.ends_at + DISK_CALM_SECONDS and each.at < fault.ends_at + DISK_CALM_SECONDS
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -17,7 +17,7 @@
     FAULTS_PER_BURST,
     LAST_FAULT_BEFORE_END_SECONDS,
     MAX_DOWN,
-    RUSH_NEVER_STRIKES,
+    NEVER_IN_BURSTS,
     SoakNames,
     max_down,
     plan_fault_bursts,
@@ -98,7 +98,7 @@
     rushes = plan_fault_bursts(NAMES, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
     assert max(at_once) >= FAULTS_PER_BURST[0] - 1
-    assert not {fault.kind for fault in rushes} & RUSH_NEVER_STRIKES
+    assert not {fault.kind for fault in rushes} & NEVER_IN_BURSTS
 
 
 def test_rushes_strike_one_target_more_than_once_at_a_time():
