--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -27,7 +27,7 @@
 MAX_CLOCK_DRIFT = 0.01
 
 
-class WatchedReplica(ControlReplica):
+class ObservedReplica(ControlReplica):
     """The product's replica, which also shows the world every entry that it applies."""
 
     def entry_applied(self, entry: AppliedEntry[Outcome]) -> None:
@@ -116,7 +116,7 @@
         )
         assert self.process is not None
         random = self.process.random
-        self.replica = WatchedReplica(config, MetricsRegistry("control"), random)
+        self.replica = ObservedReplica(config, MetricsRegistry("control"), random)
         await self.replica.start()
         await self.replica.run()
 
