--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -39,7 +39,7 @@
 """Time within which the faults of a rush begin."""
 FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
-STRUCK_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
+BASE_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
 NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
 DISK_CALM_SECONDS = 8.0
@@ -95,7 +95,7 @@
 def plan_fault_bursts(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"rushes {seed}")
-    kinds = [kind for kind in STRUCK_KINDS if kind not in NEVER_IN_BURSTS]
+    kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
     scale = _scale(names)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
@@ -160,7 +160,7 @@
     scale = _scale(names)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         if not deck:
-            deck = drawn.sample(STRUCK_KINDS, len(STRUCK_KINDS))
+            deck = drawn.sample(BASE_KINDS, len(BASE_KINDS))
         kind = deck.pop()
         if SHAPES[kind].group is TargetGroup.ALL:
             # Everything is killed only while nothing else is out of order.
