--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -238,7 +238,7 @@
         """Do nothing."""
 
 
-class RecordingRunner(FollowerRunner):
+class RecordingFollowerRunner(FollowerRunner):
     """The product's follower runner, which also tells the world of every revision."""
 
     def __init__(
@@ -314,7 +314,7 @@
         (transport_client.port_accepts, port_accepts),
         (FramedServer, SimulatedServer),
         (AdminServer, NoAdminServer),
-        (FollowerRunner, RecordingRunner),
+        (FollowerRunner, RecordingFollowerRunner),
     ]
 
 
