--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -33,7 +33,7 @@
 EVERYTHING = "everything"
 RUSH_EVERY_SECONDS = (9.0, 15.0)
 """Shortest and longest time between the beginnings of two rushes."""
-LATER_KINDS_EVERY_SECONDS = (5.0, 10.0)
+SEPARATE_KINDS_INTERVAL_SECONDS = (5.0, 10.0)
 """Shortest and longest time between two faults of `LATER_KINDS`."""
 FAULT_BURST_SECONDS = 1.0
 """Time within which the faults of a rush begin."""
@@ -117,14 +117,14 @@
     """Plan the faults of `LATER_KINDS`, whatever else is out of order."""
     drawn = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*LATER_KINDS_EVERY_SECONDS)
+    at = drawn.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         kind = drawn.choice(LATER_KINDS)
         shape = SHAPES[kind]
         length = round(drawn.uniform(shape.shortest, shape.longest), 2)
         target = drawn.choice(names.of(shape.group))
         planned.append(PlannedFault(round(at, 2), kind, target, length))
-        at += drawn.uniform(*LATER_KINDS_EVERY_SECONDS)
+        at += drawn.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     return [each for each in planned if each.ends_at <= latest]
 
