--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -22,7 +22,7 @@
 CLUSTER_ID = "simulated"
 SNAPSHOT_INTERVAL_ENTRIES = 60
 """Small, so that snapshots and the log's truncation happen in every run."""
-NO_PORT = Endpoint("127.0.0.1", 0)
+UNUSED_ENDPOINT = Endpoint("127.0.0.1", 0)
 NO_FILE = Path("unused")
 MAX_CLOCK_DRIFT = 0.01
 
@@ -156,7 +156,7 @@
             cluster_id=CLUSTER_ID,
             zone=self.zone,
             listen=self.endpoint,
-            admin_listen=NO_PORT,
+            admin_listen=UNUSED_ENDPOINT,
             control=self.world.control_endpoints(),
             agent_networks=[LOOPBACK_NETWORK],
             new_flows_per_second=1000,
@@ -187,7 +187,7 @@
             cluster_id=CLUSTER_ID,
             zone=self.zone,
             listen=self.endpoint,
-            admin_listen=NO_PORT,
+            admin_listen=UNUSED_ENDPOINT,
             control=self.world.control_endpoints(),
             backend=Endpoint("127.0.0.1", BACKEND_PORT),
             fabric=FABRIC,
