--- a/src/jasperwalk_lab/soak/faults.py
+++ b/src/jasperwalk_lab/soak/faults.py
@@ -113,7 +113,7 @@
     FaultKind.CONTROL_LINKS_ABANDONED: FaultShape(TargetGroup.ALL, 0.1, 0.2),
     FaultKind.HOST_SPEAKS_LATE: FaultShape(TargetGroup.HOST, 0.3, 2.5),
 }
-LATER_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
+SEPARATELY_DRAWN_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
 """Kinds with random numbers of their own: the schedules of kept seeds stay as they were."""
 PRESSURE = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
 """Load beyond what hosts bear. It excuses no broken promise, and `pressure` alone plans it."""
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from jasperwalk_lab.soak.faults import (
-    LATER_KINDS,
     PRESSURE,
+    SEPARATELY_DRAWN_KINDS,
     SHAPES,
     FaultKind,
     PlannedFault,
@@ -34,12 +34,12 @@
 RUSH_EVERY_SECONDS = (9.0, 15.0)
 """Shortest and longest time between the beginnings of two rushes."""
 SEPARATE_KINDS_INTERVAL_SECONDS = (5.0, 10.0)
-"""Shortest and longest time between two faults of `LATER_KINDS`."""
+"""Shortest and longest time between two faults of `SEPARATELY_DRAWN_KINDS`."""
 FAULT_BURST_SECONDS = 1.0
 """Time within which the faults of a rush begin."""
 FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
-BASE_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
+BASE_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in SEPARATELY_DRAWN_KINDS)
 NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
 DISK_CALM_SECONDS = 8.0
@@ -114,12 +114,12 @@
 
 
 def plan_later_kinds(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the faults of `LATER_KINDS`, whatever else is out of order."""
+    """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
     drawn = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
     at = drawn.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        kind = drawn.choice(LATER_KINDS)
+        kind = drawn.choice(SEPARATELY_DRAWN_KINDS)
         shape = SHAPES[kind]
         length = round(drawn.uniform(shape.shortest, shape.longest), 2)
         target = drawn.choice(names.of(shape.group))
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -3,7 +3,13 @@
 import pytest
 
 from jasperwalk_lab.errors import LabSettingsError
-from jasperwalk_lab.soak.faults import LATER_KINDS, PRESSURE, SHAPES, FaultKind, TargetGroup
+from jasperwalk_lab.soak.faults import (
+    PRESSURE,
+    SEPARATELY_DRAWN_KINDS,
+    SHAPES,
+    FaultKind,
+    TargetGroup,
+)
 from jasperwalk_lab.soak.injector import covers_every_kind
 from jasperwalk_lab.soak.kept_seeds import KeptSeed, read_kept_seeds
 from jasperwalk_lab.soak.pressure import (
@@ -40,7 +46,7 @@
 
 def test_a_few_schedules_have_every_kind_of_fault():
     drawn = {fault.kind for seed in range(20) for fault in plan_soak(NAMES, 120.0, seed)}
-    assert drawn == set(FaultKind) - PRESSURE - set(LATER_KINDS)
+    assert drawn == set(FaultKind) - PRESSURE - set(SEPARATELY_DRAWN_KINDS)
     drawn = {fault.kind for seed in range(20) for fault in plan_with_pressure(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind)
     assert covers_every_kind()
@@ -145,7 +151,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_pressure_leaves_the_faults_of_a_seed_as_they_are(seed):
     planned = plan_with_pressure(NAMES, 60.0, seed)
-    added = PRESSURE | set(LATER_KINDS)
+    added = PRESSURE | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
     shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_run(NAMES, 60.0, seed)]
     assert [each.at for each in struck] == shifted
