--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -23,7 +23,7 @@
 SNAPSHOT_INTERVAL_ENTRIES = 60
 """Small, so that snapshots and the log's truncation happen in every run."""
 UNUSED_ENDPOINT = Endpoint("127.0.0.1", 0)
-NO_FILE = Path("unused")
+UNUSED_PATH = Path("unused")
 MAX_CLOCK_DRIFT = 0.01
 
 
@@ -108,7 +108,7 @@
             name=self.name,
             cluster_id=CLUSTER_ID,
             replica_id=self.replica_id,
-            data_folder=NO_FILE,
+            data_folder=UNUSED_PATH,
             peer_listen=self.endpoint,
             peers=peers,
             snapshot_interval_entries=SNAPSHOT_INTERVAL_ENTRIES,
@@ -191,8 +191,8 @@
             control=self.world.control_endpoints(),
             backend=Endpoint("127.0.0.1", BACKEND_PORT),
             fabric=FABRIC,
-            certificate_file=NO_FILE,
-            private_key_file=NO_FILE,
+            certificate_file=UNUSED_PATH,
+            private_key_file=UNUSED_PATH,
         )
         self.stopping = False
         self.agent = Agent(settings)
