--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -113,7 +113,7 @@
     return sorted(planned, key=lambda each: each.at)
 
 
-def plan_later_kinds(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_separately_drawn(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
     drawn = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
