--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -128,7 +128,7 @@
     return outcome
 
 
-def _told_as_not_run(_: Unknown) -> LocalAnswer:
+def _answer_unknown_as_not_run(_: Unknown) -> LocalAnswer:
     return not_run_answer(NotRun(NotRunReason.DRAINING))
 
 
@@ -281,7 +281,7 @@
     Mutant(
         "unknown-told-as-not-run",
         "a request is refused as not run after it reached the back end",
-        _one(dispatcher, "unknown_answer", _told_as_not_run),
+        _one(dispatcher, "unknown_answer", _answer_unknown_as_not_run),
         "misleading-back-ends",
         1,
         "not-run-but-ran",
