--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -42,7 +42,7 @@
 BASE_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in SEPARATELY_DRAWN_KINDS)
 NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
-DISK_CALM_SECONDS = 8.0
+DISK_LOSS_MARGIN_SECONDS = 8.0
 """No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
 SMALLEST_AGENTS = 6
 MOST_SCALE = 3
@@ -145,7 +145,8 @@
     if fault.kind not in NEVER_IN_BURSTS:
         return False
     return any(
-        fault.at < each.ends_at + DISK_CALM_SECONDS and each.at < fault.ends_at + DISK_CALM_SECONDS
+        fault.at < each.ends_at + DISK_LOSS_MARGIN_SECONDS
+        and each.at < fault.ends_at + DISK_LOSS_MARGIN_SECONDS
         for each in rushes
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     )
