--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -132,7 +132,7 @@
     return not_run_answer(NotRun(NotRunReason.DRAINING))
 
 
-def _any_delta(self: FollowerCore, delta: Delta, now: float) -> Any:
+def _accept_any_delta(self: FollowerCore, delta: Delta, now: float) -> Any:
     self.table.update(delta.revision, delta.upserts, delta.removals)
     return self._on_table_changed(now)
 
@@ -208,7 +208,7 @@
         Defect(
             (
                 Replacement(RaftRunner, "quorum_age", lambda _: 0.0),
-                Replacement(FollowerCore, "_delta", _any_delta),
+                Replacement(FollowerCore, "_delta", _accept_any_delta),
                 Replacement(FollowerCore, "_snapshot", _any_snapshot),
                 Replacement(FollowerCore, "connected", _subscribing_anew(FollowerCore.connected)),
             )
