--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -44,7 +44,7 @@
 """A lost disk beside dead replicas may be more than has to be borne."""
 DISK_LOSS_MARGIN_SECONDS = 8.0
 """No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
-SMALLEST_AGENTS = 6
+BASE_AGENT_COUNT = 6
 MOST_SCALE = 3
 """Larger fleets are struck more often, up to this many times: one machine starts them all."""
 
@@ -130,7 +130,7 @@
 
 
 def _scale(names: SoakNames) -> int:
-    return min(MOST_SCALE, max(1, len(names.agents) // SMALLEST_AGENTS))
+    return min(MOST_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
 
 
 def plan_run(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
