--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -137,7 +137,7 @@
     return self._on_table_changed(now)
 
 
-def _any_snapshot(self: FollowerCore, snapshot: Snapshot, now: float) -> Any:
+def _accept_any_snapshot(self: FollowerCore, snapshot: Snapshot, now: float) -> Any:
     self._assembly.add(snapshot)
     entries = self._assembly.take()
     if entries is None:
@@ -209,7 +209,7 @@
             (
                 Replacement(RaftRunner, "quorum_age", lambda _: 0.0),
                 Replacement(FollowerCore, "_delta", _accept_any_delta),
-                Replacement(FollowerCore, "_snapshot", _any_snapshot),
+                Replacement(FollowerCore, "_snapshot", _accept_any_snapshot),
                 Replacement(FollowerCore, "connected", _subscribing_anew(FollowerCore.connected)),
             )
         ),
