--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -45,7 +45,7 @@
 DISK_LOSS_MARGIN_SECONDS = 8.0
 """No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
 BASE_AGENT_COUNT = 6
-MOST_SCALE = 3
+MAX_SCALE = 3
 """Larger fleets are struck more often, up to this many times: one machine starts them all."""
 
 
@@ -130,7 +130,7 @@
 
 
 def _scale(names: SoakNames) -> int:
-    return min(MOST_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
+    return min(MAX_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
 
 
 def plan_run(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
