--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -146,7 +146,7 @@
     return self._on_table_changed(now)
 
 
-def _subscribing_anew(original: Callable[..., Any]) -> Callable[..., Any]:
+def _subscribe_from_revision_zero(original: Callable[..., Any]) -> Callable[..., Any]:
     def connected(self: FollowerCore, replica: Any, now: float) -> Any:
         revision, self.table.revision = self.table.revision, 0
         try:
@@ -210,7 +210,9 @@
                 Replacement(RaftRunner, "quorum_age", lambda _: 0.0),
                 Replacement(FollowerCore, "_delta", _accept_any_delta),
                 Replacement(FollowerCore, "_snapshot", _accept_any_snapshot),
-                Replacement(FollowerCore, "connected", _subscribing_anew(FollowerCore.connected)),
+                Replacement(
+                    FollowerCore, "connected", _subscribe_from_revision_zero(FollowerCore.connected)
+                ),
             )
         ),
         "control-apart",
