--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -18,7 +18,7 @@
 from jasperwalk_lab.soak.hosts import HostPlace
 from jasperwalk_lab.soak.processes import SoakProcess
 from jasperwalk_lab.soak.relays import TcpRelay, UdpRelay
-from jasperwalk_lab.soak.schedule import SoakNames
+from jasperwalk_lab.soak.schedule import SoakTargets
 from jasperwalk_lab.supervisor import Supervisor
 
 ZONES = ("north", "south")
@@ -95,10 +95,10 @@
     def _at(self, host: str, port: str) -> Endpoint:
         return Endpoint(host, self._ports[port])
 
-    def names(self) -> SoakNames:
+    def names(self) -> SoakTargets:
         """Return what faults may strike."""
         by_role = {role: self.of_role(role) for role in ROLES}
-        return SoakNames(
+        return SoakTargets(
             tuple(each.name for each in by_role["control"]),
             tuple(each.name for each in by_role["balancer"]),
             tuple(each.name for each in by_role["agent"]),
--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.soak.faults import SHAPES, FaultKind, PlannedFault
 from jasperwalk_lab.soak.schedule import (
     LAST_FAULT_BEFORE_END_SECONDS,
-    SoakNames,
+    SoakTargets,
     plan_run,
     plan_separately_drawn,
 )
@@ -58,14 +58,14 @@
         return cls(RushWidth(width), value)
 
 
-def plan_with_pressure(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_with_pressure(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan a run of `CALM_SECONDS` and `seconds` more, in the order of beginning."""
     struck = [*plan_run(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
     faults = [msgspec.structs.replace(each, at=round(each.at + CALM_SECONDS, 2)) for each in struck]
     return sorted([*faults, *plan_pressure(names, seconds, seed)], key=lambda each: each.at)
 
 
-def plan_pressure(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_pressure(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes and the slow hosts of the same run."""
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
@@ -81,7 +81,7 @@
 
 
 def _draw_rush(
-    names: SoakNames, width: RushWidth, at: float, drawn: random.Random
+    names: SoakTargets, width: RushWidth, at: float, drawn: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
     value = {
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -49,7 +49,7 @@
 """Larger fleets are struck more often, up to this many times: one machine starts them all."""
 
 
-class SoakNames(msgspec.Struct, frozen=True):
+class SoakTargets(msgspec.Struct, frozen=True):
     """The names that faults may strike."""
 
     controls: tuple[str, ...]
@@ -81,7 +81,7 @@
 }
 
 
-def max_down(names: SoakNames, group: TargetGroup) -> int:
+def max_down(names: SoakTargets, group: TargetGroup) -> int:
     """Return how many targets of a group may be out at once: the same share in every fleet."""
     if group is TargetGroup.CONTROL:
         return (len(names.controls) - 1) // 2
@@ -92,7 +92,7 @@
     return MAX_DOWN[group]
 
 
-def plan_fault_bursts(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_fault_bursts(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"rushes {seed}")
     kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
@@ -113,7 +113,7 @@
     return sorted(planned, key=lambda each: each.at)
 
 
-def plan_separately_drawn(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_separately_drawn(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
     drawn = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
@@ -129,11 +129,11 @@
     return [each for each in planned if each.ends_at <= latest]
 
 
-def _scale(names: SoakNames) -> int:
+def _scale(names: SoakTargets) -> int:
     return min(MAX_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
 
 
-def plan_run(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_run(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
     rushes = plan_fault_bursts(names, seconds, seed)
     steady = [each for each in plan_soak(names, seconds, seed) if not _needs_calm(each, rushes)]
@@ -152,7 +152,7 @@
     )
 
 
-def plan_soak(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_soak(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
@@ -175,7 +175,7 @@
 
 def _draw(
     kind: FaultKind,
-    names: SoakNames,
+    names: SoakTargets,
     planned: list[PlannedFault],
     at: float,
     drawn: random.Random,
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -24,14 +24,14 @@
     LAST_FAULT_BEFORE_END_SECONDS,
     MAX_DOWN,
     NEVER_IN_BURSTS,
-    SoakNames,
+    SoakTargets,
     max_down,
     plan_fault_bursts,
     plan_run,
     plan_soak,
 )
 
-NAMES = SoakNames(
+NAMES = SoakTargets(
     ("control-0", "control-1", "control-2"),
     ("balancer-0", "balancer-1", "balancer-2"),
     tuple(f"agent-{number}" for number in range(6)),
@@ -91,7 +91,7 @@
     assert all(each.cause for each in read_kept_seeds())
 
 
-LARGE = SoakNames(
+LARGE = SoakTargets(
     tuple(f"control-{number}" for number in range(5)),
     tuple(f"balancer-{number}" for number in range(30)),
     tuple(f"agent-{number}" for number in range(120)),
