--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -157,7 +157,7 @@
     return connected
 
 
-def _takes_any_service(self: ServiceView, newer: ServiceView) -> ServiceView:
+def _accept_any_service(self: ServiceView, newer: ServiceView) -> ServiceView:
     return dataclasses.replace(newer, stopping=self.stopping)
 
 
@@ -307,7 +307,7 @@
     Mutant(
         "move-cuts-flows",
         "a host that is moved to another service drops the flows of the former one",
-        _one(ServiceView, "followed_by", _takes_any_service),
+        _one(ServiceView, "followed_by", _accept_any_service),
         "uneven-updates",
         1,
         "broken-flow",
