--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -136,7 +136,9 @@
 def plan_run(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
     rushes = plan_fault_bursts(names, seconds, seed)
-    steady = [each for each in plan_soak(names, seconds, seed) if not _needs_calm(each, rushes)]
+    steady = [
+        each for each in plan_steady_faults(names, seconds, seed) if not _needs_calm(each, rushes)
+    ]
     return sorted([*steady, *rushes], key=lambda each: each.at)
 
 
@@ -152,7 +154,7 @@
     )
 
 
-def plan_soak(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_steady_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     drawn = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -28,7 +28,7 @@
     max_down,
     plan_fault_bursts,
     plan_run,
-    plan_soak,
+    plan_steady_faults,
 )
 
 NAMES = SoakTargets(
@@ -40,12 +40,12 @@
 
 
 def test_the_same_seed_gives_the_same_schedule():
-    assert plan_soak(NAMES, 120.0, 7) == plan_soak(NAMES, 120.0, 7)
-    assert plan_soak(NAMES, 120.0, 7) != plan_soak(NAMES, 120.0, 8)
+    assert plan_steady_faults(NAMES, 120.0, 7) == plan_steady_faults(NAMES, 120.0, 7)
+    assert plan_steady_faults(NAMES, 120.0, 7) != plan_steady_faults(NAMES, 120.0, 8)
 
 
 def test_a_few_schedules_have_every_kind_of_fault():
-    drawn = {fault.kind for seed in range(20) for fault in plan_soak(NAMES, 120.0, seed)}
+    drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind) - PRESSURE - set(SEPARATELY_DRAWN_KINDS)
     drawn = {fault.kind for seed in range(20) for fault in plan_with_pressure(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind)
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_more_is_out_of_order_at_once_than_has_to_be_borne(seed):
-    planned = plan_soak(NAMES, 120.0, seed)
+    planned = plan_steady_faults(NAMES, 120.0, seed)
     for fault in planned:
         group = SHAPES[fault.kind].group
         others = [
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_are_over_before_the_end(seed):
-    last = max(fault.ends_at for fault in plan_soak(NAMES, 60.0, seed))
+    last = max(fault.ends_at for fault in plan_steady_faults(NAMES, 60.0, seed))
     assert last <= 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
 
 
