--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -165,7 +165,7 @@
     return ChangeRegister(limit=image.limit)
 
 
-def _one(owner: Any, name: str, substitute: Any) -> Defect:
+def _single_replacement(owner: Any, name: str, substitute: Any) -> Defect:
     return Defect((Replacement(owner, name, substitute),))
 
 
@@ -189,7 +189,9 @@
     Mutant(
         "half-is-a-quorum",
         "half of the voters decide",
-        _one(Membership, "quorum_size", lambda self: max(1, len(self.voter_ids()) // 2)),
+        _single_replacement(
+            Membership, "quorum_size", lambda self: max(1, len(self.voter_ids()) // 2)
+        ),
         "even-split",
         1,
         "entries-differ",
@@ -197,7 +199,7 @@
     Mutant(
         "stale-replica-publishes",
         "a replica that lost its quorum says that it is fresh",
-        _one(RaftRunner, "quorum_age", lambda _: 0.0),
+        _single_replacement(RaftRunner, "quorum_age", lambda _: 0.0),
         "control-apart",
         1,
         "not-in-force",
@@ -222,7 +224,7 @@
     Mutant(
         "change-register-ignored",
         "a resent change is made again",
-        _one(ChangeRegister, "find", lambda _self, _change_id: None),
+        _single_replacement(ChangeRegister, "find", lambda _self, _change_id: None),
         "lost-answers",
         1,
         "accepted-lost",
@@ -230,7 +232,7 @@
     Mutant(
         "change-register-not-in-snapshots",
         "a replica that comes back by a snapshot has forgotten the changes' outcomes",
-        _one(ChangeRegister, "from_image", staticmethod(_empty_register)),
+        _single_replacement(ChangeRegister, "from_image", staticmethod(_empty_register)),
         "long-absence",
         1,
         "accepted-lost",
@@ -238,7 +240,7 @@
     Mutant(
         "ticket-not-checked",
         "a ticket's home runs every arrival",
-        _one(TicketStore, "use", _always_run),
+        _single_replacement(TicketStore, "use", _always_run),
         "lost-answers",
         1,
         "ran-twice",
@@ -246,7 +248,7 @@
     Mutant(
         "ticket-run-elsewhere",
         "a request that may not be repeated is tried again when its home does not answer",
-        _one(TicketService, "_relay_home", _run_elsewhere),
+        _single_replacement(TicketService, "_relay_home", _run_elsewhere),
         "misleading-back-ends",
         1,
         "ran-twice",
@@ -254,7 +256,7 @@
     Mutant(
         "service-not-checked",
         "an agent takes datagrams of any service; the balancers' own check is left",
-        _one(DatagramFilter, "admit", _unchecked),
+        _single_replacement(DatagramFilter, "admit", _unchecked),
         "uneven-updates",
         2,
         "broken-flow",
@@ -275,7 +277,7 @@
     Mutant(
         "late-answer-reused",
         "a back-end connection is used again after a time-out",
-        _one(ModelBackend, "reuses_late_answers", True),
+        _single_replacement(ModelBackend, "reuses_late_answers", True),
         "misleading-back-ends",
         1,
         "wrong-answer",
@@ -283,7 +285,7 @@
     Mutant(
         "unknown-told-as-not-run",
         "a request is refused as not run after it reached the back end",
-        _one(dispatcher, "unknown_answer", _answer_unknown_as_not_run),
+        _single_replacement(dispatcher, "unknown_answer", _answer_unknown_as_not_run),
         "misleading-back-ends",
         1,
         "not-run-but-ran",
@@ -291,7 +293,7 @@
     Mutant(
         "drain-ignored",
         "a leaving agent goes on running new requests of its open flows",
-        _one(ServiceView, "draining", property(lambda self: self.stopping)),
+        _single_replacement(ServiceView, "draining", property(lambda self: self.stopping)),
         "hosts-leave",
         1,
         "new-work-while-leaving",
@@ -299,7 +301,7 @@
     Mutant(
         "flows-closed-early",
         "a planned stop closes flows whose last answers are still under way",
-        _one(AgentEndpoint, "has_undelivered_answers", property(lambda _: False)),
+        _single_replacement(AgentEndpoint, "has_undelivered_answers", property(lambda _: False)),
         "hosts-leave",
         8,
         "broken-flow",
@@ -307,7 +309,7 @@
     Mutant(
         "move-cuts-flows",
         "a host that is moved to another service drops the flows of the former one",
-        _one(ServiceView, "followed_by", _accept_any_service),
+        _single_replacement(ServiceView, "followed_by", _accept_any_service),
         "uneven-updates",
         1,
         "broken-flow",
