--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -16,7 +16,7 @@
 from jasperwalk_lab.soak.schedule import (
     LAST_FAULT_BEFORE_END_SECONDS,
     SoakTargets,
-    plan_run,
+    plan_faults,
     plan_separately_drawn,
 )
 
@@ -60,7 +60,7 @@
 
 def plan_with_pressure(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan a run of `CALM_SECONDS` and `seconds` more, in the order of beginning."""
-    struck = [*plan_run(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
+    struck = [*plan_faults(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
     faults = [msgspec.structs.replace(each, at=round(each.at + CALM_SECONDS, 2)) for each in struck]
     return sorted([*faults, *plan_pressure(names, seconds, seed)], key=lambda each: each.at)
 
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -133,7 +133,7 @@
     return min(MAX_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
 
 
-def plan_run(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
     rushes = plan_fault_bursts(names, seconds, seed)
     steady = [
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -27,7 +27,7 @@
     SoakTargets,
     max_down,
     plan_fault_bursts,
-    plan_run,
+    plan_faults,
     plan_steady_faults,
 )
 
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_disk_is_lost_while_a_rush_strikes_other_replicas(seed):
-    planned = plan_run(NAMES, 120.0, seed)
+    planned = plan_faults(NAMES, 120.0, seed)
     rushes = [
         each
         for each in plan_fault_bursts(NAMES, 120.0, seed)
@@ -134,7 +134,7 @@
 def test_a_large_fleet_bears_the_same_share():
     assert [max_down(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
     assert {group: max_down(NAMES, group) for group in TargetGroup} == MAX_DOWN
-    assert len(plan_run(LARGE, 60.0, 1)) > 2 * len(plan_run(NAMES, 60.0, 1))
+    assert len(plan_faults(LARGE, 60.0, 1)) > 2 * len(plan_faults(NAMES, 60.0, 1))
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -153,7 +153,7 @@
     planned = plan_with_pressure(NAMES, 60.0, seed)
     added = PRESSURE | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
-    shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_run(NAMES, 60.0, seed)]
+    shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
     assert [each.at for each in struck] == shifted
     last = CALM_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     assert max(each.ends_at for each in planned) <= last
