--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -102,7 +102,7 @@
         self.state.hard_state = self._synced
 
 
-def _unchecked(self: DatagramFilter, data: bytes, view: ServiceView) -> AdmittedDatagram:
+def _admit_without_check(self: DatagramFilter, data: bytes, view: ServiceView) -> AdmittedDatagram:
     message = self._decode(data)
     sealed = isinstance(message, SealedDatagram)
     datagram: ForwardedDatagram = (
@@ -256,7 +256,7 @@
     Mutant(
         "service-not-checked",
         "an agent takes datagrams of any service; the balancers' own check is left",
-        _single_replacement(DatagramFilter, "admit", _unchecked),
+        _single_replacement(DatagramFilter, "admit", _admit_without_check),
         "uneven-updates",
         2,
         "broken-flow",
@@ -266,7 +266,7 @@
         "neither balancers nor agents look at the service of a datagram",
         Defect(
             (
-                Replacement(DatagramFilter, "admit", _unchecked),
+                Replacement(DatagramFilter, "admit", _admit_without_check),
                 Replacement(ServiceRoute, "names_service", lambda _self, _server_id: True),
             )
         ),
