--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -137,12 +137,14 @@
     """Plan everything that a run brings about, in the order of its beginning."""
     rushes = plan_fault_bursts(names, seconds, seed)
     steady = [
-        each for each in plan_steady_faults(names, seconds, seed) if not _needs_calm(each, rushes)
+        each
+        for each in plan_steady_faults(names, seconds, seed)
+        if not _is_too_near_burst(each, rushes)
     ]
     return sorted([*steady, *rushes], key=lambda each: each.at)
 
 
-def _needs_calm(fault: PlannedFault, rushes: list[PlannedFault]) -> bool:
+def _is_too_near_burst(fault: PlannedFault, rushes: list[PlannedFault]) -> bool:
     """Tell whether a disk would be lost, or all be killed, near a rush that strikes replicas."""
     if fault.kind not in NEVER_IN_BURSTS:
         return False
