--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -35,7 +35,7 @@
 EXPECTED_REVISION_SHARE = 0.7
 """Share of the changes that name the revision that they expect."""
 MAX_SENDS = 6
-LANES = 16
+BURST_CONCURRENCY = 16
 """Changes of a burst that are under way at once."""
 STUDIO_TEMPLATE = "studio"
 
@@ -223,7 +223,10 @@
 
     async def burst(self, count: int) -> None:
         """Make many changes without a pause, some of them at once."""
-        lanes = (self._burst_lane(range(first, count, LANES)) for first in range(LANES))
+        lanes = (
+            self._burst_lane(range(first, count, BURST_CONCURRENCY))
+            for first in range(BURST_CONCURRENCY)
+        )
         await asyncio.gather(*lanes)
 
     async def _burst_lane(self, numbers: range) -> None:
