--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -189,7 +189,7 @@
     seconds = round(drawn.uniform(shape.shortest, shape.longest), 2)
     target = drawn.choice(names.of(shape.group))
     fault = PlannedFault(round(at, 2), kind, target, seconds)
-    near = [each for each in planned if _meet(each, fault)]
+    near = [each for each in planned if _are_too_close(each, fault)]
     if shape.group is TargetGroup.ALL:
         return None if near else fault
     if any(SHAPES[each.kind].group is TargetGroup.ALL for each in near):
@@ -199,6 +199,6 @@
     return None if is_too_much else fault
 
 
-def _meet(one: PlannedFault, other: PlannedFault) -> bool:
+def _are_too_close(one: PlannedFault, other: PlannedFault) -> bool:
     """Tell whether two faults overlap, or one follows the other too soon."""
     return one.at < other.ends_at + SETTLE_SECONDS and other.at < one.ends_at + SETTLE_SECONDS
