--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -224,12 +224,12 @@
     async def burst(self, count: int) -> None:
         """Make many changes without a pause, some of them at once."""
         lanes = (
-            self._burst_lane(range(first, count, BURST_CONCURRENCY))
+            self._run_burst_changes(range(first, count, BURST_CONCURRENCY))
             for first in range(BURST_CONCURRENCY)
         )
         await asyncio.gather(*lanes)
 
-    async def _burst_lane(self, numbers: range) -> None:
+    async def _run_burst_changes(self, numbers: range) -> None:
         for number in numbers:
             studio = number % STUDIO_COUNT
             values = studio_values(studio, queue=number % 1000 + 1)
