--- a/src/jasperwalk_lab/soak/faults.py
+++ b/src/jasperwalk_lab/soak/faults.py
@@ -115,7 +115,7 @@
 }
 SEPARATELY_DRAWN_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
 """Kinds with random numbers of their own: the schedules of kept seeds stay as they were."""
-PRESSURE = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
+OVERLOAD_KINDS = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
 """Load beyond what hosts bear. It excuses no broken promise, and `pressure` alone plans it."""
 
 
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from jasperwalk.scheduling.request_order import DEFAULT_LEAST_SHARE
-from jasperwalk_lab.soak.faults import PRESSURE
+from jasperwalk_lab.soak.faults import OVERLOAD_KINDS
 from jasperwalk_lab.soak.history import (
     OpeningReceived,
     RequestRefused,
@@ -108,7 +108,7 @@
     return not any(
         fault.began_at <= at <= (fault.ended_at or history.ends_at) + FAULT_REACH_SECONDS
         for fault in history.faults
-        if fault.planned.kind not in PRESSURE
+        if fault.planned.kind not in OVERLOAD_KINDS
     )
 
 
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from jasperwalk_lab.soak.faults import (
-    PRESSURE,
+    OVERLOAD_KINDS,
     SEPARATELY_DRAWN_KINDS,
     SHAPES,
     FaultKind,
@@ -39,7 +39,9 @@
 """Time within which the faults of a rush begin."""
 FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
-BASE_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in SEPARATELY_DRAWN_KINDS)
+BASE_KINDS = tuple(
+    k for k in FaultKind if k not in OVERLOAD_KINDS and k not in SEPARATELY_DRAWN_KINDS
+)
 NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
 DISK_LOSS_MARGIN_SECONDS = 8.0
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -4,7 +4,7 @@
 
 from jasperwalk_lab.errors import LabSettingsError
 from jasperwalk_lab.soak.faults import (
-    PRESSURE,
+    OVERLOAD_KINDS,
     SEPARATELY_DRAWN_KINDS,
     SHAPES,
     FaultKind,
@@ -46,7 +46,7 @@
 
 def test_a_few_schedules_have_every_kind_of_fault():
     drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(NAMES, 120.0, seed)}
-    assert drawn == set(FaultKind) - PRESSURE - set(SEPARATELY_DRAWN_KINDS)
+    assert drawn == set(FaultKind) - OVERLOAD_KINDS - set(SEPARATELY_DRAWN_KINDS)
     drawn = {fault.kind for seed in range(20) for fault in plan_with_pressure(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind)
     assert covers_every_kind()
@@ -142,7 +142,7 @@
     planned = plan_with_pressure(NAMES, 60.0, seed)
     calm = [each for each in planned if each.at < CALM_SECONDS]
     assert calm
-    assert {each.kind for each in calm} <= PRESSURE
+    assert {each.kind for each in calm} <= OVERLOAD_KINDS
     assert all(each.ends_at < CALM_SECONDS for each in calm)
     rushes = [Rush.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
     assert sorted(each.width for each in rushes) == sorted(RushWidth)
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_pressure_leaves_the_faults_of_a_seed_as_they_are(seed):
     planned = plan_with_pressure(NAMES, 60.0, seed)
-    added = PRESSURE | set(SEPARATELY_DRAWN_KINDS)
+    added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
     shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
     assert [each.at for each in struck] == shifted
@@ -166,5 +166,5 @@
         fault.at < rush.ends_at and rush.at < fault.ends_at
         for rush in rushes
         for fault in planned
-        if fault.kind not in PRESSURE
+        if fault.kind not in OVERLOAD_KINDS
     )
