--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -223,11 +223,11 @@
 
     async def burst(self, count: int) -> None:
         """Make many changes without a pause, some of them at once."""
-        lanes = (
+        workers = (
             self._run_burst_changes(range(first, count, BURST_CONCURRENCY))
             for first in range(BURST_CONCURRENCY)
         )
-        await asyncio.gather(*lanes)
+        await asyncio.gather(*workers)
 
     async def _run_burst_changes(self, numbers: range) -> None:
         for number in numbers:
