--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -58,7 +58,7 @@
         return cls(RushWidth(width), value)
 
 
-def plan_with_pressure(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_with_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan a run of `CALM_SECONDS` and `seconds` more, in the order of beginning."""
     struck = [*plan_faults(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
     faults = [msgspec.structs.replace(each, at=round(each.at + CALM_SECONDS, 2)) for each in struck]
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -17,7 +17,7 @@
     Rush,
     RushWidth,
     plan_pressure,
-    plan_with_pressure,
+    plan_with_overload,
 )
 from jasperwalk_lab.soak.schedule import (
     FAULTS_PER_BURST,
@@ -47,7 +47,7 @@
 def test_a_few_schedules_have_every_kind_of_fault():
     drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind) - OVERLOAD_KINDS - set(SEPARATELY_DRAWN_KINDS)
-    drawn = {fault.kind for seed in range(20) for fault in plan_with_pressure(NAMES, 120.0, seed)}
+    drawn = {fault.kind for seed in range(20) for fault in plan_with_overload(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind)
     assert covers_every_kind()
 
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_run_begins_with_a_rush_of_each_width_and_no_fault(seed):
-    planned = plan_with_pressure(NAMES, 60.0, seed)
+    planned = plan_with_overload(NAMES, 60.0, seed)
     calm = [each for each in planned if each.at < CALM_SECONDS]
     assert calm
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_pressure_leaves_the_faults_of_a_seed_as_they_are(seed):
-    planned = plan_with_pressure(NAMES, 60.0, seed)
+    planned = plan_with_overload(NAMES, 60.0, seed)
     added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
     shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
@@ -160,7 +160,7 @@
 
 
 def test_a_rush_also_meets_faults():
-    planned = plan_with_pressure(NAMES, 120.0, 1)
+    planned = plan_with_overload(NAMES, 120.0, 1)
     rushes = [each for each in plan_pressure(NAMES, 120.0, 1) if each.at > CALM_SECONDS]
     assert any(
         fault.at < rush.ends_at and rush.at < fault.ends_at
