--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -55,7 +55,7 @@
         self._count += 1
         return f"{self.name}/{self._count}"
 
-    async def carry_through(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
+    async def send_until_outcome(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
         """Send a change again and again until an outcome comes back, to any replica."""
         change = Change(command, self.name)
         self.world.record.changes.append(change)
@@ -140,7 +140,7 @@
                 STUDIO_TEMPLATE,
                 studio_values(number, queue=random.randint(1, 1000)),
             )
-            await self.console.carry_through(command)
+            await self.console.send_until_outcome(command)
 
     def _read_revision(self, tenant: str) -> int:
         """Read a tenant's revision on some replica that this operator can reach."""
@@ -247,4 +247,4 @@
         await self.set_service(service, {"vip": str(layout.listener(service)), "pool": pool})
 
     async def _insist(self, command: OperatorCommand) -> Change:
-        return await self.console.carry_through(command, sends=60)
+        return await self.console.send_until_outcome(command, sends=60)
