--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -62,10 +62,10 @@
     """Plan a run of `CALM_SECONDS` and `seconds` more, in the order of beginning."""
     struck = [*plan_faults(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
     faults = [msgspec.structs.replace(each, at=round(each.at + CALM_SECONDS, 2)) for each in struck]
-    return sorted([*faults, *plan_pressure(names, seconds, seed)], key=lambda each: each.at)
+    return sorted([*faults, *plan_overload(names, seconds, seed)], key=lambda each: each.at)
 
 
-def plan_pressure(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes and the slow hosts of the same run."""
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -16,7 +16,7 @@
     CALM_SECONDS,
     Rush,
     RushWidth,
-    plan_pressure,
+    plan_overload,
     plan_with_overload,
 )
 from jasperwalk_lab.soak.schedule import (
@@ -161,7 +161,7 @@
 
 def test_a_rush_also_meets_faults():
     planned = plan_with_overload(NAMES, 120.0, 1)
-    rushes = [each for each in plan_pressure(NAMES, 120.0, 1) if each.at > CALM_SECONDS]
+    rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > CALM_SECONDS]
     assert any(
         fault.at < rush.ends_at and rush.at < fault.ends_at
         for rush in rushes
