--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -172,25 +172,25 @@
         names = [service.name for service in layout.services]
         for name in (*names, STUDIO_TEMPLATE):
             change_id = self.console.new_change_id()
-            await self._insist(ApplyTemplate(change_id, None, template_text(name)))
+            await self._submit(ApplyTemplate(change_id, None, template_text(name)))
         for service in layout.services:
             await self.set_service(service.name, service_values(layout, service))
         for number in range(STUDIO_COUNT):
             values = studio_values(number, queue=1)
             change_id = self.console.new_change_id()
             name = studio_name(number)
-            await self._insist(SetTenant(change_id, 0, name, STUDIO_TEMPLATE, values))
+            await self._submit(SetTenant(change_id, 0, name, STUDIO_TEMPLATE, values))
 
     async def set_service(self, name: str, values: dict[str, Any]) -> None:
         """Set a service's tenant."""
         change_id = self.console.new_change_id()
-        await self._insist(SetTenant(change_id, None, name, name, values))
+        await self._submit(SetTenant(change_id, None, name, name, values))
 
     async def drain(self, host: str) -> None:
         """Drain a host, and note when that was accepted."""
         change_id = self.console.new_change_id()
         asked_at = self.world.now
-        await self._insist(SetHostState(change_id, host, AdminState.DRAINING))
+        await self._submit(SetHostState(change_id, host, AdminState.DRAINING))
         self.record_drain(host, asked_at)
 
     def record_drain(self, host: str, asked_at: float) -> None:
@@ -202,7 +202,7 @@
         """Take a host back into service."""
         self.record_drain_end(host)
         change_id = self.console.new_change_id()
-        await self._insist(SetHostState(change_id, host, AdminState.ENABLED))
+        await self._submit(SetHostState(change_id, host, AdminState.ENABLED))
 
     def record_drain_end(self, host: str) -> None:
         """Note that a host may get new work again."""
@@ -235,7 +235,7 @@
             values = studio_values(studio, queue=number % 1000 + 1)
             change_id = self.console.new_change_id()
             name = studio_name(studio)
-            await self._insist(SetTenant(change_id, None, name, STUDIO_TEMPLATE, values))
+            await self._submit(SetTenant(change_id, None, name, STUDIO_TEMPLATE, values))
 
     async def _set_members(self, service: str, without: str = "", plus: str = "") -> None:
         layout, world = self.world.layout, self.world
@@ -246,5 +246,5 @@
         pool = [member_value(layout, host, slots) for host in hosts]
         await self.set_service(service, {"vip": str(layout.listener(service)), "pool": pool})
 
-    async def _insist(self, command: OperatorCommand) -> Change:
+    async def _submit(self, command: OperatorCommand) -> Change:
         return await self.console.send_until_outcome(command, sends=60)
