--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -20,7 +20,7 @@
     plan_separately_drawn,
 )
 
-CALM_SECONDS = 18.0
+FAULT_FREE_SECONDS = 18.0
 """Time at the beginning without any fault."""
 CALM_RUSH_SECONDS = (2.0, 7.0, 12.0)
 """When the rushes of that time begin: one of each width, in an order drawn by lot."""
@@ -59,9 +59,11 @@
 
 
 def plan_with_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan a run of `CALM_SECONDS` and `seconds` more, in the order of beginning."""
+    """Plan a run of `FAULT_FREE_SECONDS` and `seconds` more, in the order of beginning."""
     struck = [*plan_faults(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
-    faults = [msgspec.structs.replace(each, at=round(each.at + CALM_SECONDS, 2)) for each in struck]
+    faults = [
+        msgspec.structs.replace(each, at=round(each.at + FAULT_FREE_SECONDS, 2)) for each in struck
+    ]
     return sorted([*faults, *plan_overload(names, seconds, seed)], key=lambda each: each.at)
 
 
@@ -71,8 +73,8 @@
     planned: list[PlannedFault] = []
     for at, width in zip(CALM_RUSH_SECONDS, drawn.sample(list(RushWidth), 3), strict=True):
         planned.extend(_draw_rush(names, width, at, drawn))
-    at = CALM_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
-    latest = CALM_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
+    at = FAULT_FREE_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
+    latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
         rush = _draw_rush(names, drawn.choice(list(RushWidth)), at, drawn)
         planned.extend(each for each in rush if each.ends_at <= latest + 1.0)
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -13,7 +13,7 @@
 from jasperwalk_lab.soak.injector import covers_every_kind
 from jasperwalk_lab.soak.kept_seeds import KeptSeed, read_kept_seeds
 from jasperwalk_lab.soak.pressure import (
-    CALM_SECONDS,
+    FAULT_FREE_SECONDS,
     Rush,
     RushWidth,
     plan_overload,
@@ -140,10 +140,10 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_run_begins_with_a_rush_of_each_width_and_no_fault(seed):
     planned = plan_with_overload(NAMES, 60.0, seed)
-    calm = [each for each in planned if each.at < CALM_SECONDS]
+    calm = [each for each in planned if each.at < FAULT_FREE_SECONDS]
     assert calm
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
-    assert all(each.ends_at < CALM_SECONDS for each in calm)
+    assert all(each.ends_at < FAULT_FREE_SECONDS for each in calm)
     rushes = [Rush.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
     assert sorted(each.width for each in rushes) == sorted(RushWidth)
 
@@ -153,15 +153,15 @@
     planned = plan_with_overload(NAMES, 60.0, seed)
     added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
-    shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
+    shifted = [round(each.at + FAULT_FREE_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
     assert [each.at for each in struck] == shifted
-    last = CALM_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
+    last = FAULT_FREE_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     assert max(each.ends_at for each in planned) <= last
 
 
 def test_a_rush_also_meets_faults():
     planned = plan_with_overload(NAMES, 120.0, 1)
-    rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > CALM_SECONDS]
+    rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
         fault.at < rush.ends_at and rush.at < fault.ends_at
         for rush in rushes
