--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -40,7 +40,7 @@
 STUDIO_TEMPLATE = "studio"
 
 
-class Console:
+class OperatorClient:
     """Sends changes to replicas and records what came back."""
 
     def __init__(self, world: World, name: str, zone: str, random: Random) -> None:
@@ -120,7 +120,9 @@
 class Operator:
     """Changes the studios' queues, with the revision that it read or without."""
 
-    def __init__(self, console: Console, pause_seconds: tuple[float, float] = (0.2, 1.2)) -> None:
+    def __init__(
+        self, console: OperatorClient, pause_seconds: tuple[float, float] = (0.2, 1.2)
+    ) -> None:
         self.console = console
         self._pause_seconds = pause_seconds
 
@@ -162,7 +164,7 @@
 class Administrator:
     """The operator who sets the fleet up, drains hosts and moves them between services."""
 
-    def __init__(self, console: Console) -> None:
+    def __init__(self, console: OperatorClient) -> None:
         self.console = console
         self.world = console.world
 
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -19,7 +19,7 @@
 from jasperwalk_lab.simulator.clock import VirtualLoop
 from jasperwalk_lab.simulator.disk import Disk
 from jasperwalk_lab.simulator.faults import Fault, FaultInjector
-from jasperwalk_lab.simulator.operators import Administrator, Console, Operator
+from jasperwalk_lab.simulator.operators import Administrator, Operator, OperatorClient
 from jasperwalk_lab.simulator.scenarios import Scenario
 from jasperwalk_lab.simulator.system_substitutes import Replacement, replaced, system_replacements
 from jasperwalk_lab.simulator.verdicts import (
@@ -140,11 +140,11 @@
         self._judge(world)
         return self._result(world)
 
-    def _console(self, world: World, number: int) -> Console:
+    def _console(self, world: World, number: int) -> OperatorClient:
         name = f"operator-{number}"
         side = world.controls[number % len(world.controls)]
         world.operator_sides[name] = side.name
-        return Console(world, name, side.zone, Random(f"{self._seed}-{name}"))
+        return OperatorClient(world, name, side.zone, Random(f"{self._seed}-{name}"))
 
     def _start_operators(self, world: World) -> list[asyncio.Task[None]]:
         consoles = [self._console(world, number) for number in range(1, OPERATOR_COUNT + 1)]
