--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -22,7 +22,7 @@
 
 FAULT_FREE_SECONDS = 18.0
 """Time at the beginning without any fault."""
-CALM_RUSH_SECONDS = (2.0, 7.0, 12.0)
+FAULT_FREE_SURGE_SECONDS = (2.0, 7.0, 12.0)
 """When the rushes of that time begin: one of each width, in an order drawn by lot."""
 RUSH_EVERY_SECONDS = (10.0, 20.0)
 """Shortest and longest time between two rushes after that."""
@@ -71,7 +71,7 @@
     """Plan the rushes and the slow hosts of the same run."""
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
-    for at, width in zip(CALM_RUSH_SECONDS, drawn.sample(list(RushWidth), 3), strict=True):
+    for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(RushWidth), 3), strict=True):
         planned.extend(_draw_rush(names, width, at, drawn))
     at = FAULT_FREE_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
