--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -226,7 +226,7 @@
         host = self._world.host(action.host)
         assert isinstance(host, ControlHost)
         begin = self._world.now
-        await replace_replica(self._world, host, self._administrator.console.random)
+        await replace_replica(self._world, host, self._administrator.operator_client.random)
         self._world.record.disturbances[host.name].append(
             Interval(begin, self._world.now + RECOVERY_SECONDS)
         )
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -121,14 +121,14 @@
     """Changes the studios' queues, with the revision that it read or without."""
 
     def __init__(
-        self, console: OperatorClient, pause_seconds: tuple[float, float] = (0.2, 1.2)
+        self, operator_client: OperatorClient, pause_seconds: tuple[float, float] = (0.2, 1.2)
     ) -> None:
-        self.console = console
+        self.operator_client = operator_client
         self._pause_seconds = pause_seconds
 
     async def run(self) -> None:
         """Change until the world's traffic ends."""
-        world, random = self.console.world, self.console.random
+        world, random = self.operator_client.world, self.operator_client.random
         while world.traffic:
             await asyncio.sleep(random.uniform(*self._pause_seconds))
             number = random.randrange(STUDIO_COUNT)
@@ -136,61 +136,61 @@
             if random.random() < EXPECTED_REVISION_SHARE:
                 expected = self._read_revision(studio_name(number))
             command = SetTenant(
-                self.console.new_change_id(),
+                self.operator_client.new_change_id(),
                 expected,
                 studio_name(number),
                 STUDIO_TEMPLATE,
                 studio_values(number, queue=random.randint(1, 1000)),
             )
-            await self.console.send_until_outcome(command)
+            await self.operator_client.send_until_outcome(command)
 
     def _read_revision(self, tenant: str) -> int:
         """Read a tenant's revision on some replica that this operator can reach."""
-        world = self.console.world
+        world = self.operator_client.world
         reachable = [
             each.replica
             for each in world.controls
             if each.running
             and each.replica is not None
             and each.process is not None
-            and not world.network.is_cut(self.console.process, each.process)
+            and not world.network.is_cut(self.operator_client.process, each.process)
         ]
         if not reachable:
             return 0
-        stored = self.console.random.choice(reachable).state.tenant(tenant)
+        stored = self.operator_client.random.choice(reachable).state.tenant(tenant)
         return 0 if stored is None else stored.revision
 
 
 class Administrator:
     """The operator who sets the fleet up, drains hosts and moves them between services."""
 
-    def __init__(self, console: OperatorClient) -> None:
-        self.console = console
-        self.world = console.world
+    def __init__(self, operator_client: OperatorClient) -> None:
+        self.operator_client = operator_client
+        self.world = operator_client.world
 
     async def set_up(self) -> None:
         """Apply the templates and tenants of the deployment."""
         layout = self.world.layout
         names = [service.name for service in layout.services]
         for name in (*names, STUDIO_TEMPLATE):
-            change_id = self.console.new_change_id()
+            change_id = self.operator_client.new_change_id()
             await self._submit(ApplyTemplate(change_id, None, template_text(name)))
         for service in layout.services:
             await self.set_service(service.name, service_values(layout, service))
         for number in range(STUDIO_COUNT):
             values = studio_values(number, queue=1)
-            change_id = self.console.new_change_id()
+            change_id = self.operator_client.new_change_id()
             name = studio_name(number)
             await self._submit(SetTenant(change_id, 0, name, STUDIO_TEMPLATE, values))
 
     async def set_service(self, name: str, values: dict[str, Any]) -> None:
         """Set a service's tenant."""
-        change_id = self.console.new_change_id()
+        change_id = self.operator_client.new_change_id()
         await self._submit(SetTenant(change_id, None, name, name, values))
 
     async def drain(self, host: str) -> None:
         """Drain a host, and note when that was accepted."""
-        change_id = self.console.new_change_id()
+        change_id = self.operator_client.new_change_id()
         asked_at = self.world.now
         await self._submit(SetHostState(change_id, host, AdminState.DRAINING))
         self.record_drain(host, asked_at)
@@ -203,7 +203,7 @@
     async def resume(self, host: str) -> None:
         """Take a host back into service."""
         self.record_drain_end(host)
-        change_id = self.console.new_change_id()
+        change_id = self.operator_client.new_change_id()
         await self._submit(SetHostState(change_id, host, AdminState.ENABLED))
 
     def record_drain_end(self, host: str) -> None:
@@ -235,7 +235,7 @@
         for number in numbers:
             studio = number % STUDIO_COUNT
             values = studio_values(studio, queue=number % 1000 + 1)
-            change_id = self.console.new_change_id()
+            change_id = self.operator_client.new_change_id()
             name = studio_name(studio)
             await self._submit(SetTenant(change_id, None, name, STUDIO_TEMPLATE, values))
 
@@ -249,4 +249,4 @@
         await self.set_service(service, {"vip": str(layout.listener(service)), "pool": pool})
 
     async def _submit(self, command: OperatorCommand) -> Change:
-        return await self.console.send_until_outcome(command, sends=60)
+        return await self.operator_client.send_until_outcome(command, sends=60)
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -148,7 +148,10 @@
 
     def _start_operators(self, world: World) -> list[asyncio.Task[None]]:
         consoles = [self._console(world, number) for number in range(1, OPERATOR_COUNT + 1)]
-        return [console.process.start(Operator(console).run()) for console in consoles]
+        return [
+            operator_client.process.start(Operator(operator_client).run())
+            for operator_client in consoles
+        ]
 
     def _start_callers(self, world: World) -> list[asyncio.Task[None]]:
         tasks: list[asyncio.Task[None]] = []
