--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -32,7 +32,7 @@
 """One host in so many is slow then."""
 
 
-class RushWidth(enum.StrEnum):
+class SurgeScope(enum.StrEnum):
     """Which callers rush: all of them, those of one kind of request, or those of one zone."""
 
     ALL = "all"
@@ -43,7 +43,7 @@
 class Rush(msgspec.Struct, frozen=True):
     """A rush of callers: `value` is the kind's priority or the zone's name."""
 
-    width: RushWidth
+    width: SurgeScope
     value: str = ""
 
     @property
@@ -55,7 +55,7 @@
     def parse(cls, target: str) -> Rush:
         """Return what a target of the schedule names; raises `ValueError`."""
         width, _, value = target.partition(":")
-        return cls(RushWidth(width), value)
+        return cls(SurgeScope(width), value)
 
 
 def plan_with_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
@@ -71,25 +71,25 @@
     """Plan the rushes and the slow hosts of the same run."""
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
-    for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(RushWidth), 3), strict=True):
+    for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
         planned.extend(_draw_rush(names, width, at, drawn))
     at = FAULT_FREE_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
-        rush = _draw_rush(names, drawn.choice(list(RushWidth)), at, drawn)
+        rush = _draw_rush(names, drawn.choice(list(SurgeScope)), at, drawn)
         planned.extend(each for each in rush if each.ends_at <= latest + 1.0)
         at += drawn.uniform(*RUSH_EVERY_SECONDS)
     return planned
 
 
 def _draw_rush(
-    names: SoakTargets, width: RushWidth, at: float, drawn: random.Random
+    names: SoakTargets, width: SurgeScope, at: float, drawn: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
     value = {
-        RushWidth.ALL: "",
-        RushWidth.KIND: drawn.choice(("0", "1")),
-        RushWidth.ZONE: drawn.choice(names.zones),
+        SurgeScope.ALL: "",
+        SurgeScope.KIND: drawn.choice(("0", "1")),
+        SurgeScope.ZONE: drawn.choice(names.zones),
     }[width]
     rush = _draw(FaultKind.CALLERS_RUSH, Rush(width, value).target, at, drawn)
     if drawn.random() >= SLOW_HOST_CHANCE:
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk_lab.soak.pressure import Rush, RushWidth
+from jasperwalk_lab.soak.pressure import Rush, SurgeScope
 from jasperwalk_lab.soak.wire import SoakRoute
 
 RUSH_FACTOR = 5.0
@@ -55,10 +55,10 @@
 
     def routes_of(self, rush: Rush) -> list[SoakRoute]:
         """Return the routes that a rush asks for."""
-        if rush.width is not RushWidth.KIND:
+        if rush.width is not SurgeScope.KIND:
             return list(self._routes)
         return [each for each in self._routes if str(each.priority) == rush.value]
 
     def zone_of(self, rush: Rush) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
-        return rush.value if rush.width is RushWidth.ZONE else self._drawn.choice(self._zones)
+        return rush.value if rush.width is SurgeScope.ZONE else self._drawn.choice(self._zones)
