--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -123,7 +123,7 @@
     async def perform(self) -> RunResult:
         """Start the fleet, disturb it, let it settle, judge it."""
         world = World(self._seed, self._scenario.layout, self._defect.disk_class)
-        administrator = Administrator(self._console(world, 0))
+        administrator = Administrator(self._operator_client(world, 0))
         world.start()
         await administrator.set_up()
         if not await self._until(world, world.ready, READY_SECONDS, "fleet-not-ready"):
@@ -140,14 +140,14 @@
         self._judge(world)
         return self._result(world)
 
-    def _console(self, world: World, number: int) -> OperatorClient:
+    def _operator_client(self, world: World, number: int) -> OperatorClient:
         name = f"operator-{number}"
         side = world.controls[number % len(world.controls)]
         world.operator_sides[name] = side.name
         return OperatorClient(world, name, side.zone, Random(f"{self._seed}-{name}"))
 
     def _start_operators(self, world: World) -> list[asyncio.Task[None]]:
-        consoles = [self._console(world, number) for number in range(1, OPERATOR_COUNT + 1)]
+        consoles = [self._operator_client(world, number) for number in range(1, OPERATOR_COUNT + 1)]
         return [
             operator_client.process.start(Operator(operator_client).run())
             for operator_client in consoles
