--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.soak.processes import ProcessNotRunning, SoakProcess
 from jasperwalk_lab.soak.relays import LinkCondition
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import RushingCallers
+from jasperwalk_lab.soak.rushes import SurgeCallers
 
 LOSS = 0.3
 SLOW_LINK_SECONDS = 0.15
@@ -70,7 +70,7 @@
         fleet: SoakFleet,
         hosts: RunningHosts,
         operators: Operators,
-        rushing: RushingCallers,
+        rushing: SurgeCallers,
         clock: Clock,
         history: SoakHistory,
         progress: Progress,
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -26,7 +26,7 @@
 from jasperwalk_lab.soak.report import SoakReport, make_report, write_page
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import RushingCallers
+from jasperwalk_lab.soak.rushes import SurgeCallers
 from jasperwalk_lab.soak.wire import READY_PATH, SoakConfiguration, SoakRoute
 
 COLD_FLOWS_PER_SECOND = 8.0
@@ -93,7 +93,7 @@
         ordinary_per_second = (
             size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
         )
-        rushing = RushingCallers(
+        rushing = SurgeCallers(
             self._callers.request_once, ROUTES, ZONES, ordinary_per_second, self._drawn
         )
         self._operators = Operators(
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -22,7 +22,7 @@
 """Has one request answered on a flow of its own, by callers in a zone (empty: anywhere)."""
 
 
-class RushingCallers:
+class SurgeCallers:
     """Starts the requests of rushes."""
 
     def __init__(
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -8,13 +8,13 @@
 from jasperwalk_lab.soak import rushes
 from jasperwalk_lab.soak.pressure import Rush, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
-from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, RUSH_FACTOR, RushingCallers
+from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, RUSH_FACTOR, SurgeCallers
 
 ZONES = ("north", "south")
 
 
 def rushing(request_once=None, per_second=20.0):
-    return RushingCallers(request_once, ROUTES, ZONES, per_second, random.Random(1))
+    return SurgeCallers(request_once, ROUTES, ZONES, per_second, random.Random(1))
 
 
 @pytest.mark.parametrize(
