--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -147,10 +147,12 @@
         return OperatorClient(world, name, side.zone, Random(f"{self._seed}-{name}"))
 
     def _start_operators(self, world: World) -> list[asyncio.Task[None]]:
-        consoles = [self._operator_client(world, number) for number in range(1, OPERATOR_COUNT + 1)]
+        operator_clients = [
+            self._operator_client(world, number) for number in range(1, OPERATOR_COUNT + 1)
+        ]
         return [
             operator_client.process.start(Operator(operator_client).run())
-            for operator_client in consoles
+            for operator_client in operator_clients
         ]
 
     def _start_callers(self, world: World) -> list[asyncio.Task[None]]:
