--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.soak.pressure import Rush, SurgeScope
 from jasperwalk_lab.soak.wire import SoakRoute
 
-RUSH_FACTOR = 5.0
+SURGE_FACTOR = 5.0
 """Load of a rush as a multiple of the ordinary one, on top of it."""
 MOST_PER_SECOND = 400.0
 """Rate that no rush exceeds: the stand-ins share the machine with what they test."""
@@ -36,7 +36,7 @@
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
-        self._per_second = min(RUSH_FACTOR * ordinary_per_second, MOST_PER_SECOND)
+        self._per_second = min(SURGE_FACTOR * ordinary_per_second, MOST_PER_SECOND)
         self._drawn = drawn
 
     async def rush(self, rush: Rush, seconds: float) -> None:
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -8,7 +8,7 @@
 from jasperwalk_lab.soak import rushes
 from jasperwalk_lab.soak.pressure import Rush, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
-from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, RUSH_FACTOR, SurgeCallers
+from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, SURGE_FACTOR, SurgeCallers
 
 ZONES = ("north", "south")
 
@@ -34,7 +34,7 @@
 
 
 def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
-    assert rushing(per_second=20.0)._per_second == 20.0 * RUSH_FACTOR
+    assert rushing(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
     assert rushing(per_second=1e6)._per_second == MOST_PER_SECOND
 
 
