--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -75,7 +75,7 @@
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = operations
-        self._told = {
+        self._known_revisions = {
             each.result.revision for each in operations if isinstance(each.result, AcceptedAt)
         }
         self._seen: set[tuple[int, State]] = set()
@@ -135,5 +135,5 @@
     def _is(self, state: State, revision: int | None) -> bool:
         """Tell whether the state may be `revision`: an untold one may be any untold number."""
         if isinstance(state, str):
-            return revision not in self._told and revision != 0
+            return revision not in self._known_revisions and revision != 0
         return state == revision
