--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.soak.fleet import SoakFleet
 from jasperwalk_lab.soak.history import ProcessKilledAtStop, SoakHistory
 from jasperwalk_lab.soak.operators import Operators
-from jasperwalk_lab.soak.pressure import Rush
+from jasperwalk_lab.soak.pressure import Surge
 from jasperwalk_lab.soak.processes import ProcessNotRunning, SoakProcess
 from jasperwalk_lab.soak.relays import LinkCondition
 from jasperwalk_lab.soak.running_hosts import RunningHosts
@@ -213,7 +213,7 @@
         await former.announce_late(is_draining=self._drawn.choice((True, False)))
 
     async def _rush_callers(self, fault: PlannedFault) -> None:
-        await self._rushing.rush(Rush.parse(fault.target), fault.seconds)
+        await self._rushing.rush(Surge.parse(fault.target), fault.seconds)
 
     async def _slow_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -40,7 +40,7 @@
     ZONE = "zone"
 
 
-class Rush(msgspec.Struct, frozen=True):
+class Surge(msgspec.Struct, frozen=True):
     """A rush of callers: `value` is the kind's priority or the zone's name."""
 
     width: SurgeScope
@@ -52,7 +52,7 @@
         return f"{self.width}:{self.value}"
 
     @classmethod
-    def parse(cls, target: str) -> Rush:
+    def parse(cls, target: str) -> Surge:
         """Return what a target of the schedule names; raises `ValueError`."""
         width, _, value = target.partition(":")
         return cls(SurgeScope(width), value)
@@ -91,7 +91,7 @@
         SurgeScope.KIND: drawn.choice(("0", "1")),
         SurgeScope.ZONE: drawn.choice(names.zones),
     }[width]
-    rush = _draw(FaultKind.CALLERS_RUSH, Rush(width, value).target, at, drawn)
+    rush = _draw(FaultKind.CALLERS_RUSH, Surge(width, value).target, at, drawn)
     if drawn.random() >= SLOW_HOST_CHANCE:
         return [rush]
     slow = drawn.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk_lab.soak.pressure import Rush, SurgeScope
+from jasperwalk_lab.soak.pressure import Surge, SurgeScope
 from jasperwalk_lab.soak.wire import SoakRoute
 
 SURGE_FACTOR = 5.0
@@ -39,7 +39,7 @@
         self._per_second = min(SURGE_FACTOR * ordinary_per_second, MOST_PER_SECOND)
         self._drawn = drawn
 
-    async def rush(self, rush: Rush, seconds: float) -> None:
+    async def rush(self, rush: Surge, seconds: float) -> None:
         """Send requests at the rush's rate for some seconds; return when they have ended."""
         loop = asyncio.get_running_loop()
         routes, ends_at = self.routes_of(rush), loop.time() + seconds
@@ -53,12 +53,12 @@
             await asyncio.sleep(self._drawn.expovariate(self._per_second))
         await asyncio.gather(*running)
 
-    def routes_of(self, rush: Rush) -> list[SoakRoute]:
+    def routes_of(self, rush: Surge) -> list[SoakRoute]:
         """Return the routes that a rush asks for."""
         if rush.width is not SurgeScope.KIND:
             return list(self._routes)
         return [each for each in self._routes if str(each.priority) == rush.value]
 
-    def zone_of(self, rush: Rush) -> str:
+    def zone_of(self, rush: Surge) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
         return rush.value if rush.width is SurgeScope.ZONE else self._drawn.choice(self._zones)
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from jasperwalk_lab.soak import rushes
-from jasperwalk_lab.soak.pressure import Rush, SurgeScope
+from jasperwalk_lab.soak.pressure import Surge, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, SURGE_FACTOR, SurgeCallers
 
@@ -20,9 +20,9 @@
 @pytest.mark.parametrize(
     ("rush", "priorities", "zones"),
     [
-        (Rush(SurgeScope.ALL), {0, 1}, {"north", "south"}),
-        (Rush(SurgeScope.KIND, "0"), {0}, {"north", "south"}),
-        (Rush(SurgeScope.ZONE, "south"), {0, 1}, {"south"}),
+        (Surge(SurgeScope.ALL), {0, 1}, {"north", "south"}),
+        (Surge(SurgeScope.KIND, "0"), {0}, {"north", "south"}),
+        (Surge(SurgeScope.ZONE, "south"), {0, 1}, {"south"}),
     ],
     ids=["all", "a kind of request", "a zone"],
 )
@@ -30,7 +30,7 @@
     callers = rushing()
     assert {each.priority for each in callers.routes_of(rush)} == priorities
     assert {callers.zone_of(rush) for _ in range(50)} == zones
-    assert Rush.parse(rush.target) == rush
+    assert Surge.parse(rush.target) == rush
 
 
 def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
@@ -49,7 +49,7 @@
         await asyncio.sleep(0.05)
         waiting.discard(asyncio.current_task())
 
-    asyncio.run(rushing(request_once, 1e6).rush(Rush(SurgeScope.ALL), 0.2))
+    asyncio.run(rushing(request_once, 1e6).rush(Surge(SurgeScope.ALL), 0.2))
     assert most == 3
     assert not waiting
 
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -14,7 +14,7 @@
 from jasperwalk_lab.soak.kept_seeds import KeptSeed, read_kept_seeds
 from jasperwalk_lab.soak.pressure import (
     FAULT_FREE_SECONDS,
-    Rush,
+    Surge,
     SurgeScope,
     plan_overload,
     plan_with_overload,
@@ -144,7 +144,7 @@
     assert calm
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
     assert all(each.ends_at < FAULT_FREE_SECONDS for each in calm)
-    rushes = [Rush.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
+    rushes = [Surge.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
     assert sorted(each.width for each in rushes) == sorted(SurgeScope)
 
 
