--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -80,17 +80,17 @@
         }
         self._seen: set[tuple[int, State]] = set()
         self._order: list[str] = []
-        self._must = 0
+        self._required = 0
         for position, each in enumerate(operations):
             if not isinstance(each.result, Open):
-                self._must |= 1 << position
+                self._required |= 1 << position
 
     def run(self, initial: int) -> list[str] | None:
         """Search from the initial revision."""
         return self._order if self._extend(0, initial) else None
 
     def _extend(self, done: int, state: State) -> bool:
-        if done & self._must == self._must:
+        if done & self._required == self._required:
             return True
         if (done, state) in self._seen:
             return False
