--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -72,17 +72,17 @@
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
     for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
-        planned.extend(_draw_rush(names, width, at, drawn))
+        planned.extend(_draw_surge(names, width, at, drawn))
     at = FAULT_FREE_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
-        rush = _draw_rush(names, drawn.choice(list(SurgeScope)), at, drawn)
+        rush = _draw_surge(names, drawn.choice(list(SurgeScope)), at, drawn)
         planned.extend(each for each in rush if each.ends_at <= latest + 1.0)
         at += drawn.uniform(*RUSH_EVERY_SECONDS)
     return planned
 
 
-def _draw_rush(
+def _draw_surge(
     names: SoakTargets, width: SurgeScope, at: float, drawn: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
