--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -119,20 +119,20 @@
         """Return the state after an operation; None where its result does not fit."""
         match operation.result:
             case AcceptedAt(revision=revision):
-                fits = operation.expected is None or self._is(state, operation.expected)
+                fits = operation.expected is None or self._may_be(state, operation.expected)
                 return revision if fits else None
             case RefusedAt(current=current):
                 differs = operation.expected is not None and operation.expected != current
-                return current if differs and self._is(state, current) else None
+                return current if differs and self._may_be(state, current) else None
             case ReadAt(revision=revision):
-                return revision if self._is(state, revision) else None
+                return revision if self._may_be(state, revision) else None
             case Open():
                 expects = operation.expected is not None
-                if expects and not self._is(state, operation.expected):
+                if expects and not self._may_be(state, operation.expected):
                     return None
                 return operation.name
 
-    def _is(self, state: State, revision: int | None) -> bool:
+    def _may_be(self, state: State, revision: int | None) -> bool:
         """Tell whether the state may be `revision`: an untold one may be any untold number."""
         if isinstance(state, str):
             return revision not in self._known_revisions and revision != 0
