--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -26,7 +26,7 @@
 """When the rushes of that time begin: one of each width, in an order drawn by lot."""
 RUSH_EVERY_SECONDS = (10.0, 20.0)
 """Shortest and longest time between two rushes after that."""
-SLOW_HOST_CHANCE = 0.5
+SLOW_HOST_PROBABILITY = 0.5
 """How often hosts are slow during a rush."""
 SLOW_HOST_SHARE = 6
 """One host in so many is slow then."""
@@ -92,7 +92,7 @@
         SurgeScope.ZONE: drawn.choice(names.zones),
     }[width]
     rush = _draw(FaultKind.CALLERS_RUSH, Surge(width, value).target, at, drawn)
-    if drawn.random() >= SLOW_HOST_CHANCE:
+    if drawn.random() >= SLOW_HOST_PROBABILITY:
         return [rush]
     slow = drawn.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
     return [rush, *(_draw(FaultKind.HOST_SLOW, each, at, drawn) for each in slow)]
