--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -28,7 +28,7 @@
     check_changes,
     check_drains,
     check_in_force,
-    check_kept,
+    check_outcomes_kept,
     check_revisions,
     measure_leaders,
     measure_restarts,
@@ -215,7 +215,7 @@
             change.change_id: replica.state.outcome_of(change.change_id)
             for change in world.record.changes
         }
-        for finding in check_kept(world.record.changes, name, found):
+        for finding in check_outcomes_kept(world.record.changes, name, found):
             world.record_violation(finding)
 
     def _result(self, world: World) -> RunResult:
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -98,7 +98,7 @@
     return all(attempt.refusal in CERTAINLY_NOT_APPLIED for attempt in change.attempts)
 
 
-def check_kept(
+def check_outcomes_kept(
     changes: Iterable[Change], replica: str, found: dict[str, Outcome | None]
 ) -> Iterator[str]:
     """Check on one replica, after the run, that every change has the outcome it was told.
--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -40,7 +40,7 @@
     check_changes,
     check_drains,
     check_in_force,
-    check_kept,
+    check_outcomes_kept,
     check_revisions,
 )
 
@@ -153,7 +153,7 @@
     ],
 )
 def test_outcomes_kept_by_a_replica(made, kept, expected):
-    found = check_kept([made], "control-1", {made.change_id: kept})
+    found = check_outcomes_kept([made], "control-1", {made.change_id: kept})
     assert [kind_of(each) for each in found] == expected
 
 
