--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -13,7 +13,7 @@
 
 SURGE_FACTOR = 5.0
 """Load of a rush as a multiple of the ordinary one, on top of it."""
-MOST_PER_SECOND = 400.0
+MAX_REQUESTS_PER_SECOND = 400.0
 """Rate that no rush exceeds: the stand-ins share the machine with what they test."""
 MOST_AT_ONCE = 600
 """Requests of a rush that wait at once; further ones are left out."""
@@ -36,7 +36,7 @@
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
-        self._per_second = min(SURGE_FACTOR * ordinary_per_second, MOST_PER_SECOND)
+        self._per_second = min(SURGE_FACTOR * ordinary_per_second, MAX_REQUESTS_PER_SECOND)
         self._drawn = drawn
 
     async def rush(self, rush: Surge, seconds: float) -> None:
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -8,7 +8,7 @@
 from jasperwalk_lab.soak import rushes
 from jasperwalk_lab.soak.pressure import Surge, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
-from jasperwalk_lab.soak.rushes import MOST_PER_SECOND, SURGE_FACTOR, SurgeCallers
+from jasperwalk_lab.soak.rushes import MAX_REQUESTS_PER_SECOND, SURGE_FACTOR, SurgeCallers
 
 ZONES = ("north", "south")
 
@@ -35,7 +35,7 @@
 
 def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
     assert rushing(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
-    assert rushing(per_second=1e6)._per_second == MOST_PER_SECOND
+    assert rushing(per_second=1e6)._per_second == MAX_REQUESTS_PER_SECOND
 
 
 def test_no_more_requests_wait_at_once_than_the_bound(monkeypatch):
