--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -201,8 +201,8 @@
                 continue
             begin, revision = attempt.completed, attempt.outcome.revision
             until = begin + IN_FORCE_SECONDS
-            well = [name for name in controls if not record.disturbed(name, begin, until)]
-            if 2 * len(well) <= len(controls) or until > end:
+            undisturbed = [name for name in controls if not record.disturbed(name, begin, until)]
+            if 2 * len(undisturbed) <= len(controls) or until > end:
                 continue
             for name in names:
                 if record.disturbed(name, begin, until):
@@ -223,8 +223,8 @@
 def measure_leaders(record: Record, controls: list[str], measures: Measures) -> None:
     """Take the times without a leader while a majority of the control machines was well."""
     for gap in record.leader_gaps:
-        well = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
-        if 2 * len(well) > len(controls):
+        undisturbed = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
+        if 2 * len(undisturbed) > len(controls):
             measures.until_leader_replaced.append(gap.end - gap.begin)
 
 
