--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -15,7 +15,7 @@
 """Load of a rush as a multiple of the ordinary one, on top of it."""
 MAX_REQUESTS_PER_SECOND = 400.0
 """Rate that no rush exceeds: the stand-ins share the machine with what they test."""
-MOST_AT_ONCE = 600
+MAX_OUTSTANDING_REQUESTS = 600
 """Requests of a rush that wait at once; further ones are left out."""
 
 RequestOnce = Callable[[Endpoint, str], Coroutine[Any, Any, None]]
@@ -45,7 +45,7 @@
         routes, ends_at = self.routes_of(rush), loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         while loop.time() < ends_at:
-            if len(running) < MOST_AT_ONCE:
+            if len(running) < MAX_OUTSTANDING_REQUESTS:
                 listener = self._drawn.choice(routes).listener
                 task = asyncio.create_task(self._request_once(listener, self.zone_of(rush)))
                 running.add(task)
