--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -85,9 +85,11 @@
 
     def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
         """Choose one of the least loaded members."""
-        told = [
+        reported = [
             self._loads.get(each.address, 0.0) * each.inverse_weight for each in prepared_members
         ]
-        least = min(told)
-        equal = [each for each, load in zip(prepared_members, told, strict=True) if load <= least]
+        least = min(reported)
+        equal = [
+            each for each, load in zip(prepared_members, reported, strict=True) if load <= least
+        ]
         return self._random.choice(equal)
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -107,9 +107,9 @@
     """
     for change in changes:
         kept = found.get(change.change_id)
-        for told in change.outcomes:
-            if kept != told:
-                yield f"accepted-lost: {change.change_id} on {replica}: told {told}, kept {kept}"
+        for reported in change.outcomes:
+            if kept != reported:
+                yield f"accepted-lost: {change.change_id} on {replica}: told {reported}, kept {kept}"
         if kept is not None and not change.outcomes and _certainly_had_no_effect(change):
             yield f"refused-but-applied: {change.change_id} on {replica}"
 
