--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -17,7 +17,7 @@
 from jasperwalk_lab.soak.running_hosts import RunningHosts
 from jasperwalk_lab.soak.rushes import SurgeCallers
 
-LOSS = 0.3
+LINK_LOSS = 0.3
 SLOW_LINK_SECONDS = 0.15
 SLOW_STORAGE_SECONDS = 0.4
 SLOWNESS = 6.0
@@ -51,7 +51,7 @@
     FaultKind.CONTROL_LINKS_SILENT: LinkCondition(silent_forth=True, silent_back=True),
     FaultKind.CONTROL_LINKS_ONE_WAY: LinkCondition(silent_back=True),
     FaultKind.CONTROL_LINKS_SLOW: LinkCondition(delay_seconds=SLOW_LINK_SECONDS),
-    FaultKind.AGENT_LINKS_LOSSY: LinkCondition(loss=LOSS),
+    FaultKind.AGENT_LINKS_LOSSY: LinkCondition(loss=LINK_LOSS),
     FaultKind.AGENT_LINKS_SILENT: LinkCondition(silent_forth=True, silent_back=True),
     FaultKind.AGENT_LINKS_ONE_WAY: LinkCondition(silent_back=True),
 }
