--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class ShortenedRun:
+class MinimizedRun:
     """The faults that are enough, and the events that tell the story."""
 
     faults: list[str]
@@ -29,7 +29,7 @@
     return violation.partition(":")[0]
 
 
-def shorten(scenario_name: str, seed: int, mutant_name: str, kind: str) -> ShortenedRun:
+def shorten(scenario_name: str, seed: int, mutant_name: str, kind: str) -> MinimizedRun:
     """Leave out one fault after the other for as long as a violation of `kind` remains."""
     scenario, mutant = scenario_named(scenario_name), mutant_named(mutant_name)
     defect = None if mutant is None else mutant.defect
@@ -44,7 +44,7 @@
         result = attempt(fewer)
         if any(kind_of(each) == kind for each in result.violations):
             faults, shortest = fewer, result
-    return ShortenedRun([each.describe() for each in faults], _story(shortest, kind))
+    return MinimizedRun([each.describe() for each in faults], _story(shortest, kind))
 
 
 def _story(result: RunResult, kind: str) -> list[str]:
