--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -20,7 +20,7 @@
 LINK_LOSS = 0.3
 SLOW_LINK_SECONDS = 0.15
 SLOW_STORAGE_SECONDS = 0.4
-SLOWNESS = 6.0
+SLOW_HOST_FACTOR = 6.0
 """How many times as long as usual slow hosts work."""
 DRAIN_SECONDS = 0.8
 
@@ -217,7 +217,7 @@
 
     async def _slow_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
-        host.slowness = SLOWNESS
+        host.slowness = SLOW_HOST_FACTOR
         await asyncio.sleep(fault.seconds)
         host.slowness = 1.0
 
