--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -11,7 +11,7 @@
 
 from jasperwalk_lab.simulator.campaign import RunSummary, default_processes, run_campaign
 from jasperwalk_lab.simulator.distribution import Distribution, distributions
-from jasperwalk_lab.simulator.minimization import kind_of, shorten
+from jasperwalk_lab.simulator.minimization import kind_of, minimize_faults
 from jasperwalk_lab.simulator.mutants import MUTANTS
 from jasperwalk_lab.simulator.scenarios import SCENARIOS, Scenario, scenario_named
 
@@ -216,7 +216,9 @@
     faults, events = summary.faults, list[str]()
     if shortened:
         _tell(f"shortening {summary.scenario} seed {summary.seed}")
-        short = shorten(summary.scenario, summary.seed, mutant, kind_of(summary.violations[0]))
+        short = minimize_faults(
+            summary.scenario, summary.seed, mutant, kind_of(summary.violations[0])
+        )
         faults, events = short.faults, short.events
     return FailedRun(summary.scenario, summary.seed, summary.violations, replay, faults, events)
 
--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -29,7 +29,7 @@
     return violation.partition(":")[0]
 
 
-def shorten(scenario_name: str, seed: int, mutant_name: str, kind: str) -> MinimizedRun:
+def minimize_faults(scenario_name: str, seed: int, mutant_name: str, kind: str) -> MinimizedRun:
     """Leave out one fault after the other for as long as a violation of `kind` remains."""
     scenario, mutant = scenario_named(scenario_name), mutant_named(mutant_name)
     defect = None if mutant is None else mutant.defect
