--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -89,7 +89,7 @@
     drawn: random.Random
     is_cold: bool = True
     turns_away: bool = False
-    slowness: float = 1.0
+    service_time_factor: float = 1.0
     """How many times as long as usual it works on a request."""
     is_draining: bool = False
     flows: dict[tuple[Endpoint, Endpoint], HostFlow] = field(default_factory=dict)
@@ -278,7 +278,7 @@
             )
             self.history.runs.append(run)
             shortest, longest = LONG_WORK_SECONDS if route.priority else WORK_SECONDS
-            await asyncio.sleep(self.slowness * self.drawn.uniform(shortest, longest))
+            await asyncio.sleep(self.service_time_factor * self.drawn.uniform(shortest, longest))
         answer = ANSWER_MARK + request_id.encode() + b" " + self.host_id.encode()
         flow.answers[packet.sequence] = answer
         self._answer_request(key, flow, packet, answer)
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -217,9 +217,9 @@
 
     async def _slow_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
-        host.slowness = SLOW_HOST_FACTOR
+        host.service_time_factor = SLOW_HOST_FACTOR
         await asyncio.sleep(fault.seconds)
-        host.slowness = 1.0
+        host.service_time_factor = 1.0
 
     async def _drain_zone(self, fault: PlannedFault) -> None:
         await self._operators.drain_zone(fault.target, drained=True)
