--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -44,10 +44,10 @@
         result = attempt(fewer)
         if any(kind_of(each) == kind for each in result.violations):
             faults, shortest = fewer, result
-    return MinimizedRun([each.describe() for each in faults], _story(shortest, kind))
+    return MinimizedRun([each.describe() for each in faults], _relevant_events(shortest, kind))
 
 
-def _story(result: RunResult, kind: str) -> list[str]:
+def _relevant_events(result: RunResult, kind: str) -> list[str]:
     """Pick the events of faults and of whoever the violations name."""
     names = {
         word.strip(",:;")
