--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -30,7 +30,7 @@
 RESTARTS_IN_A_ROW = 3
 SIGNALS_IN_A_ROW = 5
 STORM_CHANGES_AT_ONCE = 4
-STARTS_AGAIN_MOST = 3
+MAX_HOST_RESTARTS = 3
 
 KILLS = frozenset((FaultKind.CONTROL_KILLED, FaultKind.BALANCER_KILLED, FaultKind.AGENT_KILLED))
 PAUSES = frozenset((FaultKind.CONTROL_PAUSED, FaultKind.BALANCER_PAUSED, FaultKind.AGENT_PAUSED))
@@ -235,7 +235,7 @@
 
         It crashes, or it says first that it leaves.
         """
-        for _ in range(self._drawn.randint(1, STARTS_AGAIN_MOST)):
+        for _ in range(self._drawn.randint(1, MAX_HOST_RESTARTS)):
             host = self._hosts.beside(fault.target)
             if self._drawn.choice((True, False)):
                 await host.drain(DRAIN_SECONDS)
