--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -56,11 +56,11 @@
         for word in violation.split()
         if "-" in word and word.strip(",:;") != kind
     }
-    told = [
+    relevant = [
         event
         for event in result.events
         if any(mark in event for mark in ALWAYS_SHOWN) or names & set(event.split())
     ]
-    violated = [event for event in told if VIOLATION in event][:MAX_VIOLATIONS_SHOWN]
-    others = [event for event in told if VIOLATION not in event]
+    violated = [event for event in relevant if VIOLATION in event][:MAX_VIOLATIONS_SHOWN]
+    others = [event for event in relevant if VIOLATION not in event]
     return [*others[: MAX_EVENTS_SHOWN - len(violated)], *violated]
