--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -91,9 +91,9 @@
         """Bring all of them about, each at its time; return when the last one is undone."""
         async with asyncio.TaskGroup() as tasks:
             for fault in planned:
-                tasks.create_task(self._strike_at(fault))
+                tasks.create_task(self._inject_at(fault))
 
-    async def _strike_at(self, fault: PlannedFault) -> None:
+    async def _inject_at(self, fault: PlannedFault) -> None:
         await asyncio.sleep(max(0.0, fault.at - self._clock()))
         began_at, label = self._clock(), f"{fault.kind} {fault.target}"
         self.now.append(label)
