--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -63,7 +63,7 @@
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
+    def overlaps(self, begin: float, end: float) -> bool:
         """Tell whether it overlaps with another span."""
         return self.begin < end and begin < self.end
 
@@ -133,4 +133,4 @@
 
     def disturbed(self, name: str, begin: float, end: float) -> bool:
         """Tell whether a process was down, frozen or cut off at some time within a span."""
-        return any(each.meets(begin, end) for each in self.disturbances[name])
+        return any(each.overlaps(begin, end) for each in self.disturbances[name])
