--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -99,7 +99,7 @@
         self.now.append(label)
         failure = ""
         try:
-            await self._strike(fault)
+            await self._inject(fault)
         except (ProcessNotRunning, OSError) as error:
             failure = f"{type(error).__name__}: {error}"
             self._progress(f"{label} failed: {failure}")
@@ -108,7 +108,7 @@
         ended_at = self._clock()
         self._history.faults.append(InjectedFault(fault, began_at, ended_at, failure))
 
-    async def _strike(self, fault: PlannedFault) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         kind, target = fault.kind, fault.target
         if kind in KILLS:
             await self._kill([self._fleet.processes[target]], fault.seconds)
