--- a/src/jasperwalk_lab/simulator/layout.py
+++ b/src/jasperwalk_lab/simulator/layout.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk_lab.simulator.network import Conditions
+from jasperwalk_lab.simulator.network import NetworkConditions
 
 PEER_PORT = 6000
 BALANCER_PORT = 7100
@@ -39,9 +39,9 @@
     replica_count: int = 3
     balancer_count: int = 3
 
-    def conditions(self) -> Conditions:
+    def conditions(self) -> NetworkConditions:
         """Return the network's conditions without faults."""
-        return Conditions(between_zones=self.between_zones, to_clients=self.to_clients)
+        return NetworkConditions(between_zones=self.between_zones, to_clients=self.to_clients)
 
     def zone(self, number: int) -> str:
         """Spread processes over the zones by their number."""
--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Conditions:
+class NetworkConditions:
     """What the network does to traffic: probabilities for one message, delays in seconds.
 
     `between_zones` and `to_clients` are the one-way delays; each is drawn up to `jitter`
@@ -46,7 +46,7 @@
 class Network:
     """Carries everything between processes; `cuts` holds one-way pairs of names."""
 
-    def __init__(self, random: Random, conditions: Conditions) -> None:
+    def __init__(self, random: Random, conditions: NetworkConditions) -> None:
         self.random = random
         self.conditions = conditions
         self.cuts: set[tuple[str, str]] = set()
