--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -121,7 +121,7 @@
         elif kind in PAUSES:
             await self._fleet.processes[target].pause(fault.seconds)
         elif kind in LINKS:
-            await self._spoil_links(target, LINKS[kind], fault.seconds)
+            await self._degrade_links(target, LINKS[kind], fault.seconds)
         elif kind in STORAGE:
             await self._spoil_storage(target, STORAGE[kind], fault.seconds)
         else:
@@ -158,7 +158,7 @@
             process.reload()
             await asyncio.sleep(self._drawn.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
 
-    async def _spoil_links(self, target: str, condition: LinkCondition, seconds: float) -> None:
+    async def _degrade_links(self, target: str, condition: LinkCondition, seconds: float) -> None:
         tcp, udp = self._fleet.control_relays.get(target), self._fleet.agent_relays.get(target)
         relay = tcp or udp
         if relay is None:
