--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -131,7 +131,7 @@
         if payload[0] & LONG_HEADER_BIT:
             self._announce = True
             return
-        self._note_use(payload[1 : 1 + CONNECTION_ID_LENGTH])
+        self._record_connection_id_use(payload[1 : 1 + CONNECTION_ID_LENGTH])
         stream_id, headers, body, acknowledged, cancelled = cbor2.loads(
             payload[1 + CONNECTION_ID_LENGTH :]
         )
@@ -169,7 +169,7 @@
         token = self._reset_token_of(connection_id)
         return QuicConnectionId(connection_id, sequence_number, token, was_sent=True)
 
-    def _note_use(self, connection_id: bytes) -> None:
+    def _record_connection_id_use(self, connection_id: bytes) -> None:
         """Take the first packet of the flow as its handshake, and a new ID as acknowledged."""
         if not self._handshake_complete:
             self._handshake_complete = True
