--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -123,7 +123,7 @@
         elif kind in LINKS:
             await self._degrade_links(target, LINKS[kind], fault.seconds)
         elif kind in STORAGE:
-            await self._spoil_storage(target, STORAGE[kind], fault.seconds)
+            await self._degrade_storage(target, STORAGE[kind], fault.seconds)
         else:
             await self._handlers[kind](self, fault)
 
@@ -167,7 +167,7 @@
         await asyncio.sleep(seconds)
         relay.condition = LinkCondition()
 
-    async def _spoil_storage(self, control: str, line: str, seconds: float) -> None:
+    async def _degrade_storage(self, control: str, line: str, seconds: float) -> None:
         path = self._fleet.storage_fault_file(control)
         path.write_text(line, encoding="ascii")
         await asyncio.sleep(seconds)
