--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -119,7 +119,7 @@
         self._events: deque[ModelEvent] = deque()
         self._streams: dict[int, ModelStream] = {}
         self._caller = b""
-        self._announce = False
+        self._connection_id_pending = False
         self._closing = False
         self._heard_at: float | None = None
         self._now = 0.0
@@ -129,7 +129,7 @@
         """Take one packet of the caller."""
         self._caller, self._heard_at, self._now = caller, now, now
         if payload[0] & LONG_HEADER_BIT:
-            self._announce = True
+            self._connection_id_pending = True
             return
         self._record_connection_id_use(payload[1 : 1 + CONNECTION_ID_LENGTH])
         stream_id, headers, body, acknowledged, cancelled = cbor2.loads(
@@ -159,7 +159,7 @@
         newest = self._new_connection_id(self._host_cids[-1].sequence_number + 1)
         self._host_cids.append(newest)
         self._events.append(ConnectionIdIssued(connection_id=newest.cid))
-        self._announce = True
+        self._connection_id_pending = True
 
     def send_ping(self, uid: int) -> None:
         """Keep the flow open; the model's callers poll while a request is open."""
@@ -180,7 +180,7 @@
                 self._events.append(ConnectionIdRetired(connection_id=former.cid))
             self._host_cids = [newest]
         else:
-            self._announce = True
+            self._connection_id_pending = True
 
     def next_event(self) -> ModelEvent | None:
         """Return what happened next, None for nothing."""
@@ -228,8 +228,8 @@
     def datagrams_to_send(self, now: float) -> list[tuple[bytes, bytes]]:
         """Return the datagrams that are due, each with the caller's packed end point."""
         contents: list[list[Any]] = []
-        if self._announce:
-            self._announce = False
+        if self._connection_id_pending:
+            self._connection_id_pending = False
             newest = self._host_cids[-1]
             content = [newest.sequence_number, newest.cid, newest.stateless_reset_token]
             contents.append([CONNECTION_ID, *content])
