--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -204,7 +204,7 @@
         for relay in self._fleet.control_relays.values():
             relay.silence_standing()
 
-    async def _speak_late(self, fault: PlannedFault) -> None:
+    async def _deliver_late_announcement(self, fault: PlannedFault) -> None:
         """Let a host crash, another start in its place, and a call of the former one arrive."""
         former = self._hosts.beside(fault.target)
         await former.crash()
@@ -272,7 +272,7 @@
         FaultKind.ZONE_DRAINED: _drain_zone,
         FaultKind.CALLERS_RUSH: _rush_callers,
         FaultKind.CONTROL_LINKS_ABANDONED: _abandon_links,
-        FaultKind.HOST_SPEAKS_LATE: _speak_late,
+        FaultKind.HOST_SPEAKS_LATE: _deliver_late_announcement,
         FaultKind.HOST_SLOW: _slow_host,
         FaultKind.ALL_KILLED: _kill_all,
         FaultKind.HOST_STARTED_AGAIN: _start_host_again,
