--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -121,13 +121,13 @@
         self._caller = b""
         self._connection_id_pending = False
         self._closing = False
-        self._heard_at: float | None = None
+        self._last_received_at: float | None = None
         self._now = 0.0
         self.is_closed = False
 
     def receive_datagram(self, payload: bytes, caller: bytes, now: float) -> None:
         """Take one packet of the caller."""
-        self._caller, self._heard_at, self._now = caller, now, now
+        self._caller, self._last_received_at, self._now = caller, now, now
         if payload[0] & LONG_HEADER_BIT:
             self._connection_id_pending = True
             return
@@ -206,9 +206,9 @@
 
     def get_timer(self) -> float | None:
         """Return when the flow is due again."""
-        if self.is_closed or self._heard_at is None:
+        if self.is_closed or self._last_received_at is None:
             return None
-        due = self._heard_at + IDLE_SECONDS
+        due = self._last_received_at + IDLE_SECONDS
         for stream in self._streams.values():
             if stream.acknowledged < len(stream.frames):
                 due = min(due, stream.waits_since + RETRANSMISSION_SECONDS)
@@ -217,7 +217,7 @@
     def handle_timer(self, now: float) -> None:
         """Send again what was not acknowledged, or end an idle flow."""
         self._now = now
-        if self._heard_at is not None and now >= self._heard_at + IDLE_SECONDS:
+        if self._last_received_at is not None and now >= self._last_received_at + IDLE_SECONDS:
             self.is_closed = True
             self._events.append(ModelEnd())
             return
