--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -248,7 +248,7 @@
     async def _impersonate_host(self, fault: PlannedFault) -> None:
         await self._hosts.beside(fault.target).announce_like_other_writers()
 
-    async def _storm_of_changes(self, fault: PlannedFault) -> None:
+    async def _storm_configurations(self, fault: PlannedFault) -> None:
         ends_at = self._clock() + fault.seconds
         while self._clock() < ends_at:
             changes = [self._operators.configure() for _ in range(STORM_CHANGES_AT_ONCE)]
@@ -277,7 +277,7 @@
         FaultKind.ALL_KILLED: _kill_all,
         FaultKind.HOST_STARTED_AGAIN: _start_host_again,
         FaultKind.HOST_IMPERSONATED: _impersonate_host,
-        FaultKind.CONFIGURATION_STORM: _storm_of_changes,
+        FaultKind.CONFIGURATION_STORM: _storm_configurations,
         FaultKind.ZONE_ORDERS_IN_A_ROW: _order_zone_in_a_row,
     }
 
