--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -90,7 +90,7 @@
     frames: list[Frame] = field(default_factory=list)
     acknowledged: int = 0
     sent: int = 0
-    waits_since: float = 0.0
+    oldest_unacknowledged_at: float = 0.0
     """When the oldest frame that is not acknowledged was sent, or an earlier one acknowledged."""
 
     @property
@@ -145,7 +145,7 @@
             return
         if acknowledged > stream.acknowledged:
             stream.acknowledged = acknowledged
-            stream.waits_since = now
+            stream.oldest_unacknowledged_at = now
         if cancelled:
             self._events.append(ModelCancel(stream_id))
 
@@ -211,7 +211,7 @@
         due = self._last_received_at + IDLE_SECONDS
         for stream in self._streams.values():
             if stream.acknowledged < len(stream.frames):
-                due = min(due, stream.waits_since + RETRANSMISSION_SECONDS)
+                due = min(due, stream.oldest_unacknowledged_at + RETRANSMISSION_SECONDS)
         return due
 
     def handle_timer(self, now: float) -> None:
@@ -222,7 +222,7 @@
             self._events.append(ModelEnd())
             return
         for stream in self._streams.values():
-            if now >= stream.waits_since + RETRANSMISSION_SECONDS:
+            if now >= stream.oldest_unacknowledged_at + RETRANSMISSION_SECONDS:
                 stream.sent = min(stream.sent, stream.acknowledged)
 
     def datagrams_to_send(self, now: float) -> list[tuple[bytes, bytes]]:
@@ -237,7 +237,7 @@
             while stream.sent < len(stream.frames):
                 first = stream.sent
                 if first == stream.acknowledged:
-                    stream.waits_since = now
+                    stream.oldest_unacknowledged_at = now
                 frames = stream.frames[first : first + MAX_FRAMES_IN_DATAGRAM]
                 stream.sent += len(frames)
                 contents.append([FRAMES, stream_id, first, frames])
