--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -193,7 +193,7 @@
         await asyncio.sleep(fault.seconds)
         await self._hosts.start(fault.target, is_cold=True)
 
-    async def _turn_away(self, fault: PlannedFault) -> None:
+    async def _reject_openings(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
         host.turns_away = True
         await asyncio.sleep(fault.seconds)
@@ -268,7 +268,7 @@
         FaultKind.CONTROL_LINKS_RESET: _reset_links,
         FaultKind.HOST_CRASHED: _crash_host,
         FaultKind.HOST_REPLACED: _replace_host,
-        FaultKind.HOST_TURNS_AWAY: _turn_away,
+        FaultKind.HOST_TURNS_AWAY: _reject_openings,
         FaultKind.ZONE_DRAINED: _drain_zone,
         FaultKind.CALLERS_RUSH: _rush_callers,
         FaultKind.CONTROL_LINKS_ABANDONED: _abandon_links,
