--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -194,7 +194,7 @@
         if self.closed:
             raise ConnectionLost(reason="closed on this side")
         self._outbox.append(payload)
-        self._pump()
+        self._send_queued()
 
     async def send(self, payload: bytes) -> None:
         """Queue one frame; raises as `write` does."""
@@ -225,7 +225,7 @@
             self._outbox.clear()
             self._outbox.append(None)
             self._arrived.set()
-            self._pump()
+            self._send_queued()
 
     async def close(self, timeout_seconds: float = 1.0) -> None:
         """Close after what was written."""
@@ -233,9 +233,9 @@
             self.closed = True
             self._outbox.append(None)
             self._arrived.set()
-            self._pump()
+            self._send_queued()
 
-    def _pump(self) -> None:
+    def _send_queued(self) -> None:
         """Send what waits, in order; while the way is cut, look again a little later."""
         if self._pumping:
             return
@@ -257,7 +257,7 @@
 
     def _pump_again(self) -> None:
         self._pumping = False
-        self._pump()
+        self._send_queued()
 
     def _arrive(self, frame: bytes | None) -> None:
         receiver = self.other.process
