--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -88,7 +88,7 @@
     route_of: Callable[[Endpoint], SoakRoute]
     drawn: random.Random
     is_cold: bool = True
-    turns_away: bool = False
+    rejects_openings: bool = False
     service_time_factor: float = 1.0
     """How many times as long as usual it works on a request."""
     is_draining: bool = False
@@ -243,7 +243,7 @@
             route.priority,
         )
         self.history.openings.append(opening)
-        if self.turns_away:
+        if self.rejects_openings:
             self._send(bounced(datagram))
             return
         flow = self.flows.get(key)
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -195,9 +195,9 @@
 
     async def _reject_openings(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
-        host.turns_away = True
+        host.rejects_openings = True
         await asyncio.sleep(fault.seconds)
-        host.turns_away = False
+        host.rejects_openings = False
 
     async def _abandon_links(self, _fault: PlannedFault) -> None:
         """Let nothing through on any connection to a replica that stands; new ones work."""
