--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -244,7 +244,9 @@
         while self._outbox:
             if self.network.is_cut(self.process, receiver):
                 self._pumping = True
-                loop.call_later(CUT_POLL_SECONDS, self._pump_again, context=contextvars.Context())
+                loop.call_later(
+                    CUT_POLL_SECONDS, self._resume_sending, context=contextvars.Context()
+                )
                 return
             frame = self._outbox.popleft()
             delay = self.network.delay(self.process, receiver)
@@ -255,7 +257,7 @@
             self._next_arrival = max(earliest, loop.time() + delay)
             loop.call_at(self._next_arrival, self._arrive, frame, context=contextvars.Context())
 
-    def _pump_again(self) -> None:
+    def _resume_sending(self) -> None:
         self._pumping = False
         self._send_queued()
 
