--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -254,7 +254,7 @@
             changes = [self._operators.configure() for _ in range(STORM_CHANGES_AT_ONCE)]
             await asyncio.gather(*changes)
 
-    async def _order_zone_in_a_row(self, fault: PlannedFault) -> None:
+    async def _alternate_zone_orders(self, fault: PlannedFault) -> None:
         """Drain and restore a zone without a pause; the last order restores it."""
         ends_at = self._clock() + fault.seconds
         while self._clock() < ends_at:
@@ -278,7 +278,7 @@
         FaultKind.HOST_STARTED_AGAIN: _start_host_again,
         FaultKind.HOST_IMPERSONATED: _impersonate_host,
         FaultKind.CONFIGURATION_STORM: _storm_configurations,
-        FaultKind.ZONE_ORDERS_IN_A_ROW: _order_zone_in_a_row,
+        FaultKind.ZONE_ORDERS_IN_A_ROW: _alternate_zone_orders,
     }
 
 
