--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -184,7 +184,7 @@
         self._arrived = asyncio.Event()
         self._outbox: deque[bytes | None] = deque()
         self._next_arrival = 0.0
-        self._pumping = False
+        self._resume_scheduled = False
 
     def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Take note of a limit; the simulated frames are small."""
@@ -237,13 +237,13 @@
 
     def _send_queued(self) -> None:
         """Send what waits, in order; while the way is cut, look again a little later."""
-        if self._pumping:
+        if self._resume_scheduled:
             return
         receiver = self.other.process
         loop = asyncio.get_running_loop()
         while self._outbox:
             if self.network.is_cut(self.process, receiver):
-                self._pumping = True
+                self._resume_scheduled = True
                 loop.call_later(
                     CUT_POLL_SECONDS, self._resume_sending, context=contextvars.Context()
                 )
@@ -258,7 +258,7 @@
             loop.call_at(self._next_arrival, self._arrive, frame, context=contextvars.Context())
 
     def _resume_sending(self) -> None:
-        self._pumping = False
+        self._resume_scheduled = False
         self._send_queued()
 
     def _arrive(self, frame: bytes | None) -> None:
