--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -43,7 +43,7 @@
 )
 
 READY_POLL_SECONDS = 0.5
-MISSES_OUT = 2
+MAX_MISSED_POLLS = 2
 COPY_SECONDS = (0.0, 0.2, 0.6)
 """When an opening packet and its copies are sent."""
 OPENING_SECONDS = 1.4
@@ -98,7 +98,9 @@
         """
         if last is not None and self.exists(last.name):
             return last
-        inside = [each for each in self.balancers if self._misses.get(each.name, 0) < MISSES_OUT]
+        inside = [
+            each for each in self.balancers if self._misses.get(each.name, 0) < MAX_MISSED_POLLS
+        ]
         near = [each for each in inside if zone in ("", each.zone)]
         places = near or inside or self.balancers
         return max(places, key=lambda each: crc32(key + each.name.encode()))
