--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -93,14 +93,14 @@
     finally:
         loop.close()
         del loop
-        _forget_processes()
+        _discard_processes()
         structlog.reset_defaults()
     if trace_file is not None:
         trace_file.write_text("\n".join(result.events) + "\n")
     return result
 
 
-def _forget_processes() -> None:
+def _discard_processes() -> None:
     """Drop what the run's processes left, without the noise of their unfinished tasks."""
     hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
     try:
