--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -44,7 +44,7 @@
 
 READY_POLL_SECONDS = 0.5
 MAX_MISSED_POLLS = 2
-COPY_SECONDS = (0.0, 0.2, 0.6)
+OPENING_SEND_SECONDS = (0.0, 0.2, 0.6)
 """When an opening packet and its copies are sent."""
 OPENING_SECONDS = 1.4
 RESEND_SECONDS = (0.0, 0.2, 0.4, 0.8)
@@ -229,7 +229,7 @@
         self._flows[(endpoint, listener)] = flow
         began_at = self._clock()
         self._history.asked.append(FlowRequested(began_at, flow.name()))
-        for copy, at in enumerate((*COPY_SECONDS, OPENING_SECONDS)):
+        for copy, at in enumerate((*OPENING_SEND_SECONDS, OPENING_SECONDS)):
             await self._wait(flow, began_at + at - self._clock())
             if flow.acknowledged is not None:
                 return flow
