--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -137,7 +137,7 @@
         await self._until(
             world, lambda: _is_settled(world), QUIET_TIMEOUT_SECONDS, "fleet-not-settled"
         )
-        self._judge(world)
+        self._check_run(world)
         return self._result(world)
 
     def _operator_client(self, world: World, number: int) -> OperatorClient:
@@ -176,7 +176,7 @@
             await asyncio.sleep(0.05)
         return True
 
-    def _judge(self, world: World) -> None:
+    def _check_run(self, world: World) -> None:
         record = world.record
         controls = [each.name for each in world.controls]
         for host in world.controls:
