--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -46,7 +46,7 @@
 MAX_MISSED_POLLS = 2
 OPENING_SEND_SECONDS = (0.0, 0.2, 0.6)
 """When an opening packet and its copies are sent."""
-OPENING_SECONDS = 1.4
+OPENING_TIMEOUT_SECONDS = 1.4
 RESEND_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
 REQUEST_SECONDS = 2.5
@@ -229,11 +229,11 @@
         self._flows[(endpoint, listener)] = flow
         began_at = self._clock()
         self._history.asked.append(FlowRequested(began_at, flow.name()))
-        for copy, at in enumerate((*OPENING_SEND_SECONDS, OPENING_SECONDS)):
+        for copy, at in enumerate((*OPENING_SEND_SECONDS, OPENING_TIMEOUT_SECONDS)):
             await self._wait(flow, began_at + at - self._clock())
             if flow.acknowledged is not None:
                 return flow
-            if flow.was_reset or at == OPENING_SECONDS:
+            if flow.was_reset or at == OPENING_TIMEOUT_SECONDS:
                 break
             self._send(flow, Packet(endpoint, listener, flow.sequence, copy, SYN))
         if flow.was_reset:
