--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -181,7 +181,7 @@
         controls = [each.name for each in world.controls]
         for host in world.controls:
             if host.replica is not None:
-                self._judge_replica(world, host.name, host.replica)
+                self._check_replica(world, host.name, host.replica)
         arrivals = {host: program.arrivals for host, program in world.programs.items()}
         journal = [each.record for host in arrivals.values() for each in host]
         self._report, broken = check_calls(record, journal)
@@ -210,7 +210,7 @@
         for finding in findings:
             world.record_violation(finding)
 
-    def _judge_replica(self, world: World, name: str, replica: ControlReplica) -> None:
+    def _check_replica(self, world: World, name: str, replica: ControlReplica) -> None:
         found = {
             change.change_id: replica.state.outcome_of(change.change_id)
             for change in world.record.changes
