--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -47,7 +47,7 @@
 OPENING_SEND_SECONDS = (0.0, 0.2, 0.6)
 """When an opening packet and its copies are sent."""
 OPENING_TIMEOUT_SECONDS = 1.4
-RESEND_SECONDS = (0.0, 0.2, 0.4, 0.8)
+REQUEST_SEND_PAUSES_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
 REQUEST_SECONDS = 2.5
 TRIES = 3
@@ -248,7 +248,10 @@
         flow.answer, flow.expected = b"", (number + len(data)) % 2**32
         assert flow.acknowledged is not None
         packet = Packet(flow.endpoint, flow.listener, number, flow.acknowledged, ACK, data)
-        for pause in (*RESEND_SECONDS, REQUEST_SECONDS - sum(RESEND_SECONDS)):
+        for pause in (
+            *REQUEST_SEND_PAUSES_SECONDS,
+            REQUEST_SECONDS - sum(REQUEST_SEND_PAUSES_SECONDS),
+        ):
             await self._wait(flow, pause)
             if flow.answer or flow.was_reset:
                 break
