--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -35,7 +35,7 @@
 )
 from jasperwalk_lab.simulator.world import World
 
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 6.0
 """Quiet time after the last fault, in which everything has to come right."""
 QUIET_TIMEOUT_SECONDS = 40.0
@@ -126,7 +126,7 @@
         administrator = Administrator(self._operator_client(world, 0))
         world.start()
         await administrator.set_up()
-        if not await self._until(world, world.ready, READY_SECONDS, "fleet-not-ready"):
+        if not await self._until(world, world.ready, READY_TIMEOUT_SECONDS, "fleet-not-ready"):
             return self._result(world)
         injector = FaultInjector(world, administrator)
         tasks = [*self._start_operators(world), *self._start_callers(world)]
