--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -49,7 +49,7 @@
 OPENING_TIMEOUT_SECONDS = 1.4
 REQUEST_SEND_PAUSES_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
-REQUEST_SECONDS = 2.5
+REQUEST_TIMEOUT_SECONDS = 2.5
 TRIES = 3
 FIRST_PORT = 10_000
 LAST_PORT = 60_000
@@ -250,7 +250,7 @@
         packet = Packet(flow.endpoint, flow.listener, number, flow.acknowledged, ACK, data)
         for pause in (
             *REQUEST_SEND_PAUSES_SECONDS,
-            REQUEST_SECONDS - sum(REQUEST_SEND_PAUSES_SECONDS),
+            REQUEST_TIMEOUT_SECONDS - sum(REQUEST_SEND_PAUSES_SECONDS),
         ):
             await self._wait(flow, pause)
             if flow.answer or flow.was_reset:
