--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -126,7 +126,7 @@
         administrator = Administrator(self._operator_client(world, 0))
         world.start()
         await administrator.set_up()
-        if not await self._until(world, world.ready, READY_TIMEOUT_SECONDS, "fleet-not-ready"):
+        if not await self._wait_until(world, world.ready, READY_TIMEOUT_SECONDS, "fleet-not-ready"):
             return self._result(world)
         injector = FaultInjector(world, administrator)
         tasks = [*self._start_operators(world), *self._start_callers(world)]
@@ -134,7 +134,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         world.traffic = False
         await asyncio.wait(tasks, timeout=QUIET_TIMEOUT_SECONDS)
-        await self._until(
+        await self._wait_until(
             world, lambda: _is_settled(world), QUIET_TIMEOUT_SECONDS, "fleet-not-settled"
         )
         self._check_run(world)
@@ -165,7 +165,7 @@
                 tasks.append(world.clients.start(caller.run()))
         return tasks
 
-    async def _until(
+    async def _wait_until(
         self, world: World, condition: Callable[[], bool], seconds: float, violation: str
     ) -> bool:
         until = world.now + seconds
