--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -50,7 +50,7 @@
 REQUEST_SEND_PAUSES_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
 REQUEST_TIMEOUT_SECONDS = 2.5
-TRIES = 3
+MAX_TRIES = 3
 FIRST_PORT = 10_000
 LAST_PORT = 60_000
 OK_STATUS = 200
@@ -192,7 +192,7 @@
         request_id = f"q{self._next_request}"
         began_at = self._clock()
         outcome = RequestOutcome.GIVEN_UP
-        for attempt in range(TRIES):
+        for attempt in range(MAX_TRIES):
             # Every further try is a request of its own: the first may have run.
             attempt_id = request_id if attempt == 0 else f"{request_id}.{attempt}"
             flow = flow or await self._open(listener, attempt_id, zone)
