--- a/src/jasperwalk_lab/baselines/process.py
+++ b/src/jasperwalk_lab/baselines/process.py
@@ -45,7 +45,7 @@
 class IndexedCore(BalancerCore):
     """The product's core with another index of candidates."""
 
-    def place_by(self, index: CandidateIndex) -> None:
+    def use_index(self, index: CandidateIndex) -> None:
         """Place new flows by `index` from now on."""
         self._new_flows.index = index
 
@@ -70,9 +70,9 @@
         generator = random.Random(f"{seed}/{settings.name}")
         if isinstance(core, IndexedCore):
             if placement is FlowPlacement.ROUND_ROBIN:
-                core.place_by(RoundRobinIndex(table, generator))
+                core.use_index(RoundRobinIndex(table, generator))
             elif placement is FlowPlacement.LEAST_REPORTED:
-                core.place_by(LeastReportedIndex(table, generator, pages.loads))
+                core.use_index(LeastReportedIndex(table, generator, pages.loads))
         return core
 
 
