--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -82,10 +82,10 @@
     async def run(self) -> None:
         """Ask the balancers until cancelled."""
         while True:
-            await asyncio.gather(*(self._ask(each) for each in self.balancers))
+            await asyncio.gather(*(self._send_request(each) for each in self.balancers))
             await asyncio.sleep(READY_POLL_SECONDS)
 
-    async def _ask(self, place: BalancerPlace) -> None:
+    async def _send_request(self, place: BalancerPlace) -> None:
         answer = await self._caller.call(place.ready, "GET", READY_PATH, seconds=READY_POLL_SECONDS)
         is_ready = answer.status == OK_STATUS
         self._misses[place.name] = 0 if is_ready else self._misses.get(place.name, 0) + 1
@@ -198,7 +198,7 @@
             flow = flow or await self._open(listener, attempt_id, zone)
             if flow is None:
                 continue
-            if await self._ask(flow, attempt_id, is_last):
+            if await self._send_request(flow, attempt_id, is_last):
                 if not flow.answer.startswith(NOT_RUN_MARK):
                     self._note(began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow))
                     return None if is_last else flow
@@ -241,7 +241,7 @@
         self._forget(flow)
         return None
 
-    async def _ask(self, flow: CallerFlow, request_id: str, is_last: bool) -> bool:
+    async def _send_request(self, flow: CallerFlow, request_id: str, is_last: bool) -> bool:
         """Send a request until it is answered; False where the flow is lost or time is up."""
         data = REQUEST_MARK + request_id.encode()
         number = flow.sequence + 1
