--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -19,7 +19,7 @@
 """Initials whose choice a balancer remembers."""
 
 
-class RememberingIndex(CandidateIndex, ABC):
+class StickyIndex(CandidateIndex, ABC):
     """Chooses one member for a new flow, and the same one for its retransmissions."""
 
     def __init__(self, source: MemberSource) -> None:
@@ -44,7 +44,7 @@
         """Choose a member for a flow that was not seen before."""
 
 
-class RoundRobinIndex(RememberingIndex):
+class RoundRobinIndex(StickyIndex):
     """Smooth weighted round robin: each member's turn comes in proportion to its weight."""
 
     def __init__(self, source: MemberSource, generator: random.Random) -> None:
@@ -69,7 +69,7 @@
         return chosen
 
 
-class LeastReportedIndex(RememberingIndex):
+class LeastReportedIndex(StickyIndex):
     """The member whose load page told the least, by weight; a random one of equal ones.
 
     `loads` holds the busy slots that each member's page told last, as old as the round of
