--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -200,7 +200,9 @@
                 continue
             if await self._send_request(flow, attempt_id, is_last):
                 if not flow.answer.startswith(NOT_RUN_MARK):
-                    self._note(began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow))
+                    self._record_ended(
+                        began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow)
+                    )
                     return None if is_last else flow
                 self._note_refused(flow, attempt_id, is_by_host=True)
                 outcome = RequestOutcome.REFUSED
@@ -208,10 +210,12 @@
                 outcome = RequestOutcome.FLOW_RESET
             self._forget(flow)
             flow = None
-        self._note(began_at, request_id, outcome, "")
+        self._record_ended(began_at, request_id, outcome, "")
         return None
 
-    def _note(self, began_at: float, name: str, outcome: RequestOutcome, answered: str) -> None:
+    def _record_ended(
+        self, began_at: float, name: str, outcome: RequestOutcome, answered: str
+    ) -> None:
         ended = RequestEnded(began_at, self._clock(), name, outcome, answered)
         self._history.requests.append(ended)
 
