--- a/src/jasperwalk_lab/report/plots.py
+++ b/src/jasperwalk_lab/report/plots.py
@@ -20,7 +20,7 @@
 """Makes the SVG's inner names the same on every rendering."""
 WIDTH_INCHES = 9.0
 HEIGHT_INCHES = 3.2
-FOOT_FRACTION = 0.02
+EVENT_LABEL_HEIGHT = 0.02
 """Where names of events begin, as a part of the plot's height."""
 PERCENTILES = ("p50_ms", "p90_ms", "p99_ms", "max_ms")
 
@@ -119,7 +119,7 @@
         axes.axvline(event.at, color="grey", linewidth=0.8, linestyle=":")
         name = axes.text(
             event.at,
-            FOOT_FRACTION,
+            EVENT_LABEL_HEIGHT,
             f" {event.action} {event.target}",
             transform=axes.get_xaxis_transform(),
             fontsize="x-small",
