--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -204,7 +204,7 @@
                         began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow)
                     )
                     return None if is_last else flow
-                self._note_refused(flow, attempt_id, is_by_host=True)
+                self._record_refused(flow, attempt_id, is_by_host=True)
                 outcome = RequestOutcome.REFUSED
             elif flow.was_reset:
                 outcome = RequestOutcome.FLOW_RESET
@@ -219,7 +219,7 @@
         ended = RequestEnded(began_at, self._clock(), name, outcome, answered)
         self._history.requests.append(ended)
 
-    def _note_refused(self, flow: CallerFlow, request_id: str, is_by_host: bool) -> None:
+    def _record_refused(self, flow: CallerFlow, request_id: str, is_by_host: bool) -> None:
         route = self._route_of(flow.listener)
         refused = RequestRefused(
             self._clock(), request_id, flow.name(), route.service, route.priority, is_by_host
@@ -241,7 +241,7 @@
                 break
             self._send(flow, Packet(endpoint, listener, flow.sequence, copy, SYN))
         if flow.was_reset:
-            self._note_refused(flow, request_id, is_by_host=False)
+            self._record_refused(flow, request_id, is_by_host=False)
         self._forget(flow)
         return None
 
