--- a/src/jasperwalk_lab/report/statistics.py
+++ b/src/jasperwalk_lab/report/statistics.py
@@ -9,7 +9,7 @@
 
 T_QUANTILES_95 = (12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228)
 """Student's t, two-sided 95%, for 1 to 10 degrees of freedom."""
-T_QUANTILE_MANY = 2.0
+T_QUANTILE_LARGE_SAMPLE = 2.0
 """Used beyond 10 degrees of freedom; a little wide there."""
 
 
@@ -35,5 +35,7 @@
     if len(values) == 1:
         return Estimate(values[0], 0.0, 1)
     degrees = len(values) - 1
-    quantile = T_QUANTILES_95[degrees - 1] if degrees <= len(T_QUANTILES_95) else T_QUANTILE_MANY
+    quantile = (
+        T_QUANTILES_95[degrees - 1] if degrees <= len(T_QUANTILES_95) else T_QUANTILE_LARGE_SAMPLE
+    )
     return Estimate(fmean(values), quantile * stdev(values) / math.sqrt(len(values)), len(values))
