--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -297,7 +297,7 @@
         if flow is None:
             return
         if packet.flags & RST:
-            self._note_reset(flow)
+            self._record_reset(flow)
             flow.was_reset = True
         elif packet.flags & SYN:
             if flow.acknowledged is None:
@@ -306,7 +306,7 @@
             flow.answer = packet.data
         flow.answered.set()
 
-    def _note_reset(self, flow: CallerFlow) -> None:
+    def _record_reset(self, flow: CallerFlow) -> None:
         """Note a reset on a flow that a living host holds open; hosts here never reset."""
         for host in self._hosts():
             held = host.flows.get((flow.endpoint, flow.listener))
