--- a/src/jasperwalk_lab/simulator/distribution.py
+++ b/src/jasperwalk_lab/simulator/distribution.py
@@ -36,10 +36,13 @@
     if not ordered:
         return Distribution(0, 0.0, 0.0, 0.0)
     return Distribution(
-        len(ordered), _at(ordered, MEDIAN), _at(ordered, HIGH), round(ordered[-1], 4)
+        len(ordered),
+        _percentile(ordered, MEDIAN),
+        _percentile(ordered, HIGH),
+        round(ordered[-1], 4),
     )
 
 
-def _at(ordered: list[float], share: float) -> float:
+def _percentile(ordered: list[float], share: float) -> float:
     """Return the smallest value that at least `share` of all do not exceed."""
     return round(ordered[max(0, math.ceil(share * len(ordered)) - 1)], 4)
