--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -166,7 +166,7 @@
         )
         is_taken = answer.status == OK_STATUS
         if is_taken and is_draining and self.is_alive:
-            self._note_drained()
+            self._record_drained()
         return is_taken
 
     def _heartbeat(self) -> Heartbeat:
@@ -201,7 +201,7 @@
                 taken = InvalidAnnouncementAccepted(self.clock(), self.place.name, body[:200])
                 self.history.unusable_taken.append(taken)
 
-    def _note_drained(self) -> None:
+    def _record_drained(self) -> None:
         if all(each.host_id != self.start_id for each in self.history.drained):
             self.history.drained.append(HostDrained(self.clock(), self.start_id))
 
