--- a/src/jasperwalk_lab/simulator/distribution.py
+++ b/src/jasperwalk_lab/simulator/distribution.py
@@ -10,7 +10,7 @@
 
 from jasperwalk_lab.simulator.verdicts import Measures
 
-MEDIAN, HIGH = 0.5, 0.99
+MEDIAN, P99 = 0.5, 0.99
 
 
 class Distribution(msgspec.Struct):
@@ -38,7 +38,7 @@
     return Distribution(
         len(ordered),
         _percentile(ordered, MEDIAN),
-        _percentile(ordered, HIGH),
+        _percentile(ordered, P99),
         round(ordered[-1], 4),
     )
 
