--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -155,7 +155,7 @@
         self.history.ends_at = self._clock()
         self.history.hosts_at_end.extend(self._hosts.descriptions())
         await self._operators.read_at_end()
-        self._note_uses()
+        self._record_resources()
         self._callers.close()
         for host in self._hosts.all():
             await host.crash()
@@ -215,7 +215,7 @@
         faults = "; ".join(self._injector.now) or "none"
         self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {told}  faults now: {faults}")
 
-    def _note_uses(self) -> None:
+    def _record_resources(self) -> None:
         for name, process in self._fleet.processes.items():
             first, last = self._first_use.get(name, (0, 0)), process.use()
             if all(first) and all(last):
