--- a/tests/simulator/test_clock.py
+++ b/tests/simulator/test_clock.py
@@ -38,7 +38,7 @@
 
 
 def test_a_frozen_process_goes_on_late_and_a_killed_one_never(loop):
-    heard = []
+    ticks = []
 
     async def run():
         process = SimulatedProcess("agent", "a", world=None)
@@ -46,7 +46,7 @@
         async def work():
             for _ in range(3):
                 await asyncio.sleep(1.0)
-                heard.append(round(loop.time() - CLOCK_START_SECONDS))
+                ticks.append(round(loop.time() - CLOCK_START_SECONDS))
 
         process.start(work())
         await asyncio.sleep(1.5)
@@ -58,4 +58,4 @@
         await asyncio.sleep(5.0)
 
     loop.run_until_complete(run())
-    assert heard == [1, 6]
+    assert ticks == [1, 6]
