--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -173,7 +173,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    async def request_now_and_then(self, listener: Endpoint, pause: float) -> None:
+    async def request_repeatedly(self, listener: Endpoint, pause: float) -> None:
         """Keep one flow for many requests, until cancelled; a lost one is opened again."""
         flow: CallerFlow | None = None
         while True:
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -178,7 +178,7 @@
 
     def _long_requests(self) -> list[Coroutine[Any, Any, None]]:
         return [
-            self._callers.request_now_and_then(
+            self._callers.request_repeatedly(
                 ROUTES[number % len(ROUTES)].listener, LONG_PAUSE_SECONDS
             )
             for number in range(self._size.long_callers)
