--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -164,7 +164,7 @@
     return CallRecord(identity, "urednik", operation, invoked, completed, outcome)
 
 
-def right(identity, operation):
+def correct_answer(identity, operation):
     body = operation.expected("urednik", identity)
     return Answered(200, "urednik", identity, "urednik-1", body)
 
@@ -177,10 +177,10 @@
 CUT = Broken(BreakReason.CONNECTION_ENDED, "urednik-1")
 CALLS = {
     # violation kinds, calls, what ran
-    "answered": ([], [call("a", LOOKUP, right("a", LOOKUP))], [ran("a")]),
+    "answered": ([], [call("a", LOOKUP, correct_answer("a", LOOKUP))], [ran("a")]),
     "another caller's answer": (
         ["wrong-answer"],
-        [call("a", LOOKUP, right("b", LOOKUP))],
+        [call("a", LOOKUP, correct_answer("b", LOOKUP))],
         [ran("a"), ran("b")],
     ),
     "a part of the answer": (
@@ -188,7 +188,11 @@
         [call("a", STREAM, Answered(200, "urednik", "a", "urednik-1", b"urednik"))],
         [ran("a")],
     ),
-    "answered without a run": (["wrong-answer"], [call("a", LOOKUP, right("a", LOOKUP))], []),
+    "answered without a run": (
+        ["wrong-answer"],
+        [call("a", LOOKUP, correct_answer("a", LOOKUP))],
+        [],
+    ),
     "ran at another service": (
         ["wrong-service"],
         [call("a", LOOKUP, Unknown(504))],
