--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -27,7 +27,7 @@
 """Age of an acknowledgement from which no replica may answer with an older configuration."""
 PLANNED_CALM_SECONDS = 6.0
 """A reset counts as planned work's where no other fault was this near before it."""
-BACK_SECONDS = 6.0
+RECOVERY_SECONDS = 6.0
 """Time after the last fault in which the service comes back."""
 LEAST_ANSWERED_SHARE = 0.97
 """Share of the requests after that which have to be answered: one in a hundred may meet its end
@@ -227,17 +227,17 @@
 
 def _back_in_time(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     last = _last_fault_ends_at(history)
-    after = [each for each in history.requests if each.began_at > last + BACK_SECONDS]
+    after = [each for each in history.requests if each.began_at > last + RECOVERY_SECONDS]
     counts = Counter(each.outcome for each in after)
     answered = counts[RequestOutcome.ANSWERED]
     if len(after) < LEAST_REQUESTS_AFTER or answered < LEAST_ANSWERED_SHARE * len(after):
-        detail = f"{answered} of {len(after)} requests, {BACK_SECONDS} s after the last fault"
-        yield SoakViolation(SoakPromise.BACK_IN_TIME, last + BACK_SECONDS, detail)
+        detail = f"{answered} of {len(after)} requests, {RECOVERY_SECONDS} s after the last fault"
+        yield SoakViolation(SoakPromise.BACK_IN_TIME, last + RECOVERY_SECONDS, detail)
 
 
 def _hosts_back_in_use(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     last = _last_fault_ends_at(history)
-    since = last + BACK_SECONDS
+    since = last + RECOVERY_SECONDS
     counts = Counter(each.host_id for each in history.openings if each.at > since)
     by_service: dict[str, list[HostAtEnd]] = defaultdict(list)
     for host in history.hosts_at_end:
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -15,7 +15,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.fleet import make_run_folder
 from jasperwalk_lab.soak.callers import Callers, Router
-from jasperwalk_lab.soak.checks import BACK_SECONDS, check_all
+from jasperwalk_lab.soak.checks import RECOVERY_SECONDS, check_all
 from jasperwalk_lab.soak.fleet import SERVICES, SIZES, ZONES, SoakFleet, SoakSize
 from jasperwalk_lab.soak.history import MachineStall, ProcessResources, SoakHistory
 from jasperwalk_lab.soak.hosts import COLD_SECONDS, SoakHost
@@ -39,7 +39,7 @@
 WATCH_SECONDS = 0.2
 STALL_SECONDS = 0.5
 """Lateness of the run's own watch that is told as a stall of the machine."""
-QUIET_SECONDS = BACK_SECONDS + 4.0
+QUIET_SECONDS = RECOVERY_SECONDS + 4.0
 """Time after the last fault in which it is seen whether requests are answered and hosts used."""
 OK_STATUS = 200
 
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -3,10 +3,10 @@
 import pytest
 
 from jasperwalk_lab.soak.checks import (
-    BACK_SECONDS,
     CONFIGURATION_SECONDS,
     HOST_DRAIN_SECONDS,
     PLANNED_CALM_SECONDS,
+    RECOVERY_SECONDS,
     STALL_REACH_SECONDS,
     ZONE_DRAIN_SECONDS,
     SoakPromise,
@@ -119,7 +119,7 @@
             RequestEnded(50.0, 52.0, f"late{number}", RequestOutcome.GIVEN_UP)
             for number in range(10)
         ],
-        "faults": [fault(FaultKind.ALL_KILLED, 40.0, 49.0 - BACK_SECONDS)],
+        "faults": [fault(FaultKind.ALL_KILLED, 40.0, 49.0 - RECOVERY_SECONDS)],
     },
     SoakPromise.HOSTS_BACK_IN_USE: {
         "hosts_at_end": [HostAtEnd(f"h{number}", "web", 0.0) for number in (1, 2)],
