--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -169,7 +169,7 @@
     return Answered(200, "urednik", identity, "urednik-1", body)
 
 
-def ran(identity, host="urednik-1", service="urednik", outcome=RunOutcome.COMPLETED):
+def journal_entry(identity, host="urednik-1", service="urednik", outcome=RunOutcome.COMPLETED):
     return JournalRecord(identity, service, host, "/", outcome)
 
 
@@ -177,16 +177,16 @@
 CUT = Broken(BreakReason.CONNECTION_ENDED, "urednik-1")
 CALLS = {
     # violation kinds, calls, what ran
-    "answered": ([], [call("a", LOOKUP, correct_answer("a", LOOKUP))], [ran("a")]),
+    "answered": ([], [call("a", LOOKUP, correct_answer("a", LOOKUP))], [journal_entry("a")]),
     "another caller's answer": (
         ["wrong-answer"],
         [call("a", LOOKUP, correct_answer("b", LOOKUP))],
-        [ran("a"), ran("b")],
+        [journal_entry("a"), journal_entry("b")],
     ),
     "a part of the answer": (
         ["wrong-answer"],
         [call("a", STREAM, Answered(200, "urednik", "a", "urednik-1", b"urednik"))],
-        [ran("a")],
+        [journal_entry("a")],
     ),
     "answered without a run": (
         ["wrong-answer"],
@@ -196,23 +196,35 @@
     "ran at another service": (
         ["wrong-service"],
         [call("a", LOOKUP, Unknown(504))],
-        [ran("a", "export-svc-1", "export-svc")],
+        [journal_entry("a", "export-svc-1", "export-svc")],
     ),
     "not run, and did not": ([], [call("a", LOOKUP, NotRun(1.0))], []),
-    "not run, shed": ([], [call("a", LOOKUP, NotRun(1.0))], [ran("a", outcome=RunOutcome.SHED)]),
-    "not run, but ran": (["not-run-but-ran"], [call("a", LOOKUP, NotRun(1.0))], [ran("a")]),
+    "not run, shed": (
+        [],
+        [call("a", LOOKUP, NotRun(1.0))],
+        [journal_entry("a", outcome=RunOutcome.SHED)],
+    ),
+    "not run, but ran": (
+        ["not-run-but-ran"],
+        [call("a", LOOKUP, NotRun(1.0))],
+        [journal_entry("a")],
+    ),
     "not run, but cancelled late": (
         ["not-run-but-ran"],
         [call("a", SUBMISSION, NotRun(1.0))],
-        [ran("a", outcome=RunOutcome.CANCELLED)],
+        [journal_entry("a", outcome=RunOutcome.CANCELLED)],
     ),
     "unknown, ran twice": (
         ["ran-twice"],
         [call("a", SUBMISSION, Unknown(504))],
-        [ran("a"), ran("a", "urednik-2")],
+        [journal_entry("a"), journal_entry("a", "urednik-2")],
+    ),
+    "a repeatable one ran twice": (
+        [],
+        [call("a", LOOKUP, Unknown(504))],
+        [journal_entry("a"), journal_entry("a")],
     ),
-    "a repeatable one ran twice": ([], [call("a", LOOKUP, Unknown(504))], [ran("a"), ran("a")]),
-    "a cut stream": (["broken-flow"], [call("a", STREAM, CUT)], [ran("a")]),
+    "a cut stream": (["broken-flow"], [call("a", STREAM, CUT)], [journal_entry("a")]),
 }
 
 
@@ -236,14 +248,14 @@
 def test_a_flow_may_break_with_its_host_but_not_by_a_planned_end(field, span, excused):
     record = Record(calls=[call("a", STREAM, CUT)])
     getattr(record, field)["urednik-1"].append(span)
-    _, findings = check_calls(record, [ran("a")])
+    _, findings = check_calls(record, [journal_entry("a")])
     assert (findings == []) == excused
 
 
 @pytest.mark.parametrize(("at", "expected"), [(14.0, []), (16.0, ["new-work-while-leaving"])])
 def test_work_of_a_leaving_host(at, expected):
     record = Record(drains=[DrainSpan("urednik-1", 10.0, 20.0, asked_at=9.0)])
-    arrivals = {"urednik-1": [Arrival(at, ran("a"))]}
+    arrivals = {"urednik-1": [Arrival(at, journal_entry("a"))]}
     found = list(check_drains(record, arrivals, Measures()))
     assert [kind_of(each) for each in found] == expected
 
