--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -29,7 +29,7 @@
 """A reset counts as planned work's where no other fault was this near before it."""
 RECOVERY_SECONDS = 6.0
 """Time after the last fault in which the service comes back."""
-LEAST_ANSWERED_SHARE = 0.97
+MIN_ANSWERED_SHARE = 0.97
 """Share of the requests after that which have to be answered: one in a hundred may meet its end
 of the run."""
 LEAST_REQUESTS_AFTER = 20
@@ -230,7 +230,7 @@
     after = [each for each in history.requests if each.began_at > last + RECOVERY_SECONDS]
     counts = Counter(each.outcome for each in after)
     answered = counts[RequestOutcome.ANSWERED]
-    if len(after) < LEAST_REQUESTS_AFTER or answered < LEAST_ANSWERED_SHARE * len(after):
+    if len(after) < LEAST_REQUESTS_AFTER or answered < MIN_ANSWERED_SHARE * len(after):
         detail = f"{answered} of {len(after)} requests, {RECOVERY_SECONDS} s after the last fault"
         yield SoakViolation(SoakPromise.BACK_IN_TIME, last + RECOVERY_SECONDS, detail)
 
