--- a/tests/simulator/test_clock.py
+++ b/tests/simulator/test_clock.py
@@ -28,7 +28,7 @@
     loop.run_until_complete(spin())
 
 
-def test_a_process_that_spins_for_ever_is_found_out(loop):
+def test_a_process_that_never_waits_is_detected(loop):
     async def spin():
         while True:
             await asyncio.sleep(0)
