--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -32,7 +32,7 @@
 MIN_ANSWERED_SHARE = 0.97
 """Share of the requests after that which have to be answered: one in a hundred may meet its end
 of the run."""
-LEAST_REQUESTS_AFTER = 20
+MIN_REQUESTS_AFTER_RECOVERY = 20
 LEAST_FLOWS_A_HOST = 10.0
 """New flows a host of a service on average from which one without any is left out: with flows
 chosen at random that happens once in twenty thousand."""
@@ -230,7 +230,7 @@
     after = [each for each in history.requests if each.began_at > last + RECOVERY_SECONDS]
     counts = Counter(each.outcome for each in after)
     answered = counts[RequestOutcome.ANSWERED]
-    if len(after) < LEAST_REQUESTS_AFTER or answered < MIN_ANSWERED_SHARE * len(after):
+    if len(after) < MIN_REQUESTS_AFTER_RECOVERY or answered < MIN_ANSWERED_SHARE * len(after):
         detail = f"{answered} of {len(after)} requests, {RECOVERY_SECONDS} s after the last fault"
         yield SoakViolation(SoakPromise.BACK_IN_TIME, last + RECOVERY_SECONDS, detail)
 
