--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -33,7 +33,7 @@
 """Share of the requests after that which have to be answered: one in a hundred may meet its end
 of the run."""
 MIN_REQUESTS_AFTER_RECOVERY = 20
-LEAST_FLOWS_A_HOST = 10.0
+MIN_FLOWS_PER_HOST = 10.0
 """New flows a host of a service on average from which one without any is left out: with flows
 chosen at random that happens once in twenty thousand."""
 MOST_MEMORY_GROWTH = 1.5
@@ -244,7 +244,7 @@
         by_service[host.service].append(host)
     for hosts in by_service.values():
         flows = sum(counts[host.host_id] for host in hosts)
-        if flows < LEAST_FLOWS_A_HOST * len(hosts):
+        if flows < MIN_FLOWS_PER_HOST * len(hosts):
             continue
         for host in hosts:
             if host.started_at <= last and not counts[host.host_id]:
