--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -36,7 +36,7 @@
 MIN_FLOWS_PER_HOST = 10.0
 """New flows a host of a service on average from which one without any is left out: with flows
 chosen at random that happens once in twenty thousand."""
-MOST_MEMORY_GROWTH = 1.5
+MAX_MEMORY_GROWTH = 1.5
 MEMORY_SLACK_BYTES = 24 << 20
 DESCRIPTOR_SLACK = 24
 
@@ -283,7 +283,7 @@
 
 def _resources(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     for use in history.uses:
-        most_bytes = use.first_bytes * MOST_MEMORY_GROWTH + MEMORY_SLACK_BYTES
+        most_bytes = use.first_bytes * MAX_MEMORY_GROWTH + MEMORY_SLACK_BYTES
         if use.last_bytes > most_bytes:
             detail = f"{use.process}: {use.first_bytes >> 20} MB, then {use.last_bytes >> 20} MB"
             yield SoakViolation(SoakPromise.RESOURCES, history.ends_at, detail)
