--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -25,7 +25,7 @@
 """Within this time an order holds wherever a balancer or the agent has a home."""
 CONFIGURATION_SECONDS = 4.0
 """Age of an acknowledgement from which no replica may answer with an older configuration."""
-PLANNED_CALM_SECONDS = 6.0
+UNPLANNED_FAULT_REACH_SECONDS = 6.0
 """A reset counts as planned work's where no other fault was this near before it."""
 RECOVERY_SECONDS = 6.0
 """Time after the last fault in which the service comes back."""
@@ -213,7 +213,7 @@
             each
             for each in unplanned
             if each.began_at <= reset.at
-            and reset.at <= (each.ended_at or history.ends_at) + PLANNED_CALM_SECONDS
+            and reset.at <= (each.ended_at or history.ends_at) + UNPLANNED_FAULT_REACH_SECONDS
         ]
         if not near:
             detail = f"{reset.flow} at {reset.host_id}"
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -5,9 +5,9 @@
 from jasperwalk_lab.soak.checks import (
     CONFIGURATION_SECONDS,
     HOST_DRAIN_SECONDS,
-    PLANNED_CALM_SECONDS,
     RECOVERY_SECONDS,
     STALL_REACH_SECONDS,
+    UNPLANNED_FAULT_REACH_SECONDS,
     ZONE_DRAIN_SECONDS,
     SoakPromise,
     SoakViolation,
@@ -165,7 +165,7 @@
 def test_a_reset_soon_after_an_unplanned_fault_is_excused():
     made = history(
         resets=[OpenFlowReset(9.0, "flow", "h1")],
-        faults=[fault(FaultKind.AGENT_KILLED, 2.0, 9.1 - PLANNED_CALM_SECONDS)],
+        faults=[fault(FaultKind.AGENT_KILLED, 2.0, 9.1 - UNPLANNED_FAULT_REACH_SECONDS)],
     )
     assert promises(made) == set()
 
