--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -99,7 +99,9 @@
     return sorted(found, key=lambda each: each.at)
 
 
-def not_excused(violations: list[SoakViolation], stalls: list[MachineStall]) -> list[SoakViolation]:
+def without_stall_violations(
+    violations: list[SoakViolation], stalls: list[MachineStall]
+) -> list[SoakViolation]:
     """Leave out promises with a time in them that were broken near a stall of the machine."""
     return [
         each
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -12,7 +12,7 @@
     SoakPromise,
     SoakViolation,
     check_all,
-    not_excused,
+    without_stall_violations,
 )
 from jasperwalk_lab.soak.faults import FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
@@ -213,6 +213,6 @@
     late = SoakViolation(SoakPromise.STOPS_IN_TIME, 30.0, "agent-1")
     twice = SoakViolation(SoakPromise.AT_MOST_ONCE, 30.0, "q1")
     near, far = MachineStall(31.0, 2.0), MachineStall(30.1 + STALL_REACH_SECONDS, 2.0)
-    assert not_excused([late, twice], [near]) == [twice]
-    assert not_excused([late, twice], [far]) == [late, twice]
-    assert not_excused([late, twice], []) == [late, twice]
+    assert without_stall_violations([late, twice], [near]) == [twice]
+    assert without_stall_violations([late, twice], [far]) == [late, twice]
+    assert without_stall_violations([late, twice], []) == [late, twice]
--- a/tests/lab/soak/test_soak_run.py
+++ b/tests/lab/soak/test_soak_run.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from jasperwalk_lab.soak.checks import not_excused
+from jasperwalk_lab.soak.checks import without_stall_violations
 from jasperwalk_lab.soak.run import run_soak
 from jasperwalk_lab.soak.schedule import LAST_FAULT_BEFORE_END_SECONDS
 
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("seed", [101, 20261203])
 def test_every_promise_holds(tmp_path, seed):
     report = asyncio.run(run_soak(SECONDS, seed, tmp_path, lambda _line: None))
-    assert not_excused(report.violations, report.stalls) == []
+    assert without_stall_violations(report.violations, report.stalls) == []
     assert len(report.faults) >= LEAST_KINDS
     assert report.requests["answered"] >= LEAST_ANSWERED
 
@@ -30,6 +30,6 @@
     """The shortest run has rushes and slow hosts, and no time for any other fault."""
     run = run_soak(LAST_FAULT_BEFORE_END_SECONDS, seed, tmp_path, lambda _line: None)
     report = asyncio.run(run)
-    assert not_excused(report.violations, report.stalls) == []
+    assert without_stall_violations(report.violations, report.stalls) == []
     assert report.faults["callers-rush"] == 3
     assert sum(report.refused.values()) > 0
