--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -17,7 +17,7 @@
     SoakHistory,
     ZoneOrdered,
 )
-from jasperwalk_lab.soak.refusal_checks import ran_though_refused, urgency_breaks
+from jasperwalk_lab.soak.refusal_checks import priority_violations, ran_though_refused
 
 HOST_DRAIN_SECONDS = 0.5
 """Acknowledgements of an agent hold at once; the rest is for packets under way."""
@@ -271,7 +271,7 @@
 
 
 def _urgent_first(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
-    for broken in urgency_breaks(history):
+    for broken in priority_violations(history):
         begun = ", ".join(f"{count} at {host}" for host, count in broken.counts.items())
         detail = f"{broken.refused.request_id}; less urgent ones begun after it: {begun}"
         yield SoakViolation(SoakPromise.URGENT_FIRST, broken.refused.at, detail)
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -39,7 +39,7 @@
     at: float
 
 
-def urgency_breaks(
+def priority_violations(
     history: SoakHistory,
     least_share: float = DEFAULT_LEAST_SHARE,
     most_owed: float = MOST_OWED,
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -14,8 +14,8 @@
 from jasperwalk_lab.soak.refusal_checks import (
     FAULT_REACH_SECONDS,
     WAIT_SECONDS,
+    priority_violations,
     ran_though_refused,
-    urgency_breaks,
 )
 
 URGENT, PATIENT = 0, 1
@@ -41,14 +41,14 @@
 
 
 def breaks(made, **bounds):
-    return [each.refused.request_id for each in urgency_breaks(made, **bounds)]
+    return [each.refused.request_id for each in priority_violations(made, **bounds)]
 
 
 AT_BOTH = [opening(h, REFUSED_AT + at) for h in HOSTS for at in (0.2, 0.3)]
 
 
 def test_less_urgent_requests_begun_at_every_host_after_a_refusal_break_the_promise():
-    (found,) = urgency_breaks(history(AT_BOTH))
+    (found,) = priority_violations(history(AT_BOTH))
     assert found.counts == {"h1": 2, "h2": 2}
 
 
