--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -23,7 +23,7 @@
 """Longest time for which an opening can wait before its caller gives up."""
 
 
-class UrgencyBreak(msgspec.Struct, frozen=True):
+class PriorityViolation(msgspec.Struct, frozen=True):
     """An urgent request that was refused while every host began less urgent ones that waited."""
 
     refused: RequestRefused
@@ -44,7 +44,7 @@
     least_share: float = DEFAULT_LEAST_SHARE,
     most_owed: float = MOST_OWED,
     wait_seconds: float = WAIT_SECONDS,
-) -> Iterator[UrgencyBreak]:
+) -> Iterator[PriorityViolation]:
     """Yield the refusals for which less urgent requests were begun at the same host.
 
     A caller does not learn at which host it was refused. A break is therefore certain only where
@@ -75,7 +75,7 @@
             allowed = most_owed + least_share * max(ran, len(begun))
             counts[host_id] = len(late) if len(late) > allowed else 0
         if counts and all(counts.values()):
-            yield UrgencyBreak(refused, counts)
+            yield PriorityViolation(refused, counts)
 
 
 def _first_openings(history: SoakHistory) -> dict[str, list[OpeningReceived]]:
