--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -15,7 +15,7 @@
     SoakHistory,
 )
 
-MOST_OWED = 1.0
+MAX_OWED = 1.0
 """Less urgent requests that a host may owe from before, beside that share."""
 FAULT_REACH_SECONDS = 6.0
 """Refusals within this time after a fault may have other causes than want of room."""
@@ -42,7 +42,7 @@
 def priority_violations(
     history: SoakHistory,
     least_share: float = DEFAULT_LEAST_SHARE,
-    most_owed: float = MOST_OWED,
+    most_owed: float = MAX_OWED,
     wait_seconds: float = WAIT_SECONDS,
 ) -> Iterator[PriorityViolation]:
     """Yield the refusals for which less urgent requests were begun at the same host.
