--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -42,7 +42,7 @@
 def priority_violations(
     history: SoakHistory,
     least_share: float = DEFAULT_LEAST_SHARE,
-    most_owed: float = MAX_OWED,
+    max_owed: float = MAX_OWED,
     wait_seconds: float = WAIT_SECONDS,
 ) -> Iterator[PriorityViolation]:
     """Yield the refusals for which less urgent requests were begun at the same host.
@@ -50,7 +50,7 @@
     A caller does not learn at which host it was refused. A break is therefore certain only where
     each host that it can have been began less urgent openings which were sent before the refusal
     and reached the host after it: more of them than `least_share` of the requests that it ran
-    meanwhile, and `most_owed`.
+    meanwhile, and `max_owed`.
     """
     sent_at = {each.flow: each.at for each in history.asked}
     openings = _first_openings(history)
@@ -72,7 +72,7 @@
                 and sent_at.get(each.flow, refused.at) < refused.at
             ]
             ran = sum(refused.at < at <= refused.at + wait_seconds for at in runs[host_id])
-            allowed = most_owed + least_share * max(ran, len(begun))
+            allowed = max_owed + least_share * max(ran, len(begun))
             counts[host_id] = len(late) if len(late) > allowed else 0
         if counts and all(counts.values()):
             yield PriorityViolation(refused, counts)
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -104,7 +104,7 @@
     )
     assert breaks(made, least_share=0.1) == []
     assert breaks(made, least_share=0.09) == ["q1"]
-    assert breaks(made, least_share=0.0, most_owed=2.0) == []
+    assert breaks(made, least_share=0.0, max_owed=2.0) == []
 
 
 @pytest.mark.parametrize(
