--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -19,7 +19,7 @@
 """Less urgent requests that a host may owe from before, beside that share."""
 FAULT_REACH_SECONDS = 6.0
 """Refusals within this time after a fault may have other causes than want of room."""
-WAIT_SECONDS = 1.4
+MAX_OPENING_WAIT_SECONDS = 1.4
 """Longest time for which an opening can wait before its caller gives up."""
 
 
@@ -43,7 +43,7 @@
     history: SoakHistory,
     least_share: float = DEFAULT_LEAST_SHARE,
     max_owed: float = MAX_OWED,
-    wait_seconds: float = WAIT_SECONDS,
+    wait_seconds: float = MAX_OPENING_WAIT_SECONDS,
 ) -> Iterator[PriorityViolation]:
     """Yield the refusals for which less urgent requests were begun at the same host.
 
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -13,7 +13,7 @@
 )
 from jasperwalk_lab.soak.refusal_checks import (
     FAULT_REACH_SECONDS,
-    WAIT_SECONDS,
+    MAX_OPENING_WAIT_SECONDS,
     priority_violations,
     ran_though_refused,
 )
@@ -60,7 +60,7 @@
     ),
     "they were sent after": history(AT_BOTH, sent_at=REFUSED_AT + 0.1),
     "they began long after": history(
-        [opening(h, REFUSED_AT + WAIT_SECONDS + at) for h in HOSTS for at in (0.1, 0.2)]
+        [opening(h, REFUSED_AT + MAX_OPENING_WAIT_SECONDS + at) for h in HOSTS for at in (0.1, 0.2)]
     ),
     "they are as urgent": history(
         [opening(h, REFUSED_AT + at, URGENT) for h in HOSTS for at in (0.2, 0.3)]
