--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -56,7 +56,7 @@
     openings = _first_openings(history)
     runs = _times_of_runs(history)
     for refused in history.refused:
-        if refused.is_by_host or not _is_for_want_of_room(history, refused.at):
+        if refused.is_by_host or not _is_for_lack_of_capacity(history, refused.at):
             continue
         counts = {}
         for host_id in _hosts_at(history, refused):
@@ -103,7 +103,7 @@
     return list(hosts.values())
 
 
-def _is_for_want_of_room(history: SoakHistory, at: float) -> bool:
+def _is_for_lack_of_capacity(history: SoakHistory, at: float) -> bool:
     """Tell whether nothing but pressure was in the way."""
     return not any(
         fault.began_at <= at <= (fault.ended_at or history.ends_at) + FAULT_REACH_SECONDS
