--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -50,7 +50,7 @@
 }
 
 
-class NoFreeBlock(Exception):
+class NoFreeAddressBlock(Exception):
     """Every block of loopback addresses is taken by another run."""
 
 
@@ -58,7 +58,7 @@
     """Lays the processes out; use it as an asynchronous context."""
 
     def __init__(self, folder: Path, drawn: random.Random, size: SoakSize) -> None:
-        """Lay the processes out on addresses of their own; raises `NoFreeBlock`."""
+        """Lay the processes out on addresses of their own; raises `NoFreeAddressBlock`."""
         self.folder = folder
         self._claim, self._block = _claim_block()
         self._drawn = drawn
@@ -232,4 +232,4 @@
             claim.close()
             continue
         return claim, block
-    raise NoFreeBlock("all blocks are taken")
+    raise NoFreeAddressBlock("all blocks are taken")
