--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -42,7 +42,7 @@
 COLD_SECONDS = 2.0
 CAPACITY = 2
 """Requests that a host works on at once."""
-MOST_QUEUED = 8
+MAX_QUEUED = 8
 """Further requests that it keeps; it turns others away and says that they did not run."""
 REQUEST_MARK = b"request "
 ANSWER_MARK = b"answer "
@@ -256,7 +256,7 @@
         if number in flow.answers:
             self._answer_request(key, flow, packet, flow.answers[number])
         elif number not in flow.running:
-            if len(self._works) >= CAPACITY + MOST_QUEUED:
+            if len(self._works) >= CAPACITY + MAX_QUEUED:
                 flow.answers[number] = NOT_RUN_MARK + _request_id(packet).encode()
                 self._answer_request(key, flow, packet, flow.answers[number])
                 return
