--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -35,7 +35,7 @@
 
 HEARTBEAT_SECONDS = 0.8
 RETRY_SECONDS = 0.1
-WORK_SECONDS = (0.004, 0.03)
+URGENT_SERVICE_SECONDS = (0.004, 0.03)
 """Shortest and longest work on a request of the most urgent routes."""
 NORMAL_SERVICE_SECONDS = (0.08, 0.16)
 """The same for all others."""
@@ -277,7 +277,7 @@
                 flow_name(*key),
             )
             self.history.runs.append(run)
-            shortest, longest = NORMAL_SERVICE_SECONDS if route.priority else WORK_SECONDS
+            shortest, longest = NORMAL_SERVICE_SECONDS if route.priority else URGENT_SERVICE_SECONDS
             await asyncio.sleep(self.service_time_factor * self.drawn.uniform(shortest, longest))
         answer = ANSWER_MARK + request_id.encode() + b" " + self.host_id.encode()
         flow.answers[packet.sequence] = answer
