--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -106,7 +106,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._announcing: asyncio.Task[None] | None = None
-        self._works: set[asyncio.Task[None]] = set()
+        self._running_requests: set[asyncio.Task[None]] = set()
         self._slots = asyncio.Semaphore(CAPACITY)
 
     async def start(self) -> None:
@@ -130,7 +130,7 @@
     async def crash(self) -> None:
         """Forget everything at once, without a word."""
         self.is_alive = False
-        for task in (self._announcing, *self._works):
+        for task in (self._announcing, *self._running_requests):
             if task is not None:
                 task.cancel()
         if self._transport is not None:
@@ -256,14 +256,14 @@
         if number in flow.answers:
             self._answer_request(key, flow, packet, flow.answers[number])
         elif number not in flow.running:
-            if len(self._works) >= CAPACITY + MAX_QUEUED:
+            if len(self._running_requests) >= CAPACITY + MAX_QUEUED:
                 flow.answers[number] = NOT_RUN_MARK + _request_id(packet).encode()
                 self._answer_request(key, flow, packet, flow.answers[number])
                 return
             flow.running.add(number)
             task = asyncio.create_task(self._run(key, flow, packet))
-            self._works.add(task)
-            task.add_done_callback(self._works.discard)
+            self._running_requests.add(task)
+            task.add_done_callback(self._running_requests.discard)
 
     async def _run(self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet) -> None:
         request_id, route = _request_id(packet), self.route_of(packet.target)
