--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -213,7 +213,7 @@
             return
         key = (packet.source, packet.target)
         if packet.flags & SYN:
-            self._take_opening(key, packet, datagram)
+            self._handle_opening(key, packet, datagram)
             return
         flow = self.flows.get(key)
         if flow is None or not self._belongs(flow, packet):
@@ -229,7 +229,7 @@
         """Tell whether a packet follows this host's answer up."""
         return flow.is_open or (packet.acknowledged - flow.sequence) % 2**32 < 2**16
 
-    def _take_opening(
+    def _handle_opening(
         self, key: tuple[Endpoint, Endpoint], packet: Packet, datagram: bytes
     ) -> None:
         route = self.route_of(packet.target)
