--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -223,7 +223,7 @@
         if packet.flags & (FIN | RST):
             del self.flows[key]
         elif packet.data:
-            self._take_request(key, flow, packet)
+            self._handle_request(key, flow, packet)
 
     def _belongs(self, flow: HostFlow, packet: Packet) -> bool:
         """Tell whether a packet follows this host's answer up."""
@@ -251,7 +251,9 @@
             flow = self.flows[key] = HostFlow(self.drawn.randrange(2**32))
         self._answer(key, flow.sequence, packet.sequence + 1, SYN | ACK, b"")
 
-    def _take_request(self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet) -> None:
+    def _handle_request(
+        self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet
+    ) -> None:
         number = packet.sequence
         if number in flow.answers:
             self._answer_request(key, flow, packet, flow.answers[number])
