--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -192,7 +192,7 @@
         await caller.call(self.place.calls, "PUT", heartbeat.path(), heartbeat.body())
         caller.close()
 
-    async def announce_like_other_writers(self) -> None:
+    async def announce_invalid(self) -> None:
         """Send announcements that name no host to use, under this host's name."""
         heartbeat = self._heartbeat()
         for body in heartbeat.bodies_of_other_writers():
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -246,7 +246,7 @@
             await asyncio.sleep(fault.seconds * self._drawn.uniform(0.0, 0.5))
 
     async def _impersonate_host(self, fault: PlannedFault) -> None:
-        await self._hosts.beside(fault.target).announce_like_other_writers()
+        await self._hosts.beside(fault.target).announce_invalid()
 
     async def _storm_configurations(self, fault: PlannedFault) -> None:
         ends_at = self._clock() + fault.seconds
