--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -195,7 +195,7 @@
     async def announce_invalid(self) -> None:
         """Send announcements that name no host to use, under this host's name."""
         heartbeat = self._heartbeat()
-        for body in heartbeat.bodies_of_other_writers():
+        for body in heartbeat.invalid_bodies():
             answer = await self._caller.call(self.place.calls, "PUT", heartbeat.path(), body)
             if answer.status == OK_STATUS:
                 taken = InvalidAnnouncementAccepted(self.clock(), self.place.name, body[:200])
--- a/src/jasperwalk_lab/soak/wire.py
+++ b/src/jasperwalk_lab/soak/wire.py
@@ -123,7 +123,7 @@
         """Return the body of the call."""
         return json.dumps(self.document()).encode()
 
-    def bodies_of_other_writers(self) -> list[bytes]:
+    def invalid_bodies(self) -> list[bytes]:
         """Return bodies like this one that name no host to use: each has one fault."""
         document, whole = self.document(), self.body()
         without = [{k: v for k, v in document.items() if k != name} for name in NEEDED_FIELDS]
