--- a/src/jasperwalk_lab/soak/wire.py
+++ b/src/jasperwalk_lab/soak/wire.py
@@ -20,7 +20,7 @@
 CONFIG_PATH = "/config"
 READY_PATH = "/readiness"
 NEEDED_FIELDS = ("service", "address", "capacity", "state", "callSeq")
-OTHER_VALUES: tuple[tuple[str, object], ...] = (
+INVALID_VALUES: tuple[tuple[str, object], ...] = (
     ("service", 7),
     ("service", "unnamed"),
     ("address", "198.51.100.9:1"),
@@ -127,7 +127,7 @@
         """Return bodies like this one that name no host to use: each has one fault."""
         document, whole = self.document(), self.body()
         without = [{k: v for k, v in document.items() if k != name} for name in NEEDED_FIELDS]
-        changed = [{**document, name: value} for name, value in OTHER_VALUES]
+        changed = [{**document, name: value} for name, value in INVALID_VALUES]
         unreadable = [b"", b"[]", whole[:-3], whole.replace(b'"v1"', b'"\xff\xfe"'), b"\x00" * 64]
         return [*(json.dumps(each).encode() for each in (*without, *changed)), *unreadable]
 
