--- a/src/jasperwalk_lab/soak/wire.py
+++ b/src/jasperwalk_lab/soak/wire.py
@@ -19,7 +19,7 @@
 """Environment variable with the path of a process's settings file."""
 CONFIG_PATH = "/config"
 READY_PATH = "/readiness"
-NEEDED_FIELDS = ("service", "address", "capacity", "state", "callSeq")
+REQUIRED_FIELDS = ("service", "address", "capacity", "state", "callSeq")
 INVALID_VALUES: tuple[tuple[str, object], ...] = (
     ("service", 7),
     ("service", "unnamed"),
@@ -126,7 +126,7 @@
     def invalid_bodies(self) -> list[bytes]:
         """Return bodies like this one that name no host to use: each has one fault."""
         document, whole = self.document(), self.body()
-        without = [{k: v for k, v in document.items() if k != name} for name in NEEDED_FIELDS]
+        without = [{k: v for k, v in document.items() if k != name} for name in REQUIRED_FIELDS]
         changed = [{**document, name: value} for name, value in INVALID_VALUES]
         unreadable = [b"", b"[]", whole[:-3], whole.replace(b'"v1"', b'"\xff\xfe"'), b"\x00" * 64]
         return [*(json.dumps(each).encode() for each in (*without, *changed)), *unreadable]
