--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class KeptConnection:
+class IdleConnection:
     """An open connection with no call on it."""
 
     reader: asyncio.StreamReader
@@ -46,7 +46,7 @@
     """Makes the calls of one stand-in."""
 
     def __init__(self) -> None:
-        self._kept: dict[Endpoint, list[KeptConnection]] = defaultdict(list)
+        self._kept: dict[Endpoint, list[IdleConnection]] = defaultdict(list)
 
     async def call(
         self,
@@ -70,14 +70,14 @@
                 each.writer.transport.abort()
         self._kept.clear()
 
-    async def _connection(self, endpoint: Endpoint) -> KeptConnection:
+    async def _connection(self, endpoint: Endpoint) -> IdleConnection:
         kept = self._kept[endpoint]
         while kept:
             connection = kept.pop()
             if connection.is_usable():
                 return connection
         reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
-        return KeptConnection(reader, writer)
+        return IdleConnection(reader, writer)
 
     async def _call(self, endpoint: Endpoint, method: str, path: str, body: bytes) -> CallAnswer:
         connection = await self._connection(endpoint)
