--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -16,7 +16,7 @@
 
 CALL_SECONDS = 1.0
 """A caller of the platform moves on after a second of silence."""
-MOST_BYTES = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
@@ -95,6 +95,6 @@
 async def _read_answer(reader: asyncio.StreamReader) -> CallAnswer:
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
-    length = min(int(headers.get("content-length", "0")), MOST_BYTES)
+    length = min(int(headers.get("content-length", "0")), MAX_BODY_BYTES)
     body = await reader.readexactly(length)
     return CallAnswer(int(lines[0].split()[1]), body, headers.get("location", ""))
