--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -14,7 +14,7 @@
 
 from jasperwalk.addresses import Endpoint
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """A caller of the platform moves on after a second of silence."""
 MAX_BODY_BYTES = 1 << 20
 
@@ -54,7 +54,7 @@
         method: str,
         path: str,
         body: bytes = b"",
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> CallAnswer:
         """Make one call; a failure is an answer without a status."""
         try:
