--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -16,7 +16,7 @@
 from jasperwalk_lab.soak.http_calls import CallAnswer, HttpCaller
 from jasperwalk_lab.soak.wire import CONFIG_PATH, SoakConfiguration, evacuation_path, version_of
 
-REPEAT_SECONDS = 6.0
+ORDER_REPEAT_SECONDS = 6.0
 """How long an order for a zone is repeated."""
 RETRY_SECONDS = (0.05, 0.1, 0.2, 0.4)
 REDIRECTS = 2
@@ -89,7 +89,7 @@
         """Order a zone drained or restored, again and again for a limited time."""
         sent_at = self._clock()
         method = "POST" if drained else "DELETE"
-        is_taken = await self._order(method, evacuation_path(zone), b"", REPEAT_SECONDS)
+        is_taken = await self._order(method, evacuation_path(zone), b"", ORDER_REPEAT_SECONDS)
         ended_at = self._clock()
         ended = (ended_at, None) if is_taken else (None, ended_at)
         self._history.zones.append(ZoneOrdered(zone, drained, sent_at, *ended))
