--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -19,7 +19,7 @@
 ORDER_REPEAT_SECONDS = 6.0
 """How long an order for a zone is repeated."""
 RETRY_SECONDS = (0.05, 0.1, 0.2, 0.4)
-REDIRECTS = 2
+MAX_REDIRECTS = 2
 CHANGE_PAUSE_SECONDS = (0.5, 2.5)
 READ_PAUSE_SECONDS = 0.7
 READ_AT_END_SECONDS = 8.0
@@ -108,7 +108,7 @@
 
     async def _follow(self, replica: Endpoint, method: str, path: str, body: bytes) -> CallAnswer:
         answer = await self._caller.call(replica, method, path, body)
-        for _ in range(REDIRECTS):
+        for _ in range(MAX_REDIRECTS):
             if answer.status != REDIRECT_STATUS:
                 break
             host, _, rest = answer.location.removeprefix("http://").partition(":")
