--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -63,7 +63,7 @@
             racing = [self.configure() for _ in range(self._drawn.choice((1, 1, 2)))]
             await asyncio.gather(*racing)
 
-    async def read_again(self) -> None:
+    async def read_repeatedly(self) -> None:
         """Read the configuration back from any replica, until cancelled."""
         while True:
             await asyncio.sleep(READ_PAUSE_SECONDS)
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -140,7 +140,7 @@
             for job in (
                 self._router.run(),
                 self._operators.change_configurations(),
-                self._operators.read_again(),
+                self._operators.read_repeatedly(),
                 self._watch(),
                 self._short_requests(),
                 *self._long_requests(),
