--- a/src/jasperwalk_lab/soak/processes.py
+++ b/src/jasperwalk_lab/soak/processes.py
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 RUN_SCRIPT = ROOT / "platform" / "run.py"
-STOP_SECONDS = 8.0
+STOP_GRACE_SECONDS = 8.0
 """From SIGTERM to SIGKILL: an agent may wait for a host that leaves."""
 
 
@@ -55,7 +55,7 @@
         Returns whether it ended in time; while it stands still its time does not run.
         """
         self._check_runs()
-        status = await self.supervisor.stop(self.name, STOP_SECONDS)
+        status = await self.supervisor.stop(self.name, STOP_GRACE_SECONDS)
         return status != -signal.SIGKILL
 
     async def pause(self, seconds: float) -> None:
