--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -42,7 +42,7 @@
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._standing: list[LinkCondition] = []
+        self._connection_conditions: list[LinkCondition] = []
         """One for each connection: it holds for that connection alone."""
         self.condition = LinkCondition()
 
@@ -57,19 +57,19 @@
         if self._server is not None:
             self._server.close()
         self.reset()
-        while self._standing:
+        while self._connection_conditions:
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
     def reset(self) -> None:
         """End every connection with a reset, also those that were silenced."""
-        for own in self._standing:
+        for own in self._connection_conditions:
             own.silent_forth = own.silent_back = False
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_standing(self, forth: bool = True, back: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
-        for own in self._standing:
+        for own in self._connection_conditions:
             own.silent_forth |= forth
             own.silent_back |= back
 
@@ -83,7 +83,7 @@
             return
         self._writers |= {writer, far_writer}
         own = LinkCondition()
-        self._standing.append(own)
+        self._connection_conditions.append(own)
         pumps = [
             asyncio.create_task(self._pump(reader, far_writer, own, forth=True)),
             asyncio.create_task(self._pump(far_reader, writer, own, forth=False)),
@@ -95,7 +95,9 @@
                 pump.cancel()
             await asyncio.gather(*pumps, return_exceptions=True)
             self._writers -= {writer, far_writer}
-            self._standing = [each for each in self._standing if each is not own]
+            self._connection_conditions = [
+                each for each in self._connection_conditions if each is not own
+            ]
             writer.transport.abort()
             far_writer.transport.abort()
 
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -90,7 +90,7 @@
         relay = TcpRelay(free_endpoint(), Endpoint(*server.sockets[0].getsockname()))
         await relay.start()
         _, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
-        while not relay._standing:
+        while not relay._connection_conditions:
             await asyncio.sleep(0)
         relay.silence_standing()
         writer.transport.abort()
