--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -153,7 +153,7 @@
         """Bind; raises `OSError`."""
         loop = asyncio.get_running_loop()
         self._front, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.carry_forth),
+            lambda: DatagramReceiver(self.forward_to_target),
             local_addr=(self.listen.host, self.listen.port),
         )
 
@@ -163,7 +163,7 @@
             if transport is not None:
                 transport.close()
 
-    def carry_forth(self, data: bytes, client: Address) -> None:
+    def forward_to_target(self, data: bytes, client: Address) -> None:
         """Carry a datagram to the agent."""
         transport = self._clients.get(client)
         if transport is not None:
