--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -179,7 +179,7 @@
     async def _open(self, client: Address) -> None:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(lambda data, _: self.carry_back(data, client)),
+            lambda: DatagramReceiver(lambda data, _: self.forward_to_client(data, client)),
             local_addr=(self.source_host, 0),
             remote_addr=(self.target.host, self.target.port),
         )
@@ -187,7 +187,7 @@
         for data in self._opening.pop(client, []):
             self._pass_on(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
 
-    def carry_back(self, data: bytes, client: Address) -> None:
+    def forward_to_client(self, data: bytes, client: Address) -> None:
         """Carry the agent's answer to whom it is for."""
         front = self._front
         if front is not None:
