--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -167,7 +167,7 @@
         """Carry a datagram to the agent."""
         transport = self._clients.get(client)
         if transport is not None:
-            self._pass_on(True, lambda: transport.sendto(data))
+            self._forward(True, lambda: transport.sendto(data))
             return
         waiting = self._opening.setdefault(client, [])
         waiting.append(data)
@@ -185,15 +185,15 @@
         )
         self._clients[client] = transport
         for data in self._opening.pop(client, []):
-            self._pass_on(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
+            self._forward(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
 
     def forward_to_client(self, data: bytes, client: Address) -> None:
         """Carry the agent's answer to whom it is for."""
         front = self._front
         if front is not None:
-            self._pass_on(False, lambda: front.sendto(data, client))
+            self._forward(False, lambda: front.sendto(data, client))
 
-    def _pass_on(self, forth: bool, send: Callable[[], None]) -> None:
+    def _forward(self, forth: bool, send: Callable[[], None]) -> None:
         condition = self.condition
         if condition.is_silent(forth) or self.drawn.random() < condition.loss:
             return
