--- a/src/jasperwalk_lab/soak/routes.py
+++ b/src/jasperwalk_lab/soak/routes.py
@@ -11,7 +11,7 @@
 NORMAL_PORT_OFFSET = 1
 URGENT_PRIORITY, NORMAL_PRIORITY = 0, 1
 URGENT_OBJECTIVE_MS, NORMAL_OBJECTIVE_MS = 250, 800
-URGENT_LIMIT_MS, PATIENT_LIMIT_MS = 1500, 2500
+URGENT_LIMIT_MS, NORMAL_LIMIT_MS = 1500, 2500
 
 
 def _urgent(service: str, port: int) -> SoakRoute:
@@ -21,7 +21,7 @@
 
 def _patient(service: str, port: int) -> SoakRoute:
     listener = Endpoint(LISTENER_HOST, port + NORMAL_PORT_OFFSET)
-    return SoakRoute(listener, service, NORMAL_PRIORITY, NORMAL_OBJECTIVE_MS, PATIENT_LIMIT_MS)
+    return SoakRoute(listener, service, NORMAL_PRIORITY, NORMAL_OBJECTIVE_MS, NORMAL_LIMIT_MS)
 
 
 ROUTES = (
