--- a/src/jasperwalk_lab/soak/routes.py
+++ b/src/jasperwalk_lab/soak/routes.py
@@ -19,14 +19,14 @@
     return SoakRoute(listener, service, URGENT_PRIORITY, URGENT_OBJECTIVE_MS, URGENT_LIMIT_MS)
 
 
-def _patient(service: str, port: int) -> SoakRoute:
+def _normal(service: str, port: int) -> SoakRoute:
     listener = Endpoint(LISTENER_HOST, port + NORMAL_PORT_OFFSET)
     return SoakRoute(listener, service, NORMAL_PRIORITY, NORMAL_OBJECTIVE_MS, NORMAL_LIMIT_MS)
 
 
 ROUTES = (
     *(_urgent(service, port) for service, port in URGENT_PORTS.items()),
-    *(_patient(service, port) for service, port in URGENT_PORTS.items()),
+    *(_normal(service, port) for service, port in URGENT_PORTS.items()),
 )
 BY_LISTENER = {route.listener: route for route in ROUTES}
 
