--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -30,7 +30,7 @@
 from jasperwalk_lab.soak.wire import READY_PATH, SoakConfiguration, SoakRoute
 
 COLD_FLOWS_PER_SECOND = 8.0
-MOST_COLD_FLOWS = 8
+MAX_COLD_FLOWS_PER_SECOND = 8
 """What the agents keep to; the check counts what reaches the hosts."""
 LONG_PAUSE_SECONDS = 0.6
 READY_SECONDS = 60.0
@@ -56,7 +56,7 @@
         soak = Soak(fleet, size, seconds, seed, progress)
         await soak.run()
         progress("stopping the processes")
-    violations = check_all(soak.history, MOST_COLD_FLOWS)
+    violations = check_all(soak.history, MAX_COLD_FLOWS_PER_SECOND)
     report = make_report(seed, seconds, soak.history, violations)
     (folder / "history.json").write_bytes(msgspec.json.encode(vars(soak.history)))
     (folder / "report.json").write_bytes(msgspec.json.encode(report))
