--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -36,7 +36,7 @@
 READY_SECONDS = 60.0
 FIRST_USE_SECONDS = 1.5
 PROGRESS_SECONDS = 5.0
-WATCH_SECONDS = 0.2
+MONITOR_INTERVAL_SECONDS = 0.2
 STALL_SECONDS = 0.5
 """Lateness of the run's own watch that is told as a stall of the machine."""
 QUIET_SECONDS = RECOVERY_SECONDS + 4.0
@@ -196,8 +196,8 @@
         told_at = 0.0
         while True:
             slept_at = self._clock()
-            await asyncio.sleep(WATCH_SECONDS)
-            late_seconds = self._clock() - slept_at - WATCH_SECONDS
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
+            late_seconds = self._clock() - slept_at - MONITOR_INTERVAL_SECONDS
             if late_seconds > STALL_SECONDS:
                 self.history.stalls.append(MachineStall(self._clock(), round(late_seconds, 2)))
             for name in self._fleet.supervisor.ended_early():
