--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -141,7 +141,7 @@
                 self._router.run(),
                 self._operators.change_configurations(),
                 self._operators.read_repeatedly(),
-                self._watch(),
+                self._monitor(),
                 self._short_requests(),
                 *self._long_requests(),
             )
@@ -191,7 +191,7 @@
                 tasks.create_task(self._callers.request_once(listener))
                 await asyncio.sleep(self._drawn.expovariate(self._size.short_requests_per_second))
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         """Note processes that end by themselves, and tell how the run goes."""
         told_at = 0.0
         while True:
