--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -207,9 +207,9 @@
                 self._first_use = {n: each.use() for n, each in self._fleet.processes.items()}
             if self._clock() - told_at >= PROGRESS_SECONDS:
                 told_at = self._clock()
-                self._tell(told_at)
+                self._report_progress(told_at)
 
-    def _tell(self, now: float) -> None:
+    def _report_progress(self, now: float) -> None:
         counts = Counter(each.outcome.value for each in self.history.requests)
         told = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         faults = "; ".join(self._injector.now) or "none"
