--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -134,7 +134,7 @@
         await self._operators.configure()
         await self._until_ready()
         self._began_at = time.monotonic()
-        self._forget_the_start()
+        self._discard_startup()
         background = [
             asyncio.create_task(job)
             for job in (
@@ -160,7 +160,7 @@
         for host in self._hosts.all():
             await host.crash()
 
-    def _forget_the_start(self) -> None:
+    def _discard_startup(self) -> None:
         """Count times from here; the configuration of before still has to be held."""
         self.history.openings.clear()
         self.history.hosts_began = [
