--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -39,7 +39,7 @@
 MONITOR_INTERVAL_SECONDS = 0.2
 STALL_SECONDS = 0.5
 """Lateness of the run's own watch that is told as a stall of the machine."""
-QUIET_SECONDS = RECOVERY_SECONDS + 4.0
+OBSERVATION_SECONDS = RECOVERY_SECONDS + 4.0
 """Time after the last fault in which it is seen whether requests are answered and hosts used."""
 OK_STATUS = 200
 
@@ -149,7 +149,7 @@
         try:
             await self._injector.run(self._planned)
             # Long enough for the checks that all is back, also after a late end of a fault.
-            await asyncio.sleep(max(QUIET_SECONDS, self._seconds - self._clock()))
+            await asyncio.sleep(max(OBSERVATION_SECONDS, self._seconds - self._clock()))
         finally:
             await _cancel(background)
         self.history.ends_at = self._clock()
