--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -34,7 +34,7 @@
 """What the agents keep to; the check counts what reaches the hosts."""
 LONG_PAUSE_SECONDS = 0.6
 READY_SECONDS = 60.0
-FIRST_USE_SECONDS = 1.5
+FIRST_SAMPLE_SECONDS = 1.5
 PROGRESS_SECONDS = 5.0
 MONITOR_INTERVAL_SECONDS = 0.2
 STALL_SECONDS = 0.5
@@ -203,7 +203,7 @@
             for name in self._fleet.supervisor.ended_early():
                 if name not in self.history.ended_processes:
                     self.history.ended_processes.append(name)
-            if not self._first_use and self._clock() > FIRST_USE_SECONDS:
+            if not self._first_use and self._clock() > FIRST_SAMPLE_SECONDS:
                 self._first_use = {n: each.use() for n, each in self._fleet.processes.items()}
             if self._clock() - told_at >= PROGRESS_SECONDS:
                 told_at = self._clock()
