--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -109,7 +109,7 @@
             progress,
             self._drawn,
         )
-        self._first_use: dict[str, tuple[int, int]] = {}
+        self._first_sample: dict[str, tuple[int, int]] = {}
 
     def _clock(self) -> float:
         return time.monotonic() - self._began_at
@@ -203,8 +203,8 @@
             for name in self._fleet.supervisor.ended_early():
                 if name not in self.history.ended_processes:
                     self.history.ended_processes.append(name)
-            if not self._first_use and self._clock() > FIRST_SAMPLE_SECONDS:
-                self._first_use = {n: each.use() for n, each in self._fleet.processes.items()}
+            if not self._first_sample and self._clock() > FIRST_SAMPLE_SECONDS:
+                self._first_sample = {n: each.use() for n, each in self._fleet.processes.items()}
             if self._clock() - told_at >= PROGRESS_SECONDS:
                 told_at = self._clock()
                 self._report_progress(told_at)
@@ -217,7 +217,7 @@
 
     def _record_resources(self) -> None:
         for name, process in self._fleet.processes.items():
-            first, last = self._first_use.get(name, (0, 0)), process.use()
+            first, last = self._first_sample.get(name, (0, 0)), process.use()
             if all(first) and all(last):
                 use = ProcessResources(name, first[0], last[0], first[1], last[1])
                 self.history.uses.append(use)
