--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -90,11 +90,9 @@
             route_of,
             self._drawn,
         )
-        ordinary_per_second = (
-            size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
-        )
+        normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
         rushing = SurgeCallers(
-            self._callers.request_once, ROUTES, ZONES, ordinary_per_second, self._drawn
+            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._drawn
         )
         self._operators = Operators(
             fleet.replicas(), _configuration, self._clock, self.history, self._drawn
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -30,13 +30,13 @@
         request_once: RequestOnce,
         routes: Sequence[SoakRoute],
         zones: Sequence[str],
-        ordinary_per_second: float,
+        normal_per_second: float,
         drawn: random.Random,
     ) -> None:
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
-        self._per_second = min(SURGE_FACTOR * ordinary_per_second, MAX_REQUESTS_PER_SECOND)
+        self._per_second = min(SURGE_FACTOR * normal_per_second, MAX_REQUESTS_PER_SECOND)
         self._drawn = drawn
 
     async def rush(self, rush: Surge, seconds: float) -> None:
