--- a/src/jasperwalk_lab/load/flows.py
+++ b/src/jasperwalk_lab/load/flows.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.caller import Caller, Connection
 
-OPENING_AT_ONCE = 8
+MAX_CONCURRENT_OPENS = 8
 """Connections opened side by side at the start, so that handshakes don't crowd."""
 
 
@@ -120,8 +120,8 @@
 
     async def open_all(self) -> None:
         """Open the flow of every rank."""
-        for first in range(0, self._count, OPENING_AT_ONCE):
-            ranks = range(first, min(first + OPENING_AT_ONCE, self._count))
+        for first in range(0, self._count, MAX_CONCURRENT_OPENS):
+            ranks = range(first, min(first + MAX_CONCURRENT_OPENS, self._count))
             await asyncio.gather(*(self.flow(rank).connection() for rank in ranks))
 
     def flow(self, rank: int) -> Flow:
