--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -202,7 +202,7 @@
     async def _abandon_links(self, _fault: PlannedFault) -> None:
         """Let nothing through on any connection to a replica that stands; new ones work."""
         for relay in self._fleet.control_relays.values():
-            relay.silence_standing()
+            relay.silence_open_connections()
 
     async def _deliver_late_announcement(self, fault: PlannedFault) -> None:
         """Let a host crash, another start in its place, and a call of the former one arrive."""
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -67,7 +67,7 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence_standing(self, forth: bool = True, back: bool = True) -> None:
+    def silence_open_connections(self, forth: bool = True, back: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
         for own in self._connection_conditions:
             own.silent_forth |= forth
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -161,7 +161,7 @@
     async def scenario():
         async with Peers(QUICK) as peers:
             before = peers.served()
-            peers.relay.silence_standing(forth, back)
+            peers.relay.silence_open_connections(forth, back)
             await until(lambda: peers.served() and not peers.served() & before)
             await until(lambda: peers.networks[1].send(2, FullReportRequest()))
             await until(lambda: peers.received == [(1, FullReportRequest())])
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -292,7 +292,7 @@
         node = start(Node(home.advertised, role=NodeRole.AGENT))
         await until(lambda: home.directory.counts()["agent"] == 1)
         served = set(home.links._links)
-        relay.silence_standing(forth, back)
+        relay.silence_open_connections(forth, back)
         await until(lambda: node.linked[1:3] == [False, True])
         await until(lambda: home.links._links and not home.links._links & served)
         await until(lambda: home.directory.counts()["agent"] == 1)
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -64,7 +64,7 @@
     async def scenario(relay, reader, writer):
         writer.write(b"hello")
         await reader.readexactly(5)
-        relay.silence_standing()
+        relay.silence_open_connections()
         writer.write(b"again")
         anew, to_anew = await asyncio.open_connection(relay._listen.host, relay._listen.port)
         to_anew.write(b"hello")
@@ -92,7 +92,7 @@
         _, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
         while not relay._connection_conditions:
             await asyncio.sleep(0)
-        relay.silence_standing()
+        relay.silence_open_connections()
         writer.transport.abort()
         await asyncio.sleep(SHORT_SECONDS)
         assert not ended.is_set()
