--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -26,12 +26,12 @@
 
     loss: float = 0.0
     delay_seconds: float = 0.0
-    silent_forth: bool = False
+    silent_forward: bool = False
     silent_back: bool = False
 
     def is_silent(self, forth: bool) -> bool:
         """Tell whether nothing gets through that way."""
-        return self.silent_forth if forth else self.silent_back
+        return self.silent_forward if forth else self.silent_back
 
 
 class TcpRelay:
@@ -63,14 +63,14 @@
     def reset(self) -> None:
         """End every connection with a reset, also those that were silenced."""
         for own in self._connection_conditions:
-            own.silent_forth = own.silent_back = False
+            own.silent_forward = own.silent_back = False
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_open_connections(self, forth: bool = True, back: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
         for own in self._connection_conditions:
-            own.silent_forth |= forth
+            own.silent_forward |= forth
             own.silent_back |= back
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -49,7 +49,7 @@
 
 def test_a_silent_tcp_relay_holds_bytes_back_and_carries_them_later():
     async def scenario(relay, reader, writer):
-        relay.condition = LinkCondition(silent_forth=True)
+        relay.condition = LinkCondition(silent_forward=True)
         writer.write(b"hello")
         arrived = asyncio.create_task(reader.readexactly(5))
         await asyncio.sleep(SHORT_SECONDS)
