--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -48,12 +48,12 @@
     (FaultKind.CONTROL_SIGNALLED, FaultKind.BALANCER_SIGNALLED, FaultKind.AGENT_SIGNALLED)
 )
 LINKS = {
-    FaultKind.CONTROL_LINKS_SILENT: LinkCondition(silent_forward=True, silent_back=True),
-    FaultKind.CONTROL_LINKS_ONE_WAY: LinkCondition(silent_back=True),
+    FaultKind.CONTROL_LINKS_SILENT: LinkCondition(silent_forward=True, silent_backward=True),
+    FaultKind.CONTROL_LINKS_ONE_WAY: LinkCondition(silent_backward=True),
     FaultKind.CONTROL_LINKS_SLOW: LinkCondition(delay_seconds=SLOW_LINK_SECONDS),
     FaultKind.AGENT_LINKS_LOSSY: LinkCondition(loss=LINK_LOSS),
-    FaultKind.AGENT_LINKS_SILENT: LinkCondition(silent_forward=True, silent_back=True),
-    FaultKind.AGENT_LINKS_ONE_WAY: LinkCondition(silent_back=True),
+    FaultKind.AGENT_LINKS_SILENT: LinkCondition(silent_forward=True, silent_backward=True),
+    FaultKind.AGENT_LINKS_ONE_WAY: LinkCondition(silent_backward=True),
 }
 STORAGE = {
     FaultKind.STORAGE_SLOW: f"slow {SLOW_STORAGE_SECONDS}",
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -27,11 +27,11 @@
     loss: float = 0.0
     delay_seconds: float = 0.0
     silent_forward: bool = False
-    silent_back: bool = False
+    silent_backward: bool = False
 
     def is_silent(self, forth: bool) -> bool:
         """Tell whether nothing gets through that way."""
-        return self.silent_forward if forth else self.silent_back
+        return self.silent_forward if forth else self.silent_backward
 
 
 class TcpRelay:
@@ -63,7 +63,7 @@
     def reset(self) -> None:
         """End every connection with a reset, also those that were silenced."""
         for own in self._connection_conditions:
-            own.silent_forward = own.silent_back = False
+            own.silent_forward = own.silent_backward = False
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -71,7 +71,7 @@
         """Let nothing more through on the connections that stand, that way; nobody is told."""
         for own in self._connection_conditions:
             own.silent_forward |= forth
-            own.silent_back |= back
+            own.silent_backward |= back
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
