--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -22,16 +22,16 @@
 
 @dataclass
 class LinkCondition:
-    """How a relay treats what it carries; `forth` is towards the process behind it."""
+    """How a relay treats what it carries; `forward` is towards the process behind it."""
 
     loss: float = 0.0
     delay_seconds: float = 0.0
     silent_forward: bool = False
     silent_backward: bool = False
 
-    def is_silent(self, forth: bool) -> bool:
+    def is_silent(self, forward: bool) -> bool:
         """Tell whether nothing gets through that way."""
-        return self.silent_forward if forth else self.silent_backward
+        return self.silent_forward if forward else self.silent_backward
 
 
 class TcpRelay:
@@ -67,10 +67,10 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence_open_connections(self, forth: bool = True, back: bool = True) -> None:
+    def silence_open_connections(self, forward: bool = True, back: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
         for own in self._connection_conditions:
-            own.silent_forward |= forth
+            own.silent_forward |= forward
             own.silent_backward |= back
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -85,8 +85,8 @@
         own = LinkCondition()
         self._connection_conditions.append(own)
         pumps = [
-            asyncio.create_task(self._pump(reader, far_writer, own, forth=True)),
-            asyncio.create_task(self._pump(far_reader, writer, own, forth=False)),
+            asyncio.create_task(self._pump(reader, far_writer, own, forward=True)),
+            asyncio.create_task(self._pump(far_reader, writer, own, forward=False)),
         ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
@@ -106,17 +106,17 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         own: LinkCondition,
-        forth: bool,
+        forward: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.condition.delay_seconds:
                     await asyncio.sleep(self.condition.delay_seconds)
-                while self.condition.is_silent(forth) or own.is_silent(forth):
+                while self.condition.is_silent(forward) or own.is_silent(forward):
                     await asyncio.sleep(SILENCE_POLL_SECONDS)
                 writer.write(data)
                 await writer.drain()
-        while own.is_silent(forth):
+        while own.is_silent(forward):
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
 
@@ -193,9 +193,9 @@
         if front is not None:
             self._forward(False, lambda: front.sendto(data, client))
 
-    def _forward(self, forth: bool, send: Callable[[], None]) -> None:
+    def _forward(self, forward: bool, send: Callable[[], None]) -> None:
         condition = self.condition
-        if condition.is_silent(forth) or self.drawn.random() < condition.loss:
+        if condition.is_silent(forward) or self.drawn.random() < condition.loss:
             return
         if condition.delay_seconds:
             asyncio.get_running_loop().call_later(condition.delay_seconds, send)
