--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -67,11 +67,11 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence_open_connections(self, forward: bool = True, back: bool = True) -> None:
+    def silence_open_connections(self, forward: bool = True, backward: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
         for own in self._connection_conditions:
             own.silent_forward |= forward
-            own.silent_backward |= back
+            own.silent_backward |= backward
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -157,11 +157,11 @@
     [(True, True), (True, False), (False, True)],
     ids=["both ways", "to the peer", "from the peer"],
 )
-def test_a_link_that_goes_silent_without_a_reset_is_replaced_on_both_sides(forward, back):
+def test_a_link_that_goes_silent_without_a_reset_is_replaced_on_both_sides(forward, backward):
     async def scenario():
         async with Peers(QUICK) as peers:
             before = peers.served()
-            peers.relay.silence_open_connections(forward, back)
+            peers.relay.silence_open_connections(forward, backward)
             await until(lambda: peers.served() and not peers.served() & before)
             await until(lambda: peers.networks[1].send(2, FullReportRequest()))
             await until(lambda: peers.received == [(1, FullReportRequest())])
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -278,7 +278,7 @@
     ids=["both ways", "to the home", "from the home"],
 )
 def test_a_link_that_goes_silent_without_a_reset_is_replaced_and_the_node_stays_listed(
-    play, monkeypatch, forward, back
+    play, monkeypatch, forward, backward
 ):
     monkeypatch.setattr(home_link, "PING_SECONDS", 0.05)
     monkeypatch.setattr(home_link, "SILENCE_SECONDS", 0.3)
@@ -292,7 +292,7 @@
         node = start(Node(home.advertised, role=NodeRole.AGENT))
         await until(lambda: home.directory.counts()["agent"] == 1)
         served = set(home.links._links)
-        relay.silence_open_connections(forward, back)
+        relay.silence_open_connections(forward, backward)
         await until(lambda: node.linked[1:3] == [False, True])
         await until(lambda: home.links._links and not home.links._links & served)
         await until(lambda: home.directory.counts()["agent"] == 1)
