--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -62,16 +62,16 @@
 
     def reset(self) -> None:
         """End every connection with a reset, also those that were silenced."""
-        for own in self._connection_conditions:
-            own.silent_forward = own.silent_backward = False
+        for own_condition in self._connection_conditions:
+            own_condition.silent_forward = own_condition.silent_backward = False
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_open_connections(self, forward: bool = True, backward: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
-        for own in self._connection_conditions:
-            own.silent_forward |= forward
-            own.silent_backward |= backward
+        for own_condition in self._connection_conditions:
+            own_condition.silent_forward |= forward
+            own_condition.silent_backward |= backward
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -82,11 +82,11 @@
             writer.transport.abort()
             return
         self._writers |= {writer, far_writer}
-        own = LinkCondition()
-        self._connection_conditions.append(own)
+        own_condition = LinkCondition()
+        self._connection_conditions.append(own_condition)
         pumps = [
-            asyncio.create_task(self._pump(reader, far_writer, own, forward=True)),
-            asyncio.create_task(self._pump(far_reader, writer, own, forward=False)),
+            asyncio.create_task(self._pump(reader, far_writer, own_condition, forward=True)),
+            asyncio.create_task(self._pump(far_reader, writer, own_condition, forward=False)),
         ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
@@ -96,7 +96,7 @@
             await asyncio.gather(*pumps, return_exceptions=True)
             self._writers -= {writer, far_writer}
             self._connection_conditions = [
-                each for each in self._connection_conditions if each is not own
+                each for each in self._connection_conditions if each is not own_condition
             ]
             writer.transport.abort()
             far_writer.transport.abort()
@@ -105,18 +105,18 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        own: LinkCondition,
+        own_condition: LinkCondition,
         forward: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.condition.delay_seconds:
                     await asyncio.sleep(self.condition.delay_seconds)
-                while self.condition.is_silent(forward) or own.is_silent(forward):
+                while self.condition.is_silent(forward) or own_condition.is_silent(forward):
                     await asyncio.sleep(SILENCE_POLL_SECONDS)
                 writer.write(data)
                 await writer.drain()
-        while own.is_silent(forward):
+        while own_condition.is_silent(forward):
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
 
