--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.fleet import Fleet, make_run_folder
 from jasperwalk_lab.fleet_options import FleetOptions
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetPlaces, places_of, read_places
+from jasperwalk_lab.load.places import FleetListeners, places_of, read_places
 from jasperwalk_lab.load.profile import PROFILES, LoadProfile
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.operations import CallHistory
@@ -85,7 +85,7 @@
         return await _run(places_of(fleet), profile, seed)
 
 
-async def _run(places: FleetPlaces, profile: LoadProfile, seed: int) -> LoadResult:
+async def _run(places: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
     # A part of the name is drawn anew, as back ends remember the identities of earlier loads.
     name = f"load{seed}-{random.SystemRandom().randrange(RUN_NAME_LIMIT):x}"
     caller = Caller(name, Path(places.ca_file), CallHistory())
--- a/src/jasperwalk_lab/load/driver.py
+++ b/src/jasperwalk_lab/load/driver.py
@@ -13,7 +13,7 @@
 from jasperwalk_lab.caller import Caller
 from jasperwalk_lab.load.arrivals import Arrival, draw_arrivals
 from jasperwalk_lab.load.flows import FlowPool
-from jasperwalk_lab.load.places import FleetPlaces
+from jasperwalk_lab.load.places import FleetListeners
 from jasperwalk_lab.load.profile import LoadProfile
 from jasperwalk_lab.load.result import LoadCounts, LoadResult
 from jasperwalk_lab.operations import LongStream
@@ -31,7 +31,7 @@
     def __init__(
         self,
         caller: Caller,
-        places: FleetPlaces,
+        places: FleetListeners,
         profile: LoadProfile,
         seed: int,
         progress: Progress,
--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/places.py
@@ -13,7 +13,7 @@
 PLACES_FILE = "places.json"
 
 
-class FleetPlaces(msgspec.Struct, frozen=True):
+class FleetListeners(msgspec.Struct, frozen=True):
     """The example's name, the CA file, and each service's listener (`ip:port`)."""
 
     example: str
@@ -28,10 +28,10 @@
         return Endpoint.parse(self.listeners[service])
 
 
-def places_of(fleet: Fleet) -> FleetPlaces:
+def places_of(fleet: Fleet) -> FleetListeners:
     """Describe a fleet."""
     example = fleet.layout.example
-    return FleetPlaces(
+    return FleetListeners(
         example=example.name,
         ca_file=str(fleet.certificates.ca_file),
         listeners={each.name: str(each.listener) for each in example.services()},
@@ -45,10 +45,10 @@
     return path
 
 
-def read_places(run_folder: Path) -> FleetPlaces:
+def read_places(run_folder: Path) -> FleetListeners:
     """Read the places of a running fleet; raise `LabSettingsError`."""
     path = run_folder / PLACES_FILE
     try:
-        return msgspec.json.decode(path.read_bytes(), type=FleetPlaces)
+        return msgspec.json.decode(path.read_bytes(), type=FleetListeners)
     except (OSError, msgspec.MsgspecError) as error:
         raise LabSettingsError(path, str(error)) from error
--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -7,12 +7,12 @@
 from jasperwalk_lab.caller import Caller
 from jasperwalk_lab.load.arrivals import draw_arrivals
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetPlaces
+from jasperwalk_lab.load.places import FleetListeners
 from jasperwalk_lab.load.profile import LoadProfile, ServiceLoad
 from jasperwalk_lab.operations import CallHistory
 
 SERVICE = ServiceLoad(service="s", requests_per_second=200, flows=2, lookups=1.0)
-PLACES = FleetPlaces(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
+PLACES = FleetListeners(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
 
 
 class StuckFlow:
