--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.fleet import Fleet, make_run_folder
 from jasperwalk_lab.fleet_options import FleetOptions
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetListeners, places_of, read_places
+from jasperwalk_lab.load.places import FleetListeners, places_of, read_listeners
 from jasperwalk_lab.load.profile import PROFILES, LoadProfile
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.operations import CallHistory
@@ -58,7 +58,7 @@
     if (example is None) == (fleet_folder is None):
         raise click.UsageError("give either --example or --fleet")
     if fleet_folder is not None:
-        places = read_places(fleet_folder)
+        places = read_listeners(fleet_folder)
         profile = _profile(places.example, seconds, rate)
         result = run_stoppable(_run(places, profile, seed))
     else:
--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/places.py
@@ -45,7 +45,7 @@
     return path
 
 
-def read_places(run_folder: Path) -> FleetListeners:
+def read_listeners(run_folder: Path) -> FleetListeners:
     """Read the places of a running fleet; raise `LabSettingsError`."""
     path = run_folder / PLACES_FILE
     try:
