--- a/src/jasperwalk_lab/commands/fleet.py
+++ b/src/jasperwalk_lab/commands/fleet.py
@@ -12,7 +12,7 @@
 from jasperwalk_lab.commands.running import run_stoppable
 from jasperwalk_lab.example import load_example
 from jasperwalk_lab.fleet import Fleet, make_run_folder
-from jasperwalk_lab.load.places import write_places
+from jasperwalk_lab.load.places import write_listeners
 
 
 @click.group("fleet")
@@ -33,7 +33,7 @@
     run_folder = make_run_folder(runs, f"fleet-{example}")
     async with Fleet(load_example(example), run_folder, seed) as running:
         await running.start()
-        write_places(running)
+        write_listeners(running)
         _print_places(running)
         with contextlib.suppress(asyncio.CancelledError):  # a signal ends the wait
             await asyncio.Event().wait()
--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/places.py
@@ -38,7 +38,7 @@
     )
 
 
-def write_places(fleet: Fleet) -> Path:
+def write_listeners(fleet: Fleet) -> Path:
     """Write a fleet's places to its run folder; return the file."""
     path = fleet.run_folder / PLACES_FILE
     path.write_bytes(msgspec.json.encode(places_of(fleet)))
