--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.fleet import Fleet, make_run_folder
 from jasperwalk_lab.fleet_options import FleetOptions
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetListeners, places_of, read_listeners
+from jasperwalk_lab.load.places import FleetListeners, listeners_of, read_listeners
 from jasperwalk_lab.load.profile import PROFILES, LoadProfile
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.operations import CallHistory
@@ -82,7 +82,7 @@
     _progress(f"run folder {run_folder}, seed {seed}")
     async with Fleet(load_example(example), run_folder, seed, options) as fleet:
         await fleet.start()
-        return await _run(places_of(fleet), profile, seed)
+        return await _run(listeners_of(fleet), profile, seed)
 
 
 async def _run(places: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
--- a/src/jasperwalk_lab/experiments/run.py
+++ b/src/jasperwalk_lab/experiments/run.py
@@ -33,7 +33,7 @@
 from jasperwalk_lab.history import HistoryChecker
 from jasperwalk_lab.journal import JournalRecord
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import places_of
+from jasperwalk_lab.load.places import listeners_of
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.machine import commit, has_uncommitted_changes, machine_facts
 from jasperwalk_lab.operations import CallHistory
@@ -128,7 +128,7 @@
         self._history = CallHistory()
         self._player = EventPlayer(fleet)
         self._sampler = AgentSampler(fleet.layout.members)
-        places = places_of(fleet)
+        places = listeners_of(fleet)
         # The name depends on the seed alone, so that requests have the same identities, and
         # with them the same service times, under every variant.
         caller = Caller(f"x{seed}", Path(places.ca_file), self._history)
--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/places.py
@@ -28,7 +28,7 @@
         return Endpoint.parse(self.listeners[service])
 
 
-def places_of(fleet: Fleet) -> FleetListeners:
+def listeners_of(fleet: Fleet) -> FleetListeners:
     """Describe a fleet."""
     example = fleet.layout.example
     return FleetListeners(
@@ -41,7 +41,7 @@
 def write_listeners(fleet: Fleet) -> Path:
     """Write a fleet's places to its run folder; return the file."""
     path = fleet.run_folder / PLACES_FILE
-    path.write_bytes(msgspec.json.encode(places_of(fleet)))
+    path.write_bytes(msgspec.json.encode(listeners_of(fleet)))
     return path
 
 
