--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/places.py
@@ -10,7 +10,7 @@
 from jasperwalk_lab.errors import LabSettingsError
 from jasperwalk_lab.fleet import Fleet
 
-PLACES_FILE = "places.json"
+LISTENERS_FILE = "places.json"
 
 
 class FleetListeners(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
         """Return a service's VIP and port; raise `LabSettingsError` for an unknown one."""
         if service not in self.listeners:
             reason = f"no service {service!r}; there are {', '.join(sorted(self.listeners))}"
-            raise LabSettingsError(Path(PLACES_FILE), reason)
+            raise LabSettingsError(Path(LISTENERS_FILE), reason)
         return Endpoint.parse(self.listeners[service])
 
 
@@ -40,14 +40,14 @@
 
 def write_listeners(fleet: Fleet) -> Path:
     """Write a fleet's places to its run folder; return the file."""
-    path = fleet.run_folder / PLACES_FILE
+    path = fleet.run_folder / LISTENERS_FILE
     path.write_bytes(msgspec.json.encode(listeners_of(fleet)))
     return path
 
 
 def read_listeners(run_folder: Path) -> FleetListeners:
     """Read the places of a running fleet; raise `LabSettingsError`."""
-    path = run_folder / PLACES_FILE
+    path = run_folder / LISTENERS_FILE
     try:
         return msgspec.json.decode(path.read_bytes(), type=FleetListeners)
     except (OSError, msgspec.MsgspecError) as error:
