--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -12,7 +12,7 @@
 from jasperwalk_lab.operations import CallHistory
 
 SERVICE = ServiceLoad(service="s", requests_per_second=200, flows=2, lookups=1.0)
-PLACES = FleetListeners(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
+LISTENERS = FleetListeners(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
 
 
 class StuckFlow:
@@ -40,7 +40,7 @@
     async def scenario():
         gate = asyncio.Event()
         caller = Caller("test", tmp_path, CallHistory())
-        loop = OpenLoop(caller, PLACES, profile, 1, lambda _: None)
+        loop = OpenLoop(caller, LISTENERS, profile, 1, lambda _: None)
         pool = loop._pools["s"]
         pool.flow = lambda _rank: StuckFlow(gate)
         running = asyncio.create_task(loop.run())
