--- a/src/jasperwalk_lab/load/driver.py
+++ b/src/jasperwalk_lab/load/driver.py
@@ -13,7 +13,7 @@
 from jasperwalk_lab.caller import Caller
 from jasperwalk_lab.load.arrivals import Arrival, draw_arrivals
 from jasperwalk_lab.load.flows import FlowPool
-from jasperwalk_lab.load.places import FleetListeners
+from jasperwalk_lab.load.listeners import FleetListeners
 from jasperwalk_lab.load.profile import LoadProfile
 from jasperwalk_lab.load.result import LoadCounts, LoadResult
 from jasperwalk_lab.operations import LongStream
@@ -31,7 +31,7 @@
     def __init__(
         self,
         caller: Caller,
-        places: FleetListeners,
+        listeners: FleetListeners,
         profile: LoadProfile,
         seed: int,
         progress: Progress,
@@ -47,7 +47,7 @@
             each.service: FlowPool(
                 caller,
                 each.service,
-                places.listener(each.service),
+                listeners.listener(each.service),
                 each.flows,
                 profile.flow_seconds,
                 random.Random(f"{seed}/flows/{each.service}"),
