--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -212,7 +212,7 @@
         await asyncio.sleep(fault.seconds)
         await former.announce_late(is_draining=self._drawn.choice((True, False)))
 
-    async def _rush_callers(self, fault: PlannedFault) -> None:
+    async def _start_surge(self, fault: PlannedFault) -> None:
         await self._rushing.rush(Surge.parse(fault.target), fault.seconds)
 
     async def _slow_host(self, fault: PlannedFault) -> None:
@@ -270,7 +270,7 @@
         FaultKind.HOST_REPLACED: _replace_host,
         FaultKind.HOST_TURNS_AWAY: _reject_openings,
         FaultKind.ZONE_DRAINED: _drain_zone,
-        FaultKind.CALLERS_RUSH: _rush_callers,
+        FaultKind.CALLERS_RUSH: _start_surge,
         FaultKind.CONTROL_LINKS_ABANDONED: _abandon_links,
         FaultKind.HOST_SPEAKS_LATE: _deliver_late_announcement,
         FaultKind.HOST_SLOW: _slow_host,
