--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -70,7 +70,7 @@
         fleet: SoakFleet,
         hosts: RunningHosts,
         operators: Operators,
-        rushing: SurgeCallers,
+        surge_callers: SurgeCallers,
         clock: Clock,
         history: SoakHistory,
         progress: Progress,
@@ -79,7 +79,7 @@
         self._fleet = fleet
         self._hosts = hosts
         self._operators = operators
-        self._surge_callers = rushing
+        self._surge_callers = surge_callers
         self._clock = clock
         self._history = history
         self._progress = progress
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -91,7 +91,7 @@
             self._drawn,
         )
         normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
-        rushing = SurgeCallers(
+        surge_callers = SurgeCallers(
             self._callers.request_once, ROUTES, ZONES, normal_per_second, self._drawn
         )
         self._operators = Operators(
@@ -101,7 +101,7 @@
             fleet,
             self._hosts,
             self._operators,
-            rushing,
+            surge_callers,
             self._clock,
             self.history,
             progress,
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -13,7 +13,7 @@
 ZONES = ("north", "south")
 
 
-def rushing(request_once=None, per_second=20.0):
+def surge_callers(request_once=None, per_second=20.0):
     return SurgeCallers(request_once, ROUTES, ZONES, per_second, random.Random(1))
 
 
@@ -27,15 +27,15 @@
     ids=["all", "a kind of request", "a zone"],
 )
 def test_a_rush_has_its_own_callers(rush, priorities, zones):
-    callers = rushing()
+    callers = surge_callers()
     assert {each.priority for each in callers.routes_of(rush)} == priorities
     assert {callers.zone_of(rush) for _ in range(50)} == zones
     assert Surge.parse(rush.target) == rush
 
 
 def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
-    assert rushing(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
-    assert rushing(per_second=1e6)._per_second == MAX_REQUESTS_PER_SECOND
+    assert surge_callers(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
+    assert surge_callers(per_second=1e6)._per_second == MAX_REQUESTS_PER_SECOND
 
 
 def test_no_more_requests_wait_at_once_than_the_bound(monkeypatch):
@@ -49,7 +49,7 @@
         await asyncio.sleep(0.05)
         waiting.discard(asyncio.current_task())
 
-    asyncio.run(rushing(request_once, 1e6).rush(Surge(SurgeScope.ALL), 0.2))
+    asyncio.run(surge_callers(request_once, 1e6).rush(Surge(SurgeScope.ALL), 0.2))
     assert most == 3
     assert not waiting
 
