--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -24,7 +24,7 @@
 """Time at the beginning without any fault."""
 FAULT_FREE_SURGE_SECONDS = (2.0, 7.0, 12.0)
 """When the rushes of that time begin: one of each width, in an order drawn by lot."""
-RUSH_EVERY_SECONDS = (10.0, 20.0)
+SURGE_INTERVAL_SECONDS = (10.0, 20.0)
 """Shortest and longest time between two rushes after that."""
 SLOW_HOST_PROBABILITY = 0.5
 """How often hosts are slow during a rush."""
@@ -73,12 +73,12 @@
     planned: list[PlannedFault] = []
     for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
         planned.extend(_draw_surge(names, width, at, drawn))
-    at = FAULT_FREE_SECONDS + drawn.uniform(*RUSH_EVERY_SECONDS)
+    at = FAULT_FREE_SECONDS + drawn.uniform(*SURGE_INTERVAL_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
         rush = _draw_surge(names, drawn.choice(list(SurgeScope)), at, drawn)
         planned.extend(each for each in rush if each.ends_at <= latest + 1.0)
-        at += drawn.uniform(*RUSH_EVERY_SECONDS)
+        at += drawn.uniform(*SURGE_INTERVAL_SECONDS)
     return planned
 
 
