--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -31,7 +31,7 @@
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again, and before all are killed."""
 EVERYTHING = "everything"
-RUSH_EVERY_SECONDS = (9.0, 15.0)
+FAULT_BURST_INTERVAL_SECONDS = (9.0, 15.0)
 """Shortest and longest time between the beginnings of two rushes."""
 SEPARATE_KINDS_INTERVAL_SECONDS = (5.0, 10.0)
 """Shortest and longest time between two faults of `SEPARATELY_DRAWN_KINDS`."""
@@ -101,7 +101,7 @@
     scale = _scale(names)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*RUSH_EVERY_SECONDS)
+    at = drawn.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     while at < latest:
         for _ in range(scale * drawn.randint(*FAULTS_PER_BURST)):
             kind = drawn.choice(kinds)
@@ -111,7 +111,7 @@
             if begins_at + length <= latest + 1.0:
                 target = drawn.choice(names.of(shape.group))
                 planned.append(PlannedFault(begins_at, kind, target, length))
-        at += drawn.uniform(*RUSH_EVERY_SECONDS)
+        at += drawn.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     return sorted(planned, key=lambda each: each.at)
 
 
