--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -213,7 +213,7 @@
         await former.announce_late(is_draining=self._drawn.choice((True, False)))
 
     async def _start_surge(self, fault: PlannedFault) -> None:
-        await self._surge_callers.rush(Surge.parse(fault.target), fault.seconds)
+        await self._surge_callers.surge(Surge.parse(fault.target), fault.seconds)
 
     async def _slow_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -76,8 +76,8 @@
     at = FAULT_FREE_SECONDS + drawn.uniform(*SURGE_INTERVAL_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
-        rush = _draw_surge(names, drawn.choice(list(SurgeScope)), at, drawn)
-        planned.extend(each for each in rush if each.ends_at <= latest + 1.0)
+        surge = _draw_surge(names, drawn.choice(list(SurgeScope)), at, drawn)
+        planned.extend(each for each in surge if each.ends_at <= latest + 1.0)
         at += drawn.uniform(*SURGE_INTERVAL_SECONDS)
     return planned
 
@@ -91,11 +91,11 @@
         SurgeScope.KIND: drawn.choice(("0", "1")),
         SurgeScope.ZONE: drawn.choice(names.zones),
     }[width]
-    rush = _draw(FaultKind.CALLERS_RUSH, Surge(width, value).target, at, drawn)
+    surge = _draw(FaultKind.CALLERS_RUSH, Surge(width, value).target, at, drawn)
     if drawn.random() >= SLOW_HOST_PROBABILITY:
-        return [rush]
+        return [surge]
     slow = drawn.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
-    return [rush, *(_draw(FaultKind.HOST_SLOW, each, at, drawn) for each in slow)]
+    return [surge, *(_draw(FaultKind.HOST_SLOW, each, at, drawn) for each in slow)]
 
 
 def _draw(kind: FaultKind, target: str, at: float, drawn: random.Random) -> PlannedFault:
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -39,26 +39,26 @@
         self._per_second = min(SURGE_FACTOR * normal_per_second, MAX_REQUESTS_PER_SECOND)
         self._drawn = drawn
 
-    async def rush(self, rush: Surge, seconds: float) -> None:
+    async def surge(self, surge: Surge, seconds: float) -> None:
         """Send requests at the rush's rate for some seconds; return when they have ended."""
         loop = asyncio.get_running_loop()
-        routes, ends_at = self.routes_of(rush), loop.time() + seconds
+        routes, ends_at = self.routes_of(surge), loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         while loop.time() < ends_at:
             if len(running) < MAX_OUTSTANDING_REQUESTS:
                 listener = self._drawn.choice(routes).listener
-                task = asyncio.create_task(self._request_once(listener, self.zone_of(rush)))
+                task = asyncio.create_task(self._request_once(listener, self.zone_of(surge)))
                 running.add(task)
                 task.add_done_callback(running.discard)
             await asyncio.sleep(self._drawn.expovariate(self._per_second))
         await asyncio.gather(*running)
 
-    def routes_of(self, rush: Surge) -> list[SoakRoute]:
+    def routes_of(self, surge: Surge) -> list[SoakRoute]:
         """Return the routes that a rush asks for."""
-        if rush.width is not SurgeScope.KIND:
+        if surge.width is not SurgeScope.KIND:
             return list(self._routes)
-        return [each for each in self._routes if str(each.priority) == rush.value]
+        return [each for each in self._routes if str(each.priority) == surge.value]
 
-    def zone_of(self, rush: Surge) -> str:
+    def zone_of(self, surge: Surge) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
-        return rush.value if rush.width is SurgeScope.ZONE else self._drawn.choice(self._zones)
+        return surge.value if surge.width is SurgeScope.ZONE else self._drawn.choice(self._zones)
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -26,11 +26,11 @@
     ],
     ids=["all", "a kind of request", "a zone"],
 )
-def test_a_rush_has_its_own_callers(rush, priorities, zones):
+def test_a_rush_has_its_own_callers(surge, priorities, zones):
     callers = surge_callers()
-    assert {each.priority for each in callers.routes_of(rush)} == priorities
-    assert {callers.zone_of(rush) for _ in range(50)} == zones
-    assert Surge.parse(rush.target) == rush
+    assert {each.priority for each in callers.routes_of(surge)} == priorities
+    assert {callers.zone_of(surge) for _ in range(50)} == zones
+    assert Surge.parse(surge.target) == surge
 
 
 def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
@@ -49,7 +49,7 @@
         await asyncio.sleep(0.05)
         waiting.discard(asyncio.current_task())
 
-    asyncio.run(surge_callers(request_once, 1e6).rush(Surge(SurgeScope.ALL), 0.2))
+    asyncio.run(surge_callers(request_once, 1e6).surge(Surge(SurgeScope.ALL), 0.2))
     assert most == 3
     assert not waiting
 
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -163,8 +163,8 @@
     planned = plan_with_overload(NAMES, 120.0, 1)
     rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
-        fault.at < rush.ends_at and rush.at < fault.ends_at
-        for rush in rushes
+        fault.at < surge.ends_at and surge.at < fault.ends_at
+        for surge in rushes
         for fault in planned
         if fault.kind not in OVERLOAD_KINDS
     )
