--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -137,23 +137,23 @@
 
 def plan_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
-    rushes = plan_fault_bursts(names, seconds, seed)
+    fault_bursts = plan_fault_bursts(names, seconds, seed)
     steady = [
         each
         for each in plan_steady_faults(names, seconds, seed)
-        if not _is_too_near_burst(each, rushes)
+        if not _is_too_near_burst(each, fault_bursts)
     ]
-    return sorted([*steady, *rushes], key=lambda each: each.at)
+    return sorted([*steady, *fault_bursts], key=lambda each: each.at)
 
 
-def _is_too_near_burst(fault: PlannedFault, rushes: list[PlannedFault]) -> bool:
+def _is_too_near_burst(fault: PlannedFault, fault_bursts: list[PlannedFault]) -> bool:
     """Tell whether a disk would be lost, or all be killed, near a rush that strikes replicas."""
     if fault.kind not in NEVER_IN_BURSTS:
         return False
     return any(
         fault.at < each.ends_at + DISK_LOSS_MARGIN_SECONDS
         and each.at < fault.ends_at + DISK_LOSS_MARGIN_SECONDS
-        for each in rushes
+        for each in fault_bursts
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     )
 
