--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -43,19 +43,19 @@
 class Surge(msgspec.Struct, frozen=True):
     """A rush of callers: `value` is the kind's priority or the zone's name."""
 
-    width: SurgeScope
+    scope: SurgeScope
     value: str = ""
 
     @property
     def target(self) -> str:
         """Return how the schedule names it."""
-        return f"{self.width}:{self.value}"
+        return f"{self.scope}:{self.value}"
 
     @classmethod
     def parse(cls, target: str) -> Surge:
         """Return what a target of the schedule names; raises `ValueError`."""
-        width, _, value = target.partition(":")
-        return cls(SurgeScope(width), value)
+        scope, _, value = target.partition(":")
+        return cls(SurgeScope(scope), value)
 
 
 def plan_with_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
@@ -71,8 +71,8 @@
     """Plan the rushes and the slow hosts of the same run."""
     drawn = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
-    for at, width in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
-        planned.extend(_draw_surge(names, width, at, drawn))
+    for at, scope in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
+        planned.extend(_draw_surge(names, scope, at, drawn))
     at = FAULT_FREE_SECONDS + drawn.uniform(*SURGE_INTERVAL_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
@@ -83,15 +83,15 @@
 
 
 def _draw_surge(
-    names: SoakTargets, width: SurgeScope, at: float, drawn: random.Random
+    names: SoakTargets, scope: SurgeScope, at: float, drawn: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
     value = {
         SurgeScope.ALL: "",
         SurgeScope.KIND: drawn.choice(("0", "1")),
         SurgeScope.ZONE: drawn.choice(names.zones),
-    }[width]
-    surge = _draw(FaultKind.CALLERS_RUSH, Surge(width, value).target, at, drawn)
+    }[scope]
+    surge = _draw(FaultKind.CALLERS_RUSH, Surge(scope, value).target, at, drawn)
     if drawn.random() >= SLOW_HOST_PROBABILITY:
         return [surge]
     slow = drawn.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -55,10 +55,10 @@
 
     def routes_of(self, surge: Surge) -> list[SoakRoute]:
         """Return the routes that a rush asks for."""
-        if surge.width is not SurgeScope.KIND:
+        if surge.scope is not SurgeScope.KIND:
             return list(self._routes)
         return [each for each in self._routes if str(each.priority) == surge.value]
 
     def zone_of(self, surge: Surge) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
-        return surge.value if surge.width is SurgeScope.ZONE else self._drawn.choice(self._zones)
+        return surge.value if surge.scope is SurgeScope.ZONE else self._drawn.choice(self._zones)
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -145,7 +145,7 @@
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
     assert all(each.ends_at < FAULT_FREE_SECONDS for each in calm)
     rushes = [Surge.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
-    assert sorted(each.width for each in rushes) == sorted(SurgeScope)
+    assert sorted(each.scope for each in rushes) == sorted(SurgeScope)
 
 
 @pytest.mark.parametrize("seed", range(20))
