--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -145,7 +145,7 @@
         history: SoakHistory,
         hosts: Callable[[], list[SoakHost]],
         route_of: Callable[[Endpoint], SoakRoute],
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         """`address` is where the balancers and agents send callers' packets to."""
         self._address = address
@@ -154,7 +154,7 @@
         self._history = history
         self._hosts = hosts
         self._route_of = route_of
-        self._drawn = drawn
+        self._drawn = rng
         self._flows: dict[tuple[Endpoint, Endpoint], CallerFlow] = {}
         self._next_port = FIRST_PORT
         self._next_request = 0
--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -57,11 +57,11 @@
 class SoakFleet:
     """Lays the processes out; use it as an asynchronous context."""
 
-    def __init__(self, folder: Path, drawn: random.Random, size: SoakSize) -> None:
+    def __init__(self, folder: Path, rng: random.Random, size: SoakSize) -> None:
         """Lay the processes out on addresses of their own; raises `NoFreeAddressBlock`."""
         self.folder = folder
         self._claim, self._block = _claim_block()
-        self._drawn = drawn
+        self._drawn = rng
         self._control_hosts = self._hosts(1, size.controls)
         self._control_relays = self._hosts(2, size.controls)
         self._balancer_hosts = self._hosts(3, size.balancers)
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -86,7 +86,7 @@
     clock: Callable[[], float]
     history: SoakHistory
     route_of: Callable[[Endpoint], SoakRoute]
-    drawn: random.Random
+    rng: random.Random
     is_cold: bool = True
     rejects_openings: bool = False
     service_time_factor: float = 1.0
@@ -154,7 +154,7 @@
     async def _announce_again(self) -> None:
         while True:
             taken = await self._announce()
-            pause = HEARTBEAT_SECONDS * self.drawn.uniform(0.8, 1.2) if taken else RETRY_SECONDS
+            pause = HEARTBEAT_SECONDS * self.rng.uniform(0.8, 1.2) if taken else RETRY_SECONDS
             await asyncio.sleep(pause)
 
     async def _announce(self) -> bool:
@@ -248,7 +248,7 @@
             return
         flow = self.flows.get(key)
         if flow is None:
-            flow = self.flows[key] = HostFlow(self.drawn.randrange(2**32))
+            flow = self.flows[key] = HostFlow(self.rng.randrange(2**32))
         self._answer(key, flow.sequence, packet.sequence + 1, SYN | ACK, b"")
 
     def _handle_request(
@@ -280,7 +280,7 @@
             )
             self.history.runs.append(run)
             shortest, longest = NORMAL_SERVICE_SECONDS if route.priority else URGENT_SERVICE_SECONDS
-            await asyncio.sleep(self.service_time_factor * self.drawn.uniform(shortest, longest))
+            await asyncio.sleep(self.service_time_factor * self.rng.uniform(shortest, longest))
         answer = ANSWER_MARK + request_id.encode() + b" " + self.host_id.encode()
         flow.answers[packet.sequence] = answer
         self._answer_request(key, flow, packet, answer)
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -74,7 +74,7 @@
         clock: Clock,
         history: SoakHistory,
         progress: Progress,
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         self._fleet = fleet
         self._hosts = hosts
@@ -83,7 +83,7 @@
         self._clock = clock
         self._history = history
         self._progress = progress
-        self._drawn = drawn
+        self._drawn = rng
         self.now: list[str] = []
         """The faults that hold now, for people who watch."""
 
--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -38,14 +38,14 @@
         make: Callable[[int], SoakConfiguration],
         clock: Callable[[], float],
         history: SoakHistory,
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         """`make` builds the configuration of a version."""
         self._replicas = replicas
         self._make = make
         self._clock = clock
         self._history = history
-        self._drawn = drawn
+        self._drawn = rng
         self._version = 0
         self._caller = HttpCaller()
 
--- a/src/jasperwalk_lab/soak/pressure.py
+++ b/src/jasperwalk_lab/soak/pressure.py
@@ -69,36 +69,36 @@
 
 def plan_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes and the slow hosts of the same run."""
-    drawn = random.Random(f"pressure {seed}")
+    rng = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
-    for at, scope in zip(FAULT_FREE_SURGE_SECONDS, drawn.sample(list(SurgeScope), 3), strict=True):
-        planned.extend(_draw_surge(names, scope, at, drawn))
-    at = FAULT_FREE_SECONDS + drawn.uniform(*SURGE_INTERVAL_SECONDS)
+    for at, scope in zip(FAULT_FREE_SURGE_SECONDS, rng.sample(list(SurgeScope), 3), strict=True):
+        planned.extend(_draw_surge(names, scope, at, rng))
+    at = FAULT_FREE_SECONDS + rng.uniform(*SURGE_INTERVAL_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
-        surge = _draw_surge(names, drawn.choice(list(SurgeScope)), at, drawn)
+        surge = _draw_surge(names, rng.choice(list(SurgeScope)), at, rng)
         planned.extend(each for each in surge if each.ends_at <= latest + 1.0)
-        at += drawn.uniform(*SURGE_INTERVAL_SECONDS)
+        at += rng.uniform(*SURGE_INTERVAL_SECONDS)
     return planned
 
 
 def _draw_surge(
-    names: SoakTargets, scope: SurgeScope, at: float, drawn: random.Random
+    names: SoakTargets, scope: SurgeScope, at: float, rng: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
     value = {
         SurgeScope.ALL: "",
-        SurgeScope.KIND: drawn.choice(("0", "1")),
-        SurgeScope.ZONE: drawn.choice(names.zones),
+        SurgeScope.KIND: rng.choice(("0", "1")),
+        SurgeScope.ZONE: rng.choice(names.zones),
     }[scope]
-    surge = _draw(FaultKind.CALLERS_RUSH, Surge(scope, value).target, at, drawn)
-    if drawn.random() >= SLOW_HOST_PROBABILITY:
+    surge = _draw(FaultKind.CALLERS_RUSH, Surge(scope, value).target, at, rng)
+    if rng.random() >= SLOW_HOST_PROBABILITY:
         return [surge]
-    slow = drawn.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
-    return [surge, *(_draw(FaultKind.HOST_SLOW, each, at, drawn) for each in slow)]
+    slow = rng.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
+    return [surge, *(_draw(FaultKind.HOST_SLOW, each, at, rng) for each in slow)]
 
 
-def _draw(kind: FaultKind, target: str, at: float, drawn: random.Random) -> PlannedFault:
+def _draw(kind: FaultKind, target: str, at: float, rng: random.Random) -> PlannedFault:
     shape = SHAPES[kind]
-    length = round(drawn.uniform(shape.shortest, shape.longest), 2)
+    length = round(rng.uniform(shape.shortest, shape.longest), 2)
     return PlannedFault(round(at, 2), kind, target, length)
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -142,7 +142,7 @@
     listen: Endpoint
     target: Endpoint
     source_host: str
-    drawn: random.Random
+    rng: random.Random
     condition: LinkCondition = field(default_factory=LinkCondition)
     _front: asyncio.DatagramTransport | None = None
     _clients: dict[Address, asyncio.DatagramTransport] = field(default_factory=dict)
@@ -195,7 +195,7 @@
 
     def _forward(self, forward: bool, send: Callable[[], None]) -> None:
         condition = self.condition
-        if condition.is_silent(forward) or self.drawn.random() < condition.loss:
+        if condition.is_silent(forward) or self.rng.random() < condition.loss:
             return
         if condition.delay_seconds:
             asyncio.get_running_loop().call_later(condition.delay_seconds, send)
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -31,13 +31,13 @@
         routes: Sequence[SoakRoute],
         zones: Sequence[str],
         normal_per_second: float,
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
         self._per_second = min(SURGE_FACTOR * normal_per_second, MAX_REQUESTS_PER_SECOND)
-        self._drawn = drawn
+        self._drawn = rng
 
     async def surge(self, surge: Surge, seconds: float) -> None:
         """Send requests at the rush's rate for some seconds; return when they have ended."""
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -96,37 +96,37 @@
 
 def plan_fault_bursts(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
-    drawn = random.Random(f"rushes {seed}")
+    rng = random.Random(f"rushes {seed}")
     kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
     scale = _scale(names)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*FAULT_BURST_INTERVAL_SECONDS)
+    at = rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     while at < latest:
-        for _ in range(scale * drawn.randint(*FAULTS_PER_BURST)):
-            kind = drawn.choice(kinds)
+        for _ in range(scale * rng.randint(*FAULTS_PER_BURST)):
+            kind = rng.choice(kinds)
             shape = SHAPES[kind]
-            begins_at = round(at + drawn.uniform(0.0, FAULT_BURST_SECONDS), 2)
-            length = round(drawn.uniform(shape.shortest, shape.longest), 2)
+            begins_at = round(at + rng.uniform(0.0, FAULT_BURST_SECONDS), 2)
+            length = round(rng.uniform(shape.shortest, shape.longest), 2)
             if begins_at + length <= latest + 1.0:
-                target = drawn.choice(names.of(shape.group))
+                target = rng.choice(names.of(shape.group))
                 planned.append(PlannedFault(begins_at, kind, target, length))
-        at += drawn.uniform(*FAULT_BURST_INTERVAL_SECONDS)
+        at += rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     return sorted(planned, key=lambda each: each.at)
 
 
 def plan_separately_drawn(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
-    drawn = random.Random(f"later kinds {seed}")
+    rng = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
+    at = rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        kind = drawn.choice(SEPARATELY_DRAWN_KINDS)
+        kind = rng.choice(SEPARATELY_DRAWN_KINDS)
         shape = SHAPES[kind]
-        length = round(drawn.uniform(shape.shortest, shape.longest), 2)
-        target = drawn.choice(names.of(shape.group))
+        length = round(rng.uniform(shape.shortest, shape.longest), 2)
+        target = rng.choice(names.of(shape.group))
         planned.append(PlannedFault(round(at, 2), kind, target, length))
-        at += drawn.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
+        at += rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     return [each for each in planned if each.ends_at <= latest]
 
@@ -160,22 +160,22 @@
 
 def plan_steady_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
-    drawn = random.Random(f"soak {seed}")
+    rng = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
     deck: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     scale = _scale(names)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         if not deck:
-            deck = drawn.sample(BASE_KINDS, len(BASE_KINDS))
+            deck = rng.sample(BASE_KINDS, len(BASE_KINDS))
         kind = deck.pop()
         if SHAPES[kind].group is TargetGroup.ALL:
             # Everything is killed only while nothing else is out of order.
             at = max([at, *(each.ends_at + SETTLE_SECONDS for each in planned)])
-        fault = _draw(kind, names, planned, at, drawn)
+        fault = _draw(kind, names, planned, at, rng)
         if fault is not None and fault.ends_at <= seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0:
             planned.append(fault)
-        at += drawn.uniform(*FAULT_INTERVAL_SECONDS) / scale
+        at += rng.uniform(*FAULT_INTERVAL_SECONDS) / scale
     return planned
 
 
@@ -184,12 +184,12 @@
     names: SoakTargets,
     planned: list[PlannedFault],
     at: float,
-    drawn: random.Random,
+    rng: random.Random,
 ) -> PlannedFault | None:
     """Return the next fault, None where too much is out of order already."""
     shape = SHAPES[kind]
-    seconds = round(drawn.uniform(shape.shortest, shape.longest), 2)
-    target = drawn.choice(names.of(shape.group))
+    seconds = round(rng.uniform(shape.shortest, shape.longest), 2)
+    target = rng.choice(names.of(shape.group))
     fault = PlannedFault(round(at, 2), kind, target, seconds)
     near = [each for each in planned if _are_too_close(each, fault)]
     if shape.group is TargetGroup.ALL:
