--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -154,7 +154,7 @@
         self._history = history
         self._hosts = hosts
         self._route_of = route_of
-        self._drawn = rng
+        self._rng = rng
         self._flows: dict[tuple[Endpoint, Endpoint], CallerFlow] = {}
         self._next_port = FIRST_PORT
         self._next_request = 0
@@ -178,7 +178,7 @@
         flow: CallerFlow | None = None
         while True:
             flow = await self._request(listener, flow, is_last=False)
-            await asyncio.sleep(pause * self._drawn.uniform(0.5, 1.5))
+            await asyncio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
     async def request_once(self, listener: Endpoint, zone: str = "") -> None:
         """Open a flow for one request."""
@@ -229,7 +229,7 @@
     async def _open(self, listener: Endpoint, request_id: str, zone: str) -> CallerFlow | None:
         endpoint = Endpoint(self._address.host, self._next_port)
         self._next_port = FIRST_PORT if self._next_port >= LAST_PORT else self._next_port + 1
-        flow = CallerFlow(endpoint, listener, self._drawn.randrange(2**31), zone)
+        flow = CallerFlow(endpoint, listener, self._rng.randrange(2**31), zone)
         self._flows[(endpoint, listener)] = flow
         began_at = self._clock()
         self._history.asked.append(FlowRequested(began_at, flow.name()))
--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -61,7 +61,7 @@
         """Lay the processes out on addresses of their own; raises `NoFreeAddressBlock`."""
         self.folder = folder
         self._claim, self._block = _claim_block()
-        self._drawn = rng
+        self._rng = rng
         self._control_hosts = self._hosts(1, size.controls)
         self._control_relays = self._hosts(2, size.controls)
         self._balancer_hosts = self._hosts(3, size.balancers)
@@ -174,7 +174,7 @@
             self._at(host, "calls"),
         )
         self.hosts[name] = place
-        self.agent_relays[name] = UdpRelay(relay, listen, self._host(6, number + 1), self._drawn)
+        self.agent_relays[name] = UdpRelay(relay, listen, self._host(6, number + 1), self._rng)
         self._add(
             name,
             "agent",
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -83,7 +83,7 @@
         self._clock = clock
         self._history = history
         self._progress = progress
-        self._drawn = rng
+        self._rng = rng
         self.now: list[str] = []
         """The faults that hold now, for people who watch."""
 
@@ -145,18 +145,18 @@
     async def _restart_often(self, process: SoakProcess, seconds: float) -> None:
         """End and start a process again and again, also in the middle of its start."""
         for _ in range(RESTARTS_IN_A_ROW):
-            if self._drawn.choice((True, False)):
+            if self._rng.choice((True, False)):
                 await self._end_by_signal(process)
             else:
                 await process.kill()
             await process.start()
-            await asyncio.sleep(self._drawn.uniform(0.0, seconds / RESTARTS_IN_A_ROW))
+            await asyncio.sleep(self._rng.uniform(0.0, seconds / RESTARTS_IN_A_ROW))
 
     async def _signal_often(self, process: SoakProcess, seconds: float) -> None:
         """Tell a process again and again that its settings have changed."""
         for _ in range(SIGNALS_IN_A_ROW):
             process.reload()
-            await asyncio.sleep(self._drawn.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
+            await asyncio.sleep(self._rng.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
 
     async def _degrade_links(self, target: str, condition: LinkCondition, seconds: float) -> None:
         tcp, udp = self._fleet.control_relays.get(target), self._fleet.agent_relays.get(target)
@@ -210,7 +210,7 @@
         await former.crash()
         await self._hosts.start(fault.target, is_cold=True)
         await asyncio.sleep(fault.seconds)
-        await former.announce_late(is_draining=self._drawn.choice((True, False)))
+        await former.announce_late(is_draining=self._rng.choice((True, False)))
 
     async def _start_surge(self, fault: PlannedFault) -> None:
         await self._surge_callers.surge(Surge.parse(fault.target), fault.seconds)
@@ -235,15 +235,15 @@
 
         It crashes, or it says first that it leaves.
         """
-        for _ in range(self._drawn.randint(1, MAX_HOST_RESTARTS)):
+        for _ in range(self._rng.randint(1, MAX_HOST_RESTARTS)):
             host = self._hosts.beside(fault.target)
-            if self._drawn.choice((True, False)):
+            if self._rng.choice((True, False)):
                 await host.drain(DRAIN_SECONDS)
             else:
                 await host.crash()
-            await asyncio.sleep(fault.seconds * self._drawn.uniform(0.0, 0.5))
+            await asyncio.sleep(fault.seconds * self._rng.uniform(0.0, 0.5))
             await self._hosts.start_again(fault.target)
-            await asyncio.sleep(fault.seconds * self._drawn.uniform(0.0, 0.5))
+            await asyncio.sleep(fault.seconds * self._rng.uniform(0.0, 0.5))
 
     async def _impersonate_host(self, fault: PlannedFault) -> None:
         await self._hosts.beside(fault.target).announce_invalid()
--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -45,13 +45,13 @@
         self._make = make
         self._clock = clock
         self._history = history
-        self._drawn = rng
+        self._rng = rng
         self._version = 0
         self._caller = HttpCaller()
 
     async def configure(self) -> None:
         """Send the next configuration until it is acknowledged."""
-        self._version += self._drawn.randint(1, 3)
+        self._version += self._rng.randint(1, 3)
         version = self._version
         await self._order("PUT", CONFIG_PATH, self._make(version).body(), seconds=1e9)
         self._history.acknowledged.append(ConfigurationAcknowledged(self._clock(), version))
@@ -59,21 +59,21 @@
     async def change_configurations(self) -> None:
         """Send configurations until cancelled, now and then two at once."""
         while True:
-            await asyncio.sleep(self._drawn.uniform(*CHANGE_PAUSE_SECONDS))
-            racing = [self.configure() for _ in range(self._drawn.choice((1, 1, 2)))]
+            await asyncio.sleep(self._rng.uniform(*CHANGE_PAUSE_SECONDS))
+            racing = [self.configure() for _ in range(self._rng.choice((1, 1, 2)))]
             await asyncio.gather(*racing)
 
     async def read_repeatedly(self) -> None:
         """Read the configuration back from any replica, until cancelled."""
         while True:
             await asyncio.sleep(READ_PAUSE_SECONDS)
-            await self._read(self._drawn.choice(self._replicas))
+            await self._read(self._rng.choice(self._replicas))
 
     async def read_at_end(self) -> None:
         """Read until a replica answers: what was acknowledged has to be there."""
         asked_at = self._clock()
         while self._clock() < asked_at + READ_AT_END_SECONDS:
-            if await self._read(self._drawn.choice(self._replicas)):
+            if await self._read(self._rng.choice(self._replicas)):
                 return
             await asyncio.sleep(RETRY_SECONDS[-1])
         self._history.reads.append(ConfigurationRead(asked_at, 0, is_answered=False))
@@ -97,9 +97,9 @@
     async def _order(self, method: str, path: str, body: bytes, seconds: float) -> bool:
         began_at, tries = self._clock(), 0
         while self._clock() < began_at + seconds:
-            replica = self._drawn.choice(self._replicas)
+            replica = self._rng.choice(self._replicas)
             answer = await self._follow(replica, method, path, body)
-            is_lost = self._drawn.random() < LOST_ANSWER_SHARE
+            is_lost = self._rng.random() < LOST_ANSWER_SHARE
             if answer.status == OK_STATUS and not is_lost:
                 return True
             await asyncio.sleep(RETRY_SECONDS[min(tries, len(RETRY_SECONDS) - 1)])
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -77,7 +77,7 @@
         self._progress = progress
         self._planned = plan_with_overload(fleet.names(), seconds, seed)
         self._began_at = time.monotonic()
-        self._drawn = random.Random(f"traffic {seed}")
+        self._rng = random.Random(f"traffic {seed}")
         self.history = SoakHistory()
         self._hosts = RunningHosts(self._make_host)
         self._router = Router(fleet.balancers, fleet.supervisor.exists)
@@ -88,14 +88,14 @@
             self.history,
             self._hosts.all,
             route_of,
-            self._drawn,
+            self._rng,
         )
         normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
         surge_callers = SurgeCallers(
-            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._drawn
+            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._rng
         )
         self._operators = Operators(
-            fleet.replicas(), _configuration, self._clock, self.history, self._drawn
+            fleet.replicas(), _configuration, self._clock, self.history, self._rng
         )
         self._injector = SoakInjector(
             fleet,
@@ -105,7 +105,7 @@
             self._clock,
             self.history,
             progress,
-            self._drawn,
+            self._rng,
         )
         self._first_sample: dict[str, tuple[int, int]] = {}
 
@@ -120,7 +120,7 @@
             self._clock,
             self.history,
             route_of,
-            self._drawn,
+            self._rng,
             is_cold,
         )
 
@@ -185,9 +185,9 @@
     async def _short_requests(self) -> None:
         async with asyncio.TaskGroup() as tasks:
             while True:
-                listener = self._drawn.choice(ROUTES).listener
+                listener = self._rng.choice(ROUTES).listener
                 tasks.create_task(self._callers.request_once(listener))
-                await asyncio.sleep(self._drawn.expovariate(self._size.short_requests_per_second))
+                await asyncio.sleep(self._rng.expovariate(self._size.short_requests_per_second))
 
     async def _monitor(self) -> None:
         """Note processes that end by themselves, and tell how the run goes."""
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/rushes.py
@@ -37,7 +37,7 @@
         self._routes = routes
         self._zones = zones
         self._per_second = min(SURGE_FACTOR * normal_per_second, MAX_REQUESTS_PER_SECOND)
-        self._drawn = rng
+        self._rng = rng
 
     async def surge(self, surge: Surge, seconds: float) -> None:
         """Send requests at the rush's rate for some seconds; return when they have ended."""
@@ -46,11 +46,11 @@
         running: set[asyncio.Task[None]] = set()
         while loop.time() < ends_at:
             if len(running) < MAX_OUTSTANDING_REQUESTS:
-                listener = self._drawn.choice(routes).listener
+                listener = self._rng.choice(routes).listener
                 task = asyncio.create_task(self._request_once(listener, self.zone_of(surge)))
                 running.add(task)
                 task.add_done_callback(running.discard)
-            await asyncio.sleep(self._drawn.expovariate(self._per_second))
+            await asyncio.sleep(self._rng.expovariate(self._per_second))
         await asyncio.gather(*running)
 
     def routes_of(self, surge: Surge) -> list[SoakRoute]:
@@ -61,4 +61,4 @@
 
     def zone_of(self, surge: Surge) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
-        return surge.value if surge.scope is SurgeScope.ZONE else self._drawn.choice(self._zones)
+        return surge.value if surge.scope is SurgeScope.ZONE else self._rng.choice(self._zones)
