--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -162,13 +162,13 @@
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     rng = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
-    deck: list[FaultKind] = []
+    remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     scale = _scale(names)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        if not deck:
-            deck = rng.sample(BASE_KINDS, len(BASE_KINDS))
-        kind = deck.pop()
+        if not remaining_kinds:
+            remaining_kinds = rng.sample(BASE_KINDS, len(BASE_KINDS))
+        kind = remaining_kinds.pop()
         if SHAPES[kind].group is TargetGroup.ALL:
             # Everything is killed only while nothing else is out of order.
             at = max([at, *(each.ends_at + SETTLE_SECONDS for each in planned)])
