--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -46,7 +46,7 @@
     """Makes the calls of one stand-in."""
 
     def __init__(self) -> None:
-        self._kept: dict[Endpoint, list[IdleConnection]] = defaultdict(list)
+        self._idle: dict[Endpoint, list[IdleConnection]] = defaultdict(list)
 
     async def call(
         self,
@@ -65,13 +65,13 @@
 
     def close(self) -> None:
         """Drop the connections."""
-        for connections in self._kept.values():
+        for connections in self._idle.values():
             for each in connections:
                 each.writer.transport.abort()
-        self._kept.clear()
+        self._idle.clear()
 
     async def _connection(self, endpoint: Endpoint) -> IdleConnection:
-        kept = self._kept[endpoint]
+        kept = self._idle[endpoint]
         while kept:
             connection = kept.pop()
             if connection.is_usable():
@@ -88,7 +88,7 @@
         except BaseException:
             connection.writer.transport.abort()
             raise
-        self._kept[endpoint].append(connection)
+        self._idle[endpoint].append(connection)
         return answer
 
 
