--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -71,9 +71,9 @@
         self._idle.clear()
 
     async def _connection(self, endpoint: Endpoint) -> IdleConnection:
-        kept = self._idle[endpoint]
-        while kept:
-            connection = kept.pop()
+        idle = self._idle[endpoint]
+        while idle:
+            connection = idle.pop()
             if connection.is_usable():
                 return connection
         reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
