--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -146,7 +146,7 @@
     condition: LinkCondition = field(default_factory=LinkCondition)
     _front: asyncio.DatagramTransport | None = None
     _clients: dict[Address, asyncio.DatagramTransport] = field(default_factory=dict)
-    _opening: dict[Address, list[bytes]] = field(default_factory=dict)
+    _pending: dict[Address, list[bytes]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def start(self) -> None:
@@ -169,7 +169,7 @@
         if transport is not None:
             self._forward(True, lambda: transport.sendto(data))
             return
-        waiting = self._opening.setdefault(client, [])
+        waiting = self._pending.setdefault(client, [])
         waiting.append(data)
         if len(waiting) == 1:
             task = asyncio.ensure_future(self._open(client))
@@ -184,7 +184,7 @@
             remote_addr=(self.target.host, self.target.port),
         )
         self._clients[client] = transport
-        for data in self._opening.pop(client, []):
+        for data in self._pending.pop(client, []):
             self._forward(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
 
     def forward_to_client(self, data: bytes, client: Address) -> None:
