--- a/tests/lab/soak/test_soak_run.py
+++ b/tests/lab/soak/test_soak_run.py
@@ -13,7 +13,7 @@
 from jasperwalk_lab.soak.schedule import LAST_FAULT_BEFORE_END_SECONDS
 
 SECONDS = 45.0
-LEAST_KINDS = 15
+MIN_FAULT_KINDS = 15
 LEAST_ANSWERED = 500
 
 
@@ -21,7 +21,7 @@
 def test_every_promise_holds(tmp_path, seed):
     report = asyncio.run(run_soak(SECONDS, seed, tmp_path, lambda _line: None))
     assert without_stall_violations(report.violations, report.stalls) == []
-    assert len(report.faults) >= LEAST_KINDS
+    assert len(report.faults) >= MIN_FAULT_KINDS
     assert report.requests["answered"] >= LEAST_ANSWERED
 
 
