--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -8,7 +8,7 @@
 from jasperwalk_lab.ports import common_port
 from jasperwalk_lab.soak.relays import DatagramReceiver, LinkCondition, TcpRelay, UdpRelay
 
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 SHORT_SECONDS = 0.15
 
 
@@ -29,7 +29,7 @@
         await relay.start()
         try:
             reader, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await scenario(relay, reader, writer)
             writer.close()
         finally:
@@ -134,7 +134,7 @@
             remote_addr=(relay.listen.host, relay.listen.port),
         )
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await scenario(relay, client, received)
         finally:
             client.close()
