--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -66,12 +66,12 @@
         await reader.readexactly(5)
         relay.silence_open_connections()
         writer.write(b"again")
-        second_reader, to_anew = await asyncio.open_connection(
+        second_reader, second_writer = await asyncio.open_connection(
             relay._listen.host, relay._listen.port
         )
-        to_anew.write(b"hello")
+        second_writer.write(b"hello")
         assert await second_reader.readexactly(5) == b"hello"
-        to_anew.close()
+        second_writer.close()
         left = asyncio.create_task(reader.read(5))
         await asyncio.sleep(SHORT_SECONDS)
         assert not left.done()
