--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -83,12 +83,12 @@
 def test_the_end_of_a_silenced_connection_is_not_passed_on():
     ended = asyncio.Event()
 
-    async def note_end(reader, _writer):
+    async def record_end(reader, _writer):
         await reader.read()
         ended.set()
 
     async def main():
-        server = await asyncio.start_server(note_end, "127.0.0.1", 0)
+        server = await asyncio.start_server(record_end, "127.0.0.1", 0)
         relay = TcpRelay(free_endpoint(), Endpoint(*server.sockets[0].getsockname()))
         await relay.start()
         _, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
