--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -18,13 +18,13 @@
     ran_though_refused,
 )
 
-URGENT, PATIENT = 0, 1
+URGENT, NORMAL = 0, 1
 REFUSED_AT = 20.0
 REFUSED = RequestRefused(REFUSED_AT, "q1", "f-refused", "web", URGENT)
 HOSTS = ("h1", "h2")
 
 
-def opening(host, at, priority=PATIENT, flow=None):
+def opening(host, at, priority=NORMAL, flow=None):
     return OpeningReceived(at, host, "web", "web", "north", flow or f"{host}-{at}", priority)
 
 
