--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -57,8 +57,8 @@
 def test_each_service_has_two_routes_that_differ():
     assert {route.service: 0 for route in ROUTES}.keys() == {"web", "export"}
     for service in ("web", "export"):
-        urgent, patient = [route for route in ROUTES if route.service == service]
-        assert urgent.priority < patient.priority
-        assert urgent.objective_ms < patient.objective_ms
-        assert urgent.limit_ms < patient.limit_ms
+        urgent, normal = [route for route in ROUTES if route.service == service]
+        assert urgent.priority < normal.priority
+        assert urgent.objective_ms < normal.objective_ms
+        assert urgent.limit_ms < normal.limit_ms
         assert route_of(urgent.listener) == urgent
