--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -40,7 +40,7 @@
     )
 
 
-def breaks(made, **bounds):
+def violating_request_ids(made, **bounds):
     return [each.refused.request_id for each in priority_violations(made, **bounds)]
 
 
@@ -84,15 +84,15 @@
 
 @pytest.mark.parametrize("made", RIGHT.values(), ids=RIGHT.keys())
 def test_what_breaks_no_promise_of_urgency(made):
-    assert breaks(made) == []
+    assert violating_request_ids(made) == []
 
 
 def test_a_host_that_took_the_place_of_another_counts_in_its_place():
     at_third = [opening("h3", REFUSED_AT + at) for at in (0.2, 0.3)]
     made = history([*AT_BOTH[:2], *at_third])
-    assert breaks(made) == []
+    assert violating_request_ids(made) == []
     made.hosts_began.append(HostStarted(10.0, "agent-h2", "h3", "web"))
-    assert breaks(made) == ["q1"]
+    assert violating_request_ids(made) == ["q1"]
 
 
 def test_a_least_share_of_less_urgent_requests_is_allowed():
@@ -102,9 +102,9 @@
         for host in HOSTS
         for at in range(1, 11)
     )
-    assert breaks(made, least_share=0.1) == []
-    assert breaks(made, least_share=0.09) == ["q1"]
-    assert breaks(made, least_share=0.0, max_owed=2.0) == []
+    assert violating_request_ids(made, least_share=0.1) == []
+    assert violating_request_ids(made, least_share=0.09) == ["q1"]
+    assert violating_request_ids(made, least_share=0.0, max_owed=2.0) == []
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
 def test_only_refusals_for_want_of_room_count(kind, ended_before, found):
     ended_at = REFUSED_AT - ended_before
     happened = InjectedFault(PlannedFault(1.0, kind, "x", 1.0), 1.0, ended_at)
-    assert breaks(history(AT_BOTH, faults=[happened])) == found
+    assert violating_request_ids(history(AT_BOTH, faults=[happened])) == found
 
 
 @pytest.mark.parametrize(
