--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -52,7 +52,7 @@
     assert found.counts == {"h1": 2, "h2": 2}
 
 
-RIGHT = {
+VALID_HISTORIES = {
     "it may have been refused at the other host": history(AT_BOTH[:2]),
     "the hosts owed them from before": history(AT_BOTH[::2]),
     "they were begun before": history(
@@ -82,7 +82,7 @@
 }
 
 
-@pytest.mark.parametrize("made", RIGHT.values(), ids=RIGHT.keys())
+@pytest.mark.parametrize("made", VALID_HISTORIES.values(), ids=VALID_HISTORIES.keys())
 def test_what_breaks_no_promise_of_urgency(made):
     assert violating_request_ids(made) == []
 
