--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -18,8 +18,8 @@
 class StuckFlow:
     """Never opens; its calls are still under way when the last arrival comes."""
 
-    def __init__(self, gate):
-        self._gate = gate
+    def __init__(self, release):
+        self._gate = release
 
     def in_use(self):
         return self
@@ -38,16 +38,16 @@
     profile = LoadProfile(services=(SERVICE,), seconds=0.2, most_outstanding=most_outstanding)
 
     async def scenario():
-        gate = asyncio.Event()
+        release = asyncio.Event()
         caller = Caller("test", tmp_path, CallHistory())
         loop = OpenLoop(caller, LISTENERS, profile, 1, lambda _: None)
         pool = loop._pools["s"]
-        pool.flow = lambda _rank: StuckFlow(gate)
+        pool.flow = lambda _rank: StuckFlow(release)
         running = asyncio.create_task(loop.run())
         while loop.counts.due < len(expected(profile)):
             await asyncio.sleep(0.01)
         outstanding = loop.counts.outstanding
-        gate.set()
+        release.set()
         return outstanding, await running
 
     return scenario, profile
