--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -19,7 +19,7 @@
     """Never opens; its calls are still under way when the last arrival comes."""
 
     def __init__(self, release):
-        self._gate = release
+        self._release = release
 
     def in_use(self):
         return self
@@ -31,7 +31,7 @@
         return False
 
     async def connection(self):
-        await self._gate.wait()
+        await self._release.wait()
 
 
 def run(tmp_path, most_outstanding):
