--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.soak.processes import ProcessNotRunning, SoakProcess
 from jasperwalk_lab.soak.relays import LinkCondition
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import SurgeCallers
+from jasperwalk_lab.soak.surges import SurgeCallers
 
 LINK_LOSS = 0.3
 SLOW_LINK_SECONDS = 0.15
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -26,7 +26,7 @@
 from jasperwalk_lab.soak.report import SoakReport, make_report, write_page
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import SurgeCallers
+from jasperwalk_lab.soak.surges import SurgeCallers
 from jasperwalk_lab.soak.wire import READY_PATH, SoakConfiguration, SoakRoute
 
 COLD_FLOWS_PER_SECOND = 8.0
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from jasperwalk_lab.soak import rushes
+from jasperwalk_lab.soak import surges
 from jasperwalk_lab.soak.pressure import Surge, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
-from jasperwalk_lab.soak.rushes import MAX_REQUESTS_PER_SECOND, SURGE_FACTOR, SurgeCallers
+from jasperwalk_lab.soak.surges import MAX_REQUESTS_PER_SECOND, SURGE_FACTOR, SurgeCallers
 
 ZONES = ("north", "south")
 
@@ -39,7 +39,7 @@
 
 
 def test_no_more_requests_wait_at_once_than_the_bound(monkeypatch):
-    monkeypatch.setattr(rushes, "MOST_AT_ONCE", 3)
+    monkeypatch.setattr(surges, "MOST_AT_ONCE", 3)
     waiting, most = set(), 0
 
     async def request_once(listener, zone):
