--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.soak.fleet import SoakFleet
 from jasperwalk_lab.soak.history import ProcessKilledAtStop, SoakHistory
 from jasperwalk_lab.soak.operators import Operators
-from jasperwalk_lab.soak.pressure import Surge
+from jasperwalk_lab.soak.overload import Surge
 from jasperwalk_lab.soak.processes import ProcessNotRunning, SoakProcess
 from jasperwalk_lab.soak.relays import LinkCondition
 from jasperwalk_lab.soak.running_hosts import RunningHosts
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -22,7 +22,7 @@
 from jasperwalk_lab.soak.http_calls import HttpCaller
 from jasperwalk_lab.soak.injector import SoakInjector
 from jasperwalk_lab.soak.operators import Operators
-from jasperwalk_lab.soak.pressure import FAULT_FREE_SECONDS, plan_with_overload
+from jasperwalk_lab.soak.overload import FAULT_FREE_SECONDS, plan_with_overload
 from jasperwalk_lab.soak.report import SoakReport, make_report, write_page
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.running_hosts import RunningHosts
--- a/src/jasperwalk_lab/soak/surges.py
+++ b/src/jasperwalk_lab/soak/surges.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk_lab.soak.pressure import Surge, SurgeScope
+from jasperwalk_lab.soak.overload import Surge, SurgeScope
 from jasperwalk_lab.soak.wire import SoakRoute
 
 SURGE_FACTOR = 5.0
--- a/tests/lab/soak/test_soak_rushes.py
+++ b/tests/lab/soak/test_soak_rushes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from jasperwalk_lab.soak import surges
-from jasperwalk_lab.soak.pressure import Surge, SurgeScope
+from jasperwalk_lab.soak.overload import Surge, SurgeScope
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.surges import MAX_REQUESTS_PER_SECOND, SURGE_FACTOR, SurgeCallers
 
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -12,7 +12,7 @@
 )
 from jasperwalk_lab.soak.injector import covers_every_kind
 from jasperwalk_lab.soak.kept_seeds import KeptSeed, read_kept_seeds
-from jasperwalk_lab.soak.pressure import (
+from jasperwalk_lab.soak.overload import (
     FAULT_FREE_SECONDS,
     Surge,
     SurgeScope,
