--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class _Spells:
+class _AnswerPeriods:
     begins: list[float]
     last: float
 
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self.cut: set[tuple[str, int]] = set()
-        self._spells: dict[tuple[int, tuple[str, int]], _Spells] = {}
+        self._spells: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
     def saw(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
         """Note that an agent answered a caller.
@@ -67,7 +67,7 @@
         """
         spells = self._spells.get((caller_port, agent))
         if spells is None:
-            self._spells[caller_port, agent] = _Spells([now], now)
+            self._spells[caller_port, agent] = _AnswerPeriods([now], now)
             return
         if now - spells.last >= PAUSE_SECONDS:
             spells.begins.append(now)
