--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class _AnswerPeriods:
-    begins: list[float]
+    starts: list[float]
     last: float
 
 
@@ -70,7 +70,7 @@
             self._spells[caller_port, agent] = _AnswerPeriods([now], now)
             return
         if now - spells.last >= PAUSE_SECONDS:
-            spells.begins.append(now)
+            spells.starts.append(now)
         spells.last = now
 
     def all(self) -> list[Sighting]:
@@ -78,7 +78,7 @@
         return [
             Sighting(caller_port=port, agent=f"{host}:{number}", at=at)
             for (port, (host, number)), spells in self._spells.items()
-            for at in spells.begins
+            for at in spells.starts
         ]
 
 
