--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -65,20 +65,20 @@
 
         A port may belong to one flow after another, so an answer after a pause counts anew.
         """
-        spells = self._spells.get((caller_port, agent))
-        if spells is None:
+        periods = self._spells.get((caller_port, agent))
+        if periods is None:
             self._spells[caller_port, agent] = _AnswerPeriods([now], now)
             return
-        if now - spells.last >= PAUSE_SECONDS:
-            spells.starts.append(now)
-        spells.last = now
+        if now - periods.last >= PAUSE_SECONDS:
+            periods.starts.append(now)
+        periods.last = now
 
     def all(self) -> list[Sighting]:
         """Return every sighting."""
         return [
             Sighting(caller_port=port, agent=f"{host}:{number}", at=at)
-            for (port, (host, number)), spells in self._spells.items()
-            for at in spells.starts
+            for (port, (host, number)), periods in self._spells.items()
+            for at in periods.starts
         ]
 
 
