--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -58,16 +58,16 @@
 
     def __init__(self) -> None:
         self.cut: set[tuple[str, int]] = set()
-        self._spells: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
+        self._periods: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
     def saw(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
         """Note that an agent answered a caller.
 
         A port may belong to one flow after another, so an answer after a pause counts anew.
         """
-        periods = self._spells.get((caller_port, agent))
+        periods = self._periods.get((caller_port, agent))
         if periods is None:
-            self._spells[caller_port, agent] = _AnswerPeriods([now], now)
+            self._periods[caller_port, agent] = _AnswerPeriods([now], now)
             return
         if now - periods.last >= PAUSE_SECONDS:
             periods.starts.append(now)
@@ -77,7 +77,7 @@
         """Return every sighting."""
         return [
             Sighting(caller_port=port, agent=f"{host}:{number}", at=at)
-            for (port, (host, number)), periods in self._spells.items()
+            for (port, (host, number)), periods in self._periods.items()
             for at in periods.starts
         ]
 
