--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -10,7 +10,7 @@
 
 FAILURES_TO_REMOVE = 2
 """Failed probes in a row after which a balancer gets no more datagrams."""
-PAUSE_SECONDS = 1.0
+SIGHTING_GAP_SECONDS = 1.0
 """Time without an answer after which the next one is a sighting of its own."""
 
 
@@ -69,7 +69,7 @@
         if periods is None:
             self._periods[caller_port, agent] = _AnswerPeriods([now], now)
             return
-        if now - periods.last >= PAUSE_SECONDS:
+        if now - periods.last >= SIGHTING_GAP_SECONDS:
             periods.starts.append(now)
         periods.last = now
 
