--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -80,7 +80,7 @@
         self._stream_ids = itertools.count(0, 4)
         self._connected = asyncio.Event()
         self.ended = False
-        self._world.flows[self.address] = self.take
+        self._world.flows[self.address] = self.on_datagram
 
     @property
     def host(self) -> str:
@@ -125,7 +125,7 @@
         self.ended = True
         self._world.flows.pop(self.address, None)
 
-    def take(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
         """Take a datagram from the fabric."""
         if data[0] < FIRST_CONTENT_BYTE:
             # A stateless reset; while keys change, agents send one for each key.
@@ -134,13 +134,13 @@
             return
         content = cbor2.loads(data)
         if content[0] == model_flow.CONNECTION_ID:
-            self._take_connection_id(*content[1:])
+            self._on_connection_id(*content[1:])
         elif content[0] == model_flow.FRAMES:
-            self._take_frames(*content[1:])
+            self._on_frames(*content[1:])
         elif content[0] == model_flow.CLOSE:
             self._end()
 
-    def _take_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
+    def _on_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
         if not self._connection_id:
             # Another agent may have answered too, where the Initial was sent again: the first
             # answer stands, and later ones of other agents are not followed.
@@ -150,7 +150,7 @@
         self._number, self._connection_id, self._reset_token = number, connection_id, token
         self._connected.set()
 
-    def _take_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
+    def _on_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
         stream = self._streams.get(stream_id)
         if stream is None or first > len(stream.frames):
             return
@@ -169,7 +169,7 @@
         self._send(model_flow.short_packet(self._connection_id, content))
 
     def _send(self, payload: bytes) -> None:
-        self._world.spray(self._process, self.address, self._vip, payload)
+        self._world.send_from_caller(self._process, self.address, self._vip, payload)
 
 
 async def _wait(event: asyncio.Event, seconds: float) -> None:
--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -55,7 +55,7 @@
         self.machine_lost = False
         """Whether the machine went with the process, so that nobody resets its connections."""
         self.random: Random = Random(f"{name}")
-        self._waiting: list[_Deferred] = []
+        self._waiting: list[_DeferredCallback] = []
         self._tasks: set[asyncio.Task[Any]] = set()
         self._context = contextvars.copy_context()
         self._context.run(_running.set, self)
@@ -77,7 +77,7 @@
         """Run a function at once as a part of this process."""
         return self._context.copy().run(function, *arguments)
 
-    def keep(self, task: asyncio.Task[Any]) -> None:
+    def hold_task(self, task: asyncio.Task[Any]) -> None:
         """Hold a task to the end of the run: a killed one must not run its `finally`."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard, context=contextvars.Context())
@@ -99,7 +99,7 @@
         self.alive = False
         self._waiting.clear()
 
-    def take(
+    def run_callback(
         self, callback: Callable[..., Any], arguments: tuple[Any, ...], handle: _HandleCell
     ) -> None:
         """Run a callback of this process now, later, or never."""
@@ -107,7 +107,7 @@
             return
         if self.frozen:
             context = contextvars.copy_context()
-            self._waiting.append(_Deferred(callback, arguments, handle, context))
+            self._waiting.append(_DeferredCallback(callback, arguments, handle, context))
             return
         callback(*arguments)
 
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True)
-class _Deferred:
+class _DeferredCallback:
     """A callback that came due while its process was frozen."""
 
     callback: Callable[..., Any]
@@ -136,7 +136,7 @@
             self.callback(*self.arguments)
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Reports nothing and, instead of waiting, tells how long the loop meant to wait."""
 
     def __init__(self) -> None:
@@ -165,15 +165,15 @@
     """An event loop on virtual time; the same calls give the same order of callbacks."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self.set_task_factory(_make_task)
-        self.set_exception_handler(self._note_failure)
+        self.set_exception_handler(self._record_failure)
         self.failures: list[str] = []
 
     def time(self) -> float:
         """Return the virtual time, seconds."""
-        return CLOCK_START_SECONDS + self._jumping.waited_seconds
+        return CLOCK_START_SECONDS + self._virtual_selector.waited_seconds
 
     def call_soon(
         self,
@@ -183,7 +183,7 @@
     ) -> asyncio.Handle:
         """Run a callback in its process's turn."""
         cell = _HandleCell()
-        cell.handle = super().call_soon(_guarded, callback, args, cell, context=context)
+        cell.handle = super().call_soon(_run_in_process, callback, args, cell, context=context)
         return cell.handle
 
     def call_at(
@@ -195,7 +195,7 @@
     ) -> asyncio.TimerHandle:
         """Run a callback at a time, in its process's turn."""
         cell = _HandleCell()
-        handle = super().call_at(when, _guarded, callback, args, cell, context=context)
+        handle = super().call_at(when, _run_in_process, callback, args, cell, context=context)
         cell.handle = handle
         return handle
 
@@ -209,9 +209,11 @@
 
         A worker's `begin` is told of the work first, for a crash in the middle of it.
         """
-        return self.create_task(self._work(func, args))
+        return self.create_task(self._simulate_disk_work(func, args))
 
-    async def _work(self, function: Callable[..., Result], arguments: tuple[Any, ...]) -> Result:
+    async def _simulate_disk_work(
+        self, function: Callable[..., Result], arguments: tuple[Any, ...]
+    ) -> Result:
         process = current_process()
         begin = getattr(getattr(function, "__self__", None), "begin", None)
         if begin is not None:
@@ -219,18 +221,20 @@
         await asyncio.sleep(process.random.uniform(*DISK_SYNC_SECONDS))
         return function(*arguments)
 
-    def _note_failure(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_failure(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None and not isinstance(error, asyncio.CancelledError):
             self.failures.append(f"{context.get('message')}: {error!r}")
 
 
-def _guarded(callback: Callable[..., Any], arguments: tuple[Any, ...], cell: _HandleCell) -> None:
+def _run_in_process(
+    callback: Callable[..., Any], arguments: tuple[Any, ...], cell: _HandleCell
+) -> None:
     process = _running.get()
     if process is None:
         callback(*arguments)
     else:
-        process.take(callback, arguments, cell)
+        process.run_callback(callback, arguments, cell)
 
 
 def current_process() -> SimulatedProcess:
@@ -245,7 +249,7 @@
     task = asyncio.Task(job, loop=loop, **options)
     process = _running.get()
     if process is not None:
-        process.keep(task)
+        process.hold_task(task)
     return task
 
 
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -144,9 +144,9 @@
     async def run(self, faults: list[Fault]) -> None:
         """Carry out every fault at its time and return when the last one is over."""
         began = self._world.now
-        await asyncio.gather(*(self._at(began + fault.at, fault) for fault in faults))
+        await asyncio.gather(*(self._perform_at(began + fault.at, fault) for fault in faults))
 
-    async def _at(self, when: float, fault: Fault) -> None:
+    async def _perform_at(self, when: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, when - self._world.now))
         self._world.record.trace(self._world.now, f"fault {fault.action}")
         await self._perform(fault.action)
@@ -185,11 +185,11 @@
             self._after(FABRIC_LAG_SECONDS, _leave_fabric, world, host)
         await asyncio.sleep(action.seconds)
         host.start()
-        self._note_restart(host.name)
+        self._record_restart(host.name)
         if isinstance(host, BalancerHost):
             self._after(FABRIC_LAG_SECONDS, _join_fabric, world, host)
 
-    def _note_restart(self, name: str) -> None:
+    def _record_restart(self, name: str) -> None:
         world, replica = self._world, self._world.any_replica()
         revision = 0 if replica is None else replica.state.revision
         world.record.restarts.append(Restart(name, world.now, revision))
@@ -226,7 +226,7 @@
         host = self._world.host(action.host)
         assert isinstance(host, ControlHost)
         begin = self._world.now
-        await replace_replica(self._world, host, self._administrator.console.random)
+        await replace_replica(self._world, host, self._administrator.operator_client.random)
         self._world.record.disturbances[host.name].append(
             Interval(begin, self._world.now + RECOVERY_SECONDS)
         )
@@ -256,7 +256,7 @@
         while not _serves(host, action.service) and world.now < until:
             await asyncio.sleep(MOVE_POLL_SECONDS)
         if not _serves(host, action.service):
-            world.violated(f"move-stuck: {action.host} to {action.service}")
+            world.record_violation(f"move-stuck: {action.host} to {action.service}")
         world.moving.discard(action.host)
         world.record.trace(world.now, f"serving {action.host} {action.service}")
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
@@ -269,13 +269,13 @@
     async def _leave(self, action: Leave) -> None:
         asked_at = self._world.now
         self._world.platform.leave(action.host)
-        await self._until_drained(action.host)
-        self._administrator.note_drain(action.host, asked_at)
+        await self._wait_until_drained(action.host)
+        self._administrator.record_drain(action.host, asked_at)
         await asyncio.sleep(action.seconds)
-        self._administrator.close_drain(action.host)
+        self._administrator.record_drain_end(action.host)
         self._world.platform.stay(action.host)
 
-    async def _until_drained(self, host: str) -> None:
+    async def _wait_until_drained(self, host: str) -> None:
         for _ in range(300):
             replica = self._world.any_replica()
             if replica is not None and any(
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -35,12 +35,12 @@
 EXPECTED_REVISION_SHARE = 0.7
 """Share of the changes that name the revision that they expect."""
 MAX_SENDS = 6
-LANES = 16
+BURST_CONCURRENCY = 16
 """Changes of a burst that are under way at once."""
 STUDIO_TEMPLATE = "studio"
 
 
-class Console:
+class OperatorClient:
     """Sends changes to replicas and records what came back."""
 
     def __init__(self, world: World, name: str, zone: str, random: Random) -> None:
@@ -55,7 +55,7 @@
         self._count += 1
         return f"{self.name}/{self._count}"
 
-    async def carry_through(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
+    async def send_until_outcome(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
         """Send a change again and again until an outcome comes back, to any replica."""
         change = Change(command, self.name)
         self.world.record.changes.append(change)
@@ -99,7 +99,7 @@
     ) -> None:
         network = self.world.network
 
-        def take(answer: Outcome | JasperwalkError) -> None:
+        def receive_answer(answer: Outcome | JasperwalkError) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
@@ -112,7 +112,7 @@
             except JasperwalkError as error:
                 answer = error
             if self.random.random() >= LOST_ANSWER_SHARE:
-                network.send_once(process, self.process, take, answer)
+                network.send_once(process, self.process, receive_answer, answer)
 
         network.send_once(self.process, process, lambda: process.start(serve()))
 
@@ -120,13 +120,15 @@
 class Operator:
     """Changes the studios' queues, with the revision that it read or without."""
 
-    def __init__(self, console: Console, pause_seconds: tuple[float, float] = (0.2, 1.2)) -> None:
-        self.console = console
+    def __init__(
+        self, operator_client: OperatorClient, pause_seconds: tuple[float, float] = (0.2, 1.2)
+    ) -> None:
+        self.operator_client = operator_client
         self._pause_seconds = pause_seconds
 
     async def run(self) -> None:
         """Change until the world's traffic ends."""
-        world, random = self.console.world, self.console.random
+        world, random = self.operator_client.world, self.operator_client.random
         while world.traffic:
             await asyncio.sleep(random.uniform(*self._pause_seconds))
             number = random.randrange(STUDIO_COUNT)
@@ -134,77 +136,77 @@
             if random.random() < EXPECTED_REVISION_SHARE:
                 expected = self._read_revision(studio_name(number))
             command = SetTenant(
-                self.console.new_change_id(),
+                self.operator_client.new_change_id(),
                 expected,
                 studio_name(number),
                 STUDIO_TEMPLATE,
                 studio_values(number, queue=random.randint(1, 1000)),
             )
-            await self.console.carry_through(command)
+            await self.operator_client.send_until_outcome(command)
 
     def _read_revision(self, tenant: str) -> int:
         """Read a tenant's revision on some replica that this operator can reach."""
-        world = self.console.world
+        world = self.operator_client.world
         reachable = [
             each.replica
             for each in world.controls
             if each.running
             and each.replica is not None
             and each.process is not None
-            and not world.network.is_cut(self.console.process, each.process)
+            and not world.network.is_cut(self.operator_client.process, each.process)
         ]
         if not reachable:
             return 0
-        stored = self.console.random.choice(reachable).state.tenant(tenant)
+        stored = self.operator_client.random.choice(reachable).state.tenant(tenant)
         return 0 if stored is None else stored.revision
 
 
 class Administrator:
     """The operator who sets the fleet up, drains hosts and moves them between services."""
 
-    def __init__(self, console: Console) -> None:
-        self.console = console
-        self.world = console.world
+    def __init__(self, operator_client: OperatorClient) -> None:
+        self.operator_client = operator_client
+        self.world = operator_client.world
 
     async def set_up(self) -> None:
         """Apply the templates and tenants of the deployment."""
         layout = self.world.layout
         names = [service.name for service in layout.services]
         for name in (*names, STUDIO_TEMPLATE):
-            change_id = self.console.new_change_id()
-            await self._insist(ApplyTemplate(change_id, None, template_text(name)))
+            change_id = self.operator_client.new_change_id()
+            await self._submit(ApplyTemplate(change_id, None, template_text(name)))
         for service in layout.services:
             await self.set_service(service.name, service_values(layout, service))
         for number in range(STUDIO_COUNT):
             values = studio_values(number, queue=1)
-            change_id = self.console.new_change_id()
+            change_id = self.operator_client.new_change_id()
             name = studio_name(number)
-            await self._insist(SetTenant(change_id, 0, name, STUDIO_TEMPLATE, values))
+            await self._submit(SetTenant(change_id, 0, name, STUDIO_TEMPLATE, values))
 
     async def set_service(self, name: str, values: dict[str, Any]) -> None:
         """Set a service's tenant."""
-        change_id = self.console.new_change_id()
-        await self._insist(SetTenant(change_id, None, name, name, values))
+        change_id = self.operator_client.new_change_id()
+        await self._submit(SetTenant(change_id, None, name, name, values))
 
     async def drain(self, host: str) -> None:
         """Drain a host, and note when that was accepted."""
-        change_id = self.console.new_change_id()
+        change_id = self.operator_client.new_change_id()
         asked_at = self.world.now
-        await self._insist(SetHostState(change_id, host, AdminState.DRAINING))
-        self.note_drain(host, asked_at)
+        await self._submit(SetHostState(change_id, host, AdminState.DRAINING))
+        self.record_drain(host, asked_at)
 
-    def note_drain(self, host: str, asked_at: float) -> None:
+    def record_drain(self, host: str, asked_at: float) -> None:
         """Note that a host, which was asked to leave earlier, gets no new work from now on."""
         span = DrainSpan(host, self.world.now, float("inf"), asked_at)
         self.world.record.drains.append(span)
 
     async def resume(self, host: str) -> None:
         """Take a host back into service."""
-        self.close_drain(host)
-        change_id = self.console.new_change_id()
-        await self._insist(SetHostState(change_id, host, AdminState.ENABLED))
+        self.record_drain_end(host)
+        change_id = self.operator_client.new_change_id()
+        await self._submit(SetHostState(change_id, host, AdminState.ENABLED))
 
-    def close_drain(self, host: str) -> None:
+    def record_drain_end(self, host: str) -> None:
         """Note that a host may get new work again."""
         drains = self.world.record.drains
         for position, span in enumerate(drains):
@@ -223,16 +225,19 @@
 
     async def burst(self, count: int) -> None:
         """Make many changes without a pause, some of them at once."""
-        lanes = (self._burst_lane(range(first, count, LANES)) for first in range(LANES))
-        await asyncio.gather(*lanes)
+        workers = (
+            self._run_burst_changes(range(first, count, BURST_CONCURRENCY))
+            for first in range(BURST_CONCURRENCY)
+        )
+        await asyncio.gather(*workers)
 
-    async def _burst_lane(self, numbers: range) -> None:
+    async def _run_burst_changes(self, numbers: range) -> None:
         for number in numbers:
             studio = number % STUDIO_COUNT
             values = studio_values(studio, queue=number % 1000 + 1)
-            change_id = self.console.new_change_id()
+            change_id = self.operator_client.new_change_id()
             name = studio_name(studio)
-            await self._insist(SetTenant(change_id, None, name, STUDIO_TEMPLATE, values))
+            await self._submit(SetTenant(change_id, None, name, STUDIO_TEMPLATE, values))
 
     async def _set_members(self, service: str, without: str = "", plus: str = "") -> None:
         layout, world = self.world.layout, self.world
@@ -243,5 +248,5 @@
         pool = [member_value(layout, host, slots) for host in hosts]
         await self.set_service(service, {"vip": str(layout.listener(service)), "pool": pool})
 
-    async def _insist(self, command: OperatorCommand) -> Change:
-        return await self.console.carry_through(command, sends=60)
+    async def _submit(self, command: OperatorCommand) -> Change:
+        return await self.operator_client.send_until_outcome(command, sends=60)
--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class TableMark:
+class TableRevision:
     """A process had `revision` in force from `at` on."""
 
     at: float
@@ -63,7 +63,7 @@
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
+    def overlaps(self, begin: float, end: float) -> bool:
         """Tell whether it overlaps with another span."""
         return self.begin < end and begin < self.end
 
@@ -96,7 +96,9 @@
 
     changes: list[Change] = field(default_factory=list)
     calls: list[CallRecord] = field(default_factory=list)
-    marks: defaultdict[str, list[TableMark]] = field(default_factory=lambda: defaultdict(list))
+    table_revisions: defaultdict[str, list[TableRevision]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     disturbances: defaultdict[str, list[Interval]] = field(
         default_factory=lambda: defaultdict(list)
     )
@@ -131,4 +133,4 @@
 
     def disturbed(self, name: str, begin: float, end: float) -> bool:
         """Tell whether a process was down, frozen or cut off at some time within a span."""
-        return any(each.meets(begin, end) for each in self.disturbances[name])
+        return any(each.overlaps(begin, end) for each in self.disturbances[name])
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -98,7 +98,7 @@
     return all(attempt.refusal in CERTAINLY_NOT_APPLIED for attempt in change.attempts)
 
 
-def check_kept(
+def check_outcomes_kept(
     changes: Iterable[Change], replica: str, found: dict[str, Outcome | None]
 ) -> Iterator[str]:
     """Check on one replica, after the run, that every change has the outcome it was told.
@@ -107,9 +107,9 @@
     """
     for change in changes:
         kept = found.get(change.change_id)
-        for told in change.outcomes:
-            if kept != told:
-                yield f"accepted-lost: {change.change_id} on {replica}: told {told}, kept {kept}"
+        for reported in change.outcomes:
+            if kept != reported:
+                yield f"accepted-lost: {change.change_id} on {replica}: told {reported}, kept {kept}"
         if kept is not None and not change.outcomes and _certainly_had_no_effect(change):
             yield f"refused-but-applied: {change.change_id} on {replica}"
 
@@ -201,8 +201,8 @@
                 continue
             begin, revision = attempt.completed, attempt.outcome.revision
             until = begin + IN_FORCE_SECONDS
-            well = [name for name in controls if not record.disturbed(name, begin, until)]
-            if 2 * len(well) <= len(controls) or until > end:
+            undisturbed = [name for name in controls if not record.disturbed(name, begin, until)]
+            if 2 * len(undisturbed) <= len(controls) or until > end:
                 continue
             for name in names:
                 if record.disturbed(name, begin, until):
@@ -216,15 +216,15 @@
 
 
 def _seconds_until(record: Record, name: str, revision: int, begin: float) -> float:
-    reached = (mark.at for mark in record.marks[name] if mark.revision >= revision)
+    reached = (mark.at for mark in record.table_revisions[name] if mark.revision >= revision)
     return max(0.0, next(reached, math.inf) - begin)
 
 
 def measure_leaders(record: Record, controls: list[str], measures: Measures) -> None:
     """Take the times without a leader while a majority of the control machines was well."""
     for gap in record.leader_gaps:
-        well = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
-        if 2 * len(well) > len(controls):
+        undisturbed = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
+        if 2 * len(undisturbed) > len(controls):
             measures.until_leader_replaced.append(gap.end - gap.begin)
 
 
@@ -233,7 +233,7 @@
     for restart in record.restarts:
         reached = [
             mark.at - restart.at
-            for mark in record.marks.get(restart.host, [])
+            for mark in record.table_revisions.get(restart.host, [])
             if mark.at >= restart.at and mark.revision >= restart.revision
         ]
         if reached:
@@ -242,7 +242,7 @@
 
 def check_revisions(record: Record) -> Iterator[str]:
     """Check that no process goes back to an older revision; a start begins at 0."""
-    for name, marks in sorted(record.marks.items()):
-        for before, after in itertools.pairwise(marks):
+    for name, table_revisions in sorted(record.table_revisions.items()):
+        for before, after in itertools.pairwise(table_revisions):
             if 0 < after.revision < before.revision:
                 yield f"revision-went-back: {name} from {before.revision} to {after.revision}"
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -24,14 +24,14 @@
 from jasperwalk_lab.simulator.layout import FABRIC, Layout
 from jasperwalk_lab.simulator.network import CLIENT_ZONE, Network
 from jasperwalk_lab.simulator.platform import Platform
-from jasperwalk_lab.simulator.record import Interval, Record, TableMark
+from jasperwalk_lab.simulator.record import Interval, Record, TableRevision
 
 HEADER_LENGTH = 28
 FABRIC_LAG_SECONDS = 1.0
 """Time until the fabric notices that a balancer is gone or new."""
-WATCH_SECONDS = 0.05
+MONITOR_INTERVAL_SECONDS = 0.05
 
-TakeDatagram = Callable[[bytes], None]
+DeliverDatagram = Callable[[bytes], None]
 
 
 class World:
@@ -44,10 +44,10 @@
         self.fault_random = Random(f"{seed}-faults")
         self.network = Network(Random(f"{seed}-network"), layout.conditions())
         self.record = Record()
-        self.receivers: dict[Endpoint, tuple[SimulatedProcess, TakeDatagram]] = {}
-        self.flows: dict[Endpoint, TakeDatagram] = {}
+        self.receivers: dict[Endpoint, tuple[SimulatedProcess, DeliverDatagram]] = {}
+        self.flows: dict[Endpoint, DeliverDatagram] = {}
         self.stop_events: dict[str, asyncio.Event] = {}
-        self.ended: list[SimulatedProcess] = []
+        self.ended_processes: list[SimulatedProcess] = []
         self.traffic = True
         self.fabric_balancers: list[Endpoint] = []
         self.operator_sides: dict[str, str] = {}
@@ -94,7 +94,7 @@
         for host in self.hosts:
             host.start()
         self.fabric_balancers = [each.endpoint for each in self.balancers]
-        self.clients.start(self._watch())
+        self.clients.start(self._monitor_leaders())
 
     def _machines(self) -> list[PlatformMachine]:
         return [
@@ -130,12 +130,12 @@
 
     def table_changed(self, process: SimulatedProcess, table: Any) -> None:
         """Note that a process has another revision in force."""
-        self.record.marks[process.name].append(TableMark(self.now, table.revision))
+        self.record.table_revisions[process.name].append(TableRevision(self.now, table.revision))
         self.record.trace(self.now, f"table {process.name} {table.revision}")
 
     def follower_started(self, process: SimulatedProcess, core: Any) -> None:
         """Note a fresh process, whose revisions begin anew."""
-        self.record.marks[process.name].append(TableMark(self.now, 0))
+        self.record.table_revisions[process.name].append(TableRevision(self.now, 0))
 
     def agent_stopped(self, host: AgentHost) -> None:
         """Note that an agent ended by itself."""
@@ -144,7 +144,7 @@
         if host.process is not None:
             self.clients.call(host.kill)
 
-    def violated(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Record a broken promise."""
         if text not in self.record.violations:
             self.record.violations.append(text)
@@ -152,7 +152,7 @@
 
     # Datagrams
 
-    def spray(
+    def send_from_caller(
         self, caller: SimulatedProcess, source: Endpoint, vip: Endpoint, payload: bytes
     ) -> None:
         """Hand a caller's datagram to some balancer, as the fabric does."""
@@ -169,14 +169,14 @@
             return
         receiver = self.receivers.get(to)
         if receiver is not None:
-            process, take = receiver
-            self.network.send_datagram(sender, process, take, data)
+            process, deliver = receiver
+            self.network.send_datagram(sender, process, deliver, data)
 
     def _to_caller(self, sender: SimulatedProcess, data: bytes) -> None:
         address = Endpoint.unpack(data[20:24] + data[26:28])
-        take = self.flows.get(address)
-        if take is not None:
-            self.network.send_datagram(sender, self.clients, take, data[HEADER_LENGTH:])
+        deliver = self.flows.get(address)
+        if deliver is not None:
+            self.network.send_datagram(sender, self.clients, deliver, data[HEADER_LENGTH:])
 
     def operators_outside(self, hosts: tuple[str, ...]) -> list[str]:
         """Return the operators who are not on the side of a cut-off group."""
@@ -249,25 +249,25 @@
         current = all(
             each.balancer is not None
             and each.balancer.core.accepts_new_flows
-            and self.record.marks[each.name][-1].revision == replica.state.revision
+            and self.record.table_revisions[each.name][-1].revision == replica.state.revision
             for each in self.balancers
         )
         return len(members) == len(live) and online and current
 
     # Invariants that are watched all the time
 
-    async def _watch(self) -> None:
+    async def _monitor_leaders(self) -> None:
         last_led: float | None = None
         while True:
             leader = self.leader()
             if leader is not None:
-                if last_led is not None and self.now - last_led > 2 * WATCH_SECONDS:
+                if last_led is not None and self.now - last_led > 2 * MONITOR_INTERVAL_SECONDS:
                     self.record.leader_gaps.append(Interval(last_led, self.now))
                 last_led = self.now
             for host in self.controls:
                 if host.replica is not None:
                     self._check_leader(host)
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
 
     def _check_leader(self, host: ControlHost) -> None:
         """Election safety: one leader a term."""
@@ -277,12 +277,12 @@
         term = host.replica.runner.term
         identity = f"{host.replica_id}"
         if self._leaders.setdefault(term, identity) != identity:
-            self.violated(f"two-leaders: term {term}")
+            self.record_violation(f"two-leaders: term {term}")
 
     def applied(self, name: str, entry: AppliedEntry[Outcome]) -> None:
         """State machine safety: no two replicas apply different entries at an index."""
         if self._committed.setdefault(entry.index, entry) != entry:
-            self.violated(f"entries-differ: index {entry.index} at {name}")
+            self.record_violation(f"entries-differ: index {entry.index} at {name}")
 
 
 def _term_of(host: ControlHost) -> int:
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -11,13 +11,13 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.soak.history import (
-    HostBegan,
-    HostCold,
+    HostColdPeriod,
     HostDrained,
-    OpeningTaken,
-    RequestRun,
+    HostStarted,
+    InvalidAnnouncementAccepted,
+    OpeningReceived,
+    RequestStarted,
     SoakHistory,
-    UnusableTaken,
 )
 from jasperwalk_lab.soak.http_calls import HttpCaller
 from jasperwalk_lab.soak.relays import Address, DatagramReceiver
@@ -35,14 +35,14 @@
 
 HEARTBEAT_SECONDS = 0.8
 RETRY_SECONDS = 0.1
-WORK_SECONDS = (0.004, 0.03)
+URGENT_SERVICE_SECONDS = (0.004, 0.03)
 """Shortest and longest work on a request of the most urgent routes."""
-LONG_WORK_SECONDS = (0.08, 0.16)
+NORMAL_SERVICE_SECONDS = (0.08, 0.16)
 """The same for all others."""
 COLD_SECONDS = 2.0
 CAPACITY = 2
 """Requests that a host works on at once."""
-MOST_QUEUED = 8
+MAX_QUEUED = 8
 """Further requests that it keeps; it turns others away and says that they did not run."""
 REQUEST_MARK = b"request "
 ANSWER_MARK = b"answer "
@@ -86,10 +86,10 @@
     clock: Callable[[], float]
     history: SoakHistory
     route_of: Callable[[Endpoint], SoakRoute]
-    drawn: random.Random
+    rng: random.Random
     is_cold: bool = True
-    turns_away: bool = False
-    slowness: float = 1.0
+    rejects_openings: bool = False
+    service_time_factor: float = 1.0
     """How many times as long as usual it works on a request."""
     is_draining: bool = False
     flows: dict[tuple[Endpoint, Endpoint], HostFlow] = field(default_factory=dict)
@@ -106,7 +106,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._announcing: asyncio.Task[None] | None = None
-        self._works: set[asyncio.Task[None]] = set()
+        self._running_requests: set[asyncio.Task[None]] = set()
         self._slots = asyncio.Semaphore(CAPACITY)
 
     async def start(self) -> None:
@@ -120,17 +120,17 @@
         self.started_at = self.clock()
         self.started_unix_ms = round(1000 * time.time())
         self.history.hosts_began.append(
-            HostBegan(self.started_at, place.name, self.start_id, place.service)
+            HostStarted(self.started_at, place.name, self.start_id, place.service)
         )
         if self.is_cold:
             ends_at = self.started_at + COLD_SECONDS
-            self.history.cold.append(HostCold(self.start_id, self.started_at, ends_at))
+            self.history.cold.append(HostColdPeriod(self.start_id, self.started_at, ends_at))
         self._announcing = asyncio.create_task(self._announce_again())
 
     async def crash(self) -> None:
         """Forget everything at once, without a word."""
         self.is_alive = False
-        for task in (self._announcing, *self._works):
+        for task in (self._announcing, *self._running_requests):
             if task is not None:
                 task.cancel()
         if self._transport is not None:
@@ -154,7 +154,7 @@
     async def _announce_again(self) -> None:
         while True:
             taken = await self._announce()
-            pause = HEARTBEAT_SECONDS * self.drawn.uniform(0.8, 1.2) if taken else RETRY_SECONDS
+            pause = HEARTBEAT_SECONDS * self.rng.uniform(0.8, 1.2) if taken else RETRY_SECONDS
             await asyncio.sleep(pause)
 
     async def _announce(self) -> bool:
@@ -166,7 +166,7 @@
         )
         is_taken = answer.status == OK_STATUS
         if is_taken and is_draining and self.is_alive:
-            self._note_drained()
+            self._record_drained()
         return is_taken
 
     def _heartbeat(self) -> Heartbeat:
@@ -192,16 +192,16 @@
         await caller.call(self.place.calls, "PUT", heartbeat.path(), heartbeat.body())
         caller.close()
 
-    async def announce_like_other_writers(self) -> None:
+    async def announce_invalid(self) -> None:
         """Send announcements that name no host to use, under this host's name."""
         heartbeat = self._heartbeat()
-        for body in heartbeat.bodies_of_other_writers():
+        for body in heartbeat.invalid_bodies():
             answer = await self._caller.call(self.place.calls, "PUT", heartbeat.path(), body)
             if answer.status == OK_STATUS:
-                taken = UnusableTaken(self.clock(), self.place.name, body[:200])
+                taken = InvalidAnnouncementAccepted(self.clock(), self.place.name, body[:200])
                 self.history.unusable_taken.append(taken)
 
-    def _note_drained(self) -> None:
+    def _record_drained(self) -> None:
         if all(each.host_id != self.start_id for each in self.history.drained):
             self.history.drained.append(HostDrained(self.clock(), self.start_id))
 
@@ -213,7 +213,7 @@
             return
         key = (packet.source, packet.target)
         if packet.flags & SYN:
-            self._take_opening(key, packet, datagram)
+            self._handle_opening(key, packet, datagram)
             return
         flow = self.flows.get(key)
         if flow is None or not self._belongs(flow, packet):
@@ -223,17 +223,17 @@
         if packet.flags & (FIN | RST):
             del self.flows[key]
         elif packet.data:
-            self._take_request(key, flow, packet)
+            self._handle_request(key, flow, packet)
 
     def _belongs(self, flow: HostFlow, packet: Packet) -> bool:
         """Tell whether a packet follows this host's answer up."""
         return flow.is_open or (packet.acknowledged - flow.sequence) % 2**32 < 2**16
 
-    def _take_opening(
+    def _handle_opening(
         self, key: tuple[Endpoint, Endpoint], packet: Packet, datagram: bytes
     ) -> None:
         route = self.route_of(packet.target)
-        opening = OpeningTaken(
+        opening = OpeningReceived(
             self.clock(),
             self.start_id,
             self.place.service,
@@ -243,32 +243,34 @@
             route.priority,
         )
         self.history.openings.append(opening)
-        if self.turns_away:
+        if self.rejects_openings:
             self._send(bounced(datagram))
             return
         flow = self.flows.get(key)
         if flow is None:
-            flow = self.flows[key] = HostFlow(self.drawn.randrange(2**32))
+            flow = self.flows[key] = HostFlow(self.rng.randrange(2**32))
         self._answer(key, flow.sequence, packet.sequence + 1, SYN | ACK, b"")
 
-    def _take_request(self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet) -> None:
+    def _handle_request(
+        self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet
+    ) -> None:
         number = packet.sequence
         if number in flow.answers:
             self._answer_request(key, flow, packet, flow.answers[number])
         elif number not in flow.running:
-            if len(self._works) >= CAPACITY + MOST_QUEUED:
+            if len(self._running_requests) >= CAPACITY + MAX_QUEUED:
                 flow.answers[number] = NOT_RUN_MARK + _request_id(packet).encode()
                 self._answer_request(key, flow, packet, flow.answers[number])
                 return
             flow.running.add(number)
             task = asyncio.create_task(self._run(key, flow, packet))
-            self._works.add(task)
-            task.add_done_callback(self._works.discard)
+            self._running_requests.add(task)
+            task.add_done_callback(self._running_requests.discard)
 
     async def _run(self, key: tuple[Endpoint, Endpoint], flow: HostFlow, packet: Packet) -> None:
         request_id, route = _request_id(packet), self.route_of(packet.target)
         async with self._slots:
-            run = RequestRun(
+            run = RequestStarted(
                 self.clock(),
                 request_id,
                 self.start_id,
@@ -277,8 +279,8 @@
                 flow_name(*key),
             )
             self.history.runs.append(run)
-            shortest, longest = LONG_WORK_SECONDS if route.priority else WORK_SECONDS
-            await asyncio.sleep(self.slowness * self.drawn.uniform(shortest, longest))
+            shortest, longest = NORMAL_SERVICE_SECONDS if route.priority else URGENT_SERVICE_SECONDS
+            await asyncio.sleep(self.service_time_factor * self.rng.uniform(shortest, longest))
         answer = ANSWER_MARK + request_id.encode() + b" " + self.host_id.encode()
         flow.answers[packet.sequence] = answer
         self._answer_request(key, flow, packet, answer)
--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -14,9 +14,9 @@
 
 from jasperwalk.addresses import Endpoint
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """A caller of the platform moves on after a second of silence."""
-MOST_BYTES = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class KeptConnection:
+class IdleConnection:
     """An open connection with no call on it."""
 
     reader: asyncio.StreamReader
@@ -46,7 +46,7 @@
     """Makes the calls of one stand-in."""
 
     def __init__(self) -> None:
-        self._kept: dict[Endpoint, list[KeptConnection]] = defaultdict(list)
+        self._idle: dict[Endpoint, list[IdleConnection]] = defaultdict(list)
 
     async def call(
         self,
@@ -54,7 +54,7 @@
         method: str,
         path: str,
         body: bytes = b"",
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> CallAnswer:
         """Make one call; a failure is an answer without a status."""
         try:
@@ -65,19 +65,19 @@
 
     def close(self) -> None:
         """Drop the connections."""
-        for connections in self._kept.values():
+        for connections in self._idle.values():
             for each in connections:
                 each.writer.transport.abort()
-        self._kept.clear()
+        self._idle.clear()
 
-    async def _connection(self, endpoint: Endpoint) -> KeptConnection:
-        kept = self._kept[endpoint]
-        while kept:
-            connection = kept.pop()
+    async def _connection(self, endpoint: Endpoint) -> IdleConnection:
+        idle = self._idle[endpoint]
+        while idle:
+            connection = idle.pop()
             if connection.is_usable():
                 return connection
         reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
-        return KeptConnection(reader, writer)
+        return IdleConnection(reader, writer)
 
     async def _call(self, endpoint: Endpoint, method: str, path: str, body: bytes) -> CallAnswer:
         connection = await self._connection(endpoint)
@@ -88,13 +88,13 @@
         except BaseException:
             connection.writer.transport.abort()
             raise
-        self._kept[endpoint].append(connection)
+        self._idle[endpoint].append(connection)
         return answer
 
 
 async def _read_answer(reader: asyncio.StreamReader) -> CallAnswer:
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
-    length = min(int(headers.get("content-length", "0")), MOST_BYTES)
+    length = min(int(headers.get("content-length", "0")), MAX_BODY_BYTES)
     body = await reader.readexactly(length)
     return CallAnswer(int(lines[0].split()[1]), body, headers.get("location", ""))
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -7,20 +7,20 @@
 from collections.abc import Awaitable, Callable
 from typing import ClassVar
 
-from jasperwalk_lab.soak.faults import SHAPES, FaultKind, HappenedFault, PlannedFault
+from jasperwalk_lab.soak.faults import SHAPES, FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.fleet import SoakFleet
 from jasperwalk_lab.soak.history import ProcessKilledAtStop, SoakHistory
 from jasperwalk_lab.soak.operators import Operators
-from jasperwalk_lab.soak.pressure import Rush
+from jasperwalk_lab.soak.overload import Surge
 from jasperwalk_lab.soak.processes import ProcessNotRunning, SoakProcess
 from jasperwalk_lab.soak.relays import LinkCondition
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import RushingCallers
+from jasperwalk_lab.soak.surges import SurgeCallers
 
-LOSS = 0.3
+LINK_LOSS = 0.3
 SLOW_LINK_SECONDS = 0.15
 SLOW_STORAGE_SECONDS = 0.4
-SLOWNESS = 6.0
+SLOW_HOST_FACTOR = 6.0
 """How many times as long as usual slow hosts work."""
 DRAIN_SECONDS = 0.8
 
@@ -30,7 +30,7 @@
 RESTARTS_IN_A_ROW = 3
 SIGNALS_IN_A_ROW = 5
 STORM_CHANGES_AT_ONCE = 4
-STARTS_AGAIN_MOST = 3
+MAX_HOST_RESTARTS = 3
 
 KILLS = frozenset((FaultKind.CONTROL_KILLED, FaultKind.BALANCER_KILLED, FaultKind.AGENT_KILLED))
 PAUSES = frozenset((FaultKind.CONTROL_PAUSED, FaultKind.BALANCER_PAUSED, FaultKind.AGENT_PAUSED))
@@ -48,12 +48,12 @@
     (FaultKind.CONTROL_SIGNALLED, FaultKind.BALANCER_SIGNALLED, FaultKind.AGENT_SIGNALLED)
 )
 LINKS = {
-    FaultKind.CONTROL_LINKS_SILENT: LinkCondition(silent_forth=True, silent_back=True),
-    FaultKind.CONTROL_LINKS_ONE_WAY: LinkCondition(silent_back=True),
+    FaultKind.CONTROL_LINKS_SILENT: LinkCondition(silent_forward=True, silent_backward=True),
+    FaultKind.CONTROL_LINKS_ONE_WAY: LinkCondition(silent_backward=True),
     FaultKind.CONTROL_LINKS_SLOW: LinkCondition(delay_seconds=SLOW_LINK_SECONDS),
-    FaultKind.AGENT_LINKS_LOSSY: LinkCondition(loss=LOSS),
-    FaultKind.AGENT_LINKS_SILENT: LinkCondition(silent_forth=True, silent_back=True),
-    FaultKind.AGENT_LINKS_ONE_WAY: LinkCondition(silent_back=True),
+    FaultKind.AGENT_LINKS_LOSSY: LinkCondition(loss=LINK_LOSS),
+    FaultKind.AGENT_LINKS_SILENT: LinkCondition(silent_forward=True, silent_backward=True),
+    FaultKind.AGENT_LINKS_ONE_WAY: LinkCondition(silent_backward=True),
 }
 STORAGE = {
     FaultKind.STORAGE_SLOW: f"slow {SLOW_STORAGE_SECONDS}",
@@ -70,20 +70,20 @@
         fleet: SoakFleet,
         hosts: RunningHosts,
         operators: Operators,
-        rushing: RushingCallers,
+        surge_callers: SurgeCallers,
         clock: Clock,
         history: SoakHistory,
         progress: Progress,
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         self._fleet = fleet
         self._hosts = hosts
         self._operators = operators
-        self._rushing = rushing
+        self._surge_callers = surge_callers
         self._clock = clock
         self._history = history
         self._progress = progress
-        self._drawn = drawn
+        self._rng = rng
         self.now: list[str] = []
         """The faults that hold now, for people who watch."""
 
@@ -91,24 +91,24 @@
         """Bring all of them about, each at its time; return when the last one is undone."""
         async with asyncio.TaskGroup() as tasks:
             for fault in planned:
-                tasks.create_task(self._strike_at(fault))
+                tasks.create_task(self._inject_at(fault))
 
-    async def _strike_at(self, fault: PlannedFault) -> None:
+    async def _inject_at(self, fault: PlannedFault) -> None:
         await asyncio.sleep(max(0.0, fault.at - self._clock()))
         began_at, label = self._clock(), f"{fault.kind} {fault.target}"
         self.now.append(label)
         failure = ""
         try:
-            await self._strike(fault)
+            await self._inject(fault)
         except (ProcessNotRunning, OSError) as error:
             failure = f"{type(error).__name__}: {error}"
             self._progress(f"{label} failed: {failure}")
         finally:
             self.now.remove(label)
         ended_at = self._clock()
-        self._history.faults.append(HappenedFault(fault, began_at, ended_at, failure))
+        self._history.faults.append(InjectedFault(fault, began_at, ended_at, failure))
 
-    async def _strike(self, fault: PlannedFault) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         kind, target = fault.kind, fault.target
         if kind in KILLS:
             await self._kill([self._fleet.processes[target]], fault.seconds)
@@ -121,9 +121,9 @@
         elif kind in PAUSES:
             await self._fleet.processes[target].pause(fault.seconds)
         elif kind in LINKS:
-            await self._spoil_links(target, LINKS[kind], fault.seconds)
+            await self._degrade_links(target, LINKS[kind], fault.seconds)
         elif kind in STORAGE:
-            await self._spoil_storage(target, STORAGE[kind], fault.seconds)
+            await self._degrade_storage(target, STORAGE[kind], fault.seconds)
         else:
             await self._handlers[kind](self, fault)
 
@@ -145,20 +145,20 @@
     async def _restart_often(self, process: SoakProcess, seconds: float) -> None:
         """End and start a process again and again, also in the middle of its start."""
         for _ in range(RESTARTS_IN_A_ROW):
-            if self._drawn.choice((True, False)):
+            if self._rng.choice((True, False)):
                 await self._end_by_signal(process)
             else:
                 await process.kill()
             await process.start()
-            await asyncio.sleep(self._drawn.uniform(0.0, seconds / RESTARTS_IN_A_ROW))
+            await asyncio.sleep(self._rng.uniform(0.0, seconds / RESTARTS_IN_A_ROW))
 
     async def _signal_often(self, process: SoakProcess, seconds: float) -> None:
         """Tell a process again and again that its settings have changed."""
         for _ in range(SIGNALS_IN_A_ROW):
             process.reload()
-            await asyncio.sleep(self._drawn.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
+            await asyncio.sleep(self._rng.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
 
-    async def _spoil_links(self, target: str, condition: LinkCondition, seconds: float) -> None:
+    async def _degrade_links(self, target: str, condition: LinkCondition, seconds: float) -> None:
         tcp, udp = self._fleet.control_relays.get(target), self._fleet.agent_relays.get(target)
         relay = tcp or udp
         if relay is None:
@@ -167,7 +167,7 @@
         await asyncio.sleep(seconds)
         relay.condition = LinkCondition()
 
-    async def _spoil_storage(self, control: str, line: str, seconds: float) -> None:
+    async def _degrade_storage(self, control: str, line: str, seconds: float) -> None:
         path = self._fleet.storage_fault_file(control)
         path.write_text(line, encoding="ascii")
         await asyncio.sleep(seconds)
@@ -193,33 +193,33 @@
         await asyncio.sleep(fault.seconds)
         await self._hosts.start(fault.target, is_cold=True)
 
-    async def _turn_away(self, fault: PlannedFault) -> None:
+    async def _reject_openings(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
-        host.turns_away = True
+        host.rejects_openings = True
         await asyncio.sleep(fault.seconds)
-        host.turns_away = False
+        host.rejects_openings = False
 
     async def _abandon_links(self, _fault: PlannedFault) -> None:
         """Let nothing through on any connection to a replica that stands; new ones work."""
         for relay in self._fleet.control_relays.values():
-            relay.silence_standing()
+            relay.silence_open_connections()
 
-    async def _speak_late(self, fault: PlannedFault) -> None:
+    async def _deliver_late_announcement(self, fault: PlannedFault) -> None:
         """Let a host crash, another start in its place, and a call of the former one arrive."""
         former = self._hosts.beside(fault.target)
         await former.crash()
         await self._hosts.start(fault.target, is_cold=True)
         await asyncio.sleep(fault.seconds)
-        await former.announce_late(is_draining=self._drawn.choice((True, False)))
+        await former.announce_late(is_draining=self._rng.choice((True, False)))
 
-    async def _rush_callers(self, fault: PlannedFault) -> None:
-        await self._rushing.rush(Rush.parse(fault.target), fault.seconds)
+    async def _start_surge(self, fault: PlannedFault) -> None:
+        await self._surge_callers.surge(Surge.parse(fault.target), fault.seconds)
 
     async def _slow_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
-        host.slowness = SLOWNESS
+        host.service_time_factor = SLOW_HOST_FACTOR
         await asyncio.sleep(fault.seconds)
-        host.slowness = 1.0
+        host.service_time_factor = 1.0
 
     async def _drain_zone(self, fault: PlannedFault) -> None:
         await self._operators.drain_zone(fault.target, drained=True)
@@ -235,26 +235,26 @@
 
         It crashes, or it says first that it leaves.
         """
-        for _ in range(self._drawn.randint(1, STARTS_AGAIN_MOST)):
+        for _ in range(self._rng.randint(1, MAX_HOST_RESTARTS)):
             host = self._hosts.beside(fault.target)
-            if self._drawn.choice((True, False)):
+            if self._rng.choice((True, False)):
                 await host.drain(DRAIN_SECONDS)
             else:
                 await host.crash()
-            await asyncio.sleep(fault.seconds * self._drawn.uniform(0.0, 0.5))
+            await asyncio.sleep(fault.seconds * self._rng.uniform(0.0, 0.5))
             await self._hosts.start_again(fault.target)
-            await asyncio.sleep(fault.seconds * self._drawn.uniform(0.0, 0.5))
+            await asyncio.sleep(fault.seconds * self._rng.uniform(0.0, 0.5))
 
     async def _impersonate_host(self, fault: PlannedFault) -> None:
-        await self._hosts.beside(fault.target).announce_like_other_writers()
+        await self._hosts.beside(fault.target).announce_invalid()
 
-    async def _storm_of_changes(self, fault: PlannedFault) -> None:
+    async def _storm_configurations(self, fault: PlannedFault) -> None:
         ends_at = self._clock() + fault.seconds
         while self._clock() < ends_at:
             changes = [self._operators.configure() for _ in range(STORM_CHANGES_AT_ONCE)]
             await asyncio.gather(*changes)
 
-    async def _order_zone_in_a_row(self, fault: PlannedFault) -> None:
+    async def _alternate_zone_orders(self, fault: PlannedFault) -> None:
         """Drain and restore a zone without a pause; the last order restores it."""
         ends_at = self._clock() + fault.seconds
         while self._clock() < ends_at:
@@ -268,17 +268,17 @@
         FaultKind.CONTROL_LINKS_RESET: _reset_links,
         FaultKind.HOST_CRASHED: _crash_host,
         FaultKind.HOST_REPLACED: _replace_host,
-        FaultKind.HOST_TURNS_AWAY: _turn_away,
+        FaultKind.HOST_TURNS_AWAY: _reject_openings,
         FaultKind.ZONE_DRAINED: _drain_zone,
-        FaultKind.CALLERS_RUSH: _rush_callers,
+        FaultKind.CALLERS_RUSH: _start_surge,
         FaultKind.CONTROL_LINKS_ABANDONED: _abandon_links,
-        FaultKind.HOST_SPEAKS_LATE: _speak_late,
+        FaultKind.HOST_SPEAKS_LATE: _deliver_late_announcement,
         FaultKind.HOST_SLOW: _slow_host,
         FaultKind.ALL_KILLED: _kill_all,
         FaultKind.HOST_STARTED_AGAIN: _start_host_again,
         FaultKind.HOST_IMPERSONATED: _impersonate_host,
-        FaultKind.CONFIGURATION_STORM: _storm_of_changes,
-        FaultKind.ZONE_ORDERS_IN_A_ROW: _order_zone_in_a_row,
+        FaultKind.CONFIGURATION_STORM: _storm_configurations,
+        FaultKind.ZONE_ORDERS_IN_A_ROW: _alternate_zone_orders,
     }
 
 
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -8,22 +8,22 @@
 import msgspec
 
 from jasperwalk.scheduling.request_order import DEFAULT_LEAST_SHARE
-from jasperwalk_lab.soak.faults import PRESSURE
+from jasperwalk_lab.soak.faults import OVERLOAD_KINDS
 from jasperwalk_lab.soak.history import (
-    OpeningTaken,
+    OpeningReceived,
     RequestRefused,
     SoakHistory,
 )
 
-MOST_OWED = 1.0
+MAX_OWED = 1.0
 """Less urgent requests that a host may owe from before, beside that share."""
 FAULT_REACH_SECONDS = 6.0
 """Refusals within this time after a fault may have other causes than want of room."""
-WAIT_SECONDS = 1.4
+MAX_OPENING_WAIT_SECONDS = 1.4
 """Longest time for which an opening can wait before its caller gives up."""
 
 
-class UrgencyBreak(msgspec.Struct, frozen=True):
+class PriorityViolation(msgspec.Struct, frozen=True):
     """An urgent request that was refused while every host began less urgent ones that waited."""
 
     refused: RequestRefused
@@ -39,24 +39,24 @@
     at: float
 
 
-def urgency_breaks(
+def priority_violations(
     history: SoakHistory,
     least_share: float = DEFAULT_LEAST_SHARE,
-    most_owed: float = MOST_OWED,
-    wait_seconds: float = WAIT_SECONDS,
-) -> Iterator[UrgencyBreak]:
+    max_owed: float = MAX_OWED,
+    wait_seconds: float = MAX_OPENING_WAIT_SECONDS,
+) -> Iterator[PriorityViolation]:
     """Yield the refusals for which less urgent requests were begun at the same host.
 
     A caller does not learn at which host it was refused. A break is therefore certain only where
     each host that it can have been began less urgent openings which were sent before the refusal
     and reached the host after it: more of them than `least_share` of the requests that it ran
-    meanwhile, and `most_owed`.
+    meanwhile, and `max_owed`.
     """
     sent_at = {each.flow: each.at for each in history.asked}
     openings = _first_openings(history)
     runs = _times_of_runs(history)
     for refused in history.refused:
-        if refused.is_by_host or not _is_for_want_of_room(history, refused.at):
+        if refused.is_by_host or not _is_for_lack_of_capacity(history, refused.at):
             continue
         counts = {}
         for host_id in _hosts_at(history, refused):
@@ -72,15 +72,15 @@
                 and sent_at.get(each.flow, refused.at) < refused.at
             ]
             ran = sum(refused.at < at <= refused.at + wait_seconds for at in runs[host_id])
-            allowed = most_owed + least_share * max(ran, len(begun))
+            allowed = max_owed + least_share * max(ran, len(begun))
             counts[host_id] = len(late) if len(late) > allowed else 0
         if counts and all(counts.values()):
-            yield UrgencyBreak(refused, counts)
+            yield PriorityViolation(refused, counts)
 
 
-def _first_openings(history: SoakHistory) -> dict[str, list[OpeningTaken]]:
+def _first_openings(history: SoakHistory) -> dict[str, list[OpeningReceived]]:
     """Return the openings at each host, of the copies of a packet the first one only."""
-    found: dict[str, dict[str, OpeningTaken]] = defaultdict(dict)
+    found: dict[str, dict[str, OpeningReceived]] = defaultdict(dict)
     for opening in history.openings:
         found[opening.host_id].setdefault(opening.flow, opening)
     return defaultdict(list, {host: list(flows.values()) for host, flows in found.items()})
@@ -103,12 +103,12 @@
     return list(hosts.values())
 
 
-def _is_for_want_of_room(history: SoakHistory, at: float) -> bool:
+def _is_for_lack_of_capacity(history: SoakHistory, at: float) -> bool:
     """Tell whether nothing but pressure was in the way."""
     return not any(
         fault.began_at <= at <= (fault.ended_at or history.ends_at) + FAULT_REACH_SECONDS
         for fault in history.faults
-        if fault.planned.kind not in PRESSURE
+        if fault.planned.kind not in OVERLOAD_KINDS
     )
 
 
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -22,16 +22,16 @@
 
 @dataclass
 class LinkCondition:
-    """How a relay treats what it carries; `forth` is towards the process behind it."""
+    """How a relay treats what it carries; `forward` is towards the process behind it."""
 
     loss: float = 0.0
     delay_seconds: float = 0.0
-    silent_forth: bool = False
-    silent_back: bool = False
+    silent_forward: bool = False
+    silent_backward: bool = False
 
-    def is_silent(self, forth: bool) -> bool:
+    def is_silent(self, forward: bool) -> bool:
         """Tell whether nothing gets through that way."""
-        return self.silent_forth if forth else self.silent_back
+        return self.silent_forward if forward else self.silent_backward
 
 
 class TcpRelay:
@@ -42,7 +42,7 @@
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._standing: list[LinkCondition] = []
+        self._connection_conditions: list[LinkCondition] = []
         """One for each connection: it holds for that connection alone."""
         self.condition = LinkCondition()
 
@@ -57,21 +57,21 @@
         if self._server is not None:
             self._server.close()
         self.reset()
-        while self._standing:
+        while self._connection_conditions:
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
     def reset(self) -> None:
         """End every connection with a reset, also those that were silenced."""
-        for own in self._standing:
-            own.silent_forth = own.silent_back = False
+        for own_condition in self._connection_conditions:
+            own_condition.silent_forward = own_condition.silent_backward = False
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence_standing(self, forth: bool = True, back: bool = True) -> None:
+    def silence_open_connections(self, forward: bool = True, backward: bool = True) -> None:
         """Let nothing more through on the connections that stand, that way; nobody is told."""
-        for own in self._standing:
-            own.silent_forth |= forth
-            own.silent_back |= back
+        for own_condition in self._connection_conditions:
+            own_condition.silent_forward |= forward
+            own_condition.silent_backward |= backward
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -82,11 +82,11 @@
             writer.transport.abort()
             return
         self._writers |= {writer, far_writer}
-        own = LinkCondition()
-        self._standing.append(own)
+        own_condition = LinkCondition()
+        self._connection_conditions.append(own_condition)
         pumps = [
-            asyncio.create_task(self._pump(reader, far_writer, own, forth=True)),
-            asyncio.create_task(self._pump(far_reader, writer, own, forth=False)),
+            asyncio.create_task(self._pump(reader, far_writer, own_condition, forward=True)),
+            asyncio.create_task(self._pump(far_reader, writer, own_condition, forward=False)),
         ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
@@ -95,7 +95,9 @@
                 pump.cancel()
             await asyncio.gather(*pumps, return_exceptions=True)
             self._writers -= {writer, far_writer}
-            self._standing = [each for each in self._standing if each is not own]
+            self._connection_conditions = [
+                each for each in self._connection_conditions if each is not own_condition
+            ]
             writer.transport.abort()
             far_writer.transport.abort()
 
@@ -103,18 +105,18 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        own: LinkCondition,
-        forth: bool,
+        own_condition: LinkCondition,
+        forward: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.condition.delay_seconds:
                     await asyncio.sleep(self.condition.delay_seconds)
-                while self.condition.is_silent(forth) or own.is_silent(forth):
+                while self.condition.is_silent(forward) or own_condition.is_silent(forward):
                     await asyncio.sleep(SILENCE_POLL_SECONDS)
                 writer.write(data)
                 await writer.drain()
-        while own.is_silent(forth):
+        while own_condition.is_silent(forward):
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
 
@@ -140,18 +142,18 @@
     listen: Endpoint
     target: Endpoint
     source_host: str
-    drawn: random.Random
+    rng: random.Random
     condition: LinkCondition = field(default_factory=LinkCondition)
     _front: asyncio.DatagramTransport | None = None
     _clients: dict[Address, asyncio.DatagramTransport] = field(default_factory=dict)
-    _opening: dict[Address, list[bytes]] = field(default_factory=dict)
+    _pending: dict[Address, list[bytes]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def start(self) -> None:
         """Bind; raises `OSError`."""
         loop = asyncio.get_running_loop()
         self._front, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.carry_forth),
+            lambda: DatagramReceiver(self.forward_to_target),
             local_addr=(self.listen.host, self.listen.port),
         )
 
@@ -161,13 +163,13 @@
             if transport is not None:
                 transport.close()
 
-    def carry_forth(self, data: bytes, client: Address) -> None:
+    def forward_to_target(self, data: bytes, client: Address) -> None:
         """Carry a datagram to the agent."""
         transport = self._clients.get(client)
         if transport is not None:
-            self._pass_on(True, lambda: transport.sendto(data))
+            self._forward(True, lambda: transport.sendto(data))
             return
-        waiting = self._opening.setdefault(client, [])
+        waiting = self._pending.setdefault(client, [])
         waiting.append(data)
         if len(waiting) == 1:
             task = asyncio.ensure_future(self._open(client))
@@ -177,23 +179,23 @@
     async def _open(self, client: Address) -> None:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(lambda data, _: self.carry_back(data, client)),
+            lambda: DatagramReceiver(lambda data, _: self.forward_to_client(data, client)),
             local_addr=(self.source_host, 0),
             remote_addr=(self.target.host, self.target.port),
         )
         self._clients[client] = transport
-        for data in self._opening.pop(client, []):
-            self._pass_on(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
+        for data in self._pending.pop(client, []):
+            self._forward(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
 
-    def carry_back(self, data: bytes, client: Address) -> None:
+    def forward_to_client(self, data: bytes, client: Address) -> None:
         """Carry the agent's answer to whom it is for."""
         front = self._front
         if front is not None:
-            self._pass_on(False, lambda: front.sendto(data, client))
+            self._forward(False, lambda: front.sendto(data, client))
 
-    def _pass_on(self, forth: bool, send: Callable[[], None]) -> None:
+    def _forward(self, forward: bool, send: Callable[[], None]) -> None:
         condition = self.condition
-        if condition.is_silent(forth) or self.drawn.random() < condition.loss:
+        if condition.is_silent(forward) or self.rng.random() < condition.loss:
             return
         if condition.delay_seconds:
             asyncio.get_running_loop().call_later(condition.delay_seconds, send)
--- a/src/jasperwalk_lab/soak/routes.py
+++ b/src/jasperwalk_lab/soak/routes.py
@@ -8,10 +8,10 @@
 
 LISTENER_HOST = "198.18.0.1"
 URGENT_PORTS = dict(zip(SERVICES, (443, 8443), strict=True))
-PATIENT_PORT_OFFSET = 1
-URGENT_PRIORITY, PATIENT_PRIORITY = 0, 1
-URGENT_OBJECTIVE_MS, PATIENT_OBJECTIVE_MS = 250, 800
-URGENT_LIMIT_MS, PATIENT_LIMIT_MS = 1500, 2500
+NORMAL_PORT_OFFSET = 1
+URGENT_PRIORITY, NORMAL_PRIORITY = 0, 1
+URGENT_OBJECTIVE_MS, NORMAL_OBJECTIVE_MS = 250, 800
+URGENT_LIMIT_MS, NORMAL_LIMIT_MS = 1500, 2500
 
 
 def _urgent(service: str, port: int) -> SoakRoute:
@@ -19,14 +19,14 @@
     return SoakRoute(listener, service, URGENT_PRIORITY, URGENT_OBJECTIVE_MS, URGENT_LIMIT_MS)
 
 
-def _patient(service: str, port: int) -> SoakRoute:
-    listener = Endpoint(LISTENER_HOST, port + PATIENT_PORT_OFFSET)
-    return SoakRoute(listener, service, PATIENT_PRIORITY, PATIENT_OBJECTIVE_MS, PATIENT_LIMIT_MS)
+def _normal(service: str, port: int) -> SoakRoute:
+    listener = Endpoint(LISTENER_HOST, port + NORMAL_PORT_OFFSET)
+    return SoakRoute(listener, service, NORMAL_PRIORITY, NORMAL_OBJECTIVE_MS, NORMAL_LIMIT_MS)
 
 
 ROUTES = (
     *(_urgent(service, port) for service, port in URGENT_PORTS.items()),
-    *(_patient(service, port) for service, port in URGENT_PORTS.items()),
+    *(_normal(service, port) for service, port in URGENT_PORTS.items()),
 )
 BY_LISTENER = {route.listener: route for route in ROUTES}
 
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -15,31 +15,31 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.fleet import make_run_folder
 from jasperwalk_lab.soak.callers import Callers, Router
-from jasperwalk_lab.soak.checks import BACK_SECONDS, check_all
+from jasperwalk_lab.soak.checks import RECOVERY_SECONDS, check_all
 from jasperwalk_lab.soak.fleet import SERVICES, SIZES, ZONES, SoakFleet, SoakSize
-from jasperwalk_lab.soak.history import MachineStall, ProcessUse, SoakHistory
+from jasperwalk_lab.soak.history import MachineStall, ProcessResources, SoakHistory
 from jasperwalk_lab.soak.hosts import COLD_SECONDS, SoakHost
 from jasperwalk_lab.soak.http_calls import HttpCaller
 from jasperwalk_lab.soak.injector import SoakInjector
 from jasperwalk_lab.soak.operators import Operators
-from jasperwalk_lab.soak.pressure import CALM_SECONDS, plan_with_pressure
+from jasperwalk_lab.soak.overload import FAULT_FREE_SECONDS, plan_with_overload
 from jasperwalk_lab.soak.report import SoakReport, make_report, write_page
 from jasperwalk_lab.soak.routes import ROUTES, route_of
 from jasperwalk_lab.soak.running_hosts import RunningHosts
-from jasperwalk_lab.soak.rushes import RushingCallers
+from jasperwalk_lab.soak.surges import SurgeCallers
 from jasperwalk_lab.soak.wire import READY_PATH, SoakConfiguration, SoakRoute
 
 COLD_FLOWS_PER_SECOND = 8.0
-MOST_COLD_FLOWS = 8
+MAX_COLD_FLOWS_PER_SECOND = 8
 """What the agents keep to; the check counts what reaches the hosts."""
 LONG_PAUSE_SECONDS = 0.6
 READY_SECONDS = 60.0
-FIRST_USE_SECONDS = 1.5
+FIRST_SAMPLE_SECONDS = 1.5
 PROGRESS_SECONDS = 5.0
-WATCH_SECONDS = 0.2
+MONITOR_INTERVAL_SECONDS = 0.2
 STALL_SECONDS = 0.5
 """Lateness of the run's own watch that is told as a stall of the machine."""
-QUIET_SECONDS = BACK_SECONDS + 4.0
+OBSERVATION_SECONDS = RECOVERY_SECONDS + 4.0
 """Time after the last fault in which it is seen whether requests are answered and hosts used."""
 OK_STATUS = 200
 
@@ -56,7 +56,7 @@
         soak = Soak(fleet, size, seconds, seed, progress)
         await soak.run()
         progress("stopping the processes")
-    violations = check_all(soak.history, MOST_COLD_FLOWS)
+    violations = check_all(soak.history, MAX_COLD_FLOWS_PER_SECOND)
     report = make_report(seed, seconds, soak.history, violations)
     (folder / "history.json").write_bytes(msgspec.json.encode(vars(soak.history)))
     (folder / "report.json").write_bytes(msgspec.json.encode(report))
@@ -73,11 +73,11 @@
     ) -> None:
         self._fleet = fleet
         self._size = size
-        self._seconds = CALM_SECONDS + seconds
+        self._seconds = FAULT_FREE_SECONDS + seconds
         self._progress = progress
-        self._planned = plan_with_pressure(fleet.names(), seconds, seed)
+        self._planned = plan_with_overload(fleet.names(), seconds, seed)
         self._began_at = time.monotonic()
-        self._drawn = random.Random(f"traffic {seed}")
+        self._rng = random.Random(f"traffic {seed}")
         self.history = SoakHistory()
         self._hosts = RunningHosts(self._make_host)
         self._router = Router(fleet.balancers, fleet.supervisor.exists)
@@ -88,28 +88,26 @@
             self.history,
             self._hosts.all,
             route_of,
-            self._drawn,
+            self._rng,
         )
-        ordinary_per_second = (
-            size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
-        )
-        rushing = RushingCallers(
-            self._callers.request_once, ROUTES, ZONES, ordinary_per_second, self._drawn
+        normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
+        surge_callers = SurgeCallers(
+            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._rng
         )
         self._operators = Operators(
-            fleet.replicas(), _configuration, self._clock, self.history, self._drawn
+            fleet.replicas(), _configuration, self._clock, self.history, self._rng
         )
         self._injector = SoakInjector(
             fleet,
             self._hosts,
             self._operators,
-            rushing,
+            surge_callers,
             self._clock,
             self.history,
             progress,
-            self._drawn,
+            self._rng,
         )
-        self._first_use: dict[str, tuple[int, int]] = {}
+        self._first_sample: dict[str, tuple[int, int]] = {}
 
     def _clock(self) -> float:
         return time.monotonic() - self._began_at
@@ -122,7 +120,7 @@
             self._clock,
             self.history,
             route_of,
-            self._drawn,
+            self._rng,
             is_cold,
         )
 
@@ -134,14 +132,14 @@
         await self._operators.configure()
         await self._until_ready()
         self._began_at = time.monotonic()
-        self._forget_the_start()
+        self._discard_startup()
         background = [
             asyncio.create_task(job)
             for job in (
                 self._router.run(),
                 self._operators.change_configurations(),
-                self._operators.read_again(),
-                self._watch(),
+                self._operators.read_repeatedly(),
+                self._monitor(),
                 self._short_requests(),
                 *self._long_requests(),
             )
@@ -149,18 +147,18 @@
         try:
             await self._injector.run(self._planned)
             # Long enough for the checks that all is back, also after a late end of a fault.
-            await asyncio.sleep(max(QUIET_SECONDS, self._seconds - self._clock()))
+            await asyncio.sleep(max(OBSERVATION_SECONDS, self._seconds - self._clock()))
         finally:
             await _cancel(background)
         self.history.ends_at = self._clock()
         self.history.hosts_at_end.extend(self._hosts.descriptions())
         await self._operators.read_at_end()
-        self._note_uses()
+        self._record_resources()
         self._callers.close()
         for host in self._hosts.all():
             await host.crash()
 
-    def _forget_the_start(self) -> None:
+    def _discard_startup(self) -> None:
         """Count times from here; the configuration of before still has to be held."""
         self.history.openings.clear()
         self.history.hosts_began = [
@@ -178,7 +176,7 @@
 
     def _long_requests(self) -> list[Coroutine[Any, Any, None]]:
         return [
-            self._callers.request_now_and_then(
+            self._callers.request_repeatedly(
                 ROUTES[number % len(ROUTES)].listener, LONG_PAUSE_SECONDS
             )
             for number in range(self._size.long_callers)
@@ -187,39 +185,39 @@
     async def _short_requests(self) -> None:
         async with asyncio.TaskGroup() as tasks:
             while True:
-                listener = self._drawn.choice(ROUTES).listener
+                listener = self._rng.choice(ROUTES).listener
                 tasks.create_task(self._callers.request_once(listener))
-                await asyncio.sleep(self._drawn.expovariate(self._size.short_requests_per_second))
+                await asyncio.sleep(self._rng.expovariate(self._size.short_requests_per_second))
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         """Note processes that end by themselves, and tell how the run goes."""
         told_at = 0.0
         while True:
             slept_at = self._clock()
-            await asyncio.sleep(WATCH_SECONDS)
-            late_seconds = self._clock() - slept_at - WATCH_SECONDS
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
+            late_seconds = self._clock() - slept_at - MONITOR_INTERVAL_SECONDS
             if late_seconds > STALL_SECONDS:
                 self.history.stalls.append(MachineStall(self._clock(), round(late_seconds, 2)))
             for name in self._fleet.supervisor.ended_early():
                 if name not in self.history.ended_processes:
                     self.history.ended_processes.append(name)
-            if not self._first_use and self._clock() > FIRST_USE_SECONDS:
-                self._first_use = {n: each.use() for n, each in self._fleet.processes.items()}
+            if not self._first_sample and self._clock() > FIRST_SAMPLE_SECONDS:
+                self._first_sample = {n: each.use() for n, each in self._fleet.processes.items()}
             if self._clock() - told_at >= PROGRESS_SECONDS:
                 told_at = self._clock()
-                self._tell(told_at)
+                self._report_progress(told_at)
 
-    def _tell(self, now: float) -> None:
+    def _report_progress(self, now: float) -> None:
         counts = Counter(each.outcome.value for each in self.history.requests)
         told = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         faults = "; ".join(self._injector.now) or "none"
         self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {told}  faults now: {faults}")
 
-    def _note_uses(self) -> None:
+    def _record_resources(self) -> None:
         for name, process in self._fleet.processes.items():
-            first, last = self._first_use.get(name, (0, 0)), process.use()
+            first, last = self._first_sample.get(name, (0, 0)), process.use()
             if all(first) and all(last):
-                use = ProcessUse(name, first[0], last[0], first[1], last[1])
+                use = ProcessResources(name, first[0], last[0], first[1], last[1])
                 self.history.uses.append(use)
 
 
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -8,7 +8,7 @@
 from jasperwalk_lab.ports import common_port
 from jasperwalk_lab.soak.relays import DatagramReceiver, LinkCondition, TcpRelay, UdpRelay
 
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 SHORT_SECONDS = 0.15
 
 
@@ -29,7 +29,7 @@
         await relay.start()
         try:
             reader, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await scenario(relay, reader, writer)
             writer.close()
         finally:
@@ -49,7 +49,7 @@
 
 def test_a_silent_tcp_relay_holds_bytes_back_and_carries_them_later():
     async def scenario(relay, reader, writer):
-        relay.condition = LinkCondition(silent_forth=True)
+        relay.condition = LinkCondition(silent_forward=True)
         writer.write(b"hello")
         arrived = asyncio.create_task(reader.readexactly(5))
         await asyncio.sleep(SHORT_SECONDS)
@@ -64,12 +64,14 @@
     async def scenario(relay, reader, writer):
         writer.write(b"hello")
         await reader.readexactly(5)
-        relay.silence_standing()
+        relay.silence_open_connections()
         writer.write(b"again")
-        anew, to_anew = await asyncio.open_connection(relay._listen.host, relay._listen.port)
-        to_anew.write(b"hello")
-        assert await anew.readexactly(5) == b"hello"
-        to_anew.close()
+        second_reader, second_writer = await asyncio.open_connection(
+            relay._listen.host, relay._listen.port
+        )
+        second_writer.write(b"hello")
+        assert await second_reader.readexactly(5) == b"hello"
+        second_writer.close()
         left = asyncio.create_task(reader.read(5))
         await asyncio.sleep(SHORT_SECONDS)
         assert not left.done()
@@ -81,18 +83,18 @@
 def test_the_end_of_a_silenced_connection_is_not_passed_on():
     ended = asyncio.Event()
 
-    async def note_end(reader, _writer):
+    async def record_end(reader, _writer):
         await reader.read()
         ended.set()
 
     async def main():
-        server = await asyncio.start_server(note_end, "127.0.0.1", 0)
+        server = await asyncio.start_server(record_end, "127.0.0.1", 0)
         relay = TcpRelay(free_endpoint(), Endpoint(*server.sockets[0].getsockname()))
         await relay.start()
         _, writer = await asyncio.open_connection(relay._listen.host, relay._listen.port)
-        while not relay._standing:
+        while not relay._connection_conditions:
             await asyncio.sleep(0)
-        relay.silence_standing()
+        relay.silence_open_connections()
         writer.transport.abort()
         await asyncio.sleep(SHORT_SECONDS)
         assert not ended.is_set()
@@ -134,7 +136,7 @@
             remote_addr=(relay.listen.host, relay.listen.port),
         )
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await scenario(relay, client, received)
         finally:
             client.close()
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -3,29 +3,35 @@
 import pytest
 
 from jasperwalk_lab.errors import LabSettingsError
-from jasperwalk_lab.soak.faults import LATER_KINDS, PRESSURE, SHAPES, FaultKind, TargetGroup
+from jasperwalk_lab.soak.faults import (
+    OVERLOAD_KINDS,
+    SEPARATELY_DRAWN_KINDS,
+    SHAPES,
+    FaultKind,
+    TargetGroup,
+)
 from jasperwalk_lab.soak.injector import covers_every_kind
 from jasperwalk_lab.soak.kept_seeds import KeptSeed, read_kept_seeds
-from jasperwalk_lab.soak.pressure import (
-    CALM_SECONDS,
-    Rush,
-    RushWidth,
-    plan_pressure,
-    plan_with_pressure,
+from jasperwalk_lab.soak.overload import (
+    FAULT_FREE_SECONDS,
+    Surge,
+    SurgeScope,
+    plan_overload,
+    plan_with_overload,
 )
 from jasperwalk_lab.soak.schedule import (
+    FAULTS_PER_BURST,
     LAST_FAULT_BEFORE_END_SECONDS,
-    MOST_OUT,
-    RUSH_FAULTS,
-    RUSH_NEVER_STRIKES,
-    SoakNames,
-    most_out,
-    plan_run,
-    plan_rushes,
-    plan_soak,
+    MAX_DOWN,
+    NEVER_IN_BURSTS,
+    SoakTargets,
+    max_down,
+    plan_fault_bursts,
+    plan_faults,
+    plan_steady_faults,
 )
 
-NAMES = SoakNames(
+NAMES = SoakTargets(
     ("control-0", "control-1", "control-2"),
     ("balancer-0", "balancer-1", "balancer-2"),
     tuple(f"agent-{number}" for number in range(6)),
@@ -34,21 +40,21 @@
 
 
 def test_the_same_seed_gives_the_same_schedule():
-    assert plan_soak(NAMES, 120.0, 7) == plan_soak(NAMES, 120.0, 7)
-    assert plan_soak(NAMES, 120.0, 7) != plan_soak(NAMES, 120.0, 8)
+    assert plan_steady_faults(NAMES, 120.0, 7) == plan_steady_faults(NAMES, 120.0, 7)
+    assert plan_steady_faults(NAMES, 120.0, 7) != plan_steady_faults(NAMES, 120.0, 8)
 
 
 def test_a_few_schedules_have_every_kind_of_fault():
-    drawn = {fault.kind for seed in range(20) for fault in plan_soak(NAMES, 120.0, seed)}
-    assert drawn == set(FaultKind) - PRESSURE - set(LATER_KINDS)
-    drawn = {fault.kind for seed in range(20) for fault in plan_with_pressure(NAMES, 120.0, seed)}
+    drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(NAMES, 120.0, seed)}
+    assert drawn == set(FaultKind) - OVERLOAD_KINDS - set(SEPARATELY_DRAWN_KINDS)
+    drawn = {fault.kind for seed in range(20) for fault in plan_with_overload(NAMES, 120.0, seed)}
     assert drawn == set(FaultKind)
     assert covers_every_kind()
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_more_is_out_of_order_at_once_than_has_to_be_borne(seed):
-    planned = plan_soak(NAMES, 120.0, seed)
+    planned = plan_steady_faults(NAMES, 120.0, seed)
     for fault in planned:
         group = SHAPES[fault.kind].group
         others = [
@@ -56,14 +62,14 @@
             for each in planned
             if SHAPES[each.kind].group is group and each.at <= fault.at < each.ends_at
         ]
-        assert len(others) <= MOST_OUT[group]
+        assert len(others) <= MAX_DOWN[group]
         if group is TargetGroup.ALL:
             assert len([each for each in planned if each.at <= fault.at < each.ends_at]) == 1
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_are_over_before_the_end(seed):
-    last = max(fault.ends_at for fault in plan_soak(NAMES, 60.0, seed))
+    last = max(fault.ends_at for fault in plan_steady_faults(NAMES, 60.0, seed))
     assert last <= 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
 
 
@@ -85,7 +91,7 @@
     assert all(each.cause for each in read_kept_seeds())
 
 
-LARGE = SoakNames(
+LARGE = SoakTargets(
     tuple(f"control-{number}" for number in range(5)),
     tuple(f"balancer-{number}" for number in range(30)),
     tuple(f"agent-{number}" for number in range(120)),
@@ -95,18 +101,18 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_of_a_rush_overlap(seed):
-    rushes = plan_rushes(NAMES, 120.0, seed)
+    rushes = plan_fault_bursts(NAMES, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
-    assert max(at_once) >= RUSH_FAULTS[0] - 1
-    assert not {fault.kind for fault in rushes} & RUSH_NEVER_STRIKES
+    assert max(at_once) >= FAULTS_PER_BURST[0] - 1
+    assert not {fault.kind for fault in rushes} & NEVER_IN_BURSTS
 
 
 def test_rushes_strike_one_target_more_than_once_at_a_time():
     met = [
         (one, other)
         for seed in range(20)
-        for one in plan_rushes(NAMES, 120.0, seed)
-        for other in plan_rushes(NAMES, 120.0, seed)
+        for one in plan_fault_bursts(NAMES, 120.0, seed)
+        for other in plan_fault_bursts(NAMES, 120.0, seed)
         if one is not other and one.target == other.target and one.at <= other.at < one.ends_at
     ]
     assert met
@@ -114,10 +120,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_disk_is_lost_while_a_rush_strikes_other_replicas(seed):
-    planned = plan_run(NAMES, 120.0, seed)
+    planned = plan_faults(NAMES, 120.0, seed)
     rushes = [
         each
-        for each in plan_rushes(NAMES, 120.0, seed)
+        for each in plan_fault_bursts(NAMES, 120.0, seed)
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     ]
     for fault in planned:
@@ -126,39 +132,39 @@
 
 
 def test_a_large_fleet_bears_the_same_share():
-    assert [most_out(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
-    assert {group: most_out(NAMES, group) for group in TargetGroup} == MOST_OUT
-    assert len(plan_run(LARGE, 60.0, 1)) > 2 * len(plan_run(NAMES, 60.0, 1))
+    assert [max_down(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
+    assert {group: max_down(NAMES, group) for group in TargetGroup} == MAX_DOWN
+    assert len(plan_faults(LARGE, 60.0, 1)) > 2 * len(plan_faults(NAMES, 60.0, 1))
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_run_begins_with_a_rush_of_each_width_and_no_fault(seed):
-    planned = plan_with_pressure(NAMES, 60.0, seed)
-    calm = [each for each in planned if each.at < CALM_SECONDS]
+    planned = plan_with_overload(NAMES, 60.0, seed)
+    calm = [each for each in planned if each.at < FAULT_FREE_SECONDS]
     assert calm
-    assert {each.kind for each in calm} <= PRESSURE
-    assert all(each.ends_at < CALM_SECONDS for each in calm)
-    rushes = [Rush.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
-    assert sorted(each.width for each in rushes) == sorted(RushWidth)
+    assert {each.kind for each in calm} <= OVERLOAD_KINDS
+    assert all(each.ends_at < FAULT_FREE_SECONDS for each in calm)
+    rushes = [Surge.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
+    assert sorted(each.scope for each in rushes) == sorted(SurgeScope)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_pressure_leaves_the_faults_of_a_seed_as_they_are(seed):
-    planned = plan_with_pressure(NAMES, 60.0, seed)
-    added = PRESSURE | set(LATER_KINDS)
+    planned = plan_with_overload(NAMES, 60.0, seed)
+    added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
-    shifted = [round(each.at + CALM_SECONDS, 2) for each in plan_run(NAMES, 60.0, seed)]
+    shifted = [round(each.at + FAULT_FREE_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
     assert [each.at for each in struck] == shifted
-    last = CALM_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
+    last = FAULT_FREE_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     assert max(each.ends_at for each in planned) <= last
 
 
 def test_a_rush_also_meets_faults():
-    planned = plan_with_pressure(NAMES, 120.0, 1)
-    rushes = [each for each in plan_pressure(NAMES, 120.0, 1) if each.at > CALM_SECONDS]
+    planned = plan_with_overload(NAMES, 120.0, 1)
+    rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
-        fault.at < rush.ends_at and rush.at < fault.ends_at
-        for rush in rushes
+        fault.at < surge.ends_at and surge.at < fault.ends_at
+        for surge in rushes
         for fault in planned
-        if fault.kind not in PRESSURE
+        if fault.kind not in OVERLOAD_KINDS
     )
--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -26,14 +26,21 @@
     find_order,
 )
 from jasperwalk_lab.simulator.minimization import kind_of
-from jasperwalk_lab.simulator.record import Attempt, Change, DrainSpan, Interval, Record, TableMark
+from jasperwalk_lab.simulator.record import (
+    Attempt,
+    Change,
+    DrainSpan,
+    Interval,
+    Record,
+    TableRevision,
+)
 from jasperwalk_lab.simulator.verdicts import (
     Measures,
     check_calls,
     check_changes,
     check_drains,
     check_in_force,
-    check_kept,
+    check_outcomes_kept,
     check_revisions,
 )
 
@@ -146,7 +153,7 @@
     ],
 )
 def test_outcomes_kept_by_a_replica(made, kept, expected):
-    found = check_kept([made], "control-1", {made.change_id: kept})
+    found = check_outcomes_kept([made], "control-1", {made.change_id: kept})
     assert [kind_of(each) for each in found] == expected
 
 
@@ -157,12 +164,12 @@
     return CallRecord(identity, "urednik", operation, invoked, completed, outcome)
 
 
-def right(identity, operation):
+def correct_answer(identity, operation):
     body = operation.expected("urednik", identity)
     return Answered(200, "urednik", identity, "urednik-1", body)
 
 
-def ran(identity, host="urednik-1", service="urednik", outcome=RunOutcome.COMPLETED):
+def journal_entry(identity, host="urednik-1", service="urednik", outcome=RunOutcome.COMPLETED):
     return JournalRecord(identity, service, host, "/", outcome)
 
 
@@ -170,38 +177,54 @@
 CUT = Broken(BreakReason.CONNECTION_ENDED, "urednik-1")
 CALLS = {
     # violation kinds, calls, what ran
-    "answered": ([], [call("a", LOOKUP, right("a", LOOKUP))], [ran("a")]),
+    "answered": ([], [call("a", LOOKUP, correct_answer("a", LOOKUP))], [journal_entry("a")]),
     "another caller's answer": (
         ["wrong-answer"],
-        [call("a", LOOKUP, right("b", LOOKUP))],
-        [ran("a"), ran("b")],
+        [call("a", LOOKUP, correct_answer("b", LOOKUP))],
+        [journal_entry("a"), journal_entry("b")],
     ),
     "a part of the answer": (
         ["wrong-answer"],
         [call("a", STREAM, Answered(200, "urednik", "a", "urednik-1", b"urednik"))],
-        [ran("a")],
+        [journal_entry("a")],
+    ),
+    "answered without a run": (
+        ["wrong-answer"],
+        [call("a", LOOKUP, correct_answer("a", LOOKUP))],
+        [],
     ),
-    "answered without a run": (["wrong-answer"], [call("a", LOOKUP, right("a", LOOKUP))], []),
     "ran at another service": (
         ["wrong-service"],
         [call("a", LOOKUP, Unknown(504))],
-        [ran("a", "export-svc-1", "export-svc")],
+        [journal_entry("a", "export-svc-1", "export-svc")],
     ),
     "not run, and did not": ([], [call("a", LOOKUP, NotRun(1.0))], []),
-    "not run, shed": ([], [call("a", LOOKUP, NotRun(1.0))], [ran("a", outcome=RunOutcome.SHED)]),
-    "not run, but ran": (["not-run-but-ran"], [call("a", LOOKUP, NotRun(1.0))], [ran("a")]),
+    "not run, shed": (
+        [],
+        [call("a", LOOKUP, NotRun(1.0))],
+        [journal_entry("a", outcome=RunOutcome.SHED)],
+    ),
+    "not run, but ran": (
+        ["not-run-but-ran"],
+        [call("a", LOOKUP, NotRun(1.0))],
+        [journal_entry("a")],
+    ),
     "not run, but cancelled late": (
         ["not-run-but-ran"],
         [call("a", SUBMISSION, NotRun(1.0))],
-        [ran("a", outcome=RunOutcome.CANCELLED)],
+        [journal_entry("a", outcome=RunOutcome.CANCELLED)],
     ),
     "unknown, ran twice": (
         ["ran-twice"],
         [call("a", SUBMISSION, Unknown(504))],
-        [ran("a"), ran("a", "urednik-2")],
+        [journal_entry("a"), journal_entry("a", "urednik-2")],
+    ),
+    "a repeatable one ran twice": (
+        [],
+        [call("a", LOOKUP, Unknown(504))],
+        [journal_entry("a"), journal_entry("a")],
     ),
-    "a repeatable one ran twice": ([], [call("a", LOOKUP, Unknown(504))], [ran("a"), ran("a")]),
-    "a cut stream": (["broken-flow"], [call("a", STREAM, CUT)], [ran("a")]),
+    "a cut stream": (["broken-flow"], [call("a", STREAM, CUT)], [journal_entry("a")]),
 }
 
 
@@ -225,14 +248,14 @@
 def test_a_flow_may_break_with_its_host_but_not_by_a_planned_end(field, span, excused):
     record = Record(calls=[call("a", STREAM, CUT)])
     getattr(record, field)["urednik-1"].append(span)
-    _, findings = check_calls(record, [ran("a")])
+    _, findings = check_calls(record, [journal_entry("a")])
     assert (findings == []) == excused
 
 
 @pytest.mark.parametrize(("at", "expected"), [(14.0, []), (16.0, ["new-work-while-leaving"])])
 def test_work_of_a_leaving_host(at, expected):
     record = Record(drains=[DrainSpan("urednik-1", 10.0, 20.0, asked_at=9.0)])
-    arrivals = {"urednik-1": [Arrival(at, ran("a"))]}
+    arrivals = {"urednik-1": [Arrival(at, journal_entry("a"))]}
     found = list(check_drains(record, arrivals, Measures()))
     assert [kind_of(each) for each in found] == expected
 
@@ -242,7 +265,9 @@
 )
 def test_revisions_of_a_process(revisions, expected):
     record = Record()
-    record.marks["balancer-1"] = [TableMark(float(at), each) for at, each in enumerate(revisions)]
+    record.table_revisions["balancer-1"] = [
+        TableRevision(float(at), each) for at, each in enumerate(revisions)
+    ]
     assert [kind_of(each) for each in check_revisions(record)] == expected
 
 
@@ -252,7 +277,7 @@
 )
 def test_changes_come_into_force(reached_at, cut, expected):
     record = Record(changes=[change(1, 0, attempt(0, accepted(5)))])
-    record.marks["balancer-1"] = [TableMark(0.0, 4), TableMark(reached_at, 5)]
+    record.table_revisions["balancer-1"] = [TableRevision(0.0, 4), TableRevision(reached_at, 5)]
     if cut is not None:
         record.disturbances["balancer-1"].append(cut)
     found = check_in_force(record, ["balancer-1"], ["control-1"], Measures(), end=60.0)
