--- a/src/jasperwalk/agent/datagrams/caller_packets.py
+++ b/src/jasperwalk/agent/datagrams/caller_packets.py
@@ -147,7 +147,8 @@
     def _add_to_waiting(self, waiting: WaitingRequest, packet: bytes) -> bool:
         """Add a packet to a waiting request, or absorb a copy; return False for one to forward.
 
-        A caller that resets its flow needs no answer any more, so its request is cancelled.
+        Acknowledgements (packets without payload that don't end the flow) are forwarded. A caller
+        that resets its flow needs no answer any more, so its request is cancelled.
         """
         codec = self.parts.codec
         if codec.is_reset(packet):
--- a/src/jasperwalk/agent/datagrams/waiting_requests.py
+++ b/src/jasperwalk/agent/datagrams/waiting_requests.py
@@ -104,7 +104,10 @@
                 self._expire(request, now)
 
     def _expire(self, request: WaitingRequest, now: float) -> None:
-        """Drop a request of an open flow whose limit has passed; forward one without a limit."""
+        """Drop a request of an open flow whose limit has passed; forward one without a limit.
+
+        Where the limit is known, the caller has left by then.
+        """
         if not request.terms.limit_seconds:
             self.forward_waiting(request, now)
             return
--- a/src/jasperwalk/consensus/storage.py
+++ b/src/jasperwalk/consensus/storage.py
@@ -42,7 +42,8 @@
 class FileStorage:
     """Loads a replica's state and makes batches durable; blocking, one caller at a time.
 
-    `new_disk_id` (a random string from the calling code) is its disk ID if it is created now.
+    `new_disk_id` (a random string, drawn by the calling code) identifies the folder if it is
+    created now.
     """
 
     def __init__(
--- a/src/jasperwalk/control/fleet/directory.py
+++ b/src/jasperwalk/control/fleet/directory.py
@@ -20,7 +20,8 @@
 """How long an agent that left without deregistering is still listed to nodes that connect: it may
 only be restarting, and its host holds flows meanwhile."""
 OWN_ID = 0
-"""Key of this replica's own claims. No replica ID is 0, and this replica's own may change."""
+"""Key of this replica's own claims. No replica ID is 0, and the replica's own ID may change while
+the process runs."""
 
 
 @dataclass(frozen=True)
--- a/src/jasperwalk/control/peer_links.py
+++ b/src/jasperwalk/control/peer_links.py
@@ -4,8 +4,8 @@
 retransmits where needed, and waiting proposals have deadlines.
 
 A connection may go silent without a reset, in one direction or both. Both sides therefore send
-keepalives, and each closes a connection on which nothing has arrived for `SILENCE_LIMIT_SECONDS`;
-the opener then dials a new one.
+keepalives, and each closes a connection on which nothing has arrived for the silence limit of
+`LinkTimes`; the opener then dials a new one.
 """
 
 from __future__ import annotations
--- a/src/jasperwalk/distribution/publisher_events.py
+++ b/src/jasperwalk/distribution/publisher_events.py
@@ -21,8 +21,8 @@
     at most; those whose table a delta brings up to date are not counted. Others are refused
     with a time to retry: `retry_after_ms` at the earliest, `retries_per_second` subscribers
     each second, `max_retry_after_ms` at the latest.
-    `slice_subscribers` are sent heartbeats or changes in one call, so that the event loop is
-    not held up by all of them.
+    `slice_subscribers` are sent heartbeats or changes in one turn of the event loop, so that
+    other tasks, above all consensus, run in between.
     """
 
     heartbeat_seconds: float = 0.5
--- a/src/jasperwalk/membership/mass_silence.py
+++ b/src/jasperwalk/membership/mass_silence.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 MIN_MEMBERS = 100
-"""Minimum number of silent members; the statuses of fewer are no significant load on links."""
+"""The silence of fewer members needs no confirmation: their statuses are no significant load."""
 
 
 @dataclass(frozen=True)
--- a/src/jasperwalk/transport/errors.py
+++ b/src/jasperwalk/transport/errors.py
@@ -117,7 +117,7 @@
 
 @dataclass(eq=False, repr=False)
 class PeerSilent(TransportError):
-    """Nothing came on a connection on which the other side sends heartbeats."""
+    """Nothing came on a connection on which the other side sends keepalives."""
 
     kind: ClassVar[str] = "peer-silent"
     limit_seconds: float
@@ -149,7 +149,7 @@
 
 @dataclass(eq=False, repr=False)
 class TlsFailed(TlsError):
-    """The TLS handshake failed."""
+    """The two sides could not establish TLS with each other."""
 
     kind: ClassVar[str] = "tls-failed"
     reason: str
@@ -176,7 +176,7 @@
 
 @dataclass(eq=False, repr=False)
 class CertificateWithoutIdentity(TlsError):
-    """A certificate of the cluster's CA names no process, or several."""
+    """A certificate of the cluster's CA names no jasperwalk process, or several."""
 
     kind: ClassVar[str] = "certificate-without-identity"
     count: int
@@ -188,7 +188,7 @@
 
 @dataclass(eq=False, repr=False)
 class IdentityMismatch(TlsError):
-    """A peer claims a name, cluster or role that its certificate does not allow."""
+    """A peer claims what its certificate does not allow: a name, role, connection or call."""
 
     kind: ClassVar[str] = "identity-mismatch"
     identity: str
--- a/src/jasperwalk/transport/tls.py
+++ b/src/jasperwalk/transport/tls.py
@@ -23,7 +23,8 @@
 from jasperwalk.transport.identity import Identity, ProcessRole, parse_identity
 
 EXPIRY_WARNING_TIME = datetime.timedelta(days=7)
-"""Remaining lifetime of a certificate below which its expiry is logged as a warning."""
+"""Remaining lifetime of a certificate below which checks of the files log its expiry as a warning,
+at most once in `WARNING_INTERVAL_SECONDS`."""
 WARNING_INTERVAL_SECONDS = 3600.0
 
 logger = structlog.get_logger(__name__)
