--- a/tests/control/test_subscriber_reports.py
+++ b/tests/control/test_subscriber_reports.py
@@ -121,7 +121,7 @@
             if found.balancers is not None:
                 connected = sum(not node["away"] for node in region.settled())
                 assert found.balancers + found.agents >= connected
-    assert reports_in_force, "the check above has to have had something to check"
+    assert reports_in_force, "no revision was reported in force, so nothing was checked"
     for _ in range(16):
         region.step(steady=True)
     found = region.ledger.in_force(region.revision, CONTACT_AGES, region.now)
