--- a/src/jasperwalk/settings/overrides.py
+++ b/src/jasperwalk/settings/overrides.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Override:
-    """One value to put in the place of the file's.
+    """One value that replaces the file's.
 
     `path` holds the parts of the key, `flag` the command-line flag that it came from.
     """
@@ -23,7 +23,7 @@
 
 
 def parse_override(text: str, flag: str = SET_FLAG) -> Override:
-    """Parse `key=value`; the value is TOML, or plain text where it is not valid TOML.
+    """Parse `key=value`; the value is TOML, or a plain string where it is not valid TOML.
 
     Raises `SettingsError` when there is no key or no equals sign.
     """
@@ -40,7 +40,7 @@
 
 
 def apply_override(document: dict[str, object], override: Override) -> None:
-    """Put the override's value into the document, making tables on the way."""
+    """Set the override's value in the document, creating tables as needed."""
     table = document
     for part in override.path[:-1]:
         inner = table.setdefault(part, {})
--- a/tests/agent/test_relay.py
+++ b/tests/agent/test_relay.py
@@ -1,4 +1,4 @@
-"""Asking an agent whether it is there: one that stands still is, one that is gone is not."""
+"""Probing whether an agent is alive: a suspended agent is, one whose port is closed is not."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @contextlib.contextmanager
 def unresponsive_process():
-    """A port whose process reads nothing; the kernel takes connections for it."""
+    """A port whose process reads nothing; the kernel accepts connections for it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         yield Endpoint(*listener.getsockname())
 
@@ -24,7 +24,9 @@
     yield endpoint
 
 
-@pytest.mark.parametrize(("agent", "answers"), [(unresponsive_process, True), (closed_port, False)])
+@pytest.mark.parametrize(
+    ("agent", "is_alive"), [(unresponsive_process, True), (closed_port, False)]
+)
 def test_only_a_lost_agent_gives_no_answer(agent, is_alive):
     async def ask(endpoint):
         return await RelayClient("asker", "zagreb").is_alive(endpoint)
