--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -169,7 +169,7 @@
         if agent in self.agents.cut:
             self.counters.dropped_by_cut += 1
             return
-        self.agents.saw(caller.port, agent, asyncio.get_running_loop().time())
+        self.agents.record_answer(caller.port, agent, asyncio.get_running_loop().time())
         self.counters.answered += 1
         self._send_after(self.return_delay, channel, caller, datagram[HEADER_LENGTH:])
 
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -60,7 +60,7 @@
         self.cut: set[tuple[str, int]] = set()
         self._periods: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
-    def saw(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
+    def record_answer(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
         """Note that an agent answered a caller.
 
         A port may belong to one flow after another, so an answer after a pause counts anew.
--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -137,5 +137,5 @@
 def test_a_port_that_is_used_again_is_seen_again():
     sightings = AgentSightings()
     for at in (1.0, 1.9, 2.5, 4.0):
-        sightings.saw(5000, ("127.0.0.1", 7100), at)
+        sightings.record_answer(5000, ("127.0.0.1", 7100), at)
     assert [seen.at for seen in sightings.all()] == [1.0, 4.0]
