--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -104,7 +104,7 @@
                 healthy = response.status == 200  # noqa: PLR2004 - HTTP 200 OK
         except (aiohttp.ClientError, TimeoutError, OSError):
             healthy = False
-        self.sprayer.probed(balancer.name, healthy)
+        self.sprayer.record_probe(balancer.name, healthy)
         if balancer.in_use != was_in_use:
             log.info("balancer_health", balancer=balancer.name, in_use=balancer.in_use)
 
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -128,7 +128,7 @@
         """Return the balancers that get datagrams now."""
         return list(self._in_use)
 
-    def probed(self, name: str, healthy: bool) -> None:
+    def record_probe(self, name: str, healthy: bool) -> None:
         """Take the result of one probe of the balancer's health page."""
         balancer = self._balancers.get(name)
         if balancer is None:
--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -46,11 +46,11 @@
 
 def test_two_failed_probes_remove_a_balancer_and_one_good_brings_it_back():
     spray = sprayer(balancer("a"))
-    spray.probed("a", healthy=False)
+    spray.record_probe("a", healthy=False)
     assert spray.choose() is not None
-    spray.probed("a", healthy=False)
+    spray.record_probe("a", healthy=False)
     assert spray.choose() is None
-    spray.probed("a", healthy=True)
+    spray.record_probe("a", healthy=True)
     assert spray.choose() is not None
 
 
