--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -29,7 +29,7 @@
 )
 from jasperwalk_lab.fabric_core import (
     AgentSightings,
-    DelayLine,
+    DelayQueue,
     FabricBalancer,
     FabricCounters,
     Sprayer,
@@ -61,7 +61,7 @@
         self.sprayer = Sprayer(generator)
         self.counters = FabricCounters()
         self.return_delay = return_delay
-        self._line = DelayLine()
+        self._line = DelayQueue()
         self._timer: asyncio.Handle | None = None
         self._armed_for = math.inf
         self._sockets: list[socket.socket] = []
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -157,7 +157,7 @@
     payload: bytes = field(compare=False)
 
 
-class DelayLine:
+class DelayQueue:
     """Datagrams that wait for their one-way delay, by the time they are due."""
 
     def __init__(self) -> None:
--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -13,7 +13,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.messages.proxy_protocol import HEADER_LENGTH, decode_header, encode_header
 from jasperwalk_lab.fabric import Fabric
-from jasperwalk_lab.fabric_core import AgentSightings, DelayLine, FabricBalancer, Sprayer
+from jasperwalk_lab.fabric_core import AgentSightings, DelayQueue, FabricBalancer, Sprayer
 
 SEED = 20_261
 BURST = 20
@@ -55,7 +55,7 @@
 
 
 def test_delay_line_orders_by_due_time_then_by_arrival():
-    line = DelayLine()
+    line = DelayQueue()
     for due, payload in [(2.0, b"late"), (1.0, b"first"), (1.0, b"second")]:
         line.put(due, 0, VIP, payload)
     assert line.next_due() == 1.0
