--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -61,7 +61,7 @@
         self.sprayer = Sprayer(generator)
         self.counters = FabricCounters()
         self.return_delay = return_delay
-        self._line = DelayQueue()
+        self._delayed = DelayQueue()
         self._timer: asyncio.Handle | None = None
         self._armed_for = math.inf
         self._sockets: list[socket.socket] = []
@@ -179,11 +179,11 @@
         if delay <= 0:
             self._send(channel, destination, payload)
             return
-        self._line.put(asyncio.get_running_loop().time() + delay, channel, destination, payload)
+        self._delayed.put(asyncio.get_running_loop().time() + delay, channel, destination, payload)
         self._arm()
 
     def _arm(self) -> None:
-        due = self._line.next_due()
+        due = self._delayed.next_due()
         if due is None or due >= self._armed_for:
             return
         if self._timer is not None:
@@ -196,7 +196,7 @@
         self._armed_for = math.inf
         # uvloop's timers have a resolution of 1 ms: take what is due within half of it.
         latest = asyncio.get_running_loop().time() + TIMER_RESOLUTION_SECONDS / 2
-        for datagram in self._line.take_due(latest):
+        for datagram in self._delayed.take_due(latest):
             self._send(datagram.channel, datagram.destination, datagram.payload)
         self._arm()
 
