--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -63,7 +63,7 @@
         self.return_delay = return_delay
         self._delayed = DelayQueue()
         self._timer: asyncio.Handle | None = None
-        self._armed_for = math.inf
+        self._timer_due = math.inf
         self._sockets: list[socket.socket] = []
         self._channels: dict[Endpoint, int] = {}
         self.agents = AgentSightings()
@@ -184,16 +184,16 @@
 
     def _arm(self) -> None:
         due = self._delayed.next_due()
-        if due is None or due >= self._armed_for:
+        if due is None or due >= self._timer_due:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._armed_for = due
+        self._timer_due = due
         self._timer = asyncio.get_running_loop().call_at(due, self._flush)
 
     def _flush(self) -> None:
         self._timer = None
-        self._armed_for = math.inf
+        self._timer_due = math.inf
         # uvloop's timers have a resolution of 1 ms: take what is due within half of it.
         latest = asyncio.get_running_loop().time() + TIMER_RESOLUTION_SECONDS / 2
         for datagram in self._delayed.take_due(latest):
