--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -180,9 +180,9 @@
             self._send(channel, destination, payload)
             return
         self._delayed.put(asyncio.get_running_loop().time() + delay, channel, destination, payload)
-        self._arm()
+        self._start_timer()
 
-    def _arm(self) -> None:
+    def _start_timer(self) -> None:
         due = self._delayed.next_due()
         if due is None or due >= self._timer_due:
             return
@@ -198,7 +198,7 @@
         latest = asyncio.get_running_loop().time() + TIMER_RESOLUTION_SECONDS / 2
         for datagram in self._delayed.take_due(latest):
             self._send(datagram.channel, datagram.destination, datagram.payload)
-        self._arm()
+        self._start_timer()
 
     def _send(self, channel: int, destination: Endpoint, payload: bytes) -> None:
         try:
