--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -189,9 +189,9 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_due = due
-        self._timer = asyncio.get_running_loop().call_at(due, self._flush)
+        self._timer = asyncio.get_running_loop().call_at(due, self._send_due)
 
-    def _flush(self) -> None:
+    def _send_due(self) -> None:
         self._timer = None
         self._timer_due = math.inf
         # uvloop's timers have a resolution of 1 ms: take what is due within half of it.
