--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -154,9 +154,9 @@
                 datagram, agent = opened.recvfrom(LARGEST_DATAGRAM)
             except (BlockingIOError, ConnectionError):
                 return
-            self._return(datagram, agent)
+            self._return_answer(datagram, agent)
 
-    def _return(self, datagram: bytes, agent: tuple[str, int]) -> None:
+    def _return_answer(self, datagram: bytes, agent: tuple[str, int]) -> None:
         try:
             vip, caller = decode_header(datagram)
         except MalformedProxyHeader:
