--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -37,7 +37,7 @@
 
 BATCH = 64
 """Datagrams read from one socket before the event loop serves the others."""
-LARGEST_DATAGRAM = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 TIMER_RESOLUTION_SECONDS = 0.001
 PROBE_INTERVAL_SECONDS = 0.25
@@ -122,7 +122,7 @@
         opened = self._sockets[channel]
         for _ in range(BATCH):
             try:
-                payload, caller = opened.recvfrom(LARGEST_DATAGRAM)
+                payload, caller = opened.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             self._spray(channel, listener, caller, payload)
@@ -151,7 +151,7 @@
     def _read_answers(self, opened: socket.socket) -> None:
         for _ in range(BATCH):
             try:
-                datagram, agent = opened.recvfrom(LARGEST_DATAGRAM)
+                datagram, agent = opened.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             self._return_answer(datagram, agent)
