--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -108,12 +108,12 @@
     def add(self, balancer: FabricBalancer) -> None:
         """Add a balancer, or replace the one of the same name."""
         self._balancers[balancer.name] = balancer
-        self._refresh()
+        self._update_in_use()
 
     def remove(self, name: str) -> bool:
         """Forget a balancer; tell whether it was known."""
         known = self._balancers.pop(name, None) is not None
-        self._refresh()
+        self._update_in_use()
         return known
 
     def get(self, name: str) -> FabricBalancer | None:
@@ -134,7 +134,7 @@
         if balancer is None:
             return
         balancer.failures = 0 if healthy else balancer.failures + 1
-        self._refresh()
+        self._update_in_use()
 
     def choose(self) -> FabricBalancer | None:
         """Choose a balancer for one datagram; None when none is healthy."""
@@ -142,7 +142,7 @@
             return None
         return self._in_use[int(self._random.random() * len(self._in_use))]
 
-    def _refresh(self) -> None:
+    def _update_in_use(self) -> None:
         self._in_use = [b for b in self._balancers.values() if b.in_use]
 
 
