--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -20,7 +20,7 @@
 """Nobody waits for the acknowledgement of these PINGs."""
 LONG_HEADER_BIT = 0x80
 RESET_TOKEN_LENGTH = 16
-SHORTEST_RESET = 21
+MIN_RESET_BYTES = 21
 """Bytes of the shortest stateless reset (RFC 9000, section 10.3)."""
 
 
@@ -146,7 +146,7 @@
 
 def is_stateless_reset(data: bytes, tokens: Collection[bytes]) -> bool:
     """Tell whether a datagram ends with one of the peer's tokens and has the look of a reset."""
-    if len(data) < SHORTEST_RESET or data[0] & LONG_HEADER_BIT:
+    if len(data) < MIN_RESET_BYTES or data[0] & LONG_HEADER_BIT:
         return False
     return data[-RESET_TOKEN_LENGTH:] in tokens
 
