--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -14,7 +14,7 @@
 
 from jasperwalk_lab.operations import BreakReason
 
-LOWEST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 """Statuses below are interim (1xx)."""
 PING_IDENTITY = 0
 """Nobody waits for the acknowledgement of these PINGs."""
@@ -154,7 +154,7 @@
 def _take_headers(exchange: Exchange, event: HeadersReceived) -> None:
     headers = {name.decode(): value.decode() for name, value in event.headers}
     status = int(headers.get(":status", "0"))
-    if status >= LOWEST_FINAL_STATUS:  # neither interim answers nor trailers
+    if status >= MIN_FINAL_STATUS:  # neither interim answers nor trailers
         exchange.status = status
         exchange.headers = headers
 
