--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -108,7 +108,7 @@
         if isinstance(event, DataReceived):
             exchange.body += event.data
         else:
-            _take_headers(exchange, event)
+            _store_headers(exchange, event)
         if event.stream_ended:
             _end(exchange, None)
 
@@ -151,7 +151,7 @@
     return data[-RESET_TOKEN_LENGTH:] in tokens
 
 
-def _take_headers(exchange: Exchange, event: HeadersReceived) -> None:
+def _store_headers(exchange: Exchange, event: HeadersReceived) -> None:
     headers = {name.decode(): value.decode() for name, value in event.headers}
     status = int(headers.get(":status", "0"))
     if status >= MIN_FINAL_STATUS:  # neither interim answers nor trailers
