--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -80,7 +80,7 @@
             cold_factor=settings.cold_factor,
             started=now,
         )
-        self.state.note(now)
+        self.state.record_report(now)
         self._slots = asyncio.Semaphore(settings.slots)
         self._pace_factor = 1.0
 
@@ -142,7 +142,7 @@
         finally:
             self.state.waiting -= 1
         self.state.busy += 1
-        self.state.note(_now())
+        self.state.record_report(_now())
         self.journal.set_outcome(request[RECORD], RunOutcome.RUNNING)
         try:
             yield
@@ -150,7 +150,7 @@
             request[RECORD].released_at = time.monotonic()
             self._slots.release()
             self.state.busy -= 1
-            self.state.note(_now())
+            self.state.record_report(_now())
 
     async def _work(self, request: web.Request) -> None:
         service_time = self.settings.service_time_ms / MILLISECONDS
@@ -204,7 +204,7 @@
 
     async def _drain(self, request: web.Request) -> web.Response:
         self.state.draining = (await read_body(request, DrainBody)).draining
-        self.state.note(_now())
+        self.state.record_report(_now())
         return web.Response(status=204)
 
     async def _pace(self, request: web.Request) -> web.Response:
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -73,7 +73,7 @@
             return BackendStatus.STARTING
         return BackendStatus.OK
 
-    def note(self, now: float) -> None:
+    def record_report(self, now: float) -> None:
         """Keep the true report of `now`, for reports that lag; call it after every change."""
         report = LoadReport(status=self.status(now), busy=self.busy, slots=self.slots)
         self._reports.append((now, report))
--- a/tests/lab/test_backend.py
+++ b/tests/lab/test_backend.py
@@ -138,9 +138,9 @@
 
 def test_reports_lag_and_lie():
     state = BackendState(slots=3, queue_length=0, cold_seconds=10.0, cold_factor=4.0, started=100.0)
-    state.note(100.0)
+    state.record_report(100.0)
     state.busy = 2
-    state.note(105.0)
+    state.record_report(105.0)
     assert state.report(105.0).busy == 2
     assert state.report(109.0).status is BackendStatus.STARTING
     assert state.report(110.0).status is BackendStatus.OK
