--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -156,7 +156,7 @@
         service_time = self.settings.service_time_ms / MILLISECONDS
         if self.settings.service_time_varies:
             service_time *= exponential_factor(request[RECORD].request_id)
-        await asyncio.sleep(service_time * self.state.slowness(_now()) * self._pace_factor)
+        await asyncio.sleep(service_time * self.state.slowdown(_now()) * self._pace_factor)
 
     async def _lookup(self, request: web.Request) -> web.Response:
         async with self._slot(request):
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -58,7 +58,7 @@
         """Tell whether a request that arrives now is refused without running."""
         return self.draining or (self.busy >= self.slots and self.waiting >= self.queue_length)
 
-    def slowness(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return the factor on service times at `now`: 1 when warm."""
         if self.cold_seconds <= 0:
             return 1.0
--- a/tests/lab/test_backend.py
+++ b/tests/lab/test_backend.py
@@ -144,7 +144,7 @@
     assert state.report(105.0).busy == 2
     assert state.report(109.0).status is BackendStatus.STARTING
     assert state.report(110.0).status is BackendStatus.OK
-    assert (state.slowness(100.0), state.slowness(105.0), state.slowness(120.0)) == (4.0, 2.5, 1.0)
+    assert (state.slowdown(100.0), state.slowdown(105.0), state.slowdown(120.0)) == (4.0, 2.5, 1.0)
     state.faults = ReportFaults(lag_seconds=5.0)
     assert state.report(109.0).busy == 0
     state.faults = ReportFaults(false_status=BackendStatus.OK, false_busy=0)
