--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -80,10 +80,12 @@
 
     def report(self, now: float) -> LoadReport:
         """Return what the back end says of itself at `now`, with its faults."""
-        told = self._true_report(now - self.faults.lag_seconds)
+        true_report = self._true_report(now - self.faults.lag_seconds)
         return LoadReport(
-            status=told.status if self.faults.false_status is None else self.faults.false_status,
-            busy=told.busy if self.faults.false_busy is None else self.faults.false_busy,
+            status=true_report.status
+            if self.faults.false_status is None
+            else self.faults.false_status,
+            busy=true_report.busy if self.faults.false_busy is None else self.faults.false_busy,
             slots=self.slots,
         )
 
