--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -90,8 +90,8 @@
         )
 
     def _true_report(self, at: float) -> LoadReport:
-        for noted, report in reversed(self._reports):
-            if noted <= at:
+        for recorded_at, report in reversed(self._reports):
+            if recorded_at <= at:
                 return msgspec.structs.replace(report, status=self._status_since(report, at))
         return LoadReport(status=BackendStatus.STARTING, busy=0, slots=self.slots)
 
