--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -82,7 +82,7 @@
         )
         self.state.record_report(now)
         self._slots = asyncio.Semaphore(settings.slots)
-        self._pace_factor = 1.0
+        self._service_time_factor = 1.0
 
     def application(self) -> web.Application:
         """Build the HTTP application."""
@@ -156,7 +156,7 @@
         service_time = self.settings.service_time_ms / MILLISECONDS
         if self.settings.service_time_varies:
             service_time *= exponential_factor(request[RECORD].request_id)
-        await asyncio.sleep(service_time * self.state.slowdown(_now()) * self._pace_factor)
+        await asyncio.sleep(service_time * self.state.slowdown(_now()) * self._service_time_factor)
 
     async def _lookup(self, request: web.Request) -> web.Response:
         async with self._slot(request):
@@ -208,7 +208,7 @@
         return web.Response(status=204)
 
     async def _pace(self, request: web.Request) -> web.Response:
-        self._pace_factor = (await read_body(request, PaceBody)).factor
+        self._service_time_factor = (await read_body(request, PaceBody)).factor
         return web.Response(status=204)
 
     async def _faults(self, request: web.Request) -> web.Response:
