--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -95,7 +95,7 @@
         application.router.add_get("/load", self._report)
         application.router.add_get("/lab/journal", self._journal)
         application.router.add_put("/lab/drain", self._drain)
-        application.router.add_put("/lab/pace", self._pace)
+        application.router.add_put("/lab/pace", self._set_service_time_factor)
         application.router.add_put("/lab/faults", self._faults)
         return application
 
@@ -207,7 +207,7 @@
         self.state.record_report(_now())
         return web.Response(status=204)
 
-    async def _pace(self, request: web.Request) -> web.Response:
+    async def _set_service_time_factor(self, request: web.Request) -> web.Response:
         self._service_time_factor = (await read_body(request, PaceBody)).factor
         return web.Response(status=204)
 
