--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -94,7 +94,7 @@
         application.router.add_get("/health", self._report)
         application.router.add_get("/load", self._report)
         application.router.add_get("/lab/journal", self._journal)
-        application.router.add_put("/lab/drain", self._drain)
+        application.router.add_put("/lab/drain", self._set_draining)
         application.router.add_put("/lab/pace", self._set_service_time_factor)
         application.router.add_put("/lab/faults", self._faults)
         return application
@@ -202,7 +202,7 @@
     async def _journal(self, _request: web.Request) -> web.Response:
         return json_response(self.journal.answer())
 
-    async def _drain(self, request: web.Request) -> web.Response:
+    async def _set_draining(self, request: web.Request) -> web.Response:
         self.state.draining = (await read_body(request, DrainBody)).draining
         self.state.record_report(_now())
         return web.Response(status=204)
