--- a/src/jasperwalk_lab/commands/fleet.py
+++ b/src/jasperwalk_lab/commands/fleet.py
@@ -12,7 +12,7 @@
 from jasperwalk_lab.commands.running import run_stoppable
 from jasperwalk_lab.example import load_example
 from jasperwalk_lab.fleet import Fleet, make_run_folder
-from jasperwalk_lab.load.places import write_listeners
+from jasperwalk_lab.load.listeners import write_listeners
 
 
 @click.group("fleet")
--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.fleet import Fleet, make_run_folder
 from jasperwalk_lab.fleet_options import FleetOptions
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetListeners, listeners_of, read_listeners
+from jasperwalk_lab.load.listeners import FleetListeners, listeners_of, read_listeners
 from jasperwalk_lab.load.profile import PROFILES, LoadProfile
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.operations import CallHistory
--- a/src/jasperwalk_lab/experiments/run.py
+++ b/src/jasperwalk_lab/experiments/run.py
@@ -33,7 +33,7 @@
 from jasperwalk_lab.history import HistoryChecker
 from jasperwalk_lab.journal import JournalRecord
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import listeners_of
+from jasperwalk_lab.load.listeners import listeners_of
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.machine import commit, has_uncommitted_changes, machine_facts
 from jasperwalk_lab.operations import CallHistory
--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -7,7 +7,7 @@
 from jasperwalk_lab.caller import Caller
 from jasperwalk_lab.load.arrivals import draw_arrivals
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetListeners
+from jasperwalk_lab.load.listeners import FleetListeners
 from jasperwalk_lab.load.profile import LoadProfile, ServiceLoad
 from jasperwalk_lab.operations import CallHistory
 
