--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -96,7 +96,7 @@
         application.router.add_get("/lab/journal", self._journal)
         application.router.add_put("/lab/drain", self._set_draining)
         application.router.add_put("/lab/pace", self._set_service_time_factor)
-        application.router.add_put("/lab/faults", self._faults)
+        application.router.add_put("/lab/faults", self._set_report_faults)
         return application
 
     def _guarded(self, handler: Handler) -> Handler:
@@ -211,7 +211,7 @@
         self._service_time_factor = (await read_body(request, PaceBody)).factor
         return web.Response(status=204)
 
-    async def _faults(self, request: web.Request) -> web.Response:
+    async def _set_report_faults(self, request: web.Request) -> web.Response:
         self.state.faults = await read_body(request, ReportFaults)
         return web.Response(status=204)
 
