--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -106,7 +106,7 @@
             request_id = request.headers.get(answers.REQUEST_HEADER, "")
             if self.state.sheds():
                 self.journal.arrived(request_id, request.path, RunOutcome.SHED)
-                return self._refusal(request_id)
+                return self._not_run_response(request_id)
             # Until it holds a slot the request has not run.
             record = self.journal.arrived(request_id, request.path, RunOutcome.SHED)
             return await self._within_deadline(handler, request, record)
@@ -123,7 +123,7 @@
                 response = await handler(request)
         except TimeoutError:
             if not record.ran:
-                return self._refusal(record.request_id)
+                return self._not_run_response(record.request_id)
             self.journal.set_outcome(record, RunOutcome.EXPIRED)
             return web.Response(status=504, headers=self._headers(record.request_id))
         except (asyncio.CancelledError, ConnectionError):
@@ -222,7 +222,7 @@
             answers.HOST_HEADER: self.settings.host,
         }
 
-    def _refusal(self, request_id: str) -> web.Response:
+    def _not_run_response(self, request_id: str) -> web.Response:
         headers = {**self._headers(request_id), answers.NOT_RUN_HEADER: "1", "retry-after": "1"}
         return web.Response(status=503, headers=headers)
 
