--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -54,7 +54,7 @@
     service_time_varies: bool = False
 
 
-class PaceBody(msgspec.Struct, frozen=True):
+class ServiceTimeFactorBody(msgspec.Struct, frozen=True):
     """Body of `PUT /lab/pace`: service times are `factor` times as long from now on."""
 
     factor: float
@@ -208,7 +208,7 @@
         return web.Response(status=204)
 
     async def _set_service_time_factor(self, request: web.Request) -> web.Response:
-        self._service_time_factor = (await read_body(request, PaceBody)).factor
+        self._service_time_factor = (await read_body(request, ServiceTimeFactorBody)).factor
         return web.Response(status=204)
 
     async def _set_report_faults(self, request: web.Request) -> web.Response:
--- a/src/jasperwalk_lab/experiments/events.py
+++ b/src/jasperwalk_lab/experiments/events.py
@@ -7,7 +7,7 @@
 import aiohttp
 import msgspec
 
-from jasperwalk_lab.backend import DrainBody, PaceBody
+from jasperwalk_lab.backend import DrainBody, ServiceTimeFactorBody
 from jasperwalk_lab.backend_core import ReportFaults
 from jasperwalk_lab.control_client import AcceptedChange
 from jasperwalk_lab.errors import LabSettingsError
@@ -116,7 +116,7 @@
         """Change how a back end works or what its load page tells."""
         match event.action:
             case Action.SLOW_HOST:
-                await self._put(event.target, "/lab/pace", PaceBody(event.value))
+                await self._put(event.target, "/lab/pace", ServiceTimeFactorBody(event.value))
             case Action.FALSE_LOAD:
                 body = ReportFaults(false_busy=int(event.value))
                 await self._put(event.target, "/lab/faults", body)
