--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -243,13 +243,13 @@
     return int(text) / MILLISECONDS if text.isdecimal() else None
 
 
-def _number(request: web.Request, name: str, default: float, highest: float) -> float:
+def _number(request: web.Request, name: str, default: float, maximum: float) -> float:
     text = request.query.get(name)
     try:
         number = default if text is None else float(text)
     except ValueError as error:
         raise web.HTTPBadRequest(text=f"{name} is not a number") from error
-    if not 0 < number <= highest:
+    if not 0 < number <= maximum:
         raise web.HTTPBadRequest(text=f"{name} is out of range")
     return number
 
