--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -29,7 +29,7 @@
 from jasperwalk_lab.journal import Journal, JournalFile, JournalRecord, RunOutcome
 from jasperwalk_lab.serving import install_stop_event, json_response, read_body, start_http
 
-LARGEST_DOWNLOAD_BYTES = 64 * 1024 * 1024
+MAX_DOWNLOAD_BYTES = 64 * 1024 * 1024
 LARGEST_BODY_BYTES = 16 * 1024 * 1024
 MILLISECONDS = 1000.0
 RECORD = web.RequestKey("record", JournalRecord)
@@ -174,7 +174,7 @@
         return web.Response(body=body, headers=self._headers(request_id))
 
     async def _download(self, request: web.Request) -> web.Response:
-        length = _number(request, "bytes", 100_000, LARGEST_DOWNLOAD_BYTES)
+        length = _number(request, "bytes", 100_000, MAX_DOWNLOAD_BYTES)
         async with self._slot(request):
             await self._work(request)
         request_id = request[RECORD].request_id
