--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -30,7 +30,7 @@
 from jasperwalk_lab.serving import install_stop_event, json_response, read_body, start_http
 
 MAX_DOWNLOAD_BYTES = 64 * 1024 * 1024
-LARGEST_BODY_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 MILLISECONDS = 1000.0
 RECORD = web.RequestKey("record", JournalRecord)
 DEADLINE = web.RequestKey("deadline", asyncio.Timeout)
@@ -86,7 +86,7 @@
 
     def application(self) -> web.Application:
         """Build the HTTP application."""
-        application = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_get("/lookup", self._guarded(self._lookup))
         application.router.add_get("/stream", self._guarded(self._stream))
         application.router.add_get("/download", self._guarded(self._download))
