--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -105,10 +105,10 @@
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = request.headers.get(answers.REQUEST_HEADER, "")
             if self.state.sheds():
-                self.journal.arrived(request_id, request.path, RunOutcome.SHED)
+                self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
                 return self._not_run_response(request_id)
             # Until it holds a slot the request has not run.
-            record = self.journal.arrived(request_id, request.path, RunOutcome.SHED)
+            record = self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
             return await self._within_deadline(handler, request, record)
 
         return guarded
--- a/src/jasperwalk_lab/journal.py
+++ b/src/jasperwalk_lab/journal.py
@@ -95,7 +95,7 @@
         self._records: list[JournalRecord] = []
         self._numbers: dict[int, int] = {}
 
-    def arrived(self, request_id: str, path: str, outcome: RunOutcome) -> JournalRecord:
+    def record_arrival(self, request_id: str, path: str, outcome: RunOutcome) -> JournalRecord:
         """Record an arrival; `set_outcome` tells what became of it."""
         record = JournalRecord(
             request_id=request_id,
