--- a/src/jasperwalk_lab/journal.py
+++ b/src/jasperwalk_lab/journal.py
@@ -106,7 +106,7 @@
         )
         self._numbers[id(record)] = len(self._records)
         self._records.append(record)
-        self._keep(record)
+        self._write_to_file(record)
         return record
 
     def set_outcome(self, record: JournalRecord, outcome: RunOutcome) -> None:
@@ -116,9 +116,9 @@
         else:
             record.ended_at = self._clock()
         record.outcome = outcome
-        self._keep(record)
+        self._write_to_file(record)
 
-    def _keep(self, record: JournalRecord) -> None:
+    def _write_to_file(self, record: JournalRecord) -> None:
         if self._file is not None:
             self._file.write(self._numbers[id(record)], record)
 
