--- a/src/jasperwalk_lab/history.py
+++ b/src/jasperwalk_lab/history.py
@@ -131,11 +131,11 @@
     def _check_answer(self, record: CallRecord, answer: Answered) -> None:
         if answer.service not in ("", record.service):
             detail = f"asked {record.service}, answered by {answer.service}"
-            self._violated(ViolationKind.WRONG_SERVICE, record.request_id, detail)
+            self._add_violation(ViolationKind.WRONG_SERVICE, record.request_id, detail)
             return
         problem = self._answer_problem(record, answer)
         if problem is not None:
-            self._violated(ViolationKind.WRONG_ANSWER, record.request_id, problem)
+            self._add_violation(ViolationKind.WRONG_ANSWER, record.request_id, problem)
             return
         self._report.answered += 1
         self._report.streams_answered += isinstance(record.operation, LongStream)
@@ -163,30 +163,30 @@
             self._report.broken_by_cause[cause] += 1
             return
         detail = f"{broken.reason} at {broken.host or 'no host'} of {record.service}"
-        self._violated(ViolationKind.BROKEN_FLOW, record.request_id, detail)
+        self._add_violation(ViolationKind.BROKEN_FLOW, record.request_id, detail)
 
     def _check_refusals(self, refused: Iterable[str], otherwise: Collection[str]) -> None:
         for request_id in refused:
             # With another record of the same request (a resend), a run may be that one's.
             if request_id not in otherwise and self._runs[request_id]:
                 detail = f"ran at {self._runs[request_id][0].host}"
-                self._violated(ViolationKind.NOT_RUN_BUT_RAN, request_id, detail)
+                self._add_violation(ViolationKind.NOT_RUN_BUT_RAN, request_id, detail)
 
     def _check_arrivals(self, services: dict[str, str]) -> None:
         for request_id, service in services.items():
             for arrival in self._arrivals[request_id]:
                 if arrival.service != service:
                     detail = f"meant for {service}, reached {arrival.service}"
-                    self._violated(ViolationKind.WRONG_SERVICE, request_id, detail)
+                    self._add_violation(ViolationKind.WRONG_SERVICE, request_id, detail)
 
     def _check_runs(self, unrepeatable: Iterable[str]) -> None:
         for request_id in sorted(unrepeatable):
             runs = self._runs[request_id]
             if len(runs) > 1:
                 detail = f"ran at {', '.join(run.host for run in runs)}"
-                self._violated(ViolationKind.RAN_TWICE, request_id, detail)
+                self._add_violation(ViolationKind.RAN_TWICE, request_id, detail)
 
-    def _violated(self, kind: ViolationKind, request_id: str, detail: str) -> None:
+    def _add_violation(self, kind: ViolationKind, request_id: str, detail: str) -> None:
         self._report.violations.append(Violation(kind=kind, request_id=request_id, detail=detail))
 
 
