--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -28,7 +28,7 @@
 from jasperwalk_lab.fleet import make_run_folder
 from jasperwalk_lab.fleet_settings import agent_name
 from jasperwalk_lab.operations import CallHistory
-from jasperwalk_lab.traffic import Target
+from jasperwalk_lab.traffic import TrafficTarget
 
 QUIET_SECONDS = 2.0
 """Traffic goes on for this long after the last fault was undone."""
@@ -193,9 +193,9 @@
         admins.update({place.name: place.api for place in self._fleet.control_slots.values()})
         return {name: at for name, at in admins.items() if self._fleet.supervisor.runs(name)}
 
-    def _targets(self) -> list[Target]:
+    def _targets(self) -> list[TrafficTarget]:
         return [
-            Target(
+            TrafficTarget(
                 service=service.name,
                 listener=service.listener,
                 share=sum(member.slots for member in service.members),
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -23,7 +23,7 @@
     PAUSE_SECONDS,
     STREAM_EXTRA_SECONDS,
     STREAM_INTERVAL_MS,
-    Target,
+    TrafficTarget,
     short_operation,
 )
 
@@ -42,7 +42,7 @@
     """Callers of several services; every call lands in the caller's history."""
 
     def __init__(
-        self, caller: Caller, targets: list[Target], generator: random.Random, seconds: float
+        self, caller: Caller, targets: list[TrafficTarget], generator: random.Random, seconds: float
     ) -> None:
         self._caller = caller
         self._targets = targets
@@ -76,7 +76,7 @@
                     continue
                 await self._call_on(connection, target)
 
-    async def _call_on(self, connection: Connection, target: Target) -> None:
+    async def _call_on(self, connection: Connection, target: TrafficTarget) -> None:
         for _ in range(CALLS_PER_CONNECTION):
             if self._ending or not connection.alive:
                 return
@@ -91,7 +91,7 @@
             await asyncio.sleep(self._random.uniform(*PAUSE_SECONDS))
 
     async def _submit(
-        self, connection: Connection, target: Target, operation: Submission
+        self, connection: Connection, target: TrafficTarget, operation: Submission
     ) -> CallOutcome:
         """Submit with a ticket; send again, elsewhere, what may have run."""
         request_id = self._caller.next_request_id()
@@ -115,7 +115,7 @@
         return not isinstance(outcome, NotRun)
 
     async def _resend(
-        self, target: Target, operation: Submission, request_id: str, ticket: str
+        self, target: TrafficTarget, operation: Submission, request_id: str, ticket: str
     ) -> CallOutcome:
         invoked = _now()
         attempts: list[Flow] = []
@@ -153,13 +153,13 @@
         longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
         await asyncio.sleep(self._random.uniform(longest / 2, longest))
 
-    def _not_connected(self, target: Target, operation: Operation, flow: Flow) -> None:
+    def _not_connected(self, target: TrafficTarget, operation: Operation, flow: Flow) -> None:
         request_id = self._caller.next_request_id()
         self._caller.not_connected(target.service, operation, flow.opened, request_id, flow)
 
     def _record(
         self,
-        target: Target,
+        target: TrafficTarget,
         operation: Operation,
         request_id: str,
         invoked: float,
@@ -168,7 +168,7 @@
     ) -> None:
         self._caller.record(target.service, operation, request_id, invoked, outcome, flow)
 
-    def _choose_target(self) -> Target:
+    def _choose_target(self) -> TrafficTarget:
         shares = [target.share for target in self._targets]
         return self._random.choices(self._targets, weights=shares)[0]
 
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -30,7 +30,7 @@
     PromiseKind,
     summarise,
 )
-from jasperwalk_lab.traffic import Target, Traffic
+from jasperwalk_lab.traffic import Traffic, TrafficTarget
 
 STREAMS = LEAST_STREAMS + 10
 STREAM_SECONDS = 10.0
@@ -177,9 +177,9 @@
             for before, after in services
         )
 
-    def _targets(self) -> list[Target]:
+    def _targets(self) -> list[TrafficTarget]:
         return [
-            Target(
+            TrafficTarget(
                 service=service.name,
                 listener=service.listener,
                 share=sum(member.slots for member in service.members),
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Target:
+class TrafficTarget:
     """A service, its listener, and its part of the traffic."""
 
     service: str
@@ -47,7 +47,11 @@
     """Callers of several services; all calls land in one history."""
 
     def __init__(
-        self, caller: Caller, history: CallHistory, targets: list[Target], generator: random.Random
+        self,
+        caller: Caller,
+        history: CallHistory,
+        targets: list[TrafficTarget],
+        generator: random.Random,
     ) -> None:
         self._caller = caller
         self._history = history
@@ -112,7 +116,7 @@
         longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
         await asyncio.sleep(self._random.uniform(longest / 2, longest))
 
-    def _choose_target(self) -> Target:
+    def _choose_target(self) -> TrafficTarget:
         shares = [target.share for target in self._targets]
         return self._random.choices(self._targets, weights=shares)[0]
 
