--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -35,7 +35,7 @@
 """How often a caller sends a submission again whose outcome it does not know."""
 NEEDLESS_RESEND_SHARE = 0.05
 """Share of answered submissions that are sent again, as after an answer that was lost."""
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 0.5
 
 
 class ChaosTraffic:
@@ -150,7 +150,7 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
+        longest = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
         await asyncio.sleep(self._random.uniform(longest / 2, longest))
 
     def _not_connected(self, target: TrafficTarget, operation: Operation, flow: Flow) -> None:
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -24,7 +24,7 @@
 """Shortest and longest pause of a caller between two short calls."""
 CALL_TIMEOUT_SECONDS = 10.0
 STREAM_ATTEMPTS = 20
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 0.5
 STREAM_INTERVAL_MS = 100.0
 STREAM_EXTRA_SECONDS = 10.0
 """What a stream may take beyond its own length."""
@@ -113,7 +113,7 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
+        longest = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
         await asyncio.sleep(self._random.uniform(longest / 2, longest))
 
     def _choose_target(self) -> TrafficTarget:
