--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -150,8 +150,8 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
-        await asyncio.sleep(self._random.uniform(longest / 2, longest))
+        max_wait = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
+        await asyncio.sleep(self._random.uniform(max_wait / 2, max_wait))
 
     def _not_connected(self, target: TrafficTarget, operation: Operation, flow: Flow) -> None:
         request_id = self._caller.next_request_id()
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -113,8 +113,8 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
-        await asyncio.sleep(self._random.uniform(longest / 2, longest))
+        max_wait = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
+        await asyncio.sleep(self._random.uniform(max_wait / 2, max_wait))
 
     def _choose_target(self) -> TrafficTarget:
         shares = [target.share for target in self._targets]
