--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -23,8 +23,8 @@
 from jasperwalk_lab.journal import JournalRecord
 from jasperwalk_lab.operations import CallHistory
 from jasperwalk_lab.summary import (
-    LEAST_ANSWERED,
     LEAST_STREAMS,
+    MIN_ANSWERED,
     BrokenPromise,
     DemoSummary,
     PromiseKind,
@@ -157,7 +157,7 @@
         self._progress(f"revision {view.revision} in force on {places}, {agents}")
 
     async def _wait_for_calls(self) -> None:
-        while self._traffic.short_calls() < LEAST_ANSWERED:
+        while self._traffic.short_calls() < MIN_ANSWERED:
             await asyncio.sleep(0.1)
 
     def note_ended_processes(self) -> None:
--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -9,7 +9,7 @@
 
 from jasperwalk_lab.history import HistoryReport, ViolationKind
 
-LEAST_ANSWERED = 1_000
+MIN_ANSWERED = 1_000
 LEAST_STREAMS = 50
 LONGEST_IN_FORCE_SECONDS = 10.0
 SHOWN_VIOLATIONS = 10
@@ -105,8 +105,8 @@
 def _too_few_answers(report: HistoryReport) -> list[BrokenPromise]:
     short_answers = report.answered - report.streams_answered
     broken: list[BrokenPromise] = []
-    if short_answers < LEAST_ANSWERED:
-        detail = f"{short_answers} of at least {LEAST_ANSWERED} requests"
+    if short_answers < MIN_ANSWERED:
+        detail = f"{short_answers} of at least {MIN_ANSWERED} requests"
         broken.append(BrokenPromise(PromiseKind.TOO_FEW_ANSWERS, detail))
     if report.streams_answered < LEAST_STREAMS:
         detail = f"{report.streams_answered} of at least {LEAST_STREAMS} long streams"
