--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -23,8 +23,8 @@
 from jasperwalk_lab.journal import JournalRecord
 from jasperwalk_lab.operations import CallHistory
 from jasperwalk_lab.summary import (
-    LEAST_STREAMS,
     MIN_ANSWERED,
+    MIN_STREAMS,
     BrokenPromise,
     DemoSummary,
     PromiseKind,
@@ -32,7 +32,7 @@
 )
 from jasperwalk_lab.traffic import Traffic, TrafficTarget
 
-STREAMS = LEAST_STREAMS + 10
+STREAMS = MIN_STREAMS + 10
 STREAM_SECONDS = 10.0
 SHORT_CALLERS = 16
 WARM_UP_SECONDS = 1.5
--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -10,7 +10,7 @@
 from jasperwalk_lab.history import HistoryReport, ViolationKind
 
 MIN_ANSWERED = 1_000
-LEAST_STREAMS = 50
+MIN_STREAMS = 50
 LONGEST_IN_FORCE_SECONDS = 10.0
 SHOWN_VIOLATIONS = 10
 
@@ -108,8 +108,8 @@
     if short_answers < MIN_ANSWERED:
         detail = f"{short_answers} of at least {MIN_ANSWERED} requests"
         broken.append(BrokenPromise(PromiseKind.TOO_FEW_ANSWERS, detail))
-    if report.streams_answered < LEAST_STREAMS:
-        detail = f"{report.streams_answered} of at least {LEAST_STREAMS} long streams"
+    if report.streams_answered < MIN_STREAMS:
+        detail = f"{report.streams_answered} of at least {MIN_STREAMS} long streams"
         broken.append(BrokenPromise(PromiseKind.TOO_FEW_ANSWERS, detail))
     return broken
 
