--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -11,7 +11,7 @@
 
 MIN_ANSWERED = 1_000
 MIN_STREAMS = 50
-LONGEST_IN_FORCE_SECONDS = 10.0
+MAX_IN_FORCE_SECONDS = 10.0
 SHOWN_VIOLATIONS = 10
 
 
@@ -117,7 +117,7 @@
 def _slow_change(in_force_seconds: float | None) -> list[BrokenPromise]:
     if in_force_seconds is None:
         return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, "it never was")]
-    if in_force_seconds > LONGEST_IN_FORCE_SECONDS:
+    if in_force_seconds > MAX_IN_FORCE_SECONDS:
         detail = f"only after {in_force_seconds:.1f} s"
         return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, detail)]
     return []
