--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -73,7 +73,7 @@
         sent = ", ".join(f"{each.name} {each.sent}" for each in await fleet.sprayed())
         progress(f"datagrams sprayed: {sent}")
         journal = await fleet.journals()
-        demo.note_ended_processes()
+        demo.record_ended_processes()
         progress("stopping the fleet")
     report = HistoryChecker(journal).check(demo.history.records)
     summary = summarise(
@@ -160,7 +160,7 @@
         while self._traffic.short_calls() < MIN_ANSWERED:
             await asyncio.sleep(0.1)
 
-    def note_ended_processes(self) -> None:
+    def record_ended_processes(self) -> None:
         """Note each process that ended though nobody stopped it."""
         for name in self._fleet.supervisor.ended_early():
             self.failures.append(BrokenPromise(PromiseKind.PROCESS_ENDED, name))
