--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -48,7 +48,7 @@
     example_name: str, seconds: float, seed: int, runs: Path, progress: Progress
 ) -> ChaosReport:
     """Run one fleet under faults for `seconds`; logs and journals stay in a folder of `runs`."""
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     load_before = psutil.getloadavg()[0]
     run_folder = make_run_folder(runs, f"chaos-{example_name}")
     progress(f"run folder {run_folder}, seed {seed}")
@@ -73,7 +73,7 @@
         journal=fleet.kept_journals(),
         flows=flows,
         processes=fleet.supervisor.most_running,
-        duration_seconds=asyncio.get_running_loop().time() - began,
+        duration_seconds=asyncio.get_running_loop().time() - started_at,
         load_average_before=load_before,
         load_average_after=psutil.getloadavg()[0],
         cores=psutil.cpu_count() or 0,
--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -149,10 +149,10 @@
         _print_listing(as_json)
         return
     scenarios = SCENARIOS if scenario == ALL else (scenario_named(scenario),)
-    began = time.monotonic()
+    started_at = time.monotonic()
     progress = _progress_printer(len(scenarios) * len(seeds))
     summaries = run_campaign(scenarios, seeds, mutant or "", processes, progress)
-    report = _report(scenarios, summaries, mutant or "", time.monotonic() - began)
+    report = _report(scenarios, summaries, mutant or "", time.monotonic() - started_at)
     _print_report(report, as_json)
     if report.violations:
         sys.exit(EXIT_PROMISE_BROKEN)
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -61,12 +61,12 @@
     options: FleetOptions = DEFAULT_OPTIONS,
 ) -> DemoResult:
     """Run the demo; logs, settings and data stay in a new folder under `runs`."""
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     run_folder = make_run_folder(runs, f"demo-{example_name}")
     progress(f"run folder {run_folder}, seed {seed}")
     async with Fleet(load_example(example_name), run_folder, seed, options) as fleet:
         await fleet.start()
-        elapsed = asyncio.get_running_loop().time() - began
+        elapsed = asyncio.get_running_loop().time() - started_at
         progress(f"fleet of {len(fleet.layout.members)} agents is up after {elapsed:.1f} s")
         demo = Demo(fleet, seed, progress)
         await demo.run()
@@ -82,7 +82,7 @@
         seed=seed,
         imbalance=demo.imbalance(journal),
         in_force_seconds=demo.in_force_seconds,
-        duration_seconds=asyncio.get_running_loop().time() - began,
+        duration_seconds=asyncio.get_running_loop().time() - started_at,
         failures=demo.failures,
     )
     return DemoResult(summary=summary, report=report)
