--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -124,7 +124,7 @@
         final = FinalState(self.operators.raced_tenant, self._initial_revision)
         final.table_revision = wanted
         final.process_revisions = await self._wait_all_current(wanted)
-        final.ended_processes = self._fleet.supervisor.ended_early()
+        final.ended_processes = self._fleet.supervisor.ended_unexpectedly()
         for slot, place in self._fleet.control_slots.items():
             final.tenant_revisions[slot] = await self._tenant_revision(place.api)
             final.outcomes[slot] = await self._outcomes(place.api)
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -162,7 +162,7 @@
 
     def record_ended_processes(self) -> None:
         """Note each process that ended though nobody stopped it."""
-        for name in self._fleet.supervisor.ended_early():
+        for name in self._fleet.supervisor.ended_unexpectedly():
             self.failures.append(BrokenPromise(PromiseKind.PROCESS_ENDED, name))
 
     def imbalance(self, journal: list[JournalRecord]) -> float:
--- a/src/jasperwalk_lab/experiments/run.py
+++ b/src/jasperwalk_lab/experiments/run.py
@@ -197,7 +197,7 @@
                 for each in report.violations[:MOST_EXAMPLES]
             ],
             processes_ended=[
-                *self._fleet.supervisor.ended_early(),
+                *self._fleet.supervisor.ended_unexpectedly(),
                 *self._player.unclean_stops,
             ],
         )
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -198,7 +198,7 @@
             late_seconds = self._clock() - slept_at - MONITOR_INTERVAL_SECONDS
             if late_seconds > STALL_SECONDS:
                 self.history.stalls.append(MachineStall(self._clock(), round(late_seconds, 2)))
-            for name in self._fleet.supervisor.ended_early():
+            for name in self._fleet.supervisor.ended_unexpectedly():
                 if name not in self.history.ended_processes:
                     self.history.ended_processes.append(name)
             if not self._first_sample and self._clock() > FIRST_SAMPLE_SECONDS:
--- a/src/jasperwalk_lab/supervisor.py
+++ b/src/jasperwalk_lab/supervisor.py
@@ -143,7 +143,7 @@
         """Stop every process that still runs."""
         await asyncio.gather(*(self.stop(name) for name in list(self._processes)))
 
-    def ended_early(self) -> list[str]:
+    def ended_unexpectedly(self) -> list[str]:
         """Return the names of processes that ended by themselves."""
         ended = self._processes.items()
         return [name for name, process in ended if process.returncode is not None]
