--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -72,7 +72,7 @@
         final=final,
         journal=fleet.kept_journals(),
         flows=flows,
-        processes=fleet.supervisor.most_running,
+        processes=fleet.supervisor.max_running,
         duration_seconds=asyncio.get_running_loop().time() - started_at,
         load_average_before=load_before,
         load_average_after=psutil.getloadavg()[0],
--- a/src/jasperwalk_lab/supervisor.py
+++ b/src/jasperwalk_lab/supervisor.py
@@ -48,7 +48,7 @@
         self._plans: dict[str, ProcessPlan] = {}
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._ending: dict[str, asyncio.subprocess.Process] = {}
-        self.most_running = 0
+        self.max_running = 0
         """The largest number of processes that ran at once."""
 
     async def start(self, plan: ProcessPlan) -> None:
@@ -63,7 +63,7 @@
             )
         self._plans[plan.name] = plan
         self._processes[plan.name] = process
-        self.most_running = max(self.most_running, len(self._processes))
+        self.max_running = max(self.max_running, len(self._processes))
 
     async def start_all(self, plans: list[ProcessPlan]) -> None:
         """Start many processes at once."""
