--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -93,7 +93,7 @@
         self._random = generator
         self._api = ReplicaApi()
         self._numbers = itertools.count()
-        self._ending = False
+        self._stopping = False
         self._waits: set[asyncio.Task[None]] = set()
 
     @property
@@ -108,11 +108,11 @@
 
     def end(self) -> None:
         """Let the race in hand be the last."""
-        self._ending = True
+        self._stopping = True
 
     async def run_races(self) -> None:
         """Race until `end`."""
-        while not self._ending:
+        while not self._stopping:
             seen = await self._api.tenant(self._any_replica(), self._tenant.name)
             if seen is not None:
                 await self._race(seen.revision)
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -48,11 +48,11 @@
         self._targets = targets
         self._random = generator
         self._seconds = seconds
-        self._ending = False
+        self._stopping = False
 
     def end(self) -> None:
         """Let every caller finish the call in hand and go."""
-        self._ending = True
+        self._stopping = True
 
     async def run(self) -> None:
         """Run all callers until `end`."""
@@ -65,7 +65,7 @@
                 tasks.create_task(self._stream(self._seconds))
 
     async def _short_caller(self) -> None:
-        while not self._ending:
+        while not self._stopping:
             target = self._choose_target()
             operation = short_operation(self._random)
             attempts: list[Flow] = []
@@ -78,7 +78,7 @@
 
     async def _call_on(self, connection: Connection, target: TrafficTarget) -> None:
         for _ in range(CALLS_PER_CONNECTION):
-            if self._ending or not connection.alive:
+            if self._stopping or not connection.alive:
                 return
             operation = short_operation(self._random)
             if isinstance(operation, Submission):
@@ -130,14 +130,14 @@
 
     async def _stream_caller(self) -> None:
         await asyncio.sleep(self._random.uniform(0.0, STREAM_SECONDS[0]))
-        while not self._ending:
+        while not self._stopping:
             await self._stream(self._random.uniform(*STREAM_SECONDS))
 
     async def _stream(self, seconds: float) -> None:
         """Open one stream; a refused one is asked for again, on another connection."""
         operation = LongStream(seconds=seconds, interval_ms=STREAM_INTERVAL_MS)
         target = self._choose_target()
-        while not self._ending:
+        while not self._stopping:
             attempts: list[Flow] = []
             connecting = self._caller.connect(target.service, target.listener, attempts)
             async with connecting as connection:
--- a/src/jasperwalk_lab/supervisor.py
+++ b/src/jasperwalk_lab/supervisor.py
@@ -47,7 +47,7 @@
         self._log_folder = log_folder
         self._plans: dict[str, ProcessPlan] = {}
         self._processes: dict[str, asyncio.subprocess.Process] = {}
-        self._ending: dict[str, asyncio.subprocess.Process] = {}
+        self._stopping: dict[str, asyncio.subprocess.Process] = {}
         self.max_running = 0
         """The largest number of processes that ran at once."""
 
@@ -118,7 +118,7 @@
 
     def exists(self, name: str) -> bool:
         """Tell whether a process is there, also one that was told to end and has not yet."""
-        return name in self._ending or self.process_id(name) is not None
+        return name in self._stopping or self.process_id(name) is not None
 
     def runs(self, name: str) -> bool:
         """Tell whether a process was started and not ended by this supervisor."""
@@ -127,7 +127,7 @@
     async def stop(self, name: str, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
         """Stop a process with SIGTERM, after `timeout` seconds with SIGKILL; return its status."""
         process = self._processes.pop(name)
-        self._ending[name] = process
+        self._stopping[name] = process
         _signal(process, signal.SIGTERM)
         try:
             async with asyncio.timeout(timeout):
@@ -137,7 +137,7 @@
             _signal(process, signal.SIGKILL)
             return await process.wait()
         finally:
-            del self._ending[name]
+            del self._stopping[name]
 
     async def stop_all(self) -> None:
         """Stop every process that still runs."""
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -57,11 +57,11 @@
         self._history = history
         self._targets = targets
         self._random = generator
-        self._ending = False
+        self._stopping = False
 
     def end(self) -> None:
         """Let callers of short calls finish the call in hand and go."""
-        self._ending = True
+        self._stopping = True
 
     def short_calls(self) -> int:
         """Return how many short calls have been answered."""
@@ -79,7 +79,7 @@
         await asyncio.gather(*(self._stream(seconds) for _ in range(count)))
 
     async def _short_caller(self) -> None:
-        while not self._ending:
+        while not self._stopping:
             target = self._choose_target()
             invoked = asyncio.get_running_loop().time()
             async with self._caller.connect(target.service, target.listener) as connection:
@@ -90,7 +90,7 @@
 
     async def _call_on(self, connection: Connection) -> None:
         for _ in range(CALLS_PER_CONNECTION):
-            if self._ending or not connection.alive:
+            if self._stopping or not connection.alive:
                 return
             record = await connection.call(self._short_operation(), CALL_TIMEOUT_SECONDS)
             if isinstance(record.outcome, NotRun):
