--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -64,10 +64,12 @@
 
     def with_new_endpoints(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
         """Return the same deployment with fresh end points for listeners and members."""
-        tenants = tuple(self._moved_tenant(t, make_vip, make_member) for t in self.tenants)
+        tenants = tuple(
+            self._tenant_with_new_endpoints(t, make_vip, make_member) for t in self.tenants
+        )
         return self.with_tenants(tenants)
 
-    def _moved_tenant(
+    def _tenant_with_new_endpoints(
         self, tenant: Tenant, make_vip: EndpointMaker, make_member: EndpointMaker
     ) -> Tenant:
         values: dict[str, Any] = dict(tenant.values)
