--- a/src/jasperwalk_lab/caller.py
+++ b/src/jasperwalk_lab/caller.py
@@ -192,7 +192,7 @@
             else:
                 yield None
 
-    def not_connected(
+    def record_not_connected(
         self,
         service: str,
         operation: Operation,
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -155,7 +155,7 @@
 
     def _not_connected(self, target: TrafficTarget, operation: Operation, flow: Flow) -> None:
         request_id = self._caller.next_request_id()
-        self._caller.not_connected(target.service, operation, flow.opened, request_id, flow)
+        self._caller.record_not_connected(target.service, operation, flow.opened, request_id, flow)
 
     def _record(
         self,
--- a/src/jasperwalk_lab/load/driver.py
+++ b/src/jasperwalk_lab/load/driver.py
@@ -106,7 +106,7 @@
         with flow.in_use():
             connection = await flow.connection()
             if connection is None:
-                record = self._caller.not_connected(arrival.service, operation, due_at)
+                record = self._caller.record_not_connected(arrival.service, operation, due_at)
             else:
                 record = await connection.call(operation, timeout, request_id)
         self.counts.outstanding -= 1
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -84,7 +84,9 @@
             invoked = asyncio.get_running_loop().time()
             async with self._caller.connect(target.service, target.listener) as connection:
                 if connection is None:
-                    self._caller.not_connected(target.service, self._short_operation(), invoked)
+                    self._caller.record_not_connected(
+                        target.service, self._short_operation(), invoked
+                    )
                     continue
                 await self._call_on(connection)
 
@@ -105,7 +107,7 @@
             invoked = asyncio.get_running_loop().time()
             async with self._caller.connect(target.service, target.listener) as connection:
                 if connection is None:
-                    self._caller.not_connected(target.service, operation, invoked)
+                    self._caller.record_not_connected(target.service, operation, invoked)
                     return
                 record = await connection.call(operation, seconds + STREAM_EXTRA_SECONDS)
             if not isinstance(record.outcome, NotRun):
