--- a/src/jasperwalk_lab/control_client.py
+++ b/src/jasperwalk_lab/control_client.py
@@ -22,7 +22,7 @@
 HTTP_UNAVAILABLE = 503
 HTTP_OUTCOME_UNKNOWN = 504
 """A resend with the same change ID learns the outcome."""
-RESENT_STATUSES = frozenset({0, HTTP_UNAVAILABLE, HTTP_OUTCOME_UNKNOWN})
+RETRIED_STATUSES = frozenset({0, HTTP_UNAVAILABLE, HTTP_OUTCOME_UNKNOWN})
 """Answers after which a request is sent again; 0 stands for no answer."""
 
 
@@ -117,7 +117,7 @@
             if status in HTTP_OK_RANGE:
                 return answer
             expired = asyncio.get_running_loop().time() > deadline
-            if expired or status not in RESENT_STATUSES:
+            if expired or status not in RETRIED_STATUSES:
                 text = answer.decode(errors="replace")
                 raise ControlRefused(path=path, status=status, body=text)
             await asyncio.sleep(RETRY_SECONDS)
