--- a/src/jasperwalk_lab/control_client.py
+++ b/src/jasperwalk_lab/control_client.py
@@ -48,9 +48,9 @@
 class ControlClient:
     """Talks to any replica; a replica that is down or has no leader is tried again."""
 
-    def __init__(self, replicas: Sequence[Endpoint], give_up_seconds: float = 20.0) -> None:
+    def __init__(self, replicas: Sequence[Endpoint], retry_seconds: float = 20.0) -> None:
         self._replicas = list(replicas)
-        self._give_up_seconds = give_up_seconds
+        self._give_up_seconds = retry_seconds
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
 
