--- a/src/jasperwalk_lab/control_client.py
+++ b/src/jasperwalk_lab/control_client.py
@@ -50,7 +50,7 @@
 
     def __init__(self, replicas: Sequence[Endpoint], retry_seconds: float = 20.0) -> None:
         self._replicas = list(replicas)
-        self._give_up_seconds = retry_seconds
+        self._retry_seconds = retry_seconds
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
 
@@ -111,7 +111,7 @@
         if body:
             # The same change ID on every try: a resend gets the first outcome.
             headers = {"Idempotency-Key": str(uuid.uuid4()), "Content-Type": content_type}
-        deadline = asyncio.get_running_loop().time() + self._give_up_seconds
+        deadline = asyncio.get_running_loop().time() + self._retry_seconds
         while True:
             status, answer = await self._try(method, path, body, headers)
             if status in HTTP_OK_RANGE:
