--- a/src/jasperwalk_lab/layout.py
+++ b/src/jasperwalk_lab/layout.py
@@ -13,7 +13,7 @@
 BALANCERS = 3
 SPARE_BALANCERS = 1
 """Balancers with settings that are not started with the fleet, but may join later."""
-LOWEST_SECOND_OCTET = 16
+MIN_SECOND_OCTET = 16
 SECOND_OCTETS = 200
 HOSTS_PER_PREFIX = 250
 
@@ -76,7 +76,7 @@
 
     def __init__(self, reservations: PortReservations) -> None:
         process_id = os.getpid()
-        second_octet = LOWEST_SECOND_OCTET + (process_id >> 8) % SECOND_OCTETS
+        second_octet = MIN_SECOND_OCTET + (process_id >> 8) % SECOND_OCTETS
         self._prefix = f"127.{second_octet}.{process_id & 0xFF}"
         self._reservations = reservations
         self._last = 0
