--- a/src/jasperwalk_lab/ports.py
+++ b/src/jasperwalk_lab/ports.py
@@ -76,12 +76,12 @@
 
 def common_ports(names: Sequence[str], hosts: Sequence[str]) -> dict[str, int]:
     """Return a port for each name, all different, free on each of these addresses."""
-    drawn = random.SystemRandom()
+    generator = random.SystemRandom()
     ports: dict[str, int] = {}
     for name in names:
-        port = drawn.choice(PORTS)
+        port = generator.choice(PORTS)
         while port in ports.values() or not _is_free(port, hosts):
-            port = drawn.choice(PORTS)
+            port = generator.choice(PORTS)
         ports[name] = port
     return ports
 
