--- a/src/jasperwalk_lab/commands/fleet.py
+++ b/src/jasperwalk_lab/commands/fleet.py
@@ -26,10 +26,10 @@
 @runs_option
 def up(example: str, seed: int, runs: Path) -> None:
     """Start a fleet and keep it up until Ctrl-C or SIGTERM."""
-    run_stoppable(_schedule_release(example, seed, runs))
+    run_stoppable(_run_until_stopped(example, seed, runs))
 
 
-async def _schedule_release(example: str, seed: int, runs: Path) -> None:
+async def _run_until_stopped(example: str, seed: int, runs: Path) -> None:
     run_folder = make_run_folder(runs, f"fleet-{example}")
     async with Fleet(load_example(example), run_folder, seed) as running:
         await running.start()
