--- a/src/jasperwalk_lab/commands/chaos.py
+++ b/src/jasperwalk_lab/commands/chaos.py
@@ -14,14 +14,14 @@
 from jasperwalk_lab.commands.running import run_stoppable
 
 EXIT_PROMISE_BROKEN = 1
-SHORTEST_SECONDS = 10.0
+MIN_SECONDS = 10.0
 
 
 @click.command("chaos")
 @example_option
 @click.option(
     "--seconds",
-    type=click.FloatRange(min=SHORTEST_SECONDS),
+    type=click.FloatRange(min=MIN_SECONDS),
     default=40.0,
     show_default=True,
     help="Length of the run; faults begin until shortly before its end.",
