--- a/src/jasperwalk_lab/commands/soak.py
+++ b/src/jasperwalk_lab/commands/soak.py
@@ -19,7 +19,7 @@
 from jasperwalk_lab.soak.run import run_soak
 
 EXIT_PROMISE_BROKEN = 1
-SHORTEST_MINUTES = 0.4
+MIN_MINUTES = 0.4
 SEED_BITS = 31
 SECONDS_PER_MINUTE = 60.0
 PLANES = ("datagrams", "http3")
@@ -28,7 +28,7 @@
 @click.command("soak")
 @click.option(
     "--minutes",
-    type=click.FloatRange(min=SHORTEST_MINUTES),
+    type=click.FloatRange(min=MIN_MINUTES),
     default=2.0,
     show_default=True,
     help="Length of the run.",
