--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -165,9 +165,9 @@
         nonlocal done
         done += 1
         for violation in summary.violations:
-            _tell(f"VIOLATION {summary.scenario} seed {summary.seed}: {violation}")
+            _print_progress(f"VIOLATION {summary.scenario} seed {summary.seed}: {violation}")
         if done % PROGRESS_RUNS == 0 or done == total:
-            _tell(f"{done} of {total} runs")
+            _print_progress(f"{done} of {total} runs")
 
     return progress
 
@@ -215,7 +215,7 @@
         replay += f" --mutant {mutant}"
     faults, events = summary.faults, list[str]()
     if shortened:
-        _tell(f"shortening {summary.scenario} seed {summary.seed}")
+        _print_progress(f"shortening {summary.scenario} seed {summary.seed}")
         short = minimize_faults(
             summary.scenario, summary.seed, mutant, kind_of(summary.violations[0])
         )
@@ -277,5 +277,5 @@
         click.echo(f"mutant {mutant.name}: {mutant.description} (caught by {mutant.scenario})")
 
 
-def _tell(line: str) -> None:
+def _print_progress(line: str) -> None:
     click.echo(line, err=True)
--- a/src/jasperwalk_lab/commands/soak.py
+++ b/src/jasperwalk_lab/commands/soak.py
@@ -72,7 +72,7 @@
     runs_to_play.extend((seconds, drawn_seed + offset) for offset in range(seeds))
     broken = False
     for run_seconds, each_seed in runs_to_play:
-        soaking = run_soak(run_seconds, each_seed, runs, _tell, SIZES[size])
+        soaking = run_soak(run_seconds, each_seed, runs, _print_progress, SIZES[size])
         report = run_stoppable(soaking)
         _print(report, as_json)
         broken = broken or bool(report.violations)
@@ -81,14 +81,14 @@
 
 def _soak_http3(example: str, minutes: float, seed: int, runs: Path, as_json: bool) -> int:
     seconds = minutes * SECONDS_PER_MINUTE
-    report = run_stoppable(run_chaos(example, seconds, seed, runs, _tell))
+    report = run_stoppable(run_chaos(example, seconds, seed, runs, _print_progress))
     click.echo(describe_chaos(report), err=as_json)
     if as_json:
         click.echo(msgspec.json.encode(report).decode())
     return EXIT_PROMISE_BROKEN if report.violations else 0
 
 
-def _tell(line: str) -> None:
+def _print_progress(line: str) -> None:
     click.echo(line, err=True)
 
 
