--- a/src/jasperwalk_lab/commands/experiment.py
+++ b/src/jasperwalk_lab/commands/experiment.py
@@ -22,7 +22,7 @@
 
 
 @contextlib.contextmanager
-def refused_files() -> Iterator[None]:
+def exit_on_unusable_file() -> Iterator[None]:
     """End with one line and exit status 2 where a file can't be used."""
     try:
         yield
@@ -45,7 +45,7 @@
     Exit status 0; 1 when a run of the product's balancers broke a promise or a process ended
     by itself (baselines break flows by their nature); 2 when FILE can't be used.
     """
-    with refused_files():
+    with exit_on_unusable_file():
         loaded = load_experiment(file)
     folder = make_run_folder(runs, f"experiment-{loaded.name}")
     definition = file.read_text(encoding="utf-8")
@@ -61,5 +61,5 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report(folder: Path) -> None:
     """Write FOLDER/report.html, one page without outside parts, from an experiment's results."""
-    with refused_files():
+    with exit_on_unusable_file():
         click.echo(write_report(folder))
