--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -65,7 +65,7 @@
         name = str(example)
         options = FleetOptions(service_time_ms=service_time_ms, service_time_varies=True)
         profile = _profile(name, seconds, rate)
-        result = run_stoppable(_run_own(name, profile, seed, runs, options))
+        result = run_stoppable(_run_on_own_fleet(name, profile, seed, runs, options))
     click.echo(describe(result), err=as_json)
     if as_json:
         click.echo(msgspec.json.encode(result).decode())
@@ -75,7 +75,7 @@
     return PROFILES[example].scaled(rate).model_copy(update={"seconds": seconds})
 
 
-async def _run_own(
+async def _run_on_own_fleet(
     example: str, profile: LoadProfile, seed: int, runs: Path, options: FleetOptions
 ) -> LoadResult:
     run_folder = make_run_folder(runs, f"load-{example}")
