--- a/src/jasperwalk_lab/layout.py
+++ b/src/jasperwalk_lab/layout.py
@@ -90,17 +90,17 @@
 def plan_layout(example: Example, reservations: PortReservations) -> Layout:
     """Give every process of the example's fleet its end points."""
     hosts = LoopbackHosts(reservations)
-    moved = example.moved(hosts.endpoint, hosts.endpoint)
-    zones = moved.zones()
+    relocated = example.relocated(hosts.endpoint, hosts.endpoint)
+    zones = relocated.zones()
     balancers = [
-        _balancer(number, zones, moved, hosts) for number in range(BALANCERS + SPARE_BALANCERS)
+        _balancer(number, zones, relocated, hosts) for number in range(BALANCERS + SPARE_BALANCERS)
     ]
     return Layout(
-        example=moved,
+        example=relocated,
         controls=tuple(_control(number, zones, hosts) for number in range(CONTROL_REPLICAS)),
         balancers=tuple(balancers[:BALANCERS]),
         spare_balancers=tuple(balancers[BALANCERS:]),
-        members=tuple(_members(moved, hosts)),
+        members=tuple(_members(relocated, hosts)),
         fabric_return=hosts.endpoint(),
         fabric_admin=hosts.endpoint(),
         platform_list=hosts.endpoint(),
