--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -62,7 +62,7 @@
         """Return the same deployment with other tenants."""
         return replace(self, tenants=tenants)
 
-    def with_new_endpoints(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
+    def relocated(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
         """Return the same deployment with fresh end points for listeners and members."""
         tenants = tuple(
             self._tenant_with_new_endpoints(t, make_vip, make_member) for t in self.tenants
