--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -64,12 +64,10 @@
 
     def relocated(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
         """Return the same deployment with fresh end points for listeners and members."""
-        tenants = tuple(
-            self._tenant_with_new_endpoints(t, make_vip, make_member) for t in self.tenants
-        )
+        tenants = tuple(self._relocated_tenant(t, make_vip, make_member) for t in self.tenants)
         return self.with_tenants(tenants)
 
-    def _tenant_with_new_endpoints(
+    def _relocated_tenant(
         self, tenant: Tenant, make_vip: EndpointMaker, make_member: EndpointMaker
     ) -> Tenant:
         values: dict[str, Any] = dict(tenant.values)
