--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from jasperwalk_lab.chaos.api import Accepted, ChangeAnswer, Refused
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.operators import InForceTime, SubmittedChange
 from jasperwalk_lab.chaos.reach import control_absences, due_after
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
@@ -72,7 +72,7 @@
 
 
 def check_in_force(
-    times: Iterable[InForceTime], happened: Iterable[HappenedFault]
+    times: Iterable[InForceTime], happened: Iterable[FaultRecord]
 ) -> Iterator[ChaosViolation]:
     """Check that control said in time, of every change that was watched, that it is in force.
 
--- a/src/jasperwalk_lab/chaos/faults.py
+++ b/src/jasperwalk_lab/chaos/faults.py
@@ -98,7 +98,7 @@
     seconds: float
 
 
-class HappenedFault(msgspec.Struct):
+class FaultRecord(msgspec.Struct):
     """A fault that took place, in seconds of the machine's monotonic clock.
 
     `ended` is when its undoing was done; `failure` names what did not go as it should.
--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.errors import JasperwalkError
 from jasperwalk_lab.chaos.actions import FaultActions
-from jasperwalk_lab.chaos.faults import SHAPES, HappenedFault, PlannedFault, TargetGroup
+from jasperwalk_lab.chaos.faults import SHAPES, FaultRecord, PlannedFault, TargetGroup
 
 Progress = Callable[[str], None]
 
@@ -26,7 +26,7 @@
         self._actions = actions
         self._progress = progress
         self._turns: dict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
-        self.happened: list[HappenedFault] = []
+        self.happened: list[FaultRecord] = []
 
     async def run(self, planned: Sequence[PlannedFault]) -> None:
         """Strike and undo all faults; a failure is noted with its fault.
@@ -45,7 +45,7 @@
 
     async def _strike(self, fault: PlannedFault) -> None:
         loop = asyncio.get_running_loop()
-        happened = HappenedFault(kind=fault.kind, target=fault.target, began=loop.time())
+        happened = FaultRecord(kind=fault.kind, target=fault.target, began=loop.time())
         self.happened.append(happened)
         self._progress(f"{fault.at:6.1f} s  {fault.kind} {fault.target}")
         try:
--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from jasperwalk_lab.chaos.faults import SHAPES, FaultKind, HappenedFault, TargetGroup
+from jasperwalk_lab.chaos.faults import SHAPES, FaultKind, FaultRecord, TargetGroup
 from jasperwalk_lab.chaos.operators import SubmittedChange
 from jasperwalk_lab.chaos.revisions import RevisionSample
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
@@ -39,7 +39,7 @@
     ended: float
 
 
-def absences(happened: Iterable[HappenedFault]) -> dict[str, list[Absence]]:
+def absences(happened: Iterable[FaultRecord]) -> dict[str, list[Absence]]:
     """Return, by process, when faults kept balancers and agents from following control."""
     found: dict[str, list[Absence]] = defaultdict(list)
     for fault in happened:
@@ -53,7 +53,7 @@
     return found
 
 
-def control_absences(happened: Iterable[HappenedFault]) -> list[Absence]:
+def control_absences(happened: Iterable[FaultRecord]) -> list[Absence]:
     """Return when any control replica was struck, in the order of the faults' beginning."""
     found = [
         Absence(fault.began, fault.ended)
@@ -75,7 +75,7 @@
 def check_reached(
     changes: Iterable[SubmittedChange],
     samples: Iterable[RevisionSample],
-    happened: Iterable[HappenedFault],
+    happened: Iterable[FaultRecord],
 ) -> Iterator[ChaosViolation]:
     """Check each accepted change on each process that was seen."""
     by_process: dict[str, list[RevisionSample]] = defaultdict(list)
--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.observations import Recovery
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
@@ -89,7 +89,7 @@
     return [RecoveryFigure(r.process, r.changes_missed, round(r.seconds, 3)) for r in recoveries]
 
 
-def count_faults(happened: Sequence[HappenedFault]) -> dict[str, int]:
+def count_faults(happened: Sequence[FaultRecord]) -> dict[str, int]:
     """Count the faults that really took place, by kind."""
     done = [fault.kind.value for fault in happened if fault.failure is None]
     return dict(sorted(Counter(done).items()))
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -14,7 +14,7 @@
     check_resends,
     check_winners,
 )
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.leaving import LeavingReport, check_leaving
 from jasperwalk_lab.chaos.observations import Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory
@@ -62,7 +62,7 @@
     calls: CallHistory
     changes: ChangeHistory
     observations: Observations
-    happened: list[HappenedFault]
+    happened: list[FaultRecord]
     samples: list[RevisionSample]
     final: FinalState
     journal: list[JournalRecord]
--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jasperwalk_lab.chaos.api import Accepted, NotDecided, Refused
-from jasperwalk_lab.chaos.faults import FaultKind, HappenedFault
+from jasperwalk_lab.chaos.faults import FaultKind, FaultRecord
 from jasperwalk_lab.chaos.observations import AgentLoss, LeavingPeriod, Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory, InForceTime, SubmittedChange
 from jasperwalk_lab.chaos.report import LEAST_REQUESTS
@@ -70,7 +70,7 @@
         calls=CallHistory([call(f"a-{number}") for number in range(LEAST_REQUESTS)]),
         changes=ChangeHistory([WON, LOST], [InForceTime("c-1", 0.5, accepted=2.0, ended=2.5)]),
         observations=Observations(),
-        happened=[HappenedFault(kind, "x", 1.0, 2.0) for kind in KINDS],
+        happened=[FaultRecord(kind, "x", 1.0, 2.0) for kind in KINDS],
         samples=[RevisionSample("balancer-1", at, at + 5) for at in (1, 2)],
         final=FinalState(
             raced_tenant="godisnjak",
@@ -116,7 +116,7 @@
 
 def spoil_known(record):
     words = ("127.0.0.1:1: no answer",)
-    struck = HappenedFault(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
+    struck = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
     record.happened.append(struck)
     waits = {"c-1": 18.5, "c-2": 19.5}  # ten seconds from the end of the fault on
     for change_id, ended in waits.items():
@@ -124,12 +124,12 @@
 
 
 def spoil_reached(record):
-    record.happened.append(HappenedFault(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
+    record.happened.append(FaultRecord(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5, 18.5)]
 
 
 def spoil_reached_without_excuse(record):
-    record.happened.append(HappenedFault(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
+    record.happened.append(FaultRecord(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5)]
 
 
@@ -146,7 +146,7 @@
 
 
 def spoil_fault(record):
-    record.happened.append(HappenedFault(KINDS[0], "x", 1.0, 2.0, failure="not healthy in time"))
+    record.happened.append(FaultRecord(KINDS[0], "x", 1.0, 2.0, failure="not healthy in time"))
 
 
 def spoil_process(record):
