--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -32,38 +32,38 @@
 
 
 @dataclass(frozen=True)
-class Absence:
+class Outage:
     """A process was struck from `began` to `ended` (seconds)."""
 
     began: float
     ended: float
 
 
-def absences(happened: Iterable[FaultRecord]) -> dict[str, list[Absence]]:
+def absences(happened: Iterable[FaultRecord]) -> dict[str, list[Outage]]:
     """Return, by process, when faults kept balancers and agents from following control."""
-    found: dict[str, list[Absence]] = defaultdict(list)
+    found: dict[str, list[Outage]] = defaultdict(list)
     for fault in happened:
         group = SHAPES[fault.kind].group
         if group is TargetGroup.CONTROL or fault.kind in HARMLESS or fault.ended is None:
             continue
         process = f"agent-{fault.target}" if group is TargetGroup.HOST else fault.target
-        found[process].append(Absence(fault.began, fault.ended))
+        found[process].append(Outage(fault.began, fault.ended))
     for each in found.values():
         each.sort(key=lambda absence: absence.began)
     return found
 
 
-def control_absences(happened: Iterable[FaultRecord]) -> list[Absence]:
+def control_absences(happened: Iterable[FaultRecord]) -> list[Outage]:
     """Return when any control replica was struck, in the order of the faults' beginning."""
     found = [
-        Absence(fault.began, fault.ended)
+        Outage(fault.began, fault.ended)
         for fault in happened
         if SHAPES[fault.kind].group is TargetGroup.CONTROL and fault.ended is not None
     ]
     return sorted(found, key=lambda absence: absence.began)
 
 
-def due_after(since: float, limit: float, struck: Iterable[Absence]) -> float:
+def due_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
     due = since + limit
     for absence in struck:
