--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -39,7 +39,7 @@
     ended: float
 
 
-def absences(happened: Iterable[FaultRecord]) -> dict[str, list[Outage]]:
+def outages(happened: Iterable[FaultRecord]) -> dict[str, list[Outage]]:
     """Return, by process, when faults kept balancers and agents from following control."""
     found: dict[str, list[Outage]] = defaultdict(list)
     for fault in happened:
@@ -81,7 +81,7 @@
     by_process: dict[str, list[RevisionSample]] = defaultdict(list)
     for sample in sorted(samples, key=lambda each: each.at):
         by_process[sample.process].append(sample)
-    struck = absences(happened)
+    struck = outages(happened)
     accepted = [(change, change.accepted()) for change in changes]
     for process, seen in by_process.items():
         for change, answer in accepted:
