--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -9,7 +9,7 @@
 from jasperwalk_lab.chaos.api import Accepted, ChangeAnswer, Refused
 from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.operators import InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.reach import control_absences, due_after
+from jasperwalk_lab.chaos.reach import control_outages, due_after
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 from jasperwalk_lab.simulator.linearizability import (
     AcceptedAt,
@@ -79,7 +79,7 @@
     While a replica is struck the others can't know of its subscribers, so the time counts from
     the end of such a fault on. That the change was in force meanwhile is another check's job.
     """
-    struck = control_absences(happened)
+    struck = control_outages(happened)
     for each in times:
         if each.ended <= due_after(each.accepted, KNOWN_LIMIT_SECONDS, struck):
             continue
--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -53,7 +53,7 @@
     return found
 
 
-def control_absences(happened: Iterable[FaultRecord]) -> list[Outage]:
+def control_outages(happened: Iterable[FaultRecord]) -> list[Outage]:
     """Return when any control replica was struck, in the order of the faults' beginning."""
     found = [
         Outage(fault.began, fault.ended)
