--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -49,7 +49,7 @@
         process = f"agent-{fault.target}" if group is TargetGroup.HOST else fault.target
         found[process].append(Outage(fault.began, fault.ended))
     for each in found.values():
-        each.sort(key=lambda absence: absence.began)
+        each.sort(key=lambda outage: outage.began)
     return found
 
 
@@ -60,15 +60,15 @@
         for fault in happened
         if SHAPES[fault.kind].group is TargetGroup.CONTROL and fault.ended is not None
     ]
-    return sorted(found, key=lambda absence: absence.began)
+    return sorted(found, key=lambda outage: outage.began)
 
 
 def due_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
     due = since + limit
-    for absence in struck:
-        if absence.began <= due and absence.ended >= since:
-            due = max(due, absence.ended + limit)
+    for outage in struck:
+        if outage.began <= due and outage.ended >= since:
+            due = max(due, outage.ended + limit)
     return due
 
 
