--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -79,9 +79,9 @@
     While a replica is struck the others can't know of its subscribers, so the time counts from
     the end of such a fault on. That the change was in force meanwhile is another check's job.
     """
-    struck = control_outages(happened)
+    outages = control_outages(happened)
     for each in times:
-        if each.ended <= due_after(each.accepted, KNOWN_LIMIT_SECONDS, struck):
+        if each.ended <= due_after(each.accepted, KNOWN_LIMIT_SECONDS, outages):
             continue
         words = "; ".join(each.last_words) or "no answer"
         detail = f"{each.change_id} was not known to be in force after "
