--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -9,7 +9,7 @@
 from jasperwalk_lab.chaos.api import Accepted, ChangeAnswer, Refused
 from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.operators import InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.reach import control_outages, due_after
+from jasperwalk_lab.chaos.reach import control_outages, deadline_after
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 from jasperwalk_lab.simulator.linearizability import (
     AcceptedAt,
@@ -81,7 +81,7 @@
     """
     outages = control_outages(happened)
     for each in times:
-        if each.ended <= due_after(each.accepted, KNOWN_LIMIT_SECONDS, outages):
+        if each.ended <= deadline_after(each.accepted, KNOWN_LIMIT_SECONDS, outages):
             continue
         words = "; ".join(each.last_words) or "no answer"
         detail = f"{each.change_id} was not known to be in force after "
--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -63,7 +63,7 @@
     return sorted(found, key=lambda outage: outage.began)
 
 
-def due_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
+def deadline_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
     due = since + limit
     for outage in struck:
@@ -88,7 +88,7 @@
             if answer is None:
                 continue
             since = max(change.completed, seen[0].at)
-            due = due_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
+            due = deadline_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
             late = _late(seen, answer.revision, due)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
