--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -65,11 +65,11 @@
 
 def deadline_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
-    due = since + limit
+    deadline = since + limit
     for outage in struck:
-        if outage.began <= due and outage.ended >= since:
-            due = max(due, outage.ended + limit)
-    return due
+        if outage.began <= deadline and outage.ended >= since:
+            deadline = max(deadline, outage.ended + limit)
+    return deadline
 
 
 def check_reached(
@@ -88,17 +88,19 @@
             if answer is None:
                 continue
             since = max(change.completed, seen[0].at)
-            due = deadline_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
-            late = _late(seen, answer.revision, due)
+            deadline = deadline_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
+            late = _late(seen, answer.revision, deadline)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
-                detail += f"{answer.revision}, {due - change.completed:.1f} s after it was accepted"
+                detail += (
+                    f"{answer.revision}, {deadline - change.completed:.1f} s after it was accepted"
+                )
                 yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
-def _late(seen: Sequence[RevisionSample], revision: int, due: float) -> int | None:
-    """Return the older revision that a process still had at the first sample after `due`."""
-    position = bisect.bisect_left(seen, due, key=lambda sample: sample.at)
+def _late(seen: Sequence[RevisionSample], revision: int, deadline: float) -> int | None:
+    """Return the older revision that a process still had at the first sample after `deadline`."""
+    position = bisect.bisect_left(seen, deadline, key=lambda sample: sample.at)
     if position == len(seen) or seen[position].revision >= revision:
         return None
     return seen[position].revision
