--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -18,7 +18,7 @@
 
 REACH_LIMIT_SECONDS = 10.0
 """The brief's "within seconds"."""
-HARMLESS = frozenset(
+FAULTS_WITHOUT_OUTAGE = frozenset(
     {
         FaultKind.BALANCER_CUT,
         FaultKind.HOST_DRAINED,
@@ -44,7 +44,11 @@
     found: dict[str, list[Outage]] = defaultdict(list)
     for fault in happened:
         group = SHAPES[fault.kind].group
-        if group is TargetGroup.CONTROL or fault.kind in HARMLESS or fault.ended is None:
+        if (
+            group is TargetGroup.CONTROL
+            or fault.kind in FAULTS_WITHOUT_OUTAGE
+            or fault.ended is None
+        ):
             continue
         process = f"agent-{fault.target}" if group is TargetGroup.HOST else fault.target
         found[process].append(Outage(fault.began, fault.ended))
