--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -76,7 +76,7 @@
     return deadline
 
 
-def check_reached(
+def check_propagation(
     changes: Iterable[SubmittedChange],
     samples: Iterable[RevisionSample],
     happened: Iterable[FaultRecord],
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -18,7 +18,7 @@
 from jasperwalk_lab.chaos.leaving import LeavingReport, check_leaving
 from jasperwalk_lab.chaos.observations import Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory
-from jasperwalk_lab.chaos.reach import check_reached
+from jasperwalk_lab.chaos.reach import check_propagation
 from jasperwalk_lab.chaos.refusals import check_resent_refusals
 from jasperwalk_lab.chaos.report import (
     ChangeFigures,
@@ -125,7 +125,7 @@
     yield from check_resends(changes)
     yield from check_winners(changes)
     yield from check_in_force(record.changes.in_force, record.happened)
-    yield from check_reached(changes, record.samples, record.happened)
+    yield from check_propagation(changes, record.samples, record.happened)
     yield from check_final(record.final, record.changes)
     for fault in record.happened:
         if fault.failure is not None:
