--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -16,7 +16,7 @@
 from jasperwalk_lab.chaos.revisions import RevisionSample
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
-REACH_LIMIT_SECONDS = 10.0
+PROPAGATION_LIMIT_SECONDS = 10.0
 """The brief's "within seconds"."""
 FAULTS_WITHOUT_OUTAGE = frozenset(
     {
@@ -92,7 +92,7 @@
             if answer is None:
                 continue
             since = max(change.completed, seen[0].at)
-            deadline = deadline_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
+            deadline = deadline_after(since, PROPAGATION_LIMIT_SECONDS, struck.get(process, ()))
             late = _late(seen, answer.revision, deadline)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
