--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -93,7 +93,7 @@
                 continue
             since = max(change.completed, seen[0].at)
             deadline = deadline_after(since, PROPAGATION_LIMIT_SECONDS, struck.get(process, ()))
-            late = _late(seen, answer.revision, deadline)
+            late = _outdated_revision(seen, answer.revision, deadline)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
                 detail += (
@@ -102,7 +102,9 @@
                 yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
-def _late(seen: Sequence[RevisionSample], revision: int, deadline: float) -> int | None:
+def _outdated_revision(
+    seen: Sequence[RevisionSample], revision: int, deadline: float
+) -> int | None:
     """Return the older revision that a process still had at the first sample after `deadline`."""
     position = bisect.bisect_left(seen, deadline, key=lambda sample: sample.at)
     if position == len(seen) or seen[position].revision >= revision:
