--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -27,7 +27,7 @@
 """The stand-in's own lag: a change of the truth shows that much later."""
 IN_FORCE_SECONDS = 10.0
 SECOND_LOSS_SECONDS = 1.5
-LIES = (
+MISLEADING_REPORTS = (
     ReportFaults(false_status=BackendStatus.DRAINING),
     ReportFaults(lag_seconds=4.0, false_busy=0),
     ReportFaults(false_status=BackendStatus.OK, false_busy=1000),
@@ -59,7 +59,7 @@
         self._observations = observations
         self._make_changes = make_changes
         self._wait_current = wait_current
-        self._lies = itertools.cycle(LIES)
+        self._lies = itertools.cycle(MISLEADING_REPORTS)
 
     def action(self, kind: FaultKind) -> Action:
         """Return the context of a kind of fault."""
