--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -59,7 +59,7 @@
         self._observations = observations
         self._make_changes = make_changes
         self._wait_current = wait_current
-        self._lies = itertools.cycle(MISLEADING_REPORTS)
+        self._misleading_reports = itertools.cycle(MISLEADING_REPORTS)
 
     def action(self, kind: FaultKind) -> Action:
         """Return the context of a kind of fault."""
@@ -241,7 +241,7 @@
 
     @contextlib.asynccontextmanager
     async def _backend_lies(self, host: str) -> AsyncIterator[None]:
-        await self._fleet.lie(host, next(self._lies))
+        await self._fleet.lie(host, next(self._misleading_reports))
         yield
         await self._fleet.lie(host, ReportFaults())
 
