--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -241,9 +241,9 @@
 
     @contextlib.asynccontextmanager
     async def _backend_lies(self, host: str) -> AsyncIterator[None]:
-        await self._fleet.lie(host, next(self._misleading_reports))
+        await self._fleet.set_report_faults(host, next(self._misleading_reports))
         yield
-        await self._fleet.lie(host, ReportFaults())
+        await self._fleet.set_report_faults(host, ReportFaults())
 
     async def _drain(self, host: str) -> AcceptedChange:
         async with self._fleet.control_client() as control:
--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -173,7 +173,7 @@
         """Let a back end refuse, or take, whatever arrives."""
         await _put(self.member(host).backend, "/lab/drain", DrainBody(sheds))
 
-    async def lie(self, host: str, faults: ReportFaults) -> None:
+    async def set_report_faults(self, host: str, faults: ReportFaults) -> None:
         """Let a back end's reports mislead."""
         await _put(self.member(host).backend, "/lab/faults", faults)
 
