--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -169,7 +169,7 @@
         """Change what the platform's list will say of a host."""
         await _put(self.layout.platform_list, f"/lab/machines/{host}", StateChange(state))
 
-    async def shed(self, host: str, sheds: bool) -> None:
+    async def set_shedding(self, host: str, sheds: bool) -> None:
         """Let a back end refuse, or take, whatever arrives."""
         await _put(self.member(host).backend, "/lab/drain", DrainBody(sheds))
 
