--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -235,9 +235,9 @@
 
     @contextlib.asynccontextmanager
     async def _backend_sheds(self, host: str) -> AsyncIterator[None]:
-        await self._fleet.set_shedding(host, sheds=True)
+        await self._fleet.set_shedding(host, shedding=True)
         yield
-        await self._fleet.set_shedding(host, sheds=False)
+        await self._fleet.set_shedding(host, shedding=False)
 
     @contextlib.asynccontextmanager
     async def _backend_lies(self, host: str) -> AsyncIterator[None]:
--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -169,9 +169,9 @@
         """Change what the platform's list will say of a host."""
         await _put(self.layout.platform_list, f"/lab/machines/{host}", StateChange(state))
 
-    async def set_shedding(self, host: str, sheds: bool) -> None:
+    async def set_shedding(self, host: str, shedding: bool) -> None:
         """Let a back end refuse, or take, whatever arrives."""
-        await _put(self.member(host).backend, "/lab/drain", DrainBody(sheds))
+        await _put(self.member(host).backend, "/lab/drain", DrainBody(shedding))
 
     async def set_report_faults(self, host: str, faults: ReportFaults) -> None:
         """Let a back end's reports mislead."""
