--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -104,7 +104,7 @@
 
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = request.headers.get(answers.REQUEST_HEADER, "")
-            if self.state.sheds():
+            if self.state.sheds_new_requests():
                 self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
                 return self._not_run_response(request_id)
             # Until it holds a slot the request has not run.
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -54,7 +54,7 @@
         default_factory=lambda: collections.deque(maxlen=100_000)
     )
 
-    def sheds(self) -> bool:
+    def sheds_new_requests(self) -> bool:
         """Tell whether a request that arrives now is refused without running."""
         return self.draining or (self.busy >= self.slots and self.waiting >= self.queue_length)
 
