--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -181,14 +181,14 @@
 
     @contextlib.asynccontextmanager
     async def _host_lost(self, host: str) -> AsyncIterator[None]:
-        self._note_loss(host, FaultKind.HOST_LOST)
+        self._record_loss(host, FaultKind.HOST_LOST)
         await self._fleet.kill_host(self._fleet.member(host))
         yield
         await self._fleet.start_host(host)
 
     @contextlib.asynccontextmanager
     async def _agent_killed(self, host: str) -> AsyncIterator[None]:
-        self._note_loss(host, FaultKind.AGENT_KILLED)
+        self._record_loss(host, FaultKind.AGENT_KILLED)
         await self._supervisor.kill(agent_name(self._fleet.member(host)))
         yield
         await self._fleet.start_agent(host)
@@ -258,7 +258,7 @@
         self._observations.leaving.append(period)
         return period
 
-    def _note_loss(self, host: str, cause: FaultKind) -> None:
+    def _record_loss(self, host: str, cause: FaultKind) -> None:
         agent = str(self._fleet.member(host).listen)
         loss = AgentLoss(agent=agent, host=host, at=_now(), cause=cause.value)
         self._observations.agent_losses.append(loss)
