--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -133,7 +133,7 @@
         yield
         restarted = _now()
         await self._fleet.start_balancer(name)
-        await self._note_recovery(name, missed, restarted)
+        await self._record_recovery(name, missed, restarted)
 
     @contextlib.asynccontextmanager
     async def _control_killed(self, slot: str) -> AsyncIterator[None]:
@@ -177,7 +177,7 @@
         yield
         restarted = _now()
         await self._fleet.start_control(place)
-        await self._note_recovery(place.name, missed, restarted)
+        await self._record_recovery(place.name, missed, restarted)
 
     @contextlib.asynccontextmanager
     async def _host_lost(self, host: str) -> AsyncIterator[None]:
@@ -263,6 +263,6 @@
         loss = AgentLoss(agent=agent, host=host, at=_now(), cause=cause.value)
         self._observations.agent_losses.append(loss)
 
-    async def _note_recovery(self, process: str, missed: int, restarted: float) -> None:
+    async def _record_recovery(self, process: str, missed: int, restarted: float) -> None:
         seconds = await self._wait_current(process, restarted)
         self._observations.recoveries.append(Recovery(process, missed, seconds))
