--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -196,7 +196,7 @@
     @contextlib.asynccontextmanager
     async def _host_drained(self, host: str) -> AsyncIterator[None]:
         await self._drain(host)
-        period = self._leaving(host, FaultKind.HOST_DRAINED, _now())
+        period = self._record_leaving(host, FaultKind.HOST_DRAINED, _now())
         yield
         period.until = _now()
         await self._resume(host)
@@ -204,7 +204,7 @@
     @contextlib.asynccontextmanager
     async def _host_leaving(self, host: str) -> AsyncIterator[None]:
         await self._fleet.set_machine(host, MachineState.LEAVING)
-        period = self._leaving(host, FaultKind.HOST_LEAVING, _now() + PLATFORM_LAG_SECONDS)
+        period = self._record_leaving(host, FaultKind.HOST_LEAVING, _now() + PLATFORM_LAG_SECONDS)
         yield
         period.until = _now()
         await self._fleet.set_machine(host, MachineState.LIVE)
@@ -213,7 +213,7 @@
     async def _agent_stopped(self, host: str) -> AsyncIterator[None]:
         """Drain, stop when drained, start again, resume: a planned restart."""
         change = await self._drain(host)
-        period = self._leaving(host, FaultKind.AGENT_STOPPED, _now())
+        period = self._record_leaving(host, FaultKind.AGENT_STOPPED, _now())
         async with self._fleet.control_client() as control:
             await control.wait_in_force(change, IN_FORCE_SECONDS)
         await self._fleet.stop_agent(host)
@@ -253,7 +253,7 @@
         async with self._fleet.control_client() as control:
             await control.resume(host)
 
-    def _leaving(self, host: str, cause: FaultKind, since: float) -> LeavingPeriod:
+    def _record_leaving(self, host: str, cause: FaultKind, since: float) -> LeavingPeriod:
         period = LeavingPeriod(host=host, cause=cause.value, since=since)
         self._observations.leaving.append(period)
         return period
