--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -183,7 +183,7 @@
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             return msgspec.json.decode(await response.read(), type=FlowList).flows
 
-    def kept_journals(self) -> list[JournalRecord]:
+    def read_journals(self) -> list[JournalRecord]:
         """Read the journals of all back ends, killed ones too."""
         files = self.planner.journal_files()
         return [record for path in files for record in read_journal_file(path)]
--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -70,7 +70,7 @@
         happened=chaos.injector.happened,
         samples=chaos.sampler.samples,
         final=final,
-        journal=fleet.kept_journals(),
+        journal=fleet.read_journals(),
         flows=flows,
         processes=fleet.supervisor.max_running,
         duration_seconds=asyncio.get_running_loop().time() - started_at,
