--- a/src/jasperwalk_lab/chaos/api.py
+++ b/src/jasperwalk_lab/chaos/api.py
@@ -51,7 +51,7 @@
 
 
 ChangeAnswer = Accepted | Refused | NotDecided
-TRY_AGAIN = frozenset({500, 502, 503, 504})
+RETRIED_STATUSES = frozenset({500, 502, 503, 504})
 
 
 def change_answer(status: int, body: bytes) -> ChangeAnswer:
@@ -63,7 +63,7 @@
         problem = msgspec.json.decode(body, type=ProblemView)
     except msgspec.MsgspecError:
         return NotDecided(f"status {status}")
-    if status in TRY_AGAIN:
+    if status in RETRIED_STATUSES:
         return NotDecided(problem.kind)
     context = problem.context or ProblemContext()
     return Refused(problem.kind, context.current)
