--- a/src/jasperwalk_lab/chaos/api.py
+++ b/src/jasperwalk_lab/chaos/api.py
@@ -54,7 +54,7 @@
 RETRIED_STATUSES = frozenset({500, 502, 503, 504})
 
 
-def change_answer(status: int, body: bytes) -> ChangeAnswer:
+def parse_change_answer(status: int, body: bytes) -> ChangeAnswer:
     """Read the answer to a change."""
     if status == 200:  # noqa: PLR2004 - HTTP 200 OK
         view = msgspec.json.decode(body, type=ChangeView)
@@ -91,14 +91,14 @@
         data = msgspec.json.encode(body)
         try:
             async with self._session.put(url, data=data, headers=headers) as response:
-                return change_answer(response.status, await response.read())
+                return parse_change_answer(response.status, await response.read())
         except (aiohttp.ClientError, TimeoutError) as error:
             return NotDecided(type(error).__name__)
 
     async def change(self, replica: Endpoint, change_id: str) -> ChangeAnswer:
         """Ask for the outcome of a change."""
         status, body = await self._get(f"http://{replica}/v1/changes/{change_id}")
-        return change_answer(status, body)
+        return parse_change_answer(status, body)
 
     async def tenant(self, replica: Endpoint, name: str) -> TenantView | None:
         """Read a tenant; None without an answer."""
