--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -17,7 +17,7 @@
 
 CLOCK_TOLERANCE_SECONDS = 0.05
 """Clocks of two processes are read a little apart."""
-CUT_SHORT = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
+INTERRUPTED = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
 """What a journal says of a run whose back end or agent was lost."""
 
 
@@ -35,7 +35,7 @@
             self._agents[flow.caller_port].append(flow)
         self._runs: dict[str, list[JournalRecord]] = defaultdict(list)
         for run in journal:
-            if run.outcome in CUT_SHORT:
+            if run.outcome in INTERRUPTED:
                 self._runs[run.request_id].append(run)
         self._losses = list(losses)
 
