--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -67,10 +67,10 @@
             return False
         if broken.host != loss.host or not record.invoked <= loss.at <= record.completed:
             return False
-        return any(_was_cut_by(loss, run) for run in self._runs[record.request_id])
+        return any(_was_interrupted_by(loss, run) for run in self._runs[record.request_id])
 
 
-def _was_cut_by(loss: AgentLoss, run: JournalRecord) -> bool:
+def _was_interrupted_by(loss: AgentLoss, run: JournalRecord) -> bool:
     """Tell whether a run at the lost host was in progress when it was lost."""
     if run.host != loss.host or run.ran_at > loss.at:
         return False
