--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -42,11 +42,11 @@
     def cause_of(self, record: CallRecord) -> str | None:
         """Return the fault's name; None when no agent that it needed was killed meanwhile."""
         for loss in self._losses:
-            if self._had_flow(loss, record) or self._ran(loss, record):
+            if self._held_flow(loss, record) or self._ran(loss, record):
                 return loss.cause
         return None
 
-    def _had_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
+    def _held_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
         """Tell whether the lost agent had the flow.
 
         The agent is judged by what the fabric saw, not by what the answer says of itself: a
