--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -42,7 +42,7 @@
     def cause_of(self, record: CallRecord) -> str | None:
         """Return the fault's name; None when no agent that it needed was killed meanwhile."""
         for loss in self._losses:
-            if self._held_flow(loss, record) or self._ran(loss, record):
+            if self._held_flow(loss, record) or self._ran_request(loss, record):
                 return loss.cause
         return None
 
@@ -60,7 +60,7 @@
         agents = {seen.agent for seen in sightings if opened <= seen.at <= record.completed}
         return loss.agent in agents and opened <= loss.at <= record.completed
 
-    def _ran(self, loss: AgentLoss, record: CallRecord) -> bool:
+    def _ran_request(self, loss: AgentLoss, record: CallRecord) -> bool:
         """Tell whether the stream was reset because the lost agent was running its request."""
         broken = record.outcome
         if not isinstance(broken, Broken) or broken.reason is not BreakReason.STREAM_RESET:
