--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -51,7 +51,7 @@
     changes: Iterable[SubmittedChange], tenant: str, initial: int, final: int
 ) -> Iterator[ChaosViolation]:
     """Check that one order explains all answers about a tenant and its `final` revision."""
-    operations = [_operation(c) for c in changes if c.tenant == tenant and _counts(c)]
+    operations = [_operation(c) for c in changes if c.tenant == tenant and _constrains_order(c)]
     ends = [o.invoked if math.isinf(o.completed) else o.completed for o in operations]
     end = max(ends, default=0.0) + 1.0
     operations.append(Operation("final read", end, end, None, ReadAt(final)))
@@ -89,7 +89,7 @@
         yield ChaosViolation(ChaosPromise.NOT_KNOWN_IN_FORCE, detail)
 
 
-def _counts(change: SubmittedChange) -> bool:
+def _constrains_order(change: SubmittedChange) -> bool:
     """Tell whether a change says anything about the tenant's order."""
     first = change.answers[0] if change.answers else None
     return not (isinstance(first, Refused) and first.kind != MISMATCH)
