--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -60,7 +60,7 @@
         yield ChaosViolation(ChaosPromise.NOT_LINEARIZABLE, detail)
 
 
-def check_kept(
+def check_stored_outcomes(
     changes: Iterable[SubmittedChange], replica: str, found: Mapping[str, ChangeAnswer]
 ) -> Iterator[ChaosViolation]:
     """Check after the run that a replica holds, of each change, the outcome that was told."""
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -9,9 +9,9 @@
 from jasperwalk_lab.chaos.attribution import FlowAttribution
 from jasperwalk_lab.chaos.change_checks import (
     check_in_force,
-    check_kept,
     check_order,
     check_resends,
+    check_stored_outcomes,
     check_winners,
 )
 from jasperwalk_lab.chaos.faults import FaultRecord
@@ -138,7 +138,7 @@
 def check_final(final: FinalState, changes: ChangeHistory) -> Iterator[ChaosViolation]:
     """Check that all processes agree on the end, and that it holds every accepted change."""
     for replica, outcomes in final.outcomes.items():
-        yield from check_kept(changes.changes, replica, outcomes)
+        yield from check_stored_outcomes(changes.changes, replica, outcomes)
     for revision in set(final.tenant_revisions.values()):
         yield from check_order(
             changes.changes, final.raced_tenant, final.initial_revision, revision
