--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -22,7 +22,7 @@
 )
 
 MISMATCH = "revision-mismatch"
-KNOWN_LIMIT_SECONDS = 10.0
+REPORT_LIMIT_SECONDS = 10.0
 """Time within which control has to say that a change is in force everywhere."""
 
 
@@ -81,7 +81,7 @@
     """
     outages = control_outages(happened)
     for each in times:
-        if each.ended <= deadline_after(each.accepted, KNOWN_LIMIT_SECONDS, outages):
+        if each.ended <= deadline_after(each.accepted, REPORT_LIMIT_SECONDS, outages):
             continue
         words = "; ".join(each.last_words) or "no answer"
         detail = f"{each.change_id} was not known to be in force after "
