--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -14,7 +14,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.control_client import InForceView
 
-PAUSE_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 STEP_MS = 300
 """Time that a replica may hold an answer back while the change is not in force."""
 ANSWER_SECONDS = 1.0
@@ -49,7 +49,7 @@
     try:
         async with asyncio.timeout(seconds):
             while not await _ask_all(api, list(replicas()), change_id, wait):
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
     except TimeoutError:
         return wait
     wait.complete = True
