--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -17,7 +17,7 @@
 POLL_INTERVAL_SECONDS = 0.1
 WAIT_STEP_MS = 300
 """Time that a replica may hold an answer back while the change is not in force."""
-ANSWER_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """Time after which a replica counts as silent in this round of questions."""
 
 
@@ -74,7 +74,7 @@
 
 async def _ask(api: InForceApi, replica: Endpoint, change_id: str, wait: InForceWait) -> bool:
     try:
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
             view = await api.in_force(replica, change_id, WAIT_STEP_MS)
     except TimeoutError:
         view = "silent"
