--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -60,16 +60,16 @@
     api: InForceApi, replicas: list[Endpoint], change_id: str, wait: InForceWait
 ) -> bool:
     """Ask all replicas at once; return True at the first that says yes."""
-    questions = [asyncio.create_task(_ask(api, each, change_id, wait)) for each in replicas]
+    queries = [asyncio.create_task(_ask(api, each, change_id, wait)) for each in replicas]
     try:
-        for answer in asyncio.as_completed(questions):
+        for answer in asyncio.as_completed(queries):
             if await answer:
                 return True
         return False
     finally:
-        for question in questions:
+        for question in queries:
             question.cancel()
-        await asyncio.gather(*questions, return_exceptions=True)
+        await asyncio.gather(*queries, return_exceptions=True)
 
 
 async def _ask(api: InForceApi, replica: Endpoint, change_id: str, wait: InForceWait) -> bool:
