--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -67,8 +67,8 @@
                 return True
         return False
     finally:
-        for question in queries:
-            question.cancel()
+        for query in queries:
+            query.cancel()
         await asyncio.gather(*queries, return_exceptions=True)
 
 
