--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_faults_of_a_rush_overlap(seed):
+def test_faults_of_a_burst_overlap(seed):
     rushes = plan_fault_bursts(NAMES, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
     assert max(at_once) >= FAULTS_PER_BURST[0] - 1
