--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -25,7 +25,7 @@
     def __init__(self, actions: FaultActions, progress: Progress) -> None:
         self._actions = actions
         self._progress = progress
-        self._turns: dict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
+        self._locks: dict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
         self.happened: list[FaultRecord] = []
 
     async def run(self, planned: Sequence[PlannedFault]) -> None:
@@ -40,7 +40,7 @@
 
     async def _await_turn(self, fault: PlannedFault, start: float) -> None:
         await asyncio.sleep(start + fault.at - asyncio.get_running_loop().time())
-        async with self._turns[_turn_of(fault)]:
+        async with self._locks[_turn_of(fault)]:
             await self._strike(fault)
 
     async def _strike(self, fault: PlannedFault) -> None:
