--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -40,7 +40,7 @@
 
     async def _await_turn(self, fault: PlannedFault, start: float) -> None:
         await asyncio.sleep(start + fault.at - asyncio.get_running_loop().time())
-        async with self._locks[_turn_of(fault)]:
+        async with self._locks[_lock_name(fault)]:
             await self._strike(fault)
 
     async def _strike(self, fault: PlannedFault) -> None:
@@ -59,7 +59,7 @@
         happened.ended = loop.time()
 
 
-def _turn_of(fault: PlannedFault) -> str:
+def _lock_name(fault: PlannedFault) -> str:
     """Name what `fault` has for itself while it lasts."""
     group = SHAPES[fault.kind].group
     return group.value if group is TargetGroup.CONTROL else fault.target
