--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -107,7 +107,7 @@
     assert not {fault.kind for fault in rushes} & NEVER_IN_BURSTS
 
 
-def test_rushes_strike_one_target_more_than_once_at_a_time():
+def test_bursts_hit_one_target_more_than_once_at_a_time():
     met = [
         (one, other)
         for seed in range(20)
