--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -36,9 +36,9 @@
         start = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
             for fault in planned:
-                tasks.create_task(self._await_turn(fault, start))
+                tasks.create_task(self._run_in_turn(fault, start))
 
-    async def _await_turn(self, fault: PlannedFault, start: float) -> None:
+    async def _run_in_turn(self, fault: PlannedFault, start: float) -> None:
         await asyncio.sleep(start + fault.at - asyncio.get_running_loop().time())
         async with self._locks[_lock_name(fault)]:
             await self._strike(fault)
