--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_disk_is_lost_while_a_rush_strikes_other_replicas(seed):
+def test_no_disk_is_lost_while_a_burst_hits_other_replicas(seed):
     planned = plan_faults(NAMES, 120.0, seed)
     rushes = [
         each
