--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -41,9 +41,9 @@
     async def _run_in_turn(self, fault: PlannedFault, start: float) -> None:
         await asyncio.sleep(start + fault.at - asyncio.get_running_loop().time())
         async with self._locks[_lock_name(fault)]:
-            await self._strike(fault)
+            await self._inject(fault)
 
-    async def _strike(self, fault: PlannedFault) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         loop = asyncio.get_running_loop()
         happened = FaultRecord(kind=fault.kind, target=fault.target, began=loop.time())
         self.happened.append(happened)
