--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_run_begins_with_a_rush_of_each_width_and_no_fault(seed):
+def test_a_run_begins_with_a_surge_of_each_scope_and_no_fault(seed):
     planned = plan_with_overload(NAMES, 60.0, seed)
     calm = [each for each in planned if each.at < FAULT_FREE_SECONDS]
     assert calm
