--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.backend_core import BackendStatus, ReportFaults
 from jasperwalk_lab.chaos.faults import FaultKind
 from jasperwalk_lab.chaos.fleet import ChaosFleet
-from jasperwalk_lab.chaos.links import ANYBODY, Cut
+from jasperwalk_lab.chaos.links import ANY_PROCESS, Cut
 from jasperwalk_lab.chaos.observations import (
     AgentLoss,
     LeavingPeriod,
@@ -116,7 +116,7 @@
 
     @contextlib.asynccontextmanager
     async def _without_control(self, process: str) -> AsyncIterator[None]:
-        cuts = [Cut(process, ANYBODY), Cut(ANYBODY, process)]
+        cuts = [Cut(process, ANY_PROCESS), Cut(ANY_PROCESS, process)]
         await self._fleet.add_cuts(cuts)
         yield
         await self._fleet.remove_cuts(cuts)
@@ -154,7 +154,7 @@
 
     @contextlib.asynccontextmanager
     async def _control_cut_one_way(self, slot: str) -> AsyncIterator[None]:
-        cuts = [Cut(ANYBODY, self._fleet.control_slots[slot].name)]
+        cuts = [Cut(ANY_PROCESS, self._fleet.control_slots[slot].name)]
         await self._fleet.add_cuts(cuts)
         yield
         await self._fleet.remove_cuts(cuts)
--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -24,7 +24,7 @@
 from jasperwalk.transport.identity import Identity, identity_of
 from jasperwalk.transport.tls import LinkTls
 
-ANYBODY = "*"
+ANY_PROCESS = "*"
 CHUNK_BYTES = 64 * 1024
 
 log = structlog.get_logger()
@@ -52,7 +52,7 @@
 
     def is_cut(self, source: str, destination: str) -> bool:
         """Tell whether bytes from `source` to `destination` are held back."""
-        pairs = ((source, destination), (source, ANYBODY), (ANYBODY, destination))
+        pairs = ((source, destination), (source, ANY_PROCESS), (ANY_PROCESS, destination))
         return any(Cut(*pair) in self._cuts for pair in pairs)
 
     async def wait_open(self, source: str, destination: str) -> None:
--- a/tests/lab/test_chaos_links.py
+++ b/tests/lab/test_chaos_links.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.transport.identity import Identity, ProcessRole, identity_of
 from jasperwalk_lab.certificates import LinkCertificates
-from jasperwalk_lab.chaos.links import ANYBODY, Cut, CutRules, Link, LinkKeys
+from jasperwalk_lab.chaos.links import ANY_PROCESS, Cut, CutRules, Link, LinkKeys
 
 REPLICA = Identity("lab", ProcessRole.CONTROL, "control-1")
 CALLER = Identity("lab", ProcessRole.BALANCER, "balancer-1")
@@ -69,7 +69,7 @@
         ([], b"beforeduring", b"during"),
         ([Cut("balancer-2", "control-1")], b"beforeduring", b"during"),
         ([Cut("balancer-1", "control-1")], b"before", b""),
-        ([Cut(ANYBODY, "control-1")], b"before", b""),
+        ([Cut(ANY_PROCESS, "control-1")], b"before", b""),
         ([Cut("control-1", "balancer-1")], b"beforeduring", b""),
     ],
     ids=["none", "another's", "forth", "forth for all", "back"],
