--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_pressure_leaves_the_faults_of_a_seed_as_they_are(seed):
+def test_overload_leaves_the_faults_of_a_seed_unchanged(seed):
     planned = plan_with_overload(NAMES, 60.0, seed)
     added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
