--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Link:
+class LinkRelay:
     """The relay in front of the replica `identity`: listens at `listen`, calls `target`."""
 
     identity: Identity
--- a/src/jasperwalk_lab/chaos/links_process.py
+++ b/src/jasperwalk_lab/chaos/links_process.py
@@ -11,7 +11,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk.transport.identity import Identity, ProcessRole
-from jasperwalk_lab.chaos.links import Cut, CutRules, Link, LinkKeys
+from jasperwalk_lab.chaos.links import Cut, CutRules, LinkKeys, LinkRelay
 from jasperwalk_lab.serving import install_stop_event, read_body, start_http
 
 
@@ -66,7 +66,7 @@
     for each in settings.links:
         replica = Identity(settings.cluster_id, ProcessRole.CONTROL, each.name)
         listen, target = Endpoint.parse(each.listen), Endpoint.parse(each.target)
-        await Link(replica, keys, listen, target, rules).start()
+        await LinkRelay(replica, keys, listen, target, rules).start()
     runner = await start_http(build_application(rules), Endpoint.parse(settings.admin_listen))
     structlog.get_logger().info("links_ready", links=len(settings.links))
     await stop.wait()
--- a/tests/lab/test_chaos_links.py
+++ b/tests/lab/test_chaos_links.py
@@ -10,7 +10,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.transport.identity import Identity, ProcessRole, identity_of
 from jasperwalk_lab.certificates import LinkCertificates
-from jasperwalk_lab.chaos.links import ANY_PROCESS, Cut, CutRules, Link, LinkKeys
+from jasperwalk_lab.chaos.links import ANY_PROCESS, Cut, CutRules, LinkKeys, LinkRelay
 
 REPLICA = Identity("lab", ProcessRole.CONTROL, "control-1")
 CALLER = Identity("lab", ProcessRole.BALANCER, "balancer-1")
@@ -43,7 +43,7 @@
     context = keys.of(REPLICA).server_context()
     target = await asyncio.start_server(echo.serve, LOOPBACK, 0, ssl=context)
     target_endpoint = Endpoint(*target.sockets[0].getsockname())
-    relay = await Link(REPLICA, keys, Endpoint(LOOPBACK, 0), target_endpoint, rules).start()
+    relay = await LinkRelay(REPLICA, keys, Endpoint(LOOPBACK, 0), target_endpoint, rules).start()
     host, port = relay.sockets[0].getsockname()
     reader, writer = await asyncio.open_connection(host, port, ssl=keys.of(CALLER).client_context())
     writer.write(b"before")
