--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -159,7 +159,7 @@
     assert max(each.ends_at for each in planned) <= last
 
 
-def test_a_rush_also_meets_faults():
+def test_surges_also_overlap_faults():
     planned = plan_with_overload(NAMES, 120.0, 1)
     rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
