--- a/tests/lab/soak/test_soak_surges.py
+++ b/tests/lab/soak/test_soak_surges.py
@@ -26,7 +26,7 @@
     ],
     ids=["all", "a kind of request", "a zone"],
 )
-def test_a_rush_has_its_own_callers(surge, priorities, zones):
+def test_a_surge_has_the_callers_of_its_scope(surge, priorities, zones):
     callers = surge_callers()
     assert {each.priority for each in callers.routes_of(surge)} == priorities
     assert {callers.zone_of(surge) for _ in range(50)} == zones
