--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -104,18 +104,18 @@
         caller = identity_of(writer.get_extra_info("peercert"))
         replica = self.identity.name
         await self.rules.wait_open(caller.name, replica)
-        replica_reader, far_writer = await asyncio.open_connection(
+        replica_reader, replica_writer = await asyncio.open_connection(
             self.target.host, self.target.port, ssl=self.keys.of(caller).client_context()
         )
         try:
-            forth = asyncio.create_task(self._pump(reader, far_writer, caller.name, replica))
+            forth = asyncio.create_task(self._pump(reader, replica_writer, caller.name, replica))
             back = asyncio.create_task(self._pump(replica_reader, writer, replica, caller.name))
             await asyncio.wait((forth, back), return_when=asyncio.FIRST_COMPLETED)
             for pump in (forth, back):
                 pump.cancel()
             await asyncio.gather(forth, back, return_exceptions=True)
         finally:
-            far_writer.close()
+            replica_writer.close()
 
     async def _pump(
         self,
