--- a/tests/lab/soak/test_soak_surges.py
+++ b/tests/lab/soak/test_soak_surges.py
@@ -33,7 +33,7 @@
     assert Surge.parse(surge.target) == surge
 
 
-def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
+def test_a_surge_is_a_bounded_multiple_of_the_normal_load():
     assert surge_callers(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
     assert surge_callers(per_second=1e6)._per_second == MAX_REQUESTS_PER_SECOND
 
