--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -108,12 +108,14 @@
             self.target.host, self.target.port, ssl=self.keys.of(caller).client_context()
         )
         try:
-            forth = asyncio.create_task(self._pump(reader, replica_writer, caller.name, replica))
+            to_replica = asyncio.create_task(
+                self._pump(reader, replica_writer, caller.name, replica)
+            )
             back = asyncio.create_task(self._pump(replica_reader, writer, replica, caller.name))
-            await asyncio.wait((forth, back), return_when=asyncio.FIRST_COMPLETED)
-            for pump in (forth, back):
+            await asyncio.wait((to_replica, back), return_when=asyncio.FIRST_COMPLETED)
+            for pump in (to_replica, back):
                 pump.cancel()
-            await asyncio.gather(forth, back, return_exceptions=True)
+            await asyncio.gather(to_replica, back, return_exceptions=True)
         finally:
             replica_writer.close()
 
