--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -116,7 +116,7 @@
         (FaultKind.HOST_SLOW, 0.0, ["q1"]),
     ],
 )
-def test_only_refusals_for_want_of_room_count(kind, ended_before, found):
+def test_only_refusals_for_lack_of_capacity_count(kind, ended_before, found):
     ended_at = REFUSED_AT - ended_before
     happened = InjectedFault(PlannedFault(1.0, kind, "x", 1.0), 1.0, ended_at)
     assert violating_request_ids(history(AT_BOTH, faults=[happened])) == found
