--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -111,11 +111,13 @@
             to_replica = asyncio.create_task(
                 self._pump(reader, replica_writer, caller.name, replica)
             )
-            back = asyncio.create_task(self._pump(replica_reader, writer, replica, caller.name))
-            await asyncio.wait((to_replica, back), return_when=asyncio.FIRST_COMPLETED)
-            for pump in (to_replica, back):
+            to_caller = asyncio.create_task(
+                self._pump(replica_reader, writer, replica, caller.name)
+            )
+            await asyncio.wait((to_replica, to_caller), return_when=asyncio.FIRST_COMPLETED)
+            for pump in (to_replica, to_caller):
                 pump.cancel()
-            await asyncio.gather(to_replica, back, return_exceptions=True)
+            await asyncio.gather(to_replica, to_caller, return_exceptions=True)
         finally:
             replica_writer.close()
 
