--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -131,7 +131,7 @@
             assert not [e for e in rushes if e.at < fault.ends_at and fault.at < e.ends_at]
 
 
-def test_a_large_fleet_bears_the_same_share():
+def test_the_share_that_may_be_down_is_the_same_in_a_large_fleet():
     assert [max_down(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
     assert {group: max_down(NAMES, group) for group in TargetGroup} == MAX_DOWN
     assert len(plan_faults(LARGE, 60.0, 1)) > 2 * len(plan_faults(NAMES, 60.0, 1))
