--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -18,7 +18,7 @@
 
 RACED_PARAMETER = "queue_length"
 RACED_VALUES = itertools.cycle(range(64, 1024))
-RACERS = (2, 3)
+OPERATORS_PER_RACE = (2, 3)
 """Fewest and most operators of one race."""
 PAUSE_SECONDS = (0.1, 0.4)
 LOST_ANSWER_SHARE = 0.3
@@ -132,7 +132,7 @@
         return sum(c.tenant == BURST_TENANT and c.accepted() is not None for c in made)
 
     async def _race(self, expected: int) -> None:
-        racers = self._random.randint(*RACERS)
+        racers = self._random.randint(*OPERATORS_PER_RACE)
         changes = await asyncio.gather(
             *(self._submit(self._tenant, expected) for _ in range(racers))
         )
