--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_more_is_out_of_order_at_once_than_has_to_be_borne(seed):
+def test_no_more_targets_are_down_at_once_than_the_limit(seed):
     planned = plan_steady_faults(NAMES, 120.0, seed)
     for fault in planned:
         group = SHAPES[fault.kind].group
