--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -132,9 +132,9 @@
         return sum(c.tenant == BURST_TENANT and c.accepted() is not None for c in made)
 
     async def _race(self, expected: int) -> None:
-        racers = self._random.randint(*OPERATORS_PER_RACE)
+        operators = self._random.randint(*OPERATORS_PER_RACE)
         changes = await asyncio.gather(
-            *(self._submit(self._tenant, expected) for _ in range(racers))
+            *(self._submit(self._tenant, expected) for _ in range(operators))
         )
         winners = [change for change in changes if change.accepted() is not None]
         if winners and len(self._waits) <= 1:
