--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -80,7 +80,7 @@
     over_tcp(scenario)
 
 
-def test_the_end_of_a_silenced_connection_is_not_passed_on():
+def test_the_end_of_a_silenced_connection_is_not_forwarded():
     ended = asyncio.Event()
 
     async def record_end(reader, _writer):
