--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -22,7 +22,7 @@
 """Fewest and most operators of one race."""
 PAUSE_SECONDS = (0.1, 0.4)
 LOST_ANSWER_SHARE = 0.3
-LONGEST_PATIENCE_SECONDS = 0.03
+MAX_ANSWER_WAIT_SECONDS = 0.03
 """An operator who loses the answer gives up waiting within this time."""
 RESEND_SHARE = 0.3
 DECIDE_SECONDS = 25.0
@@ -163,7 +163,7 @@
         return change
 
     async def _send_and_leave(self, change: SubmittedChange, body: TenantBody) -> None:
-        patience = self._random.uniform(0.0, LONGEST_PATIENCE_SECONDS)
+        patience = self._random.uniform(0.0, MAX_ANSWER_WAIT_SECONDS)
         try:
             async with asyncio.timeout(patience):
                 await self._send(change, body)
