--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -157,7 +157,7 @@
     over_udp(scenario)
 
 
-def test_a_relay_that_loses_everything_carries_nothing():
+def test_a_relay_that_loses_everything_forwards_nothing():
     async def scenario(relay, client, received):
         relay.condition = LinkCondition(loss=1.0)
         client.sendto(b"lost")
