--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -163,9 +163,9 @@
         return change
 
     async def _send_and_leave(self, change: SubmittedChange, body: TenantBody) -> None:
-        patience = self._random.uniform(0.0, MAX_ANSWER_WAIT_SECONDS)
+        wait_limit = self._random.uniform(0.0, MAX_ANSWER_WAIT_SECONDS)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(wait_limit):
                 await self._send(change, body)
         except TimeoutError:
             return
