--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -27,7 +27,7 @@
 RESEND_SHARE = 0.3
 DECIDE_SECONDS = 25.0
 RESEND_PAUSE_SECONDS = 0.2
-LONGEST_WAIT_SECONDS = 30.0
+MAX_IN_FORCE_WAIT_SECONDS = 30.0
 """An operator's wait; the verdict decides what is too long."""
 BURST_TENANT = "burst"
 BURST_CHANGES = 250
@@ -188,7 +188,9 @@
         return answer
 
     async def _time_in_force(self, change: SubmittedChange) -> None:
-        wait = await wait_in_force(self._api, self._apis, change.change_id, LONGEST_WAIT_SECONDS)
+        wait = await wait_in_force(
+            self._api, self._apis, change.change_id, MAX_IN_FORCE_WAIT_SECONDS
+        )
         ended = _now()
         measured = InForceTime(
             change_id=change.change_id,
