--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -39,7 +39,7 @@
     asyncio.run(main())
 
 
-def test_a_tcp_relay_carries_bytes_both_ways():
+def test_a_tcp_relay_forwards_bytes_both_ways():
     async def scenario(_relay, reader, writer):
         writer.write(b"hello")
         assert await reader.readexactly(5) == b"hello"
