--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -156,13 +156,13 @@
         )
         self.history.changes.append(change)
         if self._random.random() < LOST_ANSWER_SHARE:
-            await self._send_and_leave(change, body)
+            await self._send_and_lose_answer(change, body)
         await self._send_until_decided(change, body)
         if change.answers and self._random.random() < RESEND_SHARE:
             await self._send(change, body)
         return change
 
-    async def _send_and_leave(self, change: SubmittedChange, body: TenantBody) -> None:
+    async def _send_and_lose_answer(self, change: SubmittedChange, body: TenantBody) -> None:
         wait_limit = self._random.uniform(0.0, MAX_ANSWER_WAIT_SECONDS)
         try:
             async with asyncio.timeout(wait_limit):
