--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -47,7 +47,7 @@
     over_tcp(scenario)
 
 
-def test_a_silent_tcp_relay_holds_bytes_back_and_carries_them_later():
+def test_a_silent_tcp_relay_holds_bytes_back_and_forwards_them_later():
     async def scenario(relay, reader, writer):
         relay.condition = LinkCondition(silent_forward=True)
         writer.write(b"hello")
