--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -25,7 +25,7 @@
 MAX_ANSWER_WAIT_SECONDS = 0.03
 """An operator who loses the answer gives up waiting within this time."""
 RESEND_SHARE = 0.3
-DECIDE_SECONDS = 25.0
+DECISION_TIMEOUT_SECONDS = 25.0
 RESEND_PAUSE_SECONDS = 0.2
 MAX_IN_FORCE_WAIT_SECONDS = 30.0
 """An operator's wait; the verdict decides what is too long."""
@@ -171,7 +171,7 @@
             return
 
     async def _send_until_decided(self, change: SubmittedChange, body: TenantBody) -> None:
-        deadline = _now() + DECIDE_SECONDS
+        deadline = _now() + DECISION_TIMEOUT_SECONDS
         while not change.answers and _now() < deadline:
             answer = await self._send(change, body)
             if isinstance(answer, NotDecided):
