--- a/tests/lab/soak/test_soak_run.py
+++ b/tests/lab/soak/test_soak_run.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("seed", [101])
-def test_urgent_requests_come_first_under_pressure_alone(tmp_path, seed):
+def test_urgent_requests_come_first_under_overload_alone(tmp_path, seed):
     """The shortest run has rushes and slow hosts, and no time for any other fault."""
     run = run_soak(LAST_FAULT_BEFORE_END_SECONDS, seed, tmp_path, lambda _line: None)
     report = asyncio.run(run)
