--- a/src/jasperwalk_lab/chaos/repair.py
+++ b/src/jasperwalk_lab/chaos/repair.py
@@ -50,11 +50,11 @@
     """Take an operator's steps: remove the old identity, start a new one, add and promote it."""
     lost = fleet.control_slots[slot]
     new = fleet.unused_replacements.pop(0)
-    await _operate(fleet, lost, "remove", str(lost.replica_id))
+    await _run_member_command(fleet, lost, "remove", str(lost.replica_id))
     await fleet.supervisor.start(fleet.planner.joining_control(new))
     address = str(fleet.links.relays[new.name])
-    await _operate(fleet, lost, "add", str(new.replica_id), address)
-    await _operate(fleet, lost, "promote", str(new.replica_id))
+    await _run_member_command(fleet, lost, "add", str(new.replica_id), address)
+    await _run_member_command(fleet, lost, "promote", str(new.replica_id))
     fleet.control_slots[slot] = new
 
 
@@ -74,7 +74,7 @@
     raise RepairFailed("wiped replica", f"{place.name} never found itself displaced")
 
 
-async def _operate(fleet: ChaosFleet, lost: ControlPlace, *command: str) -> None:
+async def _run_member_command(fleet: ChaosFleet, lost: ControlPlace, *command: str) -> None:
     """Run `jasperwalk member ...` until it succeeds; each try is a new process of the CLI."""
     apis = [str(p.api) for p in fleet.control_slots.values() if p.name != lost.name]
     flags = [flag for api in apis for flag in ("--api", api)]
