--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -47,7 +47,7 @@
 AT_BOTH = [opening(h, REFUSED_AT + at) for h in HOSTS for at in (0.2, 0.3)]
 
 
-def test_less_urgent_requests_begun_at_every_host_after_a_refusal_break_the_promise():
+def test_less_urgent_requests_started_at_every_host_after_a_refusal_are_a_violation():
     (found,) = priority_violations(history(AT_BOTH))
     assert found.counts == {"h1": 2, "h2": 2}
 
