--- a/src/jasperwalk_lab/chaos/repair.py
+++ b/src/jasperwalk_lab/chaos/repair.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.layout import ControlPlace
 from jasperwalk_lab.supervisor import health_url
 
-DISPLACED_WITHIN_SECONDS = 8.0
+DISPLACED_TIMEOUT_SECONDS = 8.0
 COMMAND_ATTEMPTS = 20
 RETRY_SECONDS = 0.5
 HTTP_UNAVAILABLE = 503
@@ -60,7 +60,7 @@
 
 async def _wait_displaced(place: ControlPlace) -> None:
     """Wait until the replica with the empty disk says that its identity is taken."""
-    deadline = asyncio.get_running_loop().time() + DISPLACED_WITHIN_SECONDS
+    deadline = asyncio.get_running_loop().time() + DISPLACED_TIMEOUT_SECONDS
     timeout = aiohttp.ClientTimeout(total=1.0)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while asyncio.get_running_loop().time() < deadline:
