--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("made", VALID_HISTORIES.values(), ids=VALID_HISTORIES.keys())
-def test_what_breaks_no_promise_of_urgency(made):
+def test_what_is_no_priority_violation(made):
     assert violating_request_ids(made) == []
 
 
