--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -12,7 +12,7 @@
 from jasperwalk_lab.chaos.observations import Recovery
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
-LEAST_REQUESTS = 500
+MIN_REQUESTS = 500
 LEAST_FAULT_KINDS = 4
 SHOWN_VIOLATIONS = 20
 
@@ -98,8 +98,8 @@
 def check_size(requests: int, faults: dict[str, int]) -> list[ChaosViolation]:
     """Check that the run was large enough to say anything."""
     found = []
-    if requests < LEAST_REQUESTS:
-        detail = f"{requests} of at least {LEAST_REQUESTS}"
+    if requests < MIN_REQUESTS:
+        detail = f"{requests} of at least {MIN_REQUESTS}"
         found.append(ChaosViolation(ChaosPromise.TOO_FEW_REQUESTS, detail))
     if len(faults) < LEAST_FAULT_KINDS:
         detail = f"{len(faults)} kinds of at least {LEAST_FAULT_KINDS}"
--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -10,7 +10,7 @@
 from jasperwalk_lab.chaos.faults import FaultKind, FaultRecord
 from jasperwalk_lab.chaos.observations import AgentLoss, LeavingPeriod, Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory, InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.report import LEAST_REQUESTS
+from jasperwalk_lab.chaos.report import MIN_REQUESTS
 from jasperwalk_lab.chaos.revisions import RevisionSample
 from jasperwalk_lab.chaos.verdict import FinalState, RunRecord, judge
 from jasperwalk_lab.chaos.violations import ChaosPromise
@@ -67,7 +67,7 @@
         example="zagreb",
         seed=1,
         seconds=40.0,
-        calls=CallHistory([call(f"a-{number}") for number in range(LEAST_REQUESTS)]),
+        calls=CallHistory([call(f"a-{number}") for number in range(MIN_REQUESTS)]),
         changes=ChangeHistory([WON, LOST], [InForceTime("c-1", 0.5, accepted=2.0, ended=2.5)]),
         observations=Observations(),
         happened=[FaultRecord(kind, "x", 1.0, 2.0) for kind in KINDS],
@@ -80,7 +80,7 @@
             table_revision=7,
             process_revisions={"balancer-1": 7},
         ),
-        journal=[ran(f"a-{number}") for number in range(LEAST_REQUESTS)],
+        journal=[ran(f"a-{number}") for number in range(MIN_REQUESTS)],
         flows=[FlowView(PORT, AGENT, 9.1)],
         processes=3,
         duration_seconds=50.0,
@@ -208,7 +208,7 @@
 def test_a_good_record_has_no_violation():
     report = judge(good_record())
     assert report.violations == []
-    assert (report.requests, report.answered) == (LEAST_REQUESTS, LEAST_REQUESTS)
+    assert (report.requests, report.answered) == (MIN_REQUESTS, MIN_REQUESTS)
     assert (report.changes.accepted, report.changes.refused) == (1, 1)
 
 
