--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -183,7 +183,7 @@
     assert promises(made) == set()
 
 
-def test_of_two_orders_that_race_either_may_come_last():
+def test_either_of_two_racing_orders_may_take_effect_last():
     """Soak, seed 315: a restore was repeated from 22.75 to 25.72 s, and a drain came at 23.21."""
     made = history(
         zones=[ZoneOrdered("north", False, 1.0, 3.0), ZoneOrdered("north", True, 1.5, 1.6)],
