--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -13,7 +13,7 @@
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
 MIN_REQUESTS = 500
-LEAST_FAULT_KINDS = 4
+MIN_FAULT_KINDS = 4
 SHOWN_VIOLATIONS = 20
 
 
@@ -101,8 +101,8 @@
     if requests < MIN_REQUESTS:
         detail = f"{requests} of at least {MIN_REQUESTS}"
         found.append(ChaosViolation(ChaosPromise.TOO_FEW_REQUESTS, detail))
-    if len(faults) < LEAST_FAULT_KINDS:
-        detail = f"{len(faults)} kinds of at least {LEAST_FAULT_KINDS}"
+    if len(faults) < MIN_FAULT_KINDS:
+        detail = f"{len(faults)} kinds of at least {MIN_FAULT_KINDS}"
         found.append(ChaosViolation(ChaosPromise.TOO_FEW_FAULTS, detail))
     return found
 
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jasperwalk_lab.chaos.faults import SHAPES, TargetGroup
-from jasperwalk_lab.chaos.report import LEAST_FAULT_KINDS
+from jasperwalk_lab.chaos.report import MIN_FAULT_KINDS
 from jasperwalk_lab.chaos.schedule import (
     CONTROLS_OUT_AT_ONCE,
     FIRST_FAULT_SECONDS,
@@ -39,7 +39,7 @@
     latest = SECONDS - LAST_FAULT_BEFORE_END_SECONDS + TWICE_DELAY_SECONDS
     assert all(FIRST_FAULT_SECONDS <= fault.at <= latest for fault in planned)
     assert planned == sorted(planned, key=lambda fault: (fault.at, fault.target))
-    assert len({fault.kind for fault in planned}) >= LEAST_FAULT_KINDS
+    assert len({fault.kind for fault in planned}) >= MIN_FAULT_KINDS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
