--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -44,21 +44,21 @@
     return [each.refused.request_id for each in priority_violations(made, **bounds)]
 
 
-AT_BOTH = [opening(h, REFUSED_AT + at) for h in HOSTS for at in (0.2, 0.3)]
+STARTED_AT_BOTH = [opening(h, REFUSED_AT + at) for h in HOSTS for at in (0.2, 0.3)]
 
 
 def test_less_urgent_requests_started_at_every_host_after_a_refusal_are_a_violation():
-    (found,) = priority_violations(history(AT_BOTH))
+    (found,) = priority_violations(history(STARTED_AT_BOTH))
     assert found.counts == {"h1": 2, "h2": 2}
 
 
 VALID_HISTORIES = {
-    "it may have been refused at the other host": history(AT_BOTH[:2]),
-    "the hosts owed them from before": history(AT_BOTH[::2]),
+    "it may have been refused at the other host": history(STARTED_AT_BOTH[:2]),
+    "the hosts owed them from before": history(STARTED_AT_BOTH[::2]),
     "they were begun before": history(
         [opening(host, REFUSED_AT - at) for host in HOSTS for at in (0.05, 0.06)]
     ),
-    "they were sent after": history(AT_BOTH, sent_at=REFUSED_AT + 0.1),
+    "they were sent after": history(STARTED_AT_BOTH, sent_at=REFUSED_AT + 0.1),
     "they began long after": history(
         [opening(h, REFUSED_AT + MAX_OPENING_WAIT_SECONDS + at) for h in HOSTS for at in (0.1, 0.2)]
     ),
@@ -74,10 +74,11 @@
         ]
     ),
     "its host turned it away": history(
-        AT_BOTH, refused=RequestRefused(REFUSED_AT, "q1", "f", "web", URGENT, is_by_host=True)
+        STARTED_AT_BOTH,
+        refused=RequestRefused(REFUSED_AT, "q1", "f", "web", URGENT, is_by_host=True),
     ),
     "another service": history(
-        AT_BOTH, refused=RequestRefused(REFUSED_AT, "q1", "f", "export", URGENT)
+        STARTED_AT_BOTH, refused=RequestRefused(REFUSED_AT, "q1", "f", "export", URGENT)
     ),
 }
 
@@ -89,14 +90,14 @@
 
 def test_a_host_that_took_the_place_of_another_counts_in_its_place():
     at_third = [opening("h3", REFUSED_AT + at) for at in (0.2, 0.3)]
-    made = history([*AT_BOTH[:2], *at_third])
+    made = history([*STARTED_AT_BOTH[:2], *at_third])
     assert violating_request_ids(made) == []
     made.hosts_began.append(HostStarted(10.0, "agent-h2", "h3", "web"))
     assert violating_request_ids(made) == ["q1"]
 
 
 def test_a_least_share_of_less_urgent_requests_is_allowed():
-    made = history(AT_BOTH)
+    made = history(STARTED_AT_BOTH)
     made.runs.extend(
         RequestStarted(REFUSED_AT + at / 100, f"u{at}", host, "web", "web")
         for host in HOSTS
@@ -119,7 +120,7 @@
 def test_only_refusals_for_lack_of_capacity_count(kind, ended_before, found):
     ended_at = REFUSED_AT - ended_before
     happened = InjectedFault(PlannedFault(1.0, kind, "x", 1.0), 1.0, ended_at)
-    assert violating_request_ids(history(AT_BOTH, faults=[happened])) == found
+    assert violating_request_ids(history(STARTED_AT_BOTH, faults=[happened])) == found
 
 
 @pytest.mark.parametrize(
