--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -38,7 +38,7 @@
 OUTCOME_ATTEMPTS = 40
 HISTORY_FILE = "history.json"
 """Everything recorded, in the run's folder."""
-LONGEST_OVERTIME_SECONDS = 120.0
+MAX_OVERTIME_SECONDS = 120.0
 """What a run may take beyond its own length before it is given up."""
 
 Progress = Callable[[str], None]
@@ -55,7 +55,7 @@
     async with ChaosFleet(load_example(example_name), run_folder, seed) as fleet:
         await fleet.start()
         chaos = ChaosRun(fleet, seconds, seed, progress)
-        async with asyncio.timeout(seconds + LONGEST_OVERTIME_SECONDS):
+        async with asyncio.timeout(seconds + MAX_OVERTIME_SECONDS):
             await chaos.run()
             final = await chaos.final_state()
         flows = await fleet.flows()
