--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -31,7 +31,7 @@
     plan_steady_faults,
 )
 
-NAMES = SoakTargets(
+TARGETS = SoakTargets(
     ("control-0", "control-1", "control-2"),
     ("balancer-0", "balancer-1", "balancer-2"),
     tuple(f"agent-{number}" for number in range(6)),
@@ -40,21 +40,21 @@
 
 
 def test_the_same_seed_gives_the_same_schedule():
-    assert plan_steady_faults(NAMES, 120.0, 7) == plan_steady_faults(NAMES, 120.0, 7)
-    assert plan_steady_faults(NAMES, 120.0, 7) != plan_steady_faults(NAMES, 120.0, 8)
+    assert plan_steady_faults(TARGETS, 120.0, 7) == plan_steady_faults(TARGETS, 120.0, 7)
+    assert plan_steady_faults(TARGETS, 120.0, 7) != plan_steady_faults(TARGETS, 120.0, 8)
 
 
 def test_a_few_schedules_have_every_kind_of_fault():
-    drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(NAMES, 120.0, seed)}
+    drawn = {fault.kind for seed in range(20) for fault in plan_steady_faults(TARGETS, 120.0, seed)}
     assert drawn == set(FaultKind) - OVERLOAD_KINDS - set(SEPARATELY_DRAWN_KINDS)
-    drawn = {fault.kind for seed in range(20) for fault in plan_with_overload(NAMES, 120.0, seed)}
+    drawn = {fault.kind for seed in range(20) for fault in plan_with_overload(TARGETS, 120.0, seed)}
     assert drawn == set(FaultKind)
     assert covers_every_kind()
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_more_targets_are_down_at_once_than_the_limit(seed):
-    planned = plan_steady_faults(NAMES, 120.0, seed)
+    planned = plan_steady_faults(TARGETS, 120.0, seed)
     for fault in planned:
         group = SHAPES[fault.kind].group
         others = [
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_are_over_before_the_end(seed):
-    last = max(fault.ends_at for fault in plan_steady_faults(NAMES, 60.0, seed))
+    last = max(fault.ends_at for fault in plan_steady_faults(TARGETS, 60.0, seed))
     assert last <= 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
 
 
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_of_a_burst_overlap(seed):
-    rushes = plan_fault_bursts(NAMES, 120.0, seed)
+    rushes = plan_fault_bursts(TARGETS, 120.0, seed)
     at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
     assert max(at_once) >= FAULTS_PER_BURST[0] - 1
     assert not {fault.kind for fault in rushes} & NEVER_IN_BURSTS
@@ -111,8 +111,8 @@
     met = [
         (one, other)
         for seed in range(20)
-        for one in plan_fault_bursts(NAMES, 120.0, seed)
-        for other in plan_fault_bursts(NAMES, 120.0, seed)
+        for one in plan_fault_bursts(TARGETS, 120.0, seed)
+        for other in plan_fault_bursts(TARGETS, 120.0, seed)
         if one is not other and one.target == other.target and one.at <= other.at < one.ends_at
     ]
     assert met
@@ -120,10 +120,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_disk_is_lost_while_a_burst_hits_other_replicas(seed):
-    planned = plan_faults(NAMES, 120.0, seed)
+    planned = plan_faults(TARGETS, 120.0, seed)
     rushes = [
         each
-        for each in plan_fault_bursts(NAMES, 120.0, seed)
+        for each in plan_fault_bursts(TARGETS, 120.0, seed)
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     ]
     for fault in planned:
@@ -133,13 +133,13 @@
 
 def test_the_share_that_may_be_down_is_the_same_in_a_large_fleet():
     assert [max_down(LARGE, group) for group in (TargetGroup.CONTROL, TargetGroup.AGENT)] == [2, 40]
-    assert {group: max_down(NAMES, group) for group in TargetGroup} == MAX_DOWN
-    assert len(plan_faults(LARGE, 60.0, 1)) > 2 * len(plan_faults(NAMES, 60.0, 1))
+    assert {group: max_down(TARGETS, group) for group in TargetGroup} == MAX_DOWN
+    assert len(plan_faults(LARGE, 60.0, 1)) > 2 * len(plan_faults(TARGETS, 60.0, 1))
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_run_begins_with_a_surge_of_each_scope_and_no_fault(seed):
-    planned = plan_with_overload(NAMES, 60.0, seed)
+    planned = plan_with_overload(TARGETS, 60.0, seed)
     calm = [each for each in planned if each.at < FAULT_FREE_SECONDS]
     assert calm
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
@@ -150,18 +150,18 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_overload_leaves_the_faults_of_a_seed_unchanged(seed):
-    planned = plan_with_overload(NAMES, 60.0, seed)
+    planned = plan_with_overload(TARGETS, 60.0, seed)
     added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
     struck = [each for each in planned if each.kind not in added]
-    shifted = [round(each.at + FAULT_FREE_SECONDS, 2) for each in plan_faults(NAMES, 60.0, seed)]
+    shifted = [round(each.at + FAULT_FREE_SECONDS, 2) for each in plan_faults(TARGETS, 60.0, seed)]
     assert [each.at for each in struck] == shifted
     last = FAULT_FREE_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     assert max(each.ends_at for each in planned) <= last
 
 
 def test_surges_also_overlap_faults():
-    planned = plan_with_overload(NAMES, 120.0, 1)
-    rushes = [each for each in plan_overload(NAMES, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
+    planned = plan_with_overload(TARGETS, 120.0, 1)
+    rushes = [each for each in plan_overload(TARGETS, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
         fault.at < surge.ends_at and surge.at < fault.ends_at
         for surge in rushes
