--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -120,10 +120,10 @@
 
     async def final_state(self) -> FinalState:
         """Wait until all processes are current, and read what they and control hold."""
-        wanted = await self._newest_table_revision()
+        expected_revision = await self._newest_table_revision()
         final = FinalState(self.operators.raced_tenant, self._initial_revision)
-        final.table_revision = wanted
-        final.process_revisions = await self._wait_all_current(wanted)
+        final.table_revision = expected_revision
+        final.process_revisions = await self._wait_all_current(expected_revision)
         final.ended_processes = self._fleet.supervisor.ended_unexpectedly()
         for slot, place in self._fleet.control_slots.items():
             final.tenant_revisions[slot] = await self._tenant_revision(place.api)
@@ -152,8 +152,8 @@
             apis = self._fleet.control_apis()
             return max([await read_revision(session, api) for api in apis])
 
-    async def _wait_all_current(self, wanted: int) -> dict[str, int]:
-        """Wait until every follower and replica has `wanted`; return what each has in the end."""
+    async def _wait_all_current(self, expected_revision: int) -> dict[str, int]:
+        """Wait until every follower and replica has `expected_revision`; return what each has in the end."""
         admins = self._running_admins()
         deadline = asyncio.get_running_loop().time() + FINAL_IN_FORCE_SECONDS
         timeout = aiohttp.ClientTimeout(total=1.0)
@@ -161,13 +161,13 @@
             while True:
                 found = {name: await read_revision(session, at) for name, at in admins.items()}
                 late = asyncio.get_running_loop().time() > deadline
-                if late or all(revision >= wanted for revision in found.values()):
+                if late or all(revision >= expected_revision for revision in found.values()):
                     return found
                 await asyncio.sleep(CURRENT_POLL_SECONDS)
 
     async def _wait_current(self, process: str, since: float) -> float:
         """Wait until a process has the newest accepted change; return seconds from `since`."""
-        wanted = self.operators.history.newest_revision()
+        expected_revision = self.operators.history.newest_revision()
         admin = self._running_admins()[process]
         loop = asyncio.get_running_loop()
         timeout = aiohttp.ClientTimeout(total=1.0)
@@ -175,7 +175,7 @@
             asyncio.timeout(CURRENT_TIMEOUT_SECONDS),
             aiohttp.ClientSession(timeout=timeout) as session,
         ):
-            while await read_revision(session, admin) < wanted:
+            while await read_revision(session, admin) < expected_revision:
                 await asyncio.sleep(CURRENT_POLL_SECONDS)
         return loop.time() - since
 
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -143,10 +143,10 @@
         yield from check_order(
             changes.changes, final.raced_tenant, final.initial_revision, revision
         )
-    wanted = max(final.table_revision, changes.newest_revision())
+    expected_revision = max(final.table_revision, changes.newest_revision())
     for process, revision in final.process_revisions.items():
-        if revision < wanted:
-            detail = f"{process} stands at revision {revision}, not {wanted}, at the end"
+        if revision < expected_revision:
+            detail = f"{process} stands at revision {revision}, not {expected_revision}, at the end"
             yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
