--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -101,10 +101,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_faults_of_a_burst_overlap(seed):
-    rushes = plan_fault_bursts(TARGETS, 120.0, seed)
-    at_once = [sum(each.at <= fault.at < each.ends_at for each in rushes) for fault in rushes]
+    bursts = plan_fault_bursts(TARGETS, 120.0, seed)
+    at_once = [sum(each.at <= fault.at < each.ends_at for each in bursts) for fault in bursts]
     assert max(at_once) >= FAULTS_PER_BURST[0] - 1
-    assert not {fault.kind for fault in rushes} & NEVER_IN_BURSTS
+    assert not {fault.kind for fault in bursts} & NEVER_IN_BURSTS
 
 
 def test_bursts_hit_one_target_more_than_once_at_a_time():
@@ -121,14 +121,14 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_no_disk_is_lost_while_a_burst_hits_other_replicas(seed):
     planned = plan_faults(TARGETS, 120.0, seed)
-    rushes = [
+    bursts = [
         each
         for each in plan_fault_bursts(TARGETS, 120.0, seed)
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     ]
     for fault in planned:
         if fault.kind is FaultKind.CONTROL_WIPED:
-            assert not [e for e in rushes if e.at < fault.ends_at and fault.at < e.ends_at]
+            assert not [e for e in bursts if e.at < fault.ends_at and fault.at < e.ends_at]
 
 
 def test_the_share_that_may_be_down_is_the_same_in_a_large_fleet():
@@ -144,8 +144,8 @@
     assert calm
     assert {each.kind for each in calm} <= OVERLOAD_KINDS
     assert all(each.ends_at < FAULT_FREE_SECONDS for each in calm)
-    rushes = [Surge.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
-    assert sorted(each.scope for each in rushes) == sorted(SurgeScope)
+    bursts = [Surge.parse(e.target) for e in calm if e.kind is FaultKind.CALLERS_RUSH]
+    assert sorted(each.scope for each in bursts) == sorted(SurgeScope)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -161,10 +161,10 @@
 
 def test_surges_also_overlap_faults():
     planned = plan_with_overload(TARGETS, 120.0, 1)
-    rushes = [each for each in plan_overload(TARGETS, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
+    bursts = [each for each in plan_overload(TARGETS, 120.0, 1) if each.at > FAULT_FREE_SECONDS]
     assert any(
         fault.at < surge.ends_at and surge.at < fault.ends_at
-        for surge in rushes
+        for surge in bursts
         for fault in planned
         if fault.kind not in OVERLOAD_KINDS
     )
