--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -160,8 +160,8 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 found = {name: await read_revision(session, at) for name, at in admins.items()}
-                late = asyncio.get_running_loop().time() > deadline
-                if late or all(revision >= expected_revision for revision in found.values()):
+                expired = asyncio.get_running_loop().time() > deadline
+                if expired or all(revision >= expected_revision for revision in found.values()):
                     return found
                 await asyncio.sleep(CURRENT_POLL_SECONDS)
 
