--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -75,8 +75,8 @@
             *self._agent_relays,
             self._host(9, 1),
         ]
-        names = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
-        self._ports = common_ports(names, every)
+        targets = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
+        self._ports = common_ports(targets, every)
         self.callers = Endpoint(self._host(9, 1), self._ports["callers"])
         self.supervisor = Supervisor(folder)
         self.processes: dict[str, SoakProcess] = {}
@@ -95,7 +95,7 @@
     def _at(self, host: str, port: str) -> Endpoint:
         return Endpoint(host, self._ports[port])
 
-    def names(self) -> SoakTargets:
+    def targets(self) -> SoakTargets:
         """Return what faults may strike."""
         by_role = {role: self.of_role(role) for role in ROLES}
         return SoakTargets(
--- a/src/jasperwalk_lab/soak/overload.py
+++ b/src/jasperwalk_lab/soak/overload.py
@@ -58,43 +58,43 @@
         return cls(SurgeScope(scope), value)
 
 
-def plan_with_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_with_overload(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan a run of `FAULT_FREE_SECONDS` and `seconds` more, in the order of beginning."""
-    struck = [*plan_faults(names, seconds, seed), *plan_separately_drawn(names, seconds, seed)]
+    struck = [*plan_faults(targets, seconds, seed), *plan_separately_drawn(targets, seconds, seed)]
     faults = [
         msgspec.structs.replace(each, at=round(each.at + FAULT_FREE_SECONDS, 2)) for each in struck
     ]
-    return sorted([*faults, *plan_overload(names, seconds, seed)], key=lambda each: each.at)
+    return sorted([*faults, *plan_overload(targets, seconds, seed)], key=lambda each: each.at)
 
 
-def plan_overload(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_overload(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes and the slow hosts of the same run."""
     rng = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
     for at, scope in zip(FAULT_FREE_SURGE_SECONDS, rng.sample(list(SurgeScope), 3), strict=True):
-        planned.extend(_draw_surge(names, scope, at, rng))
+        planned.extend(_draw_surge(targets, scope, at, rng))
     at = FAULT_FREE_SECONDS + rng.uniform(*SURGE_INTERVAL_SECONDS)
     latest = FAULT_FREE_SECONDS + seconds - LAST_FAULT_BEFORE_END_SECONDS
     while at < latest:
-        surge = _draw_surge(names, rng.choice(list(SurgeScope)), at, rng)
+        surge = _draw_surge(targets, rng.choice(list(SurgeScope)), at, rng)
         planned.extend(each for each in surge if each.ends_at <= latest + 1.0)
         at += rng.uniform(*SURGE_INTERVAL_SECONDS)
     return planned
 
 
 def _draw_surge(
-    names: SoakTargets, scope: SurgeScope, at: float, rng: random.Random
+    targets: SoakTargets, scope: SurgeScope, at: float, rng: random.Random
 ) -> list[PlannedFault]:
     """Return a rush, and the hosts that are slow during it."""
     value = {
         SurgeScope.ALL: "",
         SurgeScope.KIND: rng.choice(("0", "1")),
-        SurgeScope.ZONE: rng.choice(names.zones),
+        SurgeScope.ZONE: rng.choice(targets.zones),
     }[scope]
     surge = _draw(FaultKind.CALLERS_RUSH, Surge(scope, value).target, at, rng)
     if rng.random() >= SLOW_HOST_PROBABILITY:
         return [surge]
-    slow = rng.sample(names.agents, max(1, len(names.agents) // SLOW_HOST_SHARE))
+    slow = rng.sample(targets.agents, max(1, len(targets.agents) // SLOW_HOST_SHARE))
     return [surge, *(_draw(FaultKind.HOST_SLOW, each, at, rng) for each in slow)]
 
 
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -75,7 +75,7 @@
         self._size = size
         self._seconds = FAULT_FREE_SECONDS + seconds
         self._progress = progress
-        self._planned = plan_with_overload(fleet.names(), seconds, seed)
+        self._planned = plan_with_overload(fleet.targets(), seconds, seed)
         self._began_at = time.monotonic()
         self._rng = random.Random(f"traffic {seed}")
         self.history = SoakHistory()
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -83,22 +83,22 @@
 }
 
 
-def max_down(names: SoakTargets, group: TargetGroup) -> int:
+def max_down(targets: SoakTargets, group: TargetGroup) -> int:
     """Return how many targets of a group may be out at once: the same share in every fleet."""
     if group is TargetGroup.CONTROL:
-        return (len(names.controls) - 1) // 2
+        return (len(targets.controls) - 1) // 2
     if group is TargetGroup.BALANCER:
-        return max(MAX_BALANCERS_DOWN, len(names.balancers) // 3)
+        return max(MAX_BALANCERS_DOWN, len(targets.balancers) // 3)
     if group in (TargetGroup.AGENT, TargetGroup.HOST):
-        return max(MAX_AGENTS_DOWN, len(names.agents) // 3)
+        return max(MAX_AGENTS_DOWN, len(targets.agents) // 3)
     return MAX_DOWN[group]
 
 
-def plan_fault_bursts(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_fault_bursts(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
     rng = random.Random(f"rushes {seed}")
     kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
-    scale = _scale(names)
+    scale = _scale(targets)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
     at = rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
@@ -109,13 +109,13 @@
             begins_at = round(at + rng.uniform(0.0, FAULT_BURST_SECONDS), 2)
             length = round(rng.uniform(shape.shortest, shape.longest), 2)
             if begins_at + length <= latest + 1.0:
-                target = rng.choice(names.of(shape.group))
+                target = rng.choice(targets.of(shape.group))
                 planned.append(PlannedFault(begins_at, kind, target, length))
         at += rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     return sorted(planned, key=lambda each: each.at)
 
 
-def plan_separately_drawn(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_separately_drawn(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
     rng = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
@@ -124,23 +124,23 @@
         kind = rng.choice(SEPARATELY_DRAWN_KINDS)
         shape = SHAPES[kind]
         length = round(rng.uniform(shape.shortest, shape.longest), 2)
-        target = rng.choice(names.of(shape.group))
+        target = rng.choice(targets.of(shape.group))
         planned.append(PlannedFault(round(at, 2), kind, target, length))
         at += rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     return [each for each in planned if each.ends_at <= latest]
 
 
-def _scale(names: SoakTargets) -> int:
-    return min(MAX_SCALE, max(1, len(names.agents) // BASE_AGENT_COUNT))
+def _scale(targets: SoakTargets) -> int:
+    return min(MAX_SCALE, max(1, len(targets.agents) // BASE_AGENT_COUNT))
 
 
-def plan_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
-    fault_bursts = plan_fault_bursts(names, seconds, seed)
+    fault_bursts = plan_fault_bursts(targets, seconds, seed)
     steady = [
         each
-        for each in plan_steady_faults(names, seconds, seed)
+        for each in plan_steady_faults(targets, seconds, seed)
         if not _is_too_near_burst(each, fault_bursts)
     ]
     return sorted([*steady, *fault_bursts], key=lambda each: each.at)
@@ -158,13 +158,13 @@
     )
 
 
-def plan_steady_faults(names: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_steady_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     rng = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
     remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
-    scale = _scale(names)
+    scale = _scale(targets)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         if not remaining_kinds:
             remaining_kinds = rng.sample(BASE_KINDS, len(BASE_KINDS))
@@ -172,7 +172,7 @@
         if SHAPES[kind].group is TargetGroup.ALL:
             # Everything is killed only while nothing else is out of order.
             at = max([at, *(each.ends_at + SETTLE_SECONDS for each in planned)])
-        fault = _draw(kind, names, planned, at, rng)
+        fault = _draw(kind, targets, planned, at, rng)
         if fault is not None and fault.ends_at <= seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0:
             planned.append(fault)
         at += rng.uniform(*FAULT_INTERVAL_SECONDS) / scale
@@ -181,7 +181,7 @@
 
 def _draw(
     kind: FaultKind,
-    names: SoakTargets,
+    targets: SoakTargets,
     planned: list[PlannedFault],
     at: float,
     rng: random.Random,
@@ -189,7 +189,7 @@
     """Return the next fault, None where too much is out of order already."""
     shape = SHAPES[kind]
     seconds = round(rng.uniform(shape.shortest, shape.longest), 2)
-    target = rng.choice(names.of(shape.group))
+    target = rng.choice(targets.of(shape.group))
     fault = PlannedFault(round(at, 2), kind, target, seconds)
     near = [each for each in planned if _are_too_close(each, fault)]
     if shape.group is TargetGroup.ALL:
@@ -197,7 +197,7 @@
     if any(SHAPES[each.kind].group is TargetGroup.ALL for each in near):
         return None
     same_group = {each.target for each in near if SHAPES[each.kind].group is shape.group}
-    is_too_much = target in same_group or len(same_group) >= max_down(names, shape.group)
+    is_too_much = target in same_group or len(same_group) >= max_down(targets, shape.group)
     return None if is_too_much else fault
 
 
