--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -135,7 +135,7 @@
         api = ReplicaApi()
         found: dict[str, ChangeAnswer] = {}
         for change in self.operators.history.changes:
-            found[change.change_id] = await _decided(api, replica, change.change_id)
+            found[change.change_id] = await _wait_decided(api, replica, change.change_id)
         await api.close()
         return found
 
@@ -204,7 +204,7 @@
         ]
 
 
-async def _decided(api: ReplicaApi, replica: Endpoint, change_id: str) -> ChangeAnswer:
+async def _wait_decided(api: ReplicaApi, replica: Endpoint, change_id: str) -> ChangeAnswer:
     """Ask for an outcome, a few times while the replica cannot say."""
     answer = await api.change(replica, change_id)
     for _ in range(OUTCOME_ATTEMPTS):
