--- a/src/jasperwalk_lab/soak/overload.py
+++ b/src/jasperwalk_lab/soak/overload.py
@@ -60,9 +60,13 @@
 
 def plan_with_overload(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan a run of `FAULT_FREE_SECONDS` and `seconds` more, in the order of beginning."""
-    struck = [*plan_faults(targets, seconds, seed), *plan_separately_drawn(targets, seconds, seed)]
+    faults_without_overload = [
+        *plan_faults(targets, seconds, seed),
+        *plan_separately_drawn(targets, seconds, seed),
+    ]
     faults = [
-        msgspec.structs.replace(each, at=round(each.at + FAULT_FREE_SECONDS, 2)) for each in struck
+        msgspec.structs.replace(each, at=round(each.at + FAULT_FREE_SECONDS, 2))
+        for each in faults_without_overload
     ]
     return sorted([*faults, *plan_overload(targets, seconds, seed)], key=lambda each: each.at)
 
