--- a/src/jasperwalk_lab/chaos/refusals.py
+++ b/src/jasperwalk_lab/chaos/refusals.py
@@ -17,9 +17,7 @@
     for record in records:
         if not isinstance(record.outcome, NotRun) or not isinstance(record.operation, Submission):
             continue
-        began = ran_at.get(record.request_id)
-        if began is not None and began < record.invoked:
-            detail = (
-                f"{record.request_id} ran {record.invoked - began:.3f} s before the refused try"
-            )
+        run_started_at = ran_at.get(record.request_id)
+        if run_started_at is not None and run_started_at < record.invoked:
+            detail = f"{record.request_id} ran {record.invoked - run_started_at:.3f} s before the refused try"
             yield ChaosViolation(ChaosPromise.NOT_RUN_BUT_RAN, detail)
