--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -216,7 +216,7 @@
             self._handle_opening(key, packet, datagram)
             return
         flow = self.flows.get(key)
-        if flow is None or not self._belongs(flow, packet):
+        if flow is None or not self._follows_handshake(flow, packet):
             self._send(bounced(datagram))
             return
         flow.is_open = True
@@ -225,7 +225,7 @@
         elif packet.data:
             self._handle_request(key, flow, packet)
 
-    def _belongs(self, flow: HostFlow, packet: Packet) -> bool:
+    def _follows_handshake(self, flow: HostFlow, packet: Packet) -> bool:
         """Tell whether a packet follows this host's answer up."""
         return flow.is_open or (packet.acknowledged - flow.sequence) % 2**32 < 2**16
 
