--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -151,13 +151,13 @@
 
 
 def _change_figures(history: ChangeHistory) -> ChangeFigures:
-    firsts = [change.answers[0] for change in history.changes if change.answers]
+    first_answers = [change.answers[0] for change in history.changes if change.answers]
     races = {(c.tenant, c.expected) for c in history.changes if c.expected is not None}
     return ChangeFigures(
         submitted=len(history.changes),
-        accepted=sum(isinstance(first, Accepted) for first in firsts),
-        refused=sum(isinstance(first, Refused) for first in firsts),
-        undecided=len(history.changes) - len(firsts),
+        accepted=sum(isinstance(first, Accepted) for first in first_answers),
+        refused=sum(isinstance(first, Refused) for first in first_answers),
+        undecided=len(history.changes) - len(first_answers),
         resent=sum(len(change.answers) > 1 for change in history.changes),
         races=len(races),
     )
