--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -164,10 +164,10 @@
         answer = await self._caller.call(
             self.place.calls, "PUT", heartbeat.path(), heartbeat.body()
         )
-        is_taken = answer.status == OK_STATUS
-        if is_taken and is_draining and self.is_alive:
+        is_acknowledged = answer.status == OK_STATUS
+        if is_acknowledged and is_draining and self.is_alive:
             self._record_drained()
-        return is_taken
+        return is_acknowledged
 
     def _heartbeat(self) -> Heartbeat:
         left = max(0.0, self.started_at + COLD_SECONDS - self.clock()) if self.is_cold else 0.0
--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -89,9 +89,11 @@
         """Order a zone drained or restored, again and again for a limited time."""
         sent_at = self._clock()
         method = "POST" if drained else "DELETE"
-        is_taken = await self._order(method, evacuation_path(zone), b"", ORDER_REPEAT_SECONDS)
+        is_acknowledged = await self._order(
+            method, evacuation_path(zone), b"", ORDER_REPEAT_SECONDS
+        )
         ended_at = self._clock()
-        ended = (ended_at, None) if is_taken else (None, ended_at)
+        ended = (ended_at, None) if is_acknowledged else (None, ended_at)
         self._history.zones.append(ZoneOrdered(zone, drained, sent_at, *ended))
 
     async def _order(self, method: str, path: str, body: bytes, seconds: float) -> bool:
