--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -18,7 +18,7 @@
 TWICE_DELAY_SECONDS = 0.4
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again."""
-LEAST_BALANCERS_WELL = 2
+MIN_HEALTHY_BALANCERS = 2
 CONTROLS_OUT_AT_ONCE = 1
 
 
@@ -81,7 +81,7 @@
         out = self._out(shape.group, at, seconds) | {target}
         match shape.group:
             case TargetGroup.BALANCER:
-                return len(self.facts.balancers) - len(out) >= LEAST_BALANCERS_WELL
+                return len(self.facts.balancers) - len(out) >= MIN_HEALTHY_BALANCERS
             case TargetGroup.CONTROL:
                 return len(out) <= CONTROLS_OUT_AT_ONCE
             case TargetGroup.HOST:
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -12,7 +12,7 @@
     CONTROLS_OUT_AT_ONCE,
     FIRST_FAULT_SECONDS,
     LAST_FAULT_BEFORE_END_SECONDS,
-    LEAST_BALANCERS_WELL,
+    MIN_HEALTHY_BALANCERS,
     TWICE_DELAY_SECONDS,
     FleetFacts,
     plan_faults,
@@ -47,7 +47,7 @@
     planned = plan_faults(FACTS, SECONDS, seed)
     service_of = {host: name for name, hosts in FACTS.hosts.items() for host in hosts}
     most = {
-        TargetGroup.BALANCER: len(FACTS.balancers) - LEAST_BALANCERS_WELL,
+        TargetGroup.BALANCER: len(FACTS.balancers) - MIN_HEALTHY_BALANCERS,
         TargetGroup.CONTROL: CONTROLS_OUT_AT_ONCE,
     }
     for moment in (fault.at for fault in planned):
