--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -191,7 +191,7 @@
 
     async def _monitor(self) -> None:
         """Note processes that end by themselves, and tell how the run goes."""
-        told_at = 0.0
+        reported_at = 0.0
         while True:
             slept_at = self._clock()
             await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
@@ -203,9 +203,9 @@
                     self.history.ended_processes.append(name)
             if not self._first_sample and self._clock() > FIRST_SAMPLE_SECONDS:
                 self._first_sample = {n: each.use() for n, each in self._fleet.processes.items()}
-            if self._clock() - told_at >= PROGRESS_SECONDS:
-                told_at = self._clock()
-                self._report_progress(told_at)
+            if self._clock() - reported_at >= PROGRESS_SECONDS:
+                reported_at = self._clock()
+                self._report_progress(reported_at)
 
     def _report_progress(self, now: float) -> None:
         counts = Counter(each.outcome.value for each in self.history.requests)
