--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -19,7 +19,7 @@
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again."""
 MIN_HEALTHY_BALANCERS = 2
-CONTROLS_OUT_AT_ONCE = 1
+MAX_IMPAIRED_CONTROLS = 1
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
             case TargetGroup.BALANCER:
                 return len(self.facts.balancers) - len(out) >= MIN_HEALTHY_BALANCERS
             case TargetGroup.CONTROL:
-                return len(out) <= CONTROLS_OUT_AT_ONCE
+                return len(out) <= MAX_IMPAIRED_CONTROLS
             case TargetGroup.HOST:
                 hosts = next(h for h in self.facts.hosts.values() if target in h)
                 return len(out & set(hosts)) <= max(1, len(hosts) // 2)
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -9,9 +9,9 @@
 from jasperwalk_lab.chaos.faults import SHAPES, TargetGroup
 from jasperwalk_lab.chaos.report import MIN_FAULT_KINDS
 from jasperwalk_lab.chaos.schedule import (
-    CONTROLS_OUT_AT_ONCE,
     FIRST_FAULT_SECONDS,
     LAST_FAULT_BEFORE_END_SECONDS,
+    MAX_IMPAIRED_CONTROLS,
     MIN_HEALTHY_BALANCERS,
     TWICE_DELAY_SECONDS,
     FleetFacts,
@@ -48,7 +48,7 @@
     service_of = {host: name for name, hosts in FACTS.hosts.items() for host in hosts}
     most = {
         TargetGroup.BALANCER: len(FACTS.balancers) - MIN_HEALTHY_BALANCERS,
-        TargetGroup.CONTROL: CONTROLS_OUT_AT_ONCE,
+        TargetGroup.CONTROL: MAX_IMPAIRED_CONTROLS,
     }
     for moment in (fault.at for fault in planned):
         out = [
