--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -209,9 +209,9 @@
 
     def _report_progress(self, now: float) -> None:
         counts = Counter(each.outcome.value for each in self.history.requests)
-        told = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+        summary = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         faults = "; ".join(self._injector.now) or "none"
-        self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {told}  faults now: {faults}")
+        self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {summary}  faults now: {faults}")
 
     def _record_resources(self) -> None:
         for name, process in self._fleet.processes.items():
