--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -11,7 +11,7 @@
 LAST_FAULT_BEFORE_END_SECONDS = 6.0
 GAP_SECONDS = (0.8, 2.2)
 """Shortest and longest time between two strikes."""
-TOGETHER_SHARE = 0.35
+SIMULTANEOUS_SHARE = 0.35
 """Share of strikes that are two faults at once."""
 TWICE_SHARE = 0.15
 """Share of faults that strike a second target of the same kind a moment later."""
@@ -98,7 +98,7 @@
     deck: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        for _ in range(2 if generator.random() < TOGETHER_SHARE else 1):
+        for _ in range(2 if generator.random() < SIMULTANEOUS_SHARE else 1):
             _strike(draft, deck, at, generator)
         at += generator.uniform(*GAP_SECONDS)
     return sorted(draft.planned, key=lambda fault: (fault.at, fault.target))
