--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -13,7 +13,7 @@
 """Shortest and longest time between two strikes."""
 SIMULTANEOUS_SHARE = 0.35
 """Share of strikes that are two faults at once."""
-TWICE_SHARE = 0.15
+REPEATED_SHARE = 0.15
 """Share of faults that strike a second target of the same kind a moment later."""
 TWICE_DELAY_SECONDS = 0.4
 SETTLE_SECONDS = 3.0
@@ -113,7 +113,7 @@
         if not _plan(draft, kind, at, generator):
             continue
         del deck[position]
-        if generator.random() < TWICE_SHARE:
+        if generator.random() < REPEATED_SHARE:
             _plan(draft, kind, at + TWICE_DELAY_SECONDS, generator)
         return
 
