--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -101,8 +101,8 @@
         inside = [
             each for each in self.balancers if self._misses.get(each.name, 0) < MAX_MISSED_POLLS
         ]
-        near = [each for each in inside if zone in ("", each.zone)]
-        places = near or inside or self.balancers
+        same_zone = [each for each in inside if zone in ("", each.zone)]
+        places = same_zone or inside or self.balancers
         return max(places, key=lambda each: crc32(key + each.name.encode()))
 
 
