--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -15,7 +15,7 @@
 """Share of strikes that are two faults at once."""
 REPEATED_SHARE = 0.15
 """Share of faults that strike a second target of the same kind a moment later."""
-TWICE_DELAY_SECONDS = 0.4
+REPEAT_DELAY_SECONDS = 0.4
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again."""
 MIN_HEALTHY_BALANCERS = 2
@@ -114,7 +114,7 @@
             continue
         del deck[position]
         if generator.random() < REPEATED_SHARE:
-            _plan(draft, kind, at + TWICE_DELAY_SECONDS, generator)
+            _plan(draft, kind, at + REPEAT_DELAY_SECONDS, generator)
         return
 
 
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -13,7 +13,7 @@
     LAST_FAULT_BEFORE_END_SECONDS,
     MAX_IMPAIRED_CONTROLS,
     MIN_HEALTHY_BALANCERS,
-    TWICE_DELAY_SECONDS,
+    REPEAT_DELAY_SECONDS,
     FleetFacts,
     plan_faults,
 )
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_plan_keeps_its_times_and_has_kinds_enough(seed):
     planned = plan_faults(FACTS, SECONDS, seed)
-    latest = SECONDS - LAST_FAULT_BEFORE_END_SECONDS + TWICE_DELAY_SECONDS
+    latest = SECONDS - LAST_FAULT_BEFORE_END_SECONDS + REPEAT_DELAY_SECONDS
     assert all(FIRST_FAULT_SECONDS <= fault.at <= latest for fault in planned)
     assert planned == sorted(planned, key=lambda fault: (fault.at, fault.target))
     assert len({fault.kind for fault in planned}) >= MIN_FAULT_KINDS
