--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -42,7 +42,7 @@
     def free_targets(self, kind: FaultKind, at: float, seconds: float) -> list[str]:
         """List the targets that `kind` may strike at `at`."""
         shape = SHAPES[kind]
-        free = [t for t in self._targets(shape.group) if not self._touched(t, at, seconds)]
+        free = [t for t in self._targets(shape.group) if not self._is_targeted(t, at, seconds)]
         if not shape.impairs:
             return free
         return [target for target in free if self._bearable(shape, target, at, seconds)]
@@ -61,7 +61,7 @@
     def _used(self, target: str) -> bool:
         return any(fault.target == target for fault in self.planned)
 
-    def _touched(self, target: str, at: float, seconds: float) -> bool:
+    def _is_targeted(self, target: str, at: float, seconds: float) -> bool:
         return any(
             fault.target == target and _overlap(fault, at, seconds, SETTLE_SECONDS)
             for fault in self.planned
