--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -215,7 +215,7 @@
     async def _start_surge(self, fault: PlannedFault) -> None:
         await self._surge_callers.surge(Surge.parse(fault.target), fault.seconds)
 
-    async def _slow_host(self, fault: PlannedFault) -> None:
+    async def _slow_down_host(self, fault: PlannedFault) -> None:
         host = self._hosts.beside(fault.target)
         host.service_time_factor = SLOW_HOST_FACTOR
         await asyncio.sleep(fault.seconds)
@@ -273,7 +273,7 @@
         FaultKind.CALLERS_RUSH: _start_surge,
         FaultKind.CONTROL_LINKS_ABANDONED: _abandon_links,
         FaultKind.HOST_SPEAKS_LATE: _deliver_late_announcement,
-        FaultKind.HOST_SLOW: _slow_host,
+        FaultKind.HOST_SLOW: _slow_down_host,
         FaultKind.ALL_KILLED: _kill_all,
         FaultKind.HOST_STARTED_AGAIN: _start_host_again,
         FaultKind.HOST_IMPERSONATED: _impersonate_host,
