--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -67,7 +67,7 @@
             for fault in self.planned
         )
 
-    def _out(self, group: TargetGroup, at: float, seconds: float) -> set[str]:
+    def _impaired(self, group: TargetGroup, at: float, seconds: float) -> set[str]:
         """Return the targets of a group that are out of service for some of that time."""
         return {
             fault.target
@@ -78,7 +78,7 @@
         }
 
     def _bearable(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
-        out = self._out(shape.group, at, seconds) | {target}
+        out = self._impaired(shape.group, at, seconds) | {target}
         match shape.group:
             case TargetGroup.BALANCER:
                 return len(self.facts.balancers) - len(out) >= MIN_HEALTHY_BALANCERS
