--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -90,9 +90,11 @@
             route_of,
             self._rng,
         )
-        normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
+        normal_requests_per_second = (
+            size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
+        )
         surge_callers = SurgeCallers(
-            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._rng
+            self._callers.request_once, ROUTES, ZONES, normal_requests_per_second, self._rng
         )
         self._operators = Operators(
             fleet.replicas(), _configuration, self._clock, self.history, self._rng
--- a/src/jasperwalk_lab/soak/surges.py
+++ b/src/jasperwalk_lab/soak/surges.py
@@ -30,13 +30,13 @@
         request_once: RequestOnce,
         routes: Sequence[SoakRoute],
         zones: Sequence[str],
-        normal_per_second: float,
+        normal_requests_per_second: float,
         rng: random.Random,
     ) -> None:
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
-        self._per_second = min(SURGE_FACTOR * normal_per_second, MAX_REQUESTS_PER_SECOND)
+        self._per_second = min(SURGE_FACTOR * normal_requests_per_second, MAX_REQUESTS_PER_SECOND)
         self._rng = rng
 
     async def surge(self, surge: Surge, seconds: float) -> None:
