--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -78,15 +78,15 @@
         }
 
     def _bearable(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
-        out = self._impaired(shape.group, at, seconds) | {target}
+        impaired = self._impaired(shape.group, at, seconds) | {target}
         match shape.group:
             case TargetGroup.BALANCER:
-                return len(self.facts.balancers) - len(out) >= MIN_HEALTHY_BALANCERS
+                return len(self.facts.balancers) - len(impaired) >= MIN_HEALTHY_BALANCERS
             case TargetGroup.CONTROL:
-                return len(out) <= MAX_IMPAIRED_CONTROLS
+                return len(impaired) <= MAX_IMPAIRED_CONTROLS
             case TargetGroup.HOST:
                 hosts = next(h for h in self.facts.hosts.values() if target in h)
-                return len(out & set(hosts)) <= max(1, len(hosts) // 2)
+                return len(impaired & set(hosts)) <= max(1, len(hosts) // 2)
             case TargetGroup.SPARE:
                 return True
 
