--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -132,7 +132,7 @@
         for agent in self._fleet.hosts:
             await self._hosts.start(agent, is_cold=False)
         await self._operators.configure()
-        await self._until_ready()
+        await self._wait_until_ready()
         self._began_at = time.monotonic()
         self._discard_startup()
         background = [
@@ -169,7 +169,7 @@
         for host in self._hosts.all():
             host.started_at = -COLD_SECONDS
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         caller = HttpCaller()
         async with asyncio.timeout(READY_SECONDS):
             for place in self._fleet.balancers:
