--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -45,7 +45,7 @@
         free = [t for t in self._targets(shape.group) if not self._is_targeted(t, at, seconds)]
         if not shape.impairs:
             return free
-        return [target for target in free if self._bearable(shape, target, at, seconds)]
+        return [target for target in free if self._is_within_limits(shape, target, at, seconds)]
 
     def _targets(self, group: TargetGroup) -> list[str]:
         match group:
@@ -77,7 +77,7 @@
             and _overlap(fault, at, seconds, SETTLE_SECONDS)
         }
 
-    def _bearable(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
+    def _is_within_limits(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
         impaired = self._impaired(shape.group, at, seconds) | {target}
         match shape.group:
             case TargetGroup.BALANCER:
