--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -99,12 +99,12 @@
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         for _ in range(2 if generator.random() < SIMULTANEOUS_SHARE else 1):
-            _strike(draft, deck, at, generator)
+            _plan_next(draft, deck, at, generator)
         at += generator.uniform(*GAP_SECONDS)
     return sorted(draft.planned, key=lambda fault: (fault.at, fault.target))
 
 
-def _strike(draft: _Draft, deck: list[FaultKind], at: float, generator: random.Random) -> None:
+def _plan_next(draft: _Draft, deck: list[FaultKind], at: float, generator: random.Random) -> None:
     """Plan the next fault of the deck that fits at `at`, now and then twice."""
     if not deck:
         deck.extend(FaultKind)
