--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -95,24 +95,26 @@
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     generator = random.Random(seed)
     draft = _Draft(facts)
-    deck: list[FaultKind] = []
+    remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         for _ in range(2 if generator.random() < SIMULTANEOUS_SHARE else 1):
-            _plan_next(draft, deck, at, generator)
+            _plan_next(draft, remaining_kinds, at, generator)
         at += generator.uniform(*GAP_SECONDS)
     return sorted(draft.planned, key=lambda fault: (fault.at, fault.target))
 
 
-def _plan_next(draft: _Draft, deck: list[FaultKind], at: float, generator: random.Random) -> None:
+def _plan_next(
+    draft: _Draft, remaining_kinds: list[FaultKind], at: float, generator: random.Random
+) -> None:
     """Plan the next fault of the deck that fits at `at`, now and then twice."""
-    if not deck:
-        deck.extend(FaultKind)
-        generator.shuffle(deck)
-    for position, kind in enumerate(deck):
+    if not remaining_kinds:
+        remaining_kinds.extend(FaultKind)
+        generator.shuffle(remaining_kinds)
+    for position, kind in enumerate(remaining_kinds):
         if not _plan(draft, kind, at, generator):
             continue
-        del deck[position]
+        del remaining_kinds[position]
         if generator.random() < REPEATED_SHARE:
             _plan(draft, kind, at + REPEAT_DELAY_SECONDS, generator)
         return
