--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -46,7 +46,7 @@
 def test_no_more_is_out_of_service_than_the_fleet_can_bear(seed):
     planned = plan_faults(FACTS, SECONDS, seed)
     service_of = {host: name for name, hosts in FACTS.hosts.items() for host in hosts}
-    most = {
+    limits = {
         TargetGroup.BALANCER: len(FACTS.balancers) - MIN_HEALTHY_BALANCERS,
         TargetGroup.CONTROL: MAX_IMPAIRED_CONTROLS,
     }
@@ -57,7 +57,7 @@
             if SHAPES[fault.kind].impairs and fault.at <= moment < fault.at + fault.seconds
         ]
         assert len({fault.target for fault in out}) == len(out)
-        for group, limit in most.items():
+        for group, limit in limits.items():
             assert sum(SHAPES[fault.kind].group is group for fault in out) <= limit
         hosts = Counter(service_of[f.target] for f in out if f.target in service_of)
         assert all(count <= len(FACTS.hosts[name]) // 2 for name, count in hosts.items())
