--- a/scripts/platform_days.py
+++ b/scripts/platform_days.py
@@ -27,7 +27,7 @@
 BROKEN = re.compile(r"BROKEN: (?P<rules>.*)$")
 NOT_OPEN = "is not open"
 """What the bench says of a kind of trouble that a site does not know."""
-LONGEST_RUN_SECONDS = 550
+MAX_RUN_SECONDS = 550
 SEED = 20261202
 
 
@@ -75,7 +75,7 @@
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=LONGEST_RUN_SECONDS,
+            timeout=MAX_RUN_SECONDS,
             check=False,
         )
     except subprocess.TimeoutExpired:
