--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -14,7 +14,7 @@
 import pytest
 
 LIST_PATH = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
 SEPARATOR = " | "
 FIELDS = 3
 
@@ -36,8 +36,8 @@
     """Parse the list; raise `KnownRedListError` for a malformed or overlong one."""
     lines = [line.strip() for line in text.splitlines()]
     entries = [_parse_line(line) for line in lines if line and not line.startswith("#")]
-    if len(entries) > MOST_ENTRIES:
-        raise KnownRedListError(f"KNOWN-RED.txt lists {len(entries)}; at most {MOST_ENTRIES}")
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedListError(f"KNOWN-RED.txt lists {len(entries)}; at most {MAX_ENTRIES}")
     return entries
 
 
