--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -64,11 +64,11 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Leave the listed tests out of the run."""
     listed = {entry.test for entry in config.stash[ENTRIES]}
-    passed_over = [item for item in items if item.nodeid in listed]
-    if not passed_over:
+    deselected = [item for item in items if item.nodeid in listed]
+    if not deselected:
         return
     items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(
