--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -98,11 +98,11 @@
         """
         if last is not None and self.exists(last.name):
             return last
-        inside = [
+        reachable = [
             each for each in self.balancers if self._misses.get(each.name, 0) < MAX_MISSED_POLLS
         ]
-        same_zone = [each for each in inside if zone in ("", each.zone)]
-        places = same_zone or inside or self.balancers
+        same_zone = [each for each in reachable if zone in ("", each.zone)]
+        places = same_zone or reachable or self.balancers
         return max(places, key=lambda each: crc32(key + each.name.encode()))
 
 
