--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -58,9 +58,9 @@
     if (example is None) == (fleet_folder is None):
         raise click.UsageError("give either --example or --fleet")
     if fleet_folder is not None:
-        places = read_listeners(fleet_folder)
-        profile = _profile(places.example, seconds, rate)
-        result = run_stoppable(_run(places, profile, seed))
+        fleet_listeners = read_listeners(fleet_folder)
+        profile = _profile(fleet_listeners.example, seconds, rate)
+        result = run_stoppable(_run(fleet_listeners, profile, seed))
     else:
         name = str(example)
         options = FleetOptions(service_time_ms=service_time_ms, service_time_varies=True)
@@ -85,11 +85,11 @@
         return await _run(listeners_of(fleet), profile, seed)
 
 
-async def _run(places: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
+async def _run(fleet_listeners: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
     # A part of the name is drawn anew, as back ends remember the identities of earlier loads.
     name = f"load{seed}-{random.SystemRandom().randrange(RUN_NAME_LIMIT):x}"
-    caller = Caller(name, Path(places.ca_file), CallHistory())
-    loop = OpenLoop(caller, places, profile, seed, _progress)
+    caller = Caller(name, Path(fleet_listeners.ca_file), CallHistory())
+    loop = OpenLoop(caller, fleet_listeners, profile, seed, _progress)
     try:
         await loop.open_flows()
         return await loop.run()
