--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -29,7 +29,7 @@
 """What a sweep prints of a site that names no target."""
 TARGET_MACHINES = 14_750
 """Own machines at letter 1's size, as the sites name them that do."""
-MIN_POWER, HIGHEST_POWER = 0.0, 2.0
+MIN_POWER, MAX_POWER = 0.0, 2.0
 """Powers with which a figure is carried on, as the bench does it."""
 SIGNIFICANT_DIGITS = 3
 BROKEN = "BROKEN"
@@ -149,7 +149,7 @@
 
 def carry_on(busiest: float, power: float, machines: int) -> float:
     """Return a figure at the target's size from the one at the largest size played."""
-    bounded_power = min(max(power, MIN_POWER), HIGHEST_POWER)
+    bounded_power = min(max(power, MIN_POWER), MAX_POWER)
     carried = busiest * (TARGET_MACHINES / machines) ** bounded_power
     return float(f"{carried:.{SIGNIFICANT_DIGITS}g}")
 
