--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -147,7 +147,7 @@
     return Sweep(entry, site, machines, tuple(days), figures)
 
 
-def carry_on(busiest: float, power: float, machines: int) -> float:
+def extrapolate(busiest: float, power: float, machines: int) -> float:
     """Return a figure at the target's size from the one at the largest size played."""
     bounded_power = min(max(power, MIN_POWER), MAX_POWER)
     carried = busiest * (TARGET_MACHINES / machines) ** bounded_power
@@ -164,7 +164,7 @@
         busiest = tuple(float(pair.split(" / ")[1]) for pair in re.findall(PAIR, row["pairs"]))
         power, at_target = float(numbers[0]), numbers[1]
         is_told = at_target != "-"
-        carried = float(at_target) if is_told else carry_on(busiest[-1], power, largest)
+        carried = float(at_target) if is_told else extrapolate(busiest[-1], power, largest)
         yield SweptFigure(row["name"], busiest, power, carried)
 
 
