--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -150,8 +150,8 @@
 def extrapolate(busiest: float, power: float, machines: int) -> float:
     """Return a figure at the target's size from the one at the largest size played."""
     bounded_power = min(max(power, MIN_POWER), MAX_POWER)
-    carried = busiest * (TARGET_MACHINES / machines) ** bounded_power
-    return float(f"{carried:.{SIGNIFICANT_DIGITS}g}")
+    extrapolated = busiest * (TARGET_MACHINES / machines) ** bounded_power
+    return float(f"{extrapolated:.{SIGNIFICANT_DIGITS}g}")
 
 
 def _figures(lines: Iterable[str], largest: int) -> Iterable[SweptFigure]:
@@ -164,8 +164,8 @@
         busiest = tuple(float(pair.split(" / ")[1]) for pair in re.findall(PAIR, row["pairs"]))
         power, at_target = float(numbers[0]), numbers[1]
         is_told = at_target != "-"
-        carried = float(at_target) if is_told else extrapolate(busiest[-1], power, largest)
-        yield SweptFigure(row["name"], busiest, power, carried)
+        extrapolated = float(at_target) if is_told else extrapolate(busiest[-1], power, largest)
+        yield SweptFigure(row["name"], busiest, power, extrapolated)
 
 
 def _days(lines: Iterable[str]) -> Iterable[SweptDay]:
