--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -163,8 +163,8 @@
         numbers = row["rest"].split()
         busiest = tuple(float(pair.split(" / ")[1]) for pair in re.findall(PAIR, row["pairs"]))
         power, at_target = float(numbers[0]), numbers[1]
-        is_told = at_target != "-"
-        extrapolated = float(at_target) if is_told else extrapolate(busiest[-1], power, largest)
+        is_printed = at_target != "-"
+        extrapolated = float(at_target) if is_printed else extrapolate(busiest[-1], power, largest)
         yield SweptFigure(row["name"], busiest, power, extrapolated)
 
 
