--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -152,7 +152,7 @@
     return 0.0
 
 
-def room(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
+def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
     """Return the slots of a service that do useful work at a time."""
     for fault in faults:
         if fault.holds(now) and fault.service in ("", service):
@@ -172,7 +172,7 @@
                 ledger.owe(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
-            slots = room(service, site.slots[service], day.faults, now)
+            slots = available_slots(service, site.slots[service], day.faults, now)
             backlog.serve(slots * step_seconds, now, ledger)
     return ledger.ideal()
 
--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -11,12 +11,12 @@
     Kind,
     Site,
     Stream,
+    available_slots,
     ideal,
     lost_share,
     main,
     rate,
     read_day,
-    room,
 )
 
 DAYS = ROOT / "experiments" / "platform"
@@ -112,9 +112,9 @@
 def test_faults_of_hosts_cost_room(fault, lost):
     assert lost_share(fault) == pytest.approx(lost)
     holding = msgspec.structs.replace(fault, at=1.0, for_s=2.0, service="web")
-    assert room("web", 10.0, [holding], 2.0) == pytest.approx(10.0 * (1 - lost))
-    assert room("export", 10.0, [holding], 2.0) == 10.0
-    assert room("web", 10.0, [holding], 3.0) == 10.0
+    assert available_slots("web", 10.0, [holding], 2.0) == pytest.approx(10.0 * (1 - lost))
+    assert available_slots("export", 10.0, [holding], 2.0) == 10.0
+    assert available_slots("web", 10.0, [holding], 3.0) == 10.0
 
 
 def test_a_day_file_is_read_with_its_rates_by_kind_and_zone():
