--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -94,7 +94,7 @@
     """Requests of one kind that came in one step, and how many of them still wait."""
 
     kind: Kind
-    came_at: float
+    arrived_at: float
     window: int
     name: str
     waiting: float
@@ -236,10 +236,12 @@
     def _expire(self, now: float) -> None:
         """Move on what would be late by now, and forget what would be over its limit."""
         for name, queue in self._in_time.items():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.objective:
+            while (
+                queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.objective
+            ):
                 self._late[name].append(queue.popleft())
         for queue in self._late.values():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.limit:
+            while queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.limit:
                 queue.popleft()
 
 
