--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -28,7 +28,7 @@
 WORST_WINDOWS = 2
 DOWN_SHARE_OF_FLAPPING = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
-LEAST_REQUESTS = 1e-9
+MIN_REQUESTS = 1e-9
 SHOWN_BELOW = 0.995
 """Windows of less worth are printed."""
 BURST = "burst"
@@ -247,13 +247,13 @@
 
 def _spend(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
     """Serve a queue from its oldest on; return what room is left."""
-    while queue and slot_seconds > LEAST_REQUESTS:
+    while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
         ledger.earn(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
-        if cohort.waiting > LEAST_REQUESTS:
+        if cohort.waiting > MIN_REQUESTS:
             break
         queue.popleft()
     return slot_seconds
