--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -34,7 +34,7 @@
 BURST = "burst"
 
 
-class Kind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
     """A kind of request; seconds of a slot and of its caller, and its worth in time and late."""
 
     service: str
@@ -51,7 +51,7 @@
     traffic: float
     seconds: float
     slots: dict[str, float]
-    kinds: dict[str, Kind]
+    kinds: dict[str, RequestKind]
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -93,7 +93,7 @@
 class Cohort:
     """Requests of one kind that came in one step, and how many of them still wait."""
 
-    kind: Kind
+    kind: RequestKind
     arrived_at: float
     window: int
     name: str
--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -8,7 +8,7 @@
     ROOT,
     Day,
     Fault,
-    Kind,
+    RequestKind,
     Site,
     Stream,
     available_slots,
@@ -20,7 +20,7 @@
 )
 
 DAYS = ROOT / "experiments" / "platform"
-WEB = Kind("web", work=0.1, objective=0.5, limit=2.0, worth=1.0, late_worth=0.25)
+WEB = RequestKind("web", work=0.1, objective=0.5, limit=2.0, worth=1.0, late_worth=0.25)
 URGENT = msgspec.structs.replace(WEB, worth=2.0, late_worth=0.5)
 
 
