--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -231,7 +231,7 @@
         ]
         queues.sort(key=lambda each: each[1] / each[0][0].kind.work, reverse=True)
         for queue, worth in queues:
-            slot_seconds = _spend(queue, worth, slot_seconds, ledger)
+            slot_seconds = _serve_queue(queue, worth, slot_seconds, ledger)
 
     def _expire(self, now: float) -> None:
         """Move on what would be late by now, and forget what would be over its limit."""
@@ -245,7 +245,7 @@
                 queue.popleft()
 
 
-def _spend(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
+def _serve_queue(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
     """Serve a queue from its oldest on; return what room is left."""
     while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
