--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -26,7 +26,7 @@
 STEP_SECONDS = 0.02
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
-DOWN_SHARE_OF_FLAPPING = 0.5
+FLAPPING_DOWN_SHARE = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
 MIN_REQUESTS = 1e-9
 SHOWN_BELOW = 0.995
@@ -144,7 +144,7 @@
 def lost_share(fault: Fault) -> float:
     """Return the part of a service's room that a fault of its hosts costs while it holds."""
     if fault.kind == "srv_flap":
-        return fault.share * DOWN_SHARE_OF_FLAPPING
+        return fault.share * FLAPPING_DOWN_SHARE
     if fault.kind == "srv_slow" or (fault.kind == "srv_grey" and fault.how == "slow"):
         return fault.share * (1.0 - 1.0 / fault.x)
     if fault.kind == "srv_grey":
