--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -75,7 +75,7 @@
     zone: str = ""
     kind_of_request: str = ""
 
-    def holds(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether it holds at a time."""
         return self.at <= now < self.at + self.for_s
 
@@ -136,7 +136,7 @@
     for fault in faults:
         is_of_kind = fault.kind_of_request in ("", stream.kind)
         is_of_zone = fault.zone in ("", stream.zone)
-        if fault.kind == BURST and fault.holds(now) and is_of_kind and is_of_zone:
+        if fault.kind == BURST and fault.is_active(now) and is_of_kind and is_of_zone:
             factor *= fault.x
     return stream.per_second * factor
 
@@ -155,7 +155,7 @@
 def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
     """Return the slots of a service that do useful work at a time."""
     for fault in faults:
-        if fault.holds(now) and fault.service in ("", service):
+        if fault.is_active(now) and fault.service in ("", service):
             slots *= 1.0 - lost_share(fault)
     return slots
 
