--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -29,7 +29,7 @@
 FLAPPING_DOWN_SHARE = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
 MIN_REQUESTS = 1e-9
-SHOWN_BELOW = 0.995
+SHOWN_WORTH_BELOW = 0.995
 """Windows of less worth are printed."""
 BURST = "burst"
 
@@ -267,7 +267,7 @@
         f"worst two windows {best.worst_windows():.3f}"
     ]
     for number, worth in enumerate(best.windows):
-        if worth < SHOWN_BELOW:
+        if worth < SHOWN_WORTH_BELOW:
             begins_at = number * WINDOW_SECONDS
             lines.append(f"  {begins_at:5.1f} to {begins_at + WINDOW_SECONDS:5.1f} s  {worth:.3f}")
     return "\n".join(lines)
