--- a/bench/running.py
+++ b/bench/running.py
@@ -18,7 +18,7 @@
 WARM_UP_SECONDS = 0.1
 GENERATORS = 2
 """Sending processes: one alone does not keep the bare forwarder busy."""
-MOST_DATAGRAMS = 2_000_000
+MAX_DATAGRAMS = 2_000_000
 """Bound on what one generator sends."""
 LONGEST_CASE_SECONDS = 20.0
 
@@ -126,7 +126,7 @@
     processes = [
         spawning.Process(
             target=generate,
-            args=(traffic, sink, target, stop, index * MOST_DATAGRAMS, MOST_DATAGRAMS),
+            args=(traffic, sink, target, stop, index * MAX_DATAGRAMS, MAX_DATAGRAMS),
             daemon=True,
         )
         for index in range(GENERATORS)
