--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -44,7 +44,7 @@
 POOL_SIZE = 4096
 """Datagrams that a generator prepares and repeats."""
 FLOOD_BURST_LENGTH = 500
-MOST_FLOOD_DATAGRAMS = 10_000_000
+MAX_FLOOD_DATAGRAMS = 10_000_000
 BURST_LENGTH = 20
 """Datagrams that an even generator sends between two sleeps."""
 
@@ -183,7 +183,7 @@
     """Send Initials of new flows until `stop` is set; keep count in `sent`."""
     send = _sender(target)
     source = datagrams(TrafficClass.NEW, agent, 0)
-    for _ in range(MOST_FLOOD_DATAGRAMS // FLOOD_BURST_LENGTH):
+    for _ in range(MAX_FLOOD_DATAGRAMS // FLOOD_BURST_LENGTH):
         for datagram in itertools.islice(source, FLOOD_BURST_LENGTH):
             send(datagram)
         sent.value += FLOOD_BURST_LENGTH
