--- a/bench/balancer.py
+++ b/bench/balancer.py
@@ -13,7 +13,7 @@
 from bench.forwarders import ReaderKind, make_core, run_balancer_loop, run_bare
 from bench.harness import MEBIBYTE, MICROSECONDS, Figure
 from bench.running import (
-    LONGEST_CASE_SECONDS,
+    MAX_CASE_SECONDS,
     WARM_UP_SECONDS,
     Forwarder,
     Rate,
@@ -127,7 +127,7 @@
     with running_forwarder(run_balancer_loop, sink, ReaderKind.DIRECT_SOCKET) as loop:
         balancer_round(loop, sink, TrafficClass.ESTABLISHED)
         before = loop.snapshot()
-        give_up_at = time.monotonic() + LONGEST_CASE_SECONDS
+        give_up_at = time.monotonic() + MAX_CASE_SECONDS
         with running_traffic(TrafficClass.DISTINCT_FLOWS, sink, loop.endpoint):
             after = loop.snapshot()
             while after.established - before.established < DISTINCT_FLOWS:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,7 +17,7 @@
 from bench.forwarders import LIMITED_FLOWS_PER_SECOND, ReaderKind, run_balancer_loop
 from bench.harness import Figure, spawning
 from bench.running import (
-    LONGEST_CASE_SECONDS,
+    MAX_CASE_SECONDS,
     Forwarder,
     await_traffic,
     balancer_round,
@@ -99,7 +99,7 @@
             target=generate_evenly, args=(*arguments, ESTABLISHED_COUNT, ESTABLISHED_PER_SECOND)
         )
         process.start()
-        process.join(LONGEST_CASE_SECONDS)
+        process.join(MAX_CASE_SECONDS)
         assert process.exitcode == 0, process.exitcode
         time.sleep(SETTLING_SECONDS)
         seconds, offered = time.monotonic() - started, sent() - sent_before
@@ -127,7 +127,7 @@
     finally:
         stop.set()
         for process in processes:
-            process.join(LONGEST_CASE_SECONDS)
+            process.join(MAX_CASE_SECONDS)
             if process.is_alive():
                 process.kill()
                 process.join()
--- a/bench/running.py
+++ b/bench/running.py
@@ -20,7 +20,7 @@
 """Sending processes: one alone does not keep the bare forwarder busy."""
 MAX_DATAGRAMS = 2_000_000
 """Bound on what one generator sends."""
-LONGEST_CASE_SECONDS = 20.0
+MAX_CASE_SECONDS = 20.0
 
 
 @dataclass(frozen=True)
@@ -59,7 +59,7 @@
 
     def receive(self) -> Snapshot:
         """Wait for a snapshot."""
-        if not self.control.poll(LONGEST_CASE_SECONDS):
+        if not self.control.poll(MAX_CASE_SECONDS):
             raise TimeoutError("a forwarder did not answer")
         snapshot = self.control.recv()
         assert isinstance(snapshot, Snapshot)
@@ -77,7 +77,7 @@
 
 def await_traffic(forwarder: Forwarder) -> None:
     """Wait until the generator, which takes a while to start, is heard."""
-    give_up_at = time.monotonic() + LONGEST_CASE_SECONDS
+    give_up_at = time.monotonic() + MAX_CASE_SECONDS
     waiting = forwarder.snapshot().handled
     while forwarder.snapshot().handled == waiting:
         if time.monotonic() > give_up_at:
@@ -107,7 +107,7 @@
     process = spawning.Process(target=target, args=(theirs, sink, argument), daemon=True)
     process.start()
     try:
-        if not ours.poll(LONGEST_CASE_SECONDS):
+        if not ours.poll(MAX_CASE_SECONDS):
             raise TimeoutError("a forwarder did not start")
         endpoint = ours.recv()
         yield Forwarder(control=ours, endpoint=endpoint)
@@ -138,7 +138,7 @@
     finally:
         stop.set()
         for process in processes:
-            process.join(LONGEST_CASE_SECONDS)
+            process.join(MAX_CASE_SECONDS)
             if process.is_alive():
                 process.kill()
                 process.join()
