--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -153,12 +153,12 @@
     target: Endpoint,
     stop: ProcessEvent,
     first: int,
-    most: int,
+    max_count: int,
 ) -> None:
-    """Send datagrams to `target` until `stop` is set, and at most `most` of them."""
+    """Send datagrams to `target` until `stop` is set, and at most `max_count` of them."""
     send = _sender(target)
     source = datagrams(traffic, agent, first)
-    for _ in range(most // POOL_SIZE):
+    for _ in range(max_count // POOL_SIZE):
         for datagram in itertools.islice(source, POOL_SIZE):
             send(datagram)
         if stop.is_set():
