--- a/bench/balancer.py
+++ b/bench/balancer.py
@@ -127,11 +127,11 @@
     with running_forwarder(run_balancer_loop, sink, ReaderKind.DIRECT_SOCKET) as loop:
         balancer_round(loop, sink, TrafficClass.ESTABLISHED)
         before = loop.snapshot()
-        give_up_at = time.monotonic() + MAX_CASE_SECONDS
+        deadline = time.monotonic() + MAX_CASE_SECONDS
         with running_traffic(TrafficClass.DISTINCT_FLOWS, sink, loop.endpoint):
             after = loop.snapshot()
             while after.established - before.established < DISTINCT_FLOWS:
-                if time.monotonic() > give_up_at:
+                if time.monotonic() > deadline:
                     raise TimeoutError("too few distinct flows were forwarded")
                 time.sleep(WARM_UP_SECONDS)
                 after = loop.snapshot()
--- a/bench/running.py
+++ b/bench/running.py
@@ -77,10 +77,10 @@
 
 def await_traffic(forwarder: Forwarder) -> None:
     """Wait until the generator, which takes a while to start, is heard."""
-    give_up_at = time.monotonic() + MAX_CASE_SECONDS
+    deadline = time.monotonic() + MAX_CASE_SECONDS
     waiting = forwarder.snapshot().handled
     while forwarder.snapshot().handled == waiting:
-        if time.monotonic() > give_up_at:
+        if time.monotonic() > deadline:
             raise TimeoutError("no datagram reached the forwarder")
         time.sleep(WARM_UP_SECONDS)
 
