--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -118,14 +118,14 @@
     report = reporter.report(links, LEADER, TERM, replica.revision, replica.now)
     reported = time.perf_counter()
     times.report_bytes.append(len(codec.encode(report)))
-    taking = time.perf_counter()
+    merge_started = time.perf_counter()
     assert ledger.record_report(REPLICA, report, replica.now)
     taken = time.perf_counter()
     answer = ledger.in_force(replica.revision, {REPLICA: 0.0}, replica.now)
     counted = time.perf_counter()
     assert answer.complete, answer
     times.report.append(reported - started)
-    times.merge.append(taken - taking)
+    times.merge.append(taken - merge_started)
     times.count.append(counted - taken)
 
 
