--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -120,13 +120,13 @@
     times.report_bytes.append(len(codec.encode(report)))
     merge_started = time.perf_counter()
     assert ledger.record_report(REPLICA, report, replica.now)
-    taken = time.perf_counter()
+    merged = time.perf_counter()
     answer = ledger.in_force(replica.revision, {REPLICA: 0.0}, replica.now)
     counted = time.perf_counter()
     assert answer.complete, answer
     times.report.append(reported - started)
-    times.merge.append(taken - merge_started)
-    times.count.append(counted - taken)
+    times.merge.append(merged - merge_started)
+    times.count.append(counted - merged)
 
 
 def _write(effects: Iterable[PublisherEffect], write: Callable[[bytes], int]) -> list[bytes]:
