--- a/bench/overload.py
+++ b/bench/overload.py
@@ -19,10 +19,10 @@
 from bench.running import (
     MAX_CASE_SECONDS,
     Forwarder,
-    await_traffic,
     balancer_round,
     running_forwarder,
     running_sink,
+    wait_for_traffic,
 )
 from bench.traffic import BURST_LENGTH, TrafficClass, flood, generate_evenly
 from jasperwalk.addresses import Endpoint
@@ -92,7 +92,7 @@
     """Send the established datagrams while so many senders flood."""
     with _flood(sink, loop.endpoint, senders) as sent:
         if senders:
-            await_traffic(loop)
+            wait_for_traffic(loop)
         before, sent_before, started = loop.snapshot(), sent(), time.monotonic()
         arguments = (TrafficClass.ESTABLISHED, sink, loop.endpoint)
         process = spawning.Process(
--- a/bench/running.py
+++ b/bench/running.py
@@ -69,13 +69,13 @@
 def balancer_round(forwarder: Forwarder, sink: Endpoint, traffic: TrafficClass) -> Rate:
     """Measure a running balancer for a window under traffic of one class."""
     with running_traffic(traffic, sink, forwarder.endpoint):
-        await_traffic(forwarder)
+        wait_for_traffic(forwarder)
         before = forwarder.snapshot()
         time.sleep(ROUND_SECONDS)
         return Rate.between(before, forwarder.snapshot())
 
 
-def await_traffic(forwarder: Forwarder) -> None:
+def wait_for_traffic(forwarder: Forwarder) -> None:
     """Wait until the generator, which takes a while to start, is heard."""
     deadline = time.monotonic() + MAX_CASE_SECONDS
     waiting = forwarder.snapshot().handled
