--- a/bench/host_pace.py
+++ b/bench/host_pace.py
@@ -29,13 +29,13 @@
     """Measure everything; takes a few seconds."""
     plain, weighed = _choice_time(False), _choice_time(True)
     return [
-        Figure("host-pace.request.time", _best(_requests), "us"),
+        Figure("host-pace.request.time", _fastest_round(_requests), "us"),
         Figure("host-pace.judgement.time", _evaluation_time(), "us"),
         Figure("host-pace.choice.time", weighed, "us", plain, "by load alone"),
     ]
 
 
-def _best(work: Callable[[], None]) -> float:
+def _fastest_round(work: Callable[[], None]) -> float:
     """Return the microseconds of the fastest round's step; other load only slows rounds down."""
     times = []
     for _ in range(ROUNDS):
@@ -66,7 +66,7 @@
             # Back and forth, so that the same requests stay in the window.
             slow_host.evaluate(start + 2 * SLOWDOWN_CACHE_SECONDS * (number % 2))
 
-    return _best(evaluate)
+    return _fastest_round(evaluate)
 
 
 def _choice_time(weighs_slowdown: bool) -> float:
@@ -82,7 +82,7 @@
         for number, key in enumerate(keys):
             pool.choose(SERVICE, key, (), number / len(keys))
 
-    return _best(choose) * COUNT / len(keys)
+    return _fastest_round(choose) * COUNT / len(keys)
 
 
 def _record(number: int) -> NodeRecord:
