--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -9,7 +9,7 @@
 from jasperwalk_lab.chaos.api import Accepted, ChangeAnswer, Refused
 from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.operators import InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.reach import control_outages, deadline_after
+from jasperwalk_lab.chaos.propagation import control_outages, deadline_after
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 from jasperwalk_lab.simulator.linearizability import (
     AcceptedAt,
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -18,7 +18,7 @@
 from jasperwalk_lab.chaos.leaving import LeavingReport, check_leaving
 from jasperwalk_lab.chaos.observations import Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory
-from jasperwalk_lab.chaos.reach import check_propagation
+from jasperwalk_lab.chaos.propagation import check_propagation
 from jasperwalk_lab.chaos.refusals import check_resent_refusals
 from jasperwalk_lab.chaos.report import (
     ChangeFigures,
