--- a/bench/suites.py
+++ b/bench/suites.py
@@ -14,7 +14,7 @@
     datagrams,
     distribution,
     fair_shares,
-    host_pace,
+    host_service_times,
     overload,
     request_scheduler,
 )
@@ -29,7 +29,7 @@
     "distribution": distribution.measure,
     "datagrams": datagrams.measure,
     "fair-shares": fair_shares.measure,
-    "host-pace": host_pace.measure,
+    "host-pace": host_service_times.measure,
     "request-scheduler": request_scheduler.measure,
 }
 
