--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -30,7 +30,7 @@
     check_in_force,
     check_outcomes_kept,
     check_revisions,
-    measure_leaders,
+    measure_leader_gaps,
     measure_restarts,
 )
 from jasperwalk_lab.simulator.world import World
@@ -205,7 +205,7 @@
             *check_revisions(record),
             *_differing_tables(world),
         ]
-        measure_leaders(record, controls, self._measures)
+        measure_leader_gaps(record, controls, self._measures)
         measure_restarts(record, self._measures)
         for finding in findings:
             world.record_violation(finding)
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -220,7 +220,7 @@
     return max(0.0, next(reached, math.inf) - begin)
 
 
-def measure_leaders(record: Record, controls: list[str], measures: Measures) -> None:
+def measure_leader_gaps(record: Record, controls: list[str], measures: Measures) -> None:
     """Take the times without a leader while a majority of the control machines was well."""
     for gap in record.leader_gaps:
         undisturbed = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
