--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -30,8 +30,8 @@
     check_in_force,
     check_outcomes_kept,
     check_revisions,
+    measure_catch_up,
     measure_leader_gaps,
-    measure_restarts,
 )
 from jasperwalk_lab.simulator.world import World
 
@@ -206,7 +206,7 @@
             *_differing_tables(world),
         ]
         measure_leader_gaps(record, controls, self._measures)
-        measure_restarts(record, self._measures)
+        measure_catch_up(record, self._measures)
         for finding in findings:
             world.record_violation(finding)
 
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -228,7 +228,7 @@
             measures.until_leader_replaced.append(gap.end - gap.begin)
 
 
-def measure_restarts(record: Record, measures: Measures) -> None:
+def measure_catch_up(record: Record, measures: Measures) -> None:
     """Take the times until a restarted balancer or agent had what control had at its start."""
     for restart in record.restarts:
         reached = [
