--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -178,10 +178,10 @@
             ]
             late = [until_accepted + seconds for seconds in times]
             measures.until_no_new_work.append(max([*early, *late], default=0.0))
-        yield from _late_work(drain, times)
+        yield from _check_no_late_work(drain, times)
 
 
-def _late_work(drain: DrainSpan, times: list[float]) -> Iterator[str]:
+def _check_no_late_work(drain: DrainSpan, times: list[float]) -> Iterator[str]:
     late = [seconds for seconds in times if seconds > DRAINED_SECONDS]
     if late:
         yield f"new-work-while-leaving: {drain.host} {max(late):.2f} s after its drain"
