--- a/src/jasperwalk_lab/report/plots.py
+++ b/src/jasperwalk_lab/report/plots.py
@@ -103,7 +103,7 @@
         events = [event for run in runs for event in run.events]
         axes.plot(
             [f"{event.action} {event.target}" for event in events],
-            [_gap_if_none(event.in_force_seconds) for event in events],
+            [_nan_if_none(event.in_force_seconds) for event in events],
             "o",
             label=variant,
         )
@@ -136,6 +136,6 @@
     return text[text.index("<svg") :]
 
 
-def _gap_if_none(seconds: float | None) -> float:
+def _nan_if_none(seconds: float | None) -> float:
     """Return NaN, which leaves a gap in a plot, for a time that is not known."""
     return math.nan if seconds is None else seconds
