--- a/src/jasperwalk_lab/report/page.py
+++ b/src/jasperwalk_lab/report/page.py
@@ -42,7 +42,7 @@
         '<html lang="en"><head><meta charset="utf-8">',
         f"<title>{escape(title)}</title><style>{STYLE}</style></head><body>",
         f"<h1>{escape(title)}</h1><p>{escape(header.question)}</p>",
-        _facts(results),
+        _machine_paragraph(results),
         "<h2>Variants side by side</h2>",
         _comparison(results),
         *_plots(results),
@@ -56,7 +56,7 @@
     return "\n".join(parts)
 
 
-def _facts(results: ExperimentResults) -> str:
+def _machine_paragraph(results: ExperimentResults) -> str:
     header, machine = results.header, results.header.machine
     changed = " with uncommitted changes" if header.uncommitted_changes else ""
     return (
