--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -106,7 +106,7 @@
         for position, each in enumerate(self._operations):
             if done >> position & 1 or each.invoked > horizon:
                 continue
-            following = self._effect(each, state)
+            following = self._state_after(each, state)
             if following is None:
                 continue
             self._order.append(each.name)
@@ -115,7 +115,7 @@
             self._order.pop()
         return False
 
-    def _effect(self, operation: Operation, state: State) -> State | None:
+    def _state_after(self, operation: Operation, state: State) -> State | None:
         """Return the state after an operation; None where its result does not fit."""
         match operation.result:
             case AcceptedAt(revision=revision):
