--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -87,9 +87,9 @@
 
     def run(self, initial: int) -> list[str] | None:
         """Search from the initial revision."""
-        return self._order if self._extend(0, initial) else None
+        return self._order if self._search_from(0, initial) else None
 
-    def _extend(self, done: int, state: State) -> bool:
+    def _search_from(self, done: int, state: State) -> bool:
         if done & self._required == self._required:
             return True
         if (done, state) in self._seen:
@@ -110,7 +110,7 @@
             if following is None:
                 continue
             self._order.append(each.name)
-            if self._extend(done | 1 << position, following):
+            if self._search_from(done | 1 << position, following):
                 return True
             self._order.pop()
         return False
