--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -78,7 +78,7 @@
         self._known_revisions = {
             each.result.revision for each in operations if isinstance(each.result, AcceptedAt)
         }
-        self._seen: set[tuple[int, State]] = set()
+        self._visited: set[tuple[int, State]] = set()
         self._order: list[str] = []
         self._required = 0
         for position, each in enumerate(operations):
@@ -92,9 +92,9 @@
     def _search_from(self, done: int, state: State) -> bool:
         if done & self._required == self._required:
             return True
-        if (done, state) in self._seen:
+        if (done, state) in self._visited:
             return False
-        self._seen.add((done, state))
+        self._visited.add((done, state))
         horizon = min(
             (
                 each.completed
