--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -106,11 +106,11 @@
         for position, each in enumerate(self._operations):
             if done >> position & 1 or each.invoked > horizon:
                 continue
-            following = self._state_after(each, state)
-            if following is None:
+            next_state = self._state_after(each, state)
+            if next_state is None:
                 continue
             self._order.append(each.name)
-            if self._search_from(done | 1 << position, following):
+            if self._search_from(done | 1 << position, next_state):
                 return True
             self._order.pop()
         return False
