--- a/src/jasperwalk_lab/simulator/scenarios.py
+++ b/src/jasperwalk_lab/simulator/scenarios.py
@@ -85,7 +85,7 @@
     return [host for service in layout.services for host in service.hosts()]
 
 
-def _coin(random: Random) -> bool:
+def _random_bool(random: Random) -> bool:
     return bool(random.getrandbits(1))
 
 
@@ -97,7 +97,8 @@
 def _balancers_come_and_go(layout: Layout, random: Random) -> list[Fault]:
     names = _balancers(layout)
     actions: list[FaultAction] = [
-        Kill(random.choice(names), random.uniform(1.0, 5.0), power=_coin(random)) for _ in range(4)
+        Kill(random.choice(names), random.uniform(1.0, 5.0), power=_random_bool(random))
+        for _ in range(4)
     ]
     actions += [Freeze(random.choice(names), random.uniform(1.0, 4.0)), Burst(10)]
     return _spread(random, actions, 12.0)
@@ -132,7 +133,7 @@
     names = _controls(layout)
     first, second, third = random.sample(names, 3)
     return [
-        Fault(0.5, Cut((first,), random.uniform(12.0, 14.0), one_way=_coin(random))),
+        Fault(0.5, Cut((first,), random.uniform(12.0, 14.0), one_way=_random_bool(random))),
         Fault(random.uniform(5.0, 8.0), Kill(third, 1.0)),
         Fault(random.uniform(16.0, 17.0), Cut((second,), random.uniform(4.0, 6.0))),
         Fault(random.uniform(1.0, 9.0), Drain(random.choice(layout.services[0].hosts()), 6.0)),
