--- a/src/jasperwalk_lab/simulator/scenarios.py
+++ b/src/jasperwalk_lab/simulator/scenarios.py
@@ -89,7 +89,7 @@
     return bool(random.getrandbits(1))
 
 
-def _spread(random: Random, actions: list[FaultAction], seconds: float) -> list[Fault]:
+def _at_random_times(random: Random, actions: list[FaultAction], seconds: float) -> list[Fault]:
     faults = [Fault(random.uniform(0.5, seconds), action) for action in actions]
     return sorted(faults, key=lambda fault: fault.at)
 
@@ -101,7 +101,7 @@
         for _ in range(4)
     ]
     actions += [Freeze(random.choice(names), random.uniform(1.0, 4.0)), Burst(10)]
-    return _spread(random, actions, 12.0)
+    return _at_random_times(random, actions, 12.0)
 
 
 def _hosts_leave(layout: Layout, random: Random) -> list[Fault]:
@@ -112,7 +112,7 @@
         Leave(hosts[2], random.uniform(6.0, 8.0)),
         Drain(random.choice(layout.services[1].hosts()), random.uniform(2.0, 5.0), stop=True),
     ]
-    return _spread(random, actions, 4.0)
+    return _at_random_times(random, actions, 4.0)
 
 
 def _uneven_updates(layout: Layout, random: Random) -> list[Fault]:
@@ -171,7 +171,7 @@
         Freeze(random.choice(names), random.uniform(1.0, 4.0)),
         Burst(30),
     ]
-    return _spread(random, actions, 10.0)
+    return _at_random_times(random, actions, 10.0)
 
 
 def _second_loss(layout: Layout, random: Random) -> list[Fault]:
@@ -214,7 +214,7 @@
         Mood(random.choice(hosts), 6.0, shed_share=0.5),
         Mood(random.choice(layout.services[1].hosts()), 4.0, stalls=True),
     ]
-    return _spread(random, actions, 9.0)
+    return _at_random_times(random, actions, 9.0)
 
 
 def _hosts_lost(layout: Layout, random: Random) -> list[Fault]:
@@ -225,7 +225,7 @@
         Freeze(hosts[1], random.uniform(2.0, 7.0)),
         Weather(5.0, loss=0.05, duplication=0.1),
     ]
-    return _spread(random, actions, 11.0)
+    return _at_random_times(random, actions, 11.0)
 
 
 def _together(layout: Layout, random: Random) -> list[Fault]:
@@ -248,7 +248,7 @@
         Burst(40),
     ]
     # One wipe a run: a second one before the repair would lose a majority for good.
-    return _spread(random, random.sample(choices, 7), 12.0)
+    return _at_random_times(random, random.sample(choices, 7), 12.0)
 
 
 _FOUR_REPLICAS = dataclasses.replace(ZAGREB, replica_count=4)
