--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -38,7 +38,7 @@
 READY_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 6.0
 """Quiet time after the last fault, in which everything has to come right."""
-QUIET_TIMEOUT_SECONDS = 40.0
+SETTLE_TIMEOUT_SECONDS = 40.0
 CALLERS_PER_SERVICE = 4
 OPERATOR_COUNT = 3
 
@@ -133,9 +133,9 @@
         await injector.run(self._faults)
         await asyncio.sleep(SETTLE_SECONDS)
         world.traffic = False
-        await asyncio.wait(tasks, timeout=QUIET_TIMEOUT_SECONDS)
+        await asyncio.wait(tasks, timeout=SETTLE_TIMEOUT_SECONDS)
         await self._wait_until(
-            world, lambda: _is_settled(world), QUIET_TIMEOUT_SECONDS, "fleet-not-settled"
+            world, lambda: _is_settled(world), SETTLE_TIMEOUT_SECONDS, "fleet-not-settled"
         )
         self._check_run(world)
         return self._result(world)
