--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -167,7 +167,7 @@
     def __init__(self) -> None:
         self._virtual_selector = _VirtualTimeSelector()
         super().__init__(self._virtual_selector)
-        self.set_task_factory(_make_task)
+        self.set_task_factory(_create_tracked_task)
         self.set_exception_handler(self._record_failure)
         self.failures: list[str] = []
 
@@ -245,7 +245,9 @@
     return process
 
 
-def _make_task(loop: asyncio.AbstractEventLoop, job: Any, **options: Any) -> asyncio.Task[Any]:
+def _create_tracked_task(
+    loop: asyncio.AbstractEventLoop, job: Any, **options: Any
+) -> asyncio.Task[Any]:
     task = asyncio.Task(job, loop=loop, **options)
     process = _running.get()
     if process is not None:
