--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -45,7 +45,7 @@
         self.name = name
         self.zone = zone
         self.process: SimulatedProcess | None = None
-        self._boots = itertools.count(1)
+        self._start_numbers = itertools.count(1)
 
     @property
     def running(self) -> bool:
@@ -58,7 +58,7 @@
             return
         drift = self.world.fault_random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.process = SimulatedProcess(self.name, self.zone, self.world, drift)
-        self.process.random.seed(f"{self.world.seed}-{self.name}-{next(self._boots)}")
+        self.process.random.seed(f"{self.world.seed}-{self.name}-{next(self._start_numbers)}")
         self.process.start(self.main())
 
     def kill(self, machine_lost: bool = False) -> None:
