--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -293,7 +293,7 @@
         """Do nothing."""
 
 
-def _general_substitutes() -> list[tuple[Any, Any]]:
+def _module_wide_substitutes() -> list[tuple[Any, Any]]:
     """Return what is replaced under every name of every product module: original, stand-in."""
     clock = types.SimpleNamespace(
         monotonic=ProcessClock.monotonic,
@@ -319,7 +319,7 @@
 
 
 def _general_patch_points() -> list[tuple[Any, str, Any]]:
-    substitutes = {id(original): substitute for original, substitute in _general_substitutes()}
+    substitutes = {id(original): substitute for original, substitute in _module_wide_substitutes()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
     ]
