--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -318,7 +318,7 @@
     ]
 
 
-def _general_patch_points() -> list[tuple[Any, str, Any]]:
+def _module_wide_patch_points() -> list[tuple[Any, str, Any]]:
     substitutes = {id(original): substitute for original, substitute in _module_wide_substitutes()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
@@ -334,7 +334,7 @@
 def _patch_points() -> list[tuple[Any, str, Any]]:
     random = types.SimpleNamespace(SystemRandom=_seeded, Random=_seeded)
     return [
-        *_general_patch_points(),
+        *_module_wide_patch_points(),
         (agent_process, "random", random),
         (balancer_process, "random", random),
         (replica, "PlatformPoller", SimulatedPoller),
