--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -143,8 +143,8 @@
 
     async def run(self, faults: list[Fault]) -> None:
         """Carry out every fault at its time and return when the last one is over."""
-        began = self._world.now
-        await asyncio.gather(*(self._perform_at(began + fault.at, fault) for fault in faults))
+        started_at = self._world.now
+        await asyncio.gather(*(self._perform_at(started_at + fault.at, fault) for fault in faults))
 
     async def _perform_at(self, when: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, when - self._world.now))
