--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -169,7 +169,7 @@
             case Move():
                 await self._move(action)
             case Mood():
-                await self._mood(action)
+                await self._misbehave(action)
             case Weather():
                 await self._weather(action)
             case Burst():
@@ -285,7 +285,7 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def _mood(self, action: Mood) -> None:
+    async def _misbehave(self, action: Mood) -> None:
         if action.stalls:
             self._disturb(action.host, action.seconds)
         behaviour = self._world.program(action.host).behaviour
