--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -171,7 +171,7 @@
             case Mood():
                 await self._misbehave(action)
             case Weather():
-                await self._weather(action)
+                await self._degrade_network(action)
             case Burst():
                 await self._burst(action)
 
@@ -299,7 +299,7 @@
             None,
         )
 
-    async def _weather(self, action: Weather) -> None:
+    async def _degrade_network(self, action: Weather) -> None:
         conditions = self._world.network.conditions
         conditions.loss, conditions.duplication = action.loss, action.duplication
         await asyncio.sleep(action.seconds)
