--- a/tests/lab/test_chaos_in_force.py
+++ b/tests/lab/test_chaos_in_force.py
@@ -8,7 +8,7 @@
 from jasperwalk_lab.chaos.in_force import wait_in_force
 from jasperwalk_lab.control_client import InForceView
 
-KILLED, FROZEN, BEHIND, WELL = (Endpoint("127.0.0.1", port) for port in (1, 2, 3, 4))
+KILLED, FROZEN, BEHIND, HEALTHY = (Endpoint("127.0.0.1", port) for port in (1, 2, 3, 4))
 
 
 def view(*laggards):
@@ -39,12 +39,12 @@
 
 
 def test_one_replica_that_answers_is_enough():
-    assert wait(0, (KILLED, FROZEN, BEHIND, WELL), 30.0).complete
-    assert wait(1, (KILLED, FROZEN, BEHIND, WELL), 30.0).complete
+    assert wait(0, (KILLED, FROZEN, BEHIND, HEALTHY), 30.0).complete
+    assert wait(1, (KILLED, FROZEN, BEHIND, HEALTHY), 30.0).complete
 
 
 def test_a_change_that_is_in_force_nowhere_in_time_says_what_each_replica_said():
-    found = wait(1000, (KILLED, BEHIND, WELL), 0.3)
+    found = wait(1000, (KILLED, BEHIND, HEALTHY), 0.3)
     assert not found.complete
     assert found.describe() == (
         "127.0.0.1:1: no answer",
