--- a/tests/lab/test_experiment_run.py
+++ b/tests/lab/test_experiment_run.py
@@ -19,7 +19,7 @@
 
 def started(tmp_path, monkeypatch, failures, body_fails=False):
     """Return how many fleets were started, and what was said."""
-    starts, said = [], []
+    starts, messages = [], []
 
     class StandInFleet:
         def __init__(self, *_):
@@ -38,7 +38,7 @@
 
     async def scenario():
         variant = EXPERIMENT.variants[0]
-        fleet = run_module._started_fleet(EXPERIMENT, variant, 1, tmp_path, said.append)
+        fleet = run_module._started_fleet(EXPERIMENT, variant, 1, tmp_path, messages.append)
         async with fleet:
             if body_fails:
                 raise FAILURE
@@ -47,8 +47,8 @@
     try:
         asyncio.run(scenario())
     except FleetNotReady:
-        return len(starts), said, "failed"
-    return len(starts), said, "ran"
+        return len(starts), messages, "failed"
+    return len(starts), messages, "ran"
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
     ],
 )
 def test_only_a_start_is_tried_again(tmp_path, monkeypatch, failures, body_fails, expected):
-    starts, said, ended = started(tmp_path, monkeypatch, failures, body_fails)
+    starts, messages, ended = started(tmp_path, monkeypatch, failures, body_fails)
     assert (starts, ended) == expected
-    assert len(said) == failures
-    assert all("port in use" in line for line in said)
+    assert len(messages) == failures
+    assert all("port in use" in line for line in messages)
