--- a/tests/lab/test_backend.py
+++ b/tests/lab/test_backend.py
@@ -136,7 +136,7 @@
     asyncio.run(scenario())
 
 
-def test_reports_lag_and_lie():
+def test_reports_lag_and_mislead():
     state = BackendState(slots=3, queue_length=0, cold_seconds=10.0, cold_factor=4.0, started=100.0)
     state.record_report(100.0)
     state.busy = 2
