--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -47,7 +47,7 @@
         ((FaultKind.CONTROL_WIPED, "control-1"), (FaultKind.CONTROL_CUT, "control-2"), False),
     ],
 )
-def test_a_target_is_struck_again_only_when_it_is_back(first, second, together):
+def test_faults_of_one_target_do_not_overlap(first, second, together):
     actions = Actions()
     happened = _run(actions, first, second)
     struck = [word for word, _ in actions.log]
