--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -50,9 +50,9 @@
 def test_faults_of_one_target_do_not_overlap(first, second, together):
     actions = Actions()
     happened = _run(actions, first, second)
-    struck = [word for word, _ in actions.log]
+    events = [word for word, _ in actions.log]
     apart = ["struck", "undone", "struck", "undone"]
-    assert struck == (["struck", "struck", "undone", "undone"] if together else apart)
+    assert events == (["struck", "struck", "undone", "undone"] if together else apart)
     assert [(fault.kind, fault.target) for fault in happened] == [first, second]
 
 
