--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -51,8 +51,8 @@
     actions = Actions()
     happened = _run(actions, first, second)
     events = [word for word, _ in actions.log]
-    apart = ["struck", "undone", "struck", "undone"]
-    assert events == (["struck", "struck", "undone", "undone"] if together else apart)
+    in_sequence = ["struck", "undone", "struck", "undone"]
+    assert events == (["struck", "struck", "undone", "undone"] if together else in_sequence)
     assert [(fault.kind, fault.target) for fault in happened] == [first, second]
 
 
