--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -73,7 +73,7 @@
     assert ("undone", "u-1") not in actions.log
 
 
-def test_a_known_failure_is_noted_with_its_fault_and_the_others_go_on():
+def test_a_known_failure_is_recorded_with_its_fault_and_the_others_continue():
     actions = Actions(error=TimeoutError())
     happened = _run(actions, (FaultKind.AGENT_KILLED, "u-1"), (FaultKind.HOST_LOST, "u-2"))
     assert [fault.failure for fault in happened] == ["TimeoutError()", None]
