--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_more_is_out_of_service_than_the_fleet_can_bear(seed):
+def test_faults_keep_the_limits_on_processes_out_of_service(seed):
     planned = plan_faults(FACTS, SECONDS, seed)
     service_of = {host: name for name, hosts in FACTS.hosts.items() for host in hosts}
     limits = {
