--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -51,13 +51,13 @@
         TargetGroup.CONTROL: MAX_IMPAIRED_CONTROLS,
     }
     for moment in (fault.at for fault in planned):
-        out = [
+        impaired = [
             fault
             for fault in planned
             if SHAPES[fault.kind].impairs and fault.at <= moment < fault.at + fault.seconds
         ]
-        assert len({fault.target for fault in out}) == len(out)
+        assert len({fault.target for fault in impaired}) == len(impaired)
         for group, limit in limits.items():
-            assert sum(SHAPES[fault.kind].group is group for fault in out) <= limit
-        hosts = Counter(service_of[f.target] for f in out if f.target in service_of)
+            assert sum(SHAPES[fault.kind].group is group for fault in impaired) <= limit
+        hosts = Counter(service_of[f.target] for f in impaired if f.target in service_of)
         assert all(count <= len(FACTS.hosts[name]) // 2 for name, count in hosts.items())
