--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -116,8 +116,8 @@
 
 def spoil_known(record):
     words = ("127.0.0.1:1: no answer",)
-    struck = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
-    record.happened.append(struck)
+    fault = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
+    record.happened.append(fault)
     waits = {"c-1": 18.5, "c-2": 19.5}  # ten seconds from the end of the fault on
     for change_id, ended in waits.items():
         record.changes.in_force.append(InForceTime(change_id, None, 2.0, ended, words))
