--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -123,7 +123,7 @@
         record.changes.in_force.append(InForceTime(change_id, None, 2.0, ended, words))
 
 
-def spoil_reached(record):
+def spoil_propagation(record):
     record.happened.append(FaultRecord(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5, 18.5)]
 
@@ -188,7 +188,7 @@
     (ChaosPromise.WORK_ON_LEAVING_HOST, spoil_leaving),
     (ChaosPromise.REVISION_WENT_BACK, spoil_samples),
     (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_known),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
     (ChaosPromise.NOT_IN_FORCE, spoil_reached_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
     (ChaosPromise.CHANGE_LOST, spoil_kept),
@@ -223,7 +223,7 @@
 
 def test_time_counts_from_the_end_of_a_fault_that_kept_a_process_away():
     record = good_record()
-    spoil_reached(record)
+    spoil_propagation(record)
     record.samples.pop()
     spoil_known(record)
     report = judge(record)
