--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -128,7 +128,7 @@
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5, 18.5)]
 
 
-def spoil_reached_without_excuse(record):
+def spoil_propagation_without_excuse(record):
     record.happened.append(FaultRecord(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5)]
 
@@ -189,7 +189,7 @@
     (ChaosPromise.REVISION_WENT_BACK, spoil_samples),
     (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_known),
     (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached_without_excuse),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
     (ChaosPromise.CHANGE_LOST, spoil_kept),
     (ChaosPromise.NOT_LINEARIZABLE, spoil_tenant),
