--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -114,7 +114,7 @@
     record.samples.append(RevisionSample("balancer-1", 3, 6))
 
 
-def spoil_known(record):
+def spoil_in_force_reports(record):
     words = ("127.0.0.1:1: no answer",)
     fault = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
     record.happened.append(fault)
@@ -187,7 +187,7 @@
     ),
     (ChaosPromise.WORK_ON_LEAVING_HOST, spoil_leaving),
     (ChaosPromise.REVISION_WENT_BACK, spoil_samples),
-    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_known),
+    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_in_force_reports),
     (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
     (ChaosPromise.NOT_IN_FORCE, spoil_propagation_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
@@ -225,7 +225,7 @@
     record = good_record()
     spoil_propagation(record)
     record.samples.pop()
-    spoil_known(record)
+    spoil_in_force_reports(record)
     report = judge(record)
     assert [found.detail.split()[0] for found in report.violations] == ["c-2"]
     assert (report.in_force.count, report.in_force_never_known) == (1, 2)
