--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -137,7 +137,7 @@
     record.final.process_revisions["agent-u-1"] = 6
 
 
-def spoil_kept(record):
+def spoil_stored_outcome(record):
     record.final.outcomes["control-1"]["c-2"] = NotDecided("status 0")
 
 
@@ -191,7 +191,7 @@
     (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
     (ChaosPromise.NOT_IN_FORCE, spoil_propagation_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
-    (ChaosPromise.CHANGE_LOST, spoil_kept),
+    (ChaosPromise.CHANGE_LOST, spoil_stored_outcome),
     (ChaosPromise.NOT_LINEARIZABLE, spoil_tenant),
     (ChaosPromise.TWO_WINNERS, with_changes(change("c-3", 3, Accepted(7, 7)))),
     (
