--- a/tests/lab/test_experiment_run.py
+++ b/tests/lab/test_experiment_run.py
@@ -60,7 +60,7 @@
         (0, True, (1, "failed")),
     ],
 )
-def test_only_a_start_is_tried_again(tmp_path, monkeypatch, failures, body_fails, expected):
+def test_only_a_start_is_retried(tmp_path, monkeypatch, failures, body_fails, expected):
     starts, messages, ended = started(tmp_path, monkeypatch, failures, body_fails)
     assert (starts, ended) == expected
     assert len(messages) == failures
