--- a/tests/lab/test_http3_client.py
+++ b/tests/lab/test_http3_client.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("length", [22, 40, 1200])
-def test_the_agents_resets_are_taken_for_resets_by_their_token(length):
+def test_an_agents_stateless_resets_are_recognised_by_their_token(length):
     packet = reset_packet(TOKEN, length, random.Random(1))
     assert is_stateless_reset(packet, {OTHER_TOKEN, TOKEN})
     assert not is_stateless_reset(packet, {OTHER_TOKEN, b""})
