--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -38,7 +38,7 @@
     return Fault("burst", at=at, for_s=for_s, x=x, **fields)
 
 
-def test_a_day_within_the_room_earns_everything():
+def test_a_day_within_capacity_earns_everything():
     best = ideal(day(), site())
     assert best.day == pytest.approx(1.0)
     assert best.windows == pytest.approx((1.0,) * 10)
