--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -48,7 +48,7 @@
     assert ideal(day(), site(slots=5.0, traffic=0.5)).day == pytest.approx(1.0)
 
 
-def test_in_a_lasting_overload_what_has_room_is_served_in_time():
+def test_in_a_lasting_overload_capacity_serves_requests_that_are_in_time():
     """Twice the room for the whole day: half in time, and at its end some late ones more."""
     best = ideal(day(), site(slots=5.0))
     assert best.windows[1:-1] == pytest.approx((0.5,) * 8, abs=0.02)
