--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -71,7 +71,7 @@
     assert best.worst_kind() == "hold"
 
 
-def test_what_is_late_is_served_after_a_rush_at_its_late_worth():
+def test_late_requests_are_served_after_a_rush_at_their_late_worth():
     patient = msgspec.structs.replace(WEB, limit=60.0)
     impatient = msgspec.structs.replace(WEB, limit=0.5)
     rates = {"look-up": 50.0}
