--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -109,7 +109,7 @@
         (Fault("burst", x=3.0), 0.0),
     ],
 )
-def test_faults_of_hosts_cost_room(fault, lost):
+def test_faults_of_hosts_cost_capacity(fault, lost):
     assert lost_share(fault) == pytest.approx(lost)
     holding = msgspec.structs.replace(fault, at=1.0, for_s=2.0, service="web")
     assert available_slots("web", 10.0, [holding], 2.0) == pytest.approx(10.0 * (1 - lost))
