--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -125,7 +125,7 @@
     assert found.faults == (Fault("burst", 1.0, 3.0, 2.0, kind_of_request="a"),)
 
 
-def test_the_days_of_rushes_can_be_worked_out():
+def test_the_days_of_rushes_can_be_computed():
     paths = [str(DAYS / f"rush-{name}.toml") for name in ("tickets", "registry")]
     result = CliRunner().invoke(main, paths)
     assert result.exit_code == 0, result.output
