--- a/tests/frame/test_known_red.py
+++ b/tests/frame/test_known_red.py
@@ -31,7 +31,7 @@
         parse_list("\n".join(lines))
 
 
-def test_only_exact_ids_are_passed_over_and_printed(pytester, monkeypatch):
+def test_only_exact_ids_are_deselected_and_printed(pytester, monkeypatch):
     pytester.makepyfile(
         test_sample="def test_red():\n    assert False\n\ndef test_red_not():\n    pass\n"
     )
