--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -26,15 +26,15 @@
 STEP_SECONDS = 0.02
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
-DOWN_SHARE_OF_FLAPPING = 0.5
+FLAPPING_DOWN_SHARE = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
-LEAST_REQUESTS = 1e-9
-SHOWN_BELOW = 0.995
+MIN_REQUESTS = 1e-9
+SHOWN_WORTH_BELOW = 0.995
 """Windows of less worth are printed."""
 BURST = "burst"
 
 
-class Kind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
     """A kind of request; seconds of a slot and of its caller, and its worth in time and late."""
 
     service: str
@@ -51,7 +51,7 @@
     traffic: float
     seconds: float
     slots: dict[str, float]
-    kinds: dict[str, Kind]
+    kinds: dict[str, RequestKind]
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
     zone: str = ""
     kind_of_request: str = ""
 
-    def holds(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether it holds at a time."""
         return self.at <= now < self.at + self.for_s
 
@@ -93,8 +93,8 @@
 class Cohort:
     """Requests of one kind that came in one step, and how many of them still wait."""
 
-    kind: Kind
-    came_at: float
+    kind: RequestKind
+    arrived_at: float
     window: int
     name: str
     waiting: float
@@ -136,7 +136,7 @@
     for fault in faults:
         is_of_kind = fault.kind_of_request in ("", stream.kind)
         is_of_zone = fault.zone in ("", stream.zone)
-        if fault.kind == BURST and fault.holds(now) and is_of_kind and is_of_zone:
+        if fault.kind == BURST and fault.is_active(now) and is_of_kind and is_of_zone:
             factor *= fault.x
     return stream.per_second * factor
 
@@ -144,7 +144,7 @@
 def lost_share(fault: Fault) -> float:
     """Return the part of a service's room that a fault of its hosts costs while it holds."""
     if fault.kind == "srv_flap":
-        return fault.share * DOWN_SHARE_OF_FLAPPING
+        return fault.share * FLAPPING_DOWN_SHARE
     if fault.kind == "srv_slow" or (fault.kind == "srv_grey" and fault.how == "slow"):
         return fault.share * (1.0 - 1.0 / fault.x)
     if fault.kind == "srv_grey":
@@ -152,10 +152,10 @@
     return 0.0
 
 
-def room(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
+def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
     """Return the slots of a service that do useful work at a time."""
     for fault in faults:
-        if fault.holds(now) and fault.service in ("", service):
+        if fault.is_active(now) and fault.service in ("", service):
             slots *= 1.0 - lost_share(fault)
     return slots
 
@@ -172,7 +172,7 @@
                 ledger.owe(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
-            slots = room(service, site.slots[service], day.faults, now)
+            slots = available_slots(service, site.slots[service], day.faults, now)
             backlog.serve(slots * step_seconds, now, ledger)
     return ledger.ideal()
 
@@ -231,27 +231,29 @@
         ]
         queues.sort(key=lambda each: each[1] / each[0][0].kind.work, reverse=True)
         for queue, worth in queues:
-            slot_seconds = _spend(queue, worth, slot_seconds, ledger)
+            slot_seconds = _serve_queue(queue, worth, slot_seconds, ledger)
 
     def _expire(self, now: float) -> None:
         """Move on what would be late by now, and forget what would be over its limit."""
         for name, queue in self._in_time.items():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.objective:
+            while (
+                queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.objective
+            ):
                 self._late[name].append(queue.popleft())
         for queue in self._late.values():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.limit:
+            while queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.limit:
                 queue.popleft()
 
 
-def _spend(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
+def _serve_queue(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
     """Serve a queue from its oldest on; return what room is left."""
-    while queue and slot_seconds > LEAST_REQUESTS:
+    while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
         ledger.earn(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
-        if cohort.waiting > LEAST_REQUESTS:
+        if cohort.waiting > MIN_REQUESTS:
             break
         queue.popleft()
     return slot_seconds
@@ -265,7 +267,7 @@
         f"worst two windows {best.worst_windows():.3f}"
     ]
     for number, worth in enumerate(best.windows):
-        if worth < SHOWN_BELOW:
+        if worth < SHOWN_WORTH_BELOW:
             begins_at = number * WINDOW_SECONDS
             lines.append(f"  {begins_at:5.1f} to {begins_at + WINDOW_SECONDS:5.1f} s  {worth:.3f}")
     return "\n".join(lines)
--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -29,8 +29,8 @@
 from jasperwalk_lab.journal import Journal, JournalFile, JournalRecord, RunOutcome
 from jasperwalk_lab.serving import install_stop_event, json_response, read_body, start_http
 
-LARGEST_DOWNLOAD_BYTES = 64 * 1024 * 1024
-LARGEST_BODY_BYTES = 16 * 1024 * 1024
+MAX_DOWNLOAD_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 MILLISECONDS = 1000.0
 RECORD = web.RequestKey("record", JournalRecord)
 DEADLINE = web.RequestKey("deadline", asyncio.Timeout)
@@ -54,7 +54,7 @@
     service_time_varies: bool = False
 
 
-class PaceBody(msgspec.Struct, frozen=True):
+class ServiceTimeFactorBody(msgspec.Struct, frozen=True):
     """Body of `PUT /lab/pace`: service times are `factor` times as long from now on."""
 
     factor: float
@@ -80,13 +80,13 @@
             cold_factor=settings.cold_factor,
             started=now,
         )
-        self.state.note(now)
+        self.state.record_report(now)
         self._slots = asyncio.Semaphore(settings.slots)
-        self._pace_factor = 1.0
+        self._service_time_factor = 1.0
 
     def application(self) -> web.Application:
         """Build the HTTP application."""
-        application = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_get("/lookup", self._guarded(self._lookup))
         application.router.add_get("/stream", self._guarded(self._stream))
         application.router.add_get("/download", self._guarded(self._download))
@@ -94,9 +94,9 @@
         application.router.add_get("/health", self._report)
         application.router.add_get("/load", self._report)
         application.router.add_get("/lab/journal", self._journal)
-        application.router.add_put("/lab/drain", self._drain)
-        application.router.add_put("/lab/pace", self._pace)
-        application.router.add_put("/lab/faults", self._faults)
+        application.router.add_put("/lab/drain", self._set_draining)
+        application.router.add_put("/lab/pace", self._set_service_time_factor)
+        application.router.add_put("/lab/faults", self._set_report_faults)
         return application
 
     def _guarded(self, handler: Handler) -> Handler:
@@ -104,11 +104,11 @@
 
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = request.headers.get(answers.REQUEST_HEADER, "")
-            if self.state.sheds():
-                self.journal.arrived(request_id, request.path, RunOutcome.SHED)
-                return self._refusal(request_id)
+            if self.state.sheds_new_requests():
+                self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
+                return self._not_run_response(request_id)
             # Until it holds a slot the request has not run.
-            record = self.journal.arrived(request_id, request.path, RunOutcome.SHED)
+            record = self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
             return await self._within_deadline(handler, request, record)
 
         return guarded
@@ -123,7 +123,7 @@
                 response = await handler(request)
         except TimeoutError:
             if not record.ran:
-                return self._refusal(record.request_id)
+                return self._not_run_response(record.request_id)
             self.journal.set_outcome(record, RunOutcome.EXPIRED)
             return web.Response(status=504, headers=self._headers(record.request_id))
         except (asyncio.CancelledError, ConnectionError):
@@ -142,7 +142,7 @@
         finally:
             self.state.waiting -= 1
         self.state.busy += 1
-        self.state.note(_now())
+        self.state.record_report(_now())
         self.journal.set_outcome(request[RECORD], RunOutcome.RUNNING)
         try:
             yield
@@ -150,13 +150,13 @@
             request[RECORD].released_at = time.monotonic()
             self._slots.release()
             self.state.busy -= 1
-            self.state.note(_now())
+            self.state.record_report(_now())
 
     async def _work(self, request: web.Request) -> None:
         service_time = self.settings.service_time_ms / MILLISECONDS
         if self.settings.service_time_varies:
             service_time *= exponential_factor(request[RECORD].request_id)
-        await asyncio.sleep(service_time * self.state.slowness(_now()) * self._pace_factor)
+        await asyncio.sleep(service_time * self.state.slowdown(_now()) * self._service_time_factor)
 
     async def _lookup(self, request: web.Request) -> web.Response:
         async with self._slot(request):
@@ -174,7 +174,7 @@
         return web.Response(body=body, headers=self._headers(request_id))
 
     async def _download(self, request: web.Request) -> web.Response:
-        length = _number(request, "bytes", 100_000, LARGEST_DOWNLOAD_BYTES)
+        length = _number(request, "bytes", 100_000, MAX_DOWNLOAD_BYTES)
         async with self._slot(request):
             await self._work(request)
         request_id = request[RECORD].request_id
@@ -202,16 +202,16 @@
     async def _journal(self, _request: web.Request) -> web.Response:
         return json_response(self.journal.answer())
 
-    async def _drain(self, request: web.Request) -> web.Response:
+    async def _set_draining(self, request: web.Request) -> web.Response:
         self.state.draining = (await read_body(request, DrainBody)).draining
-        self.state.note(_now())
+        self.state.record_report(_now())
         return web.Response(status=204)
 
-    async def _pace(self, request: web.Request) -> web.Response:
-        self._pace_factor = (await read_body(request, PaceBody)).factor
+    async def _set_service_time_factor(self, request: web.Request) -> web.Response:
+        self._service_time_factor = (await read_body(request, ServiceTimeFactorBody)).factor
         return web.Response(status=204)
 
-    async def _faults(self, request: web.Request) -> web.Response:
+    async def _set_report_faults(self, request: web.Request) -> web.Response:
         self.state.faults = await read_body(request, ReportFaults)
         return web.Response(status=204)
 
@@ -222,7 +222,7 @@
             answers.HOST_HEADER: self.settings.host,
         }
 
-    def _refusal(self, request_id: str) -> web.Response:
+    def _not_run_response(self, request_id: str) -> web.Response:
         headers = {**self._headers(request_id), answers.NOT_RUN_HEADER: "1", "retry-after": "1"}
         return web.Response(status=503, headers=headers)
 
@@ -243,13 +243,13 @@
     return int(text) / MILLISECONDS if text.isdecimal() else None
 
 
-def _number(request: web.Request, name: str, default: float, highest: float) -> float:
+def _number(request: web.Request, name: str, default: float, maximum: float) -> float:
     text = request.query.get(name)
     try:
         number = default if text is None else float(text)
     except ValueError as error:
         raise web.HTTPBadRequest(text=f"{name} is not a number") from error
-    if not 0 < number <= highest:
+    if not 0 < number <= maximum:
         raise web.HTTPBadRequest(text=f"{name} is out of range")
     return number
 
--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -15,11 +15,11 @@
 from jasperwalk.routing.candidates import CandidateIndex, MemberSource
 from jasperwalk.routing.rendezvous import CandidatePair, PreparedMember
 
-MOST_REMEMBERED = 20_000
+MAX_REMEMBERED_INITIALS = 20_000
 """Initials whose choice a balancer remembers."""
 
 
-class RememberingIndex(CandidateIndex, ABC):
+class StickyIndex(CandidateIndex, ABC):
     """Chooses one member for a new flow, and the same one for its retransmissions."""
 
     def __init__(self, source: MemberSource) -> None:
@@ -35,7 +35,7 @@
         if chosen is None or chosen not in prepared_members:
             chosen = self.choose(service_id, prepared_members)
             self._chosen[service_id, flow_key] = chosen
-            if len(self._chosen) > MOST_REMEMBERED:
+            if len(self._chosen) > MAX_REMEMBERED_INITIALS:
                 self._chosen.popitem(last=False)
         return CandidatePair(first=chosen, second=None)
 
@@ -44,7 +44,7 @@
         """Choose a member for a flow that was not seen before."""
 
 
-class RoundRobinIndex(RememberingIndex):
+class RoundRobinIndex(StickyIndex):
     """Smooth weighted round robin: each member's turn comes in proportion to its weight."""
 
     def __init__(self, source: MemberSource, generator: random.Random) -> None:
@@ -69,7 +69,7 @@
         return chosen
 
 
-class LeastReportedIndex(RememberingIndex):
+class LeastReportedIndex(StickyIndex):
     """The member whose load page told the least, by weight; a random one of equal ones.
 
     `loads` holds the busy slots that each member's page told last, as old as the round of
@@ -85,9 +85,11 @@
 
     def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
         """Choose one of the least loaded members."""
-        told = [
+        reported = [
             self._loads.get(each.address, 0.0) * each.inverse_weight for each in prepared_members
         ]
-        least = min(told)
-        equal = [each for each, load in zip(prepared_members, told, strict=True) if load <= least]
+        least = min(reported)
+        equal = [
+            each for each, load in zip(prepared_members, reported, strict=True) if load <= least
+        ]
         return self._random.choice(equal)
--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -11,7 +11,7 @@
 from jasperwalk_lab.backend_core import BackendStatus, ReportFaults
 from jasperwalk_lab.chaos.faults import FaultKind
 from jasperwalk_lab.chaos.fleet import ChaosFleet
-from jasperwalk_lab.chaos.links import ANYBODY, Cut
+from jasperwalk_lab.chaos.links import ANY_PROCESS, Cut
 from jasperwalk_lab.chaos.observations import (
     AgentLoss,
     LeavingPeriod,
@@ -27,7 +27,7 @@
 """The stand-in's own lag: a change of the truth shows that much later."""
 IN_FORCE_SECONDS = 10.0
 SECOND_LOSS_SECONDS = 1.5
-LIES = (
+MISLEADING_REPORTS = (
     ReportFaults(false_status=BackendStatus.DRAINING),
     ReportFaults(lag_seconds=4.0, false_busy=0),
     ReportFaults(false_status=BackendStatus.OK, false_busy=1000),
@@ -59,7 +59,7 @@
         self._observations = observations
         self._make_changes = make_changes
         self._wait_current = wait_current
-        self._lies = itertools.cycle(LIES)
+        self._misleading_reports = itertools.cycle(MISLEADING_REPORTS)
 
     def action(self, kind: FaultKind) -> Action:
         """Return the context of a kind of fault."""
@@ -116,7 +116,7 @@
 
     @contextlib.asynccontextmanager
     async def _without_control(self, process: str) -> AsyncIterator[None]:
-        cuts = [Cut(process, ANYBODY), Cut(ANYBODY, process)]
+        cuts = [Cut(process, ANY_PROCESS), Cut(ANY_PROCESS, process)]
         await self._fleet.add_cuts(cuts)
         yield
         await self._fleet.remove_cuts(cuts)
@@ -133,7 +133,7 @@
         yield
         restarted = _now()
         await self._fleet.start_balancer(name)
-        await self._note_recovery(name, missed, restarted)
+        await self._record_recovery(name, missed, restarted)
 
     @contextlib.asynccontextmanager
     async def _control_killed(self, slot: str) -> AsyncIterator[None]:
@@ -154,7 +154,7 @@
 
     @contextlib.asynccontextmanager
     async def _control_cut_one_way(self, slot: str) -> AsyncIterator[None]:
-        cuts = [Cut(ANYBODY, self._fleet.control_slots[slot].name)]
+        cuts = [Cut(ANY_PROCESS, self._fleet.control_slots[slot].name)]
         await self._fleet.add_cuts(cuts)
         yield
         await self._fleet.remove_cuts(cuts)
@@ -177,18 +177,18 @@
         yield
         restarted = _now()
         await self._fleet.start_control(place)
-        await self._note_recovery(place.name, missed, restarted)
+        await self._record_recovery(place.name, missed, restarted)
 
     @contextlib.asynccontextmanager
     async def _host_lost(self, host: str) -> AsyncIterator[None]:
-        self._note_loss(host, FaultKind.HOST_LOST)
+        self._record_loss(host, FaultKind.HOST_LOST)
         await self._fleet.kill_host(self._fleet.member(host))
         yield
         await self._fleet.start_host(host)
 
     @contextlib.asynccontextmanager
     async def _agent_killed(self, host: str) -> AsyncIterator[None]:
-        self._note_loss(host, FaultKind.AGENT_KILLED)
+        self._record_loss(host, FaultKind.AGENT_KILLED)
         await self._supervisor.kill(agent_name(self._fleet.member(host)))
         yield
         await self._fleet.start_agent(host)
@@ -196,7 +196,7 @@
     @contextlib.asynccontextmanager
     async def _host_drained(self, host: str) -> AsyncIterator[None]:
         await self._drain(host)
-        period = self._leaving(host, FaultKind.HOST_DRAINED, _now())
+        period = self._record_leaving(host, FaultKind.HOST_DRAINED, _now())
         yield
         period.until = _now()
         await self._resume(host)
@@ -204,7 +204,7 @@
     @contextlib.asynccontextmanager
     async def _host_leaving(self, host: str) -> AsyncIterator[None]:
         await self._fleet.set_machine(host, MachineState.LEAVING)
-        period = self._leaving(host, FaultKind.HOST_LEAVING, _now() + PLATFORM_LAG_SECONDS)
+        period = self._record_leaving(host, FaultKind.HOST_LEAVING, _now() + PLATFORM_LAG_SECONDS)
         yield
         period.until = _now()
         await self._fleet.set_machine(host, MachineState.LIVE)
@@ -213,7 +213,7 @@
     async def _agent_stopped(self, host: str) -> AsyncIterator[None]:
         """Drain, stop when drained, start again, resume: a planned restart."""
         change = await self._drain(host)
-        period = self._leaving(host, FaultKind.AGENT_STOPPED, _now())
+        period = self._record_leaving(host, FaultKind.AGENT_STOPPED, _now())
         async with self._fleet.control_client() as control:
             await control.wait_in_force(change, IN_FORCE_SECONDS)
         await self._fleet.stop_agent(host)
@@ -235,15 +235,15 @@
 
     @contextlib.asynccontextmanager
     async def _backend_sheds(self, host: str) -> AsyncIterator[None]:
-        await self._fleet.shed(host, sheds=True)
+        await self._fleet.set_shedding(host, shedding=True)
         yield
-        await self._fleet.shed(host, sheds=False)
+        await self._fleet.set_shedding(host, shedding=False)
 
     @contextlib.asynccontextmanager
     async def _backend_lies(self, host: str) -> AsyncIterator[None]:
-        await self._fleet.lie(host, next(self._lies))
+        await self._fleet.set_report_faults(host, next(self._misleading_reports))
         yield
-        await self._fleet.lie(host, ReportFaults())
+        await self._fleet.set_report_faults(host, ReportFaults())
 
     async def _drain(self, host: str) -> AcceptedChange:
         async with self._fleet.control_client() as control:
@@ -253,16 +253,16 @@
         async with self._fleet.control_client() as control:
             await control.resume(host)
 
-    def _leaving(self, host: str, cause: FaultKind, since: float) -> LeavingPeriod:
+    def _record_leaving(self, host: str, cause: FaultKind, since: float) -> LeavingPeriod:
         period = LeavingPeriod(host=host, cause=cause.value, since=since)
         self._observations.leaving.append(period)
         return period
 
-    def _note_loss(self, host: str, cause: FaultKind) -> None:
+    def _record_loss(self, host: str, cause: FaultKind) -> None:
         agent = str(self._fleet.member(host).listen)
         loss = AgentLoss(agent=agent, host=host, at=_now(), cause=cause.value)
         self._observations.agent_losses.append(loss)
 
-    async def _note_recovery(self, process: str, missed: int, restarted: float) -> None:
+    async def _record_recovery(self, process: str, missed: int, restarted: float) -> None:
         seconds = await self._wait_current(process, restarted)
         self._observations.recoveries.append(Recovery(process, missed, seconds))
--- a/src/jasperwalk_lab/chaos/api.py
+++ b/src/jasperwalk_lab/chaos/api.py
@@ -51,10 +51,10 @@
 
 
 ChangeAnswer = Accepted | Refused | NotDecided
-TRY_AGAIN = frozenset({500, 502, 503, 504})
+RETRIED_STATUSES = frozenset({500, 502, 503, 504})
 
 
-def change_answer(status: int, body: bytes) -> ChangeAnswer:
+def parse_change_answer(status: int, body: bytes) -> ChangeAnswer:
     """Read the answer to a change."""
     if status == 200:  # noqa: PLR2004 - HTTP 200 OK
         view = msgspec.json.decode(body, type=ChangeView)
@@ -63,7 +63,7 @@
         problem = msgspec.json.decode(body, type=ProblemView)
     except msgspec.MsgspecError:
         return NotDecided(f"status {status}")
-    if status in TRY_AGAIN:
+    if status in RETRIED_STATUSES:
         return NotDecided(problem.kind)
     context = problem.context or ProblemContext()
     return Refused(problem.kind, context.current)
@@ -91,14 +91,14 @@
         data = msgspec.json.encode(body)
         try:
             async with self._session.put(url, data=data, headers=headers) as response:
-                return change_answer(response.status, await response.read())
+                return parse_change_answer(response.status, await response.read())
         except (aiohttp.ClientError, TimeoutError) as error:
             return NotDecided(type(error).__name__)
 
     async def change(self, replica: Endpoint, change_id: str) -> ChangeAnswer:
         """Ask for the outcome of a change."""
         status, body = await self._get(f"http://{replica}/v1/changes/{change_id}")
-        return change_answer(status, body)
+        return parse_change_answer(status, body)
 
     async def tenant(self, replica: Endpoint, name: str) -> TenantView | None:
         """Read a tenant; None without an answer."""
--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -14,10 +14,10 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.control_client import InForceView
 
-PAUSE_SECONDS = 0.1
-STEP_MS = 300
+POLL_INTERVAL_SECONDS = 0.1
+WAIT_STEP_MS = 300
 """Time that a replica may hold an answer back while the change is not in force."""
-ANSWER_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """Time after which a replica counts as silent in this round of questions."""
 
 
@@ -49,7 +49,7 @@
     try:
         async with asyncio.timeout(seconds):
             while not await _ask_all(api, list(replicas()), change_id, wait):
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
     except TimeoutError:
         return wait
     wait.complete = True
@@ -60,22 +60,22 @@
     api: InForceApi, replicas: list[Endpoint], change_id: str, wait: InForceWait
 ) -> bool:
     """Ask all replicas at once; return True at the first that says yes."""
-    questions = [asyncio.create_task(_ask(api, each, change_id, wait)) for each in replicas]
+    queries = [asyncio.create_task(_ask(api, each, change_id, wait)) for each in replicas]
     try:
-        for answer in asyncio.as_completed(questions):
+        for answer in asyncio.as_completed(queries):
             if await answer:
                 return True
         return False
     finally:
-        for question in questions:
-            question.cancel()
-        await asyncio.gather(*questions, return_exceptions=True)
+        for query in queries:
+            query.cancel()
+        await asyncio.gather(*queries, return_exceptions=True)
 
 
 async def _ask(api: InForceApi, replica: Endpoint, change_id: str, wait: InForceWait) -> bool:
     try:
-        async with asyncio.timeout(ANSWER_SECONDS):
-            view = await api.in_force(replica, change_id, STEP_MS)
+        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+            view = await api.in_force(replica, change_id, WAIT_STEP_MS)
     except TimeoutError:
         view = "silent"
     if isinstance(view, str):
--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -18,16 +18,16 @@
 
 RACED_PARAMETER = "queue_length"
 RACED_VALUES = itertools.cycle(range(64, 1024))
-RACERS = (2, 3)
+OPERATORS_PER_RACE = (2, 3)
 """Fewest and most operators of one race."""
 PAUSE_SECONDS = (0.1, 0.4)
 LOST_ANSWER_SHARE = 0.3
-LONGEST_PATIENCE_SECONDS = 0.03
+MAX_ANSWER_WAIT_SECONDS = 0.03
 """An operator who loses the answer gives up waiting within this time."""
 RESEND_SHARE = 0.3
-DECIDE_SECONDS = 25.0
+DECISION_TIMEOUT_SECONDS = 25.0
 RESEND_PAUSE_SECONDS = 0.2
-LONGEST_WAIT_SECONDS = 30.0
+MAX_IN_FORCE_WAIT_SECONDS = 30.0
 """An operator's wait; the verdict decides what is too long."""
 BURST_TENANT = "burst"
 BURST_CHANGES = 250
@@ -93,7 +93,7 @@
         self._random = generator
         self._api = ReplicaApi()
         self._numbers = itertools.count()
-        self._ending = False
+        self._stopping = False
         self._waits: set[asyncio.Task[None]] = set()
 
     @property
@@ -108,11 +108,11 @@
 
     def end(self) -> None:
         """Let the race in hand be the last."""
-        self._ending = True
+        self._stopping = True
 
     async def run_races(self) -> None:
         """Race until `end`."""
-        while not self._ending:
+        while not self._stopping:
             seen = await self._api.tenant(self._any_replica(), self._tenant.name)
             if seen is not None:
                 await self._race(seen.revision)
@@ -132,9 +132,9 @@
         return sum(c.tenant == BURST_TENANT and c.accepted() is not None for c in made)
 
     async def _race(self, expected: int) -> None:
-        racers = self._random.randint(*RACERS)
+        operators = self._random.randint(*OPERATORS_PER_RACE)
         changes = await asyncio.gather(
-            *(self._submit(self._tenant, expected) for _ in range(racers))
+            *(self._submit(self._tenant, expected) for _ in range(operators))
         )
         winners = [change for change in changes if change.accepted() is not None]
         if winners and len(self._waits) <= 1:
@@ -156,22 +156,22 @@
         )
         self.history.changes.append(change)
         if self._random.random() < LOST_ANSWER_SHARE:
-            await self._send_and_leave(change, body)
+            await self._send_and_lose_answer(change, body)
         await self._send_until_decided(change, body)
         if change.answers and self._random.random() < RESEND_SHARE:
             await self._send(change, body)
         return change
 
-    async def _send_and_leave(self, change: SubmittedChange, body: TenantBody) -> None:
-        patience = self._random.uniform(0.0, LONGEST_PATIENCE_SECONDS)
+    async def _send_and_lose_answer(self, change: SubmittedChange, body: TenantBody) -> None:
+        wait_limit = self._random.uniform(0.0, MAX_ANSWER_WAIT_SECONDS)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(wait_limit):
                 await self._send(change, body)
         except TimeoutError:
             return
 
     async def _send_until_decided(self, change: SubmittedChange, body: TenantBody) -> None:
-        deadline = _now() + DECIDE_SECONDS
+        deadline = _now() + DECISION_TIMEOUT_SECONDS
         while not change.answers and _now() < deadline:
             answer = await self._send(change, body)
             if isinstance(answer, NotDecided):
@@ -188,7 +188,9 @@
         return answer
 
     async def _time_in_force(self, change: SubmittedChange) -> None:
-        wait = await wait_in_force(self._api, self._apis, change.change_id, LONGEST_WAIT_SECONDS)
+        wait = await wait_in_force(
+            self._api, self._apis, change.change_id, MAX_IN_FORCE_WAIT_SECONDS
+        )
         ended = _now()
         measured = InForceTime(
             change_id=change.change_id,
--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -28,7 +28,7 @@
 from jasperwalk_lab.fleet import make_run_folder
 from jasperwalk_lab.fleet_settings import agent_name
 from jasperwalk_lab.operations import CallHistory
-from jasperwalk_lab.traffic import Target
+from jasperwalk_lab.traffic import TrafficTarget
 
 QUIET_SECONDS = 2.0
 """Traffic goes on for this long after the last fault was undone."""
@@ -38,7 +38,7 @@
 OUTCOME_ATTEMPTS = 40
 HISTORY_FILE = "history.json"
 """Everything recorded, in the run's folder."""
-LONGEST_OVERTIME_SECONDS = 120.0
+MAX_OVERTIME_SECONDS = 120.0
 """What a run may take beyond its own length before it is given up."""
 
 Progress = Callable[[str], None]
@@ -48,14 +48,14 @@
     example_name: str, seconds: float, seed: int, runs: Path, progress: Progress
 ) -> ChaosReport:
     """Run one fleet under faults for `seconds`; logs and journals stay in a folder of `runs`."""
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     load_before = psutil.getloadavg()[0]
     run_folder = make_run_folder(runs, f"chaos-{example_name}")
     progress(f"run folder {run_folder}, seed {seed}")
     async with ChaosFleet(load_example(example_name), run_folder, seed) as fleet:
         await fleet.start()
         chaos = ChaosRun(fleet, seconds, seed, progress)
-        async with asyncio.timeout(seconds + LONGEST_OVERTIME_SECONDS):
+        async with asyncio.timeout(seconds + MAX_OVERTIME_SECONDS):
             await chaos.run()
             final = await chaos.final_state()
         flows = await fleet.flows()
@@ -70,10 +70,10 @@
         happened=chaos.injector.happened,
         samples=chaos.sampler.samples,
         final=final,
-        journal=fleet.kept_journals(),
+        journal=fleet.read_journals(),
         flows=flows,
-        processes=fleet.supervisor.most_running,
-        duration_seconds=asyncio.get_running_loop().time() - began,
+        processes=fleet.supervisor.max_running,
+        duration_seconds=asyncio.get_running_loop().time() - started_at,
         load_average_before=load_before,
         load_average_after=psutil.getloadavg()[0],
         cores=psutil.cpu_count() or 0,
@@ -120,11 +120,11 @@
 
     async def final_state(self) -> FinalState:
         """Wait until all processes are current, and read what they and control hold."""
-        wanted = await self._newest_table_revision()
+        expected_revision = await self._newest_table_revision()
         final = FinalState(self.operators.raced_tenant, self._initial_revision)
-        final.table_revision = wanted
-        final.process_revisions = await self._wait_all_current(wanted)
-        final.ended_processes = self._fleet.supervisor.ended_early()
+        final.table_revision = expected_revision
+        final.process_revisions = await self._wait_all_current(expected_revision)
+        final.ended_processes = self._fleet.supervisor.ended_unexpectedly()
         for slot, place in self._fleet.control_slots.items():
             final.tenant_revisions[slot] = await self._tenant_revision(place.api)
             final.outcomes[slot] = await self._outcomes(place.api)
@@ -135,7 +135,7 @@
         api = ReplicaApi()
         found: dict[str, ChangeAnswer] = {}
         for change in self.operators.history.changes:
-            found[change.change_id] = await _decided(api, replica, change.change_id)
+            found[change.change_id] = await _wait_decided(api, replica, change.change_id)
         await api.close()
         return found
 
@@ -152,22 +152,22 @@
             apis = self._fleet.control_apis()
             return max([await read_revision(session, api) for api in apis])
 
-    async def _wait_all_current(self, wanted: int) -> dict[str, int]:
-        """Wait until every follower and replica has `wanted`; return what each has in the end."""
+    async def _wait_all_current(self, expected_revision: int) -> dict[str, int]:
+        """Wait until every follower and replica has `expected_revision`; return what each has in the end."""
         admins = self._running_admins()
         deadline = asyncio.get_running_loop().time() + FINAL_IN_FORCE_SECONDS
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 found = {name: await read_revision(session, at) for name, at in admins.items()}
-                late = asyncio.get_running_loop().time() > deadline
-                if late or all(revision >= wanted for revision in found.values()):
+                expired = asyncio.get_running_loop().time() > deadline
+                if expired or all(revision >= expected_revision for revision in found.values()):
                     return found
                 await asyncio.sleep(CURRENT_POLL_SECONDS)
 
     async def _wait_current(self, process: str, since: float) -> float:
         """Wait until a process has the newest accepted change; return seconds from `since`."""
-        wanted = self.operators.history.newest_revision()
+        expected_revision = self.operators.history.newest_revision()
         admin = self._running_admins()[process]
         loop = asyncio.get_running_loop()
         timeout = aiohttp.ClientTimeout(total=1.0)
@@ -175,7 +175,7 @@
             asyncio.timeout(CURRENT_TIMEOUT_SECONDS),
             aiohttp.ClientSession(timeout=timeout) as session,
         ):
-            while await read_revision(session, admin) < wanted:
+            while await read_revision(session, admin) < expected_revision:
                 await asyncio.sleep(CURRENT_POLL_SECONDS)
         return loop.time() - since
 
@@ -193,9 +193,9 @@
         admins.update({place.name: place.api for place in self._fleet.control_slots.values()})
         return {name: at for name, at in admins.items() if self._fleet.supervisor.runs(name)}
 
-    def _targets(self) -> list[Target]:
+    def _targets(self) -> list[TrafficTarget]:
         return [
-            Target(
+            TrafficTarget(
                 service=service.name,
                 listener=service.listener,
                 share=sum(member.slots for member in service.members),
@@ -204,7 +204,7 @@
         ]
 
 
-async def _decided(api: ReplicaApi, replica: Endpoint, change_id: str) -> ChangeAnswer:
+async def _wait_decided(api: ReplicaApi, replica: Endpoint, change_id: str) -> ChangeAnswer:
     """Ask for an outcome, a few times while the replica cannot say."""
     answer = await api.change(replica, change_id)
     for _ in range(OUTCOME_ATTEMPTS):
--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -11,15 +11,15 @@
 LAST_FAULT_BEFORE_END_SECONDS = 6.0
 GAP_SECONDS = (0.8, 2.2)
 """Shortest and longest time between two strikes."""
-TOGETHER_SHARE = 0.35
+SIMULTANEOUS_SHARE = 0.35
 """Share of strikes that are two faults at once."""
-TWICE_SHARE = 0.15
+REPEATED_SHARE = 0.15
 """Share of faults that strike a second target of the same kind a moment later."""
-TWICE_DELAY_SECONDS = 0.4
+REPEAT_DELAY_SECONDS = 0.4
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again."""
-LEAST_BALANCERS_WELL = 2
-CONTROLS_OUT_AT_ONCE = 1
+MIN_HEALTHY_BALANCERS = 2
+MAX_IMPAIRED_CONTROLS = 1
 
 
 @dataclass(frozen=True)
@@ -42,10 +42,10 @@
     def free_targets(self, kind: FaultKind, at: float, seconds: float) -> list[str]:
         """List the targets that `kind` may strike at `at`."""
         shape = SHAPES[kind]
-        free = [t for t in self._targets(shape.group) if not self._touched(t, at, seconds)]
+        free = [t for t in self._targets(shape.group) if not self._is_targeted(t, at, seconds)]
         if not shape.impairs:
             return free
-        return [target for target in free if self._bearable(shape, target, at, seconds)]
+        return [target for target in free if self._is_within_limits(shape, target, at, seconds)]
 
     def _targets(self, group: TargetGroup) -> list[str]:
         match group:
@@ -61,13 +61,13 @@
     def _used(self, target: str) -> bool:
         return any(fault.target == target for fault in self.planned)
 
-    def _touched(self, target: str, at: float, seconds: float) -> bool:
+    def _is_targeted(self, target: str, at: float, seconds: float) -> bool:
         return any(
             fault.target == target and _overlap(fault, at, seconds, SETTLE_SECONDS)
             for fault in self.planned
         )
 
-    def _out(self, group: TargetGroup, at: float, seconds: float) -> set[str]:
+    def _impaired(self, group: TargetGroup, at: float, seconds: float) -> set[str]:
         """Return the targets of a group that are out of service for some of that time."""
         return {
             fault.target
@@ -77,16 +77,16 @@
             and _overlap(fault, at, seconds, SETTLE_SECONDS)
         }
 
-    def _bearable(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
-        out = self._out(shape.group, at, seconds) | {target}
+    def _is_within_limits(self, shape: FaultShape, target: str, at: float, seconds: float) -> bool:
+        impaired = self._impaired(shape.group, at, seconds) | {target}
         match shape.group:
             case TargetGroup.BALANCER:
-                return len(self.facts.balancers) - len(out) >= LEAST_BALANCERS_WELL
+                return len(self.facts.balancers) - len(impaired) >= MIN_HEALTHY_BALANCERS
             case TargetGroup.CONTROL:
-                return len(out) <= CONTROLS_OUT_AT_ONCE
+                return len(impaired) <= MAX_IMPAIRED_CONTROLS
             case TargetGroup.HOST:
                 hosts = next(h for h in self.facts.hosts.values() if target in h)
-                return len(out & set(hosts)) <= max(1, len(hosts) // 2)
+                return len(impaired & set(hosts)) <= max(1, len(hosts) // 2)
             case TargetGroup.SPARE:
                 return True
 
@@ -95,26 +95,28 @@
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     generator = random.Random(seed)
     draft = _Draft(facts)
-    deck: list[FaultKind] = []
+    remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        for _ in range(2 if generator.random() < TOGETHER_SHARE else 1):
-            _strike(draft, deck, at, generator)
+        for _ in range(2 if generator.random() < SIMULTANEOUS_SHARE else 1):
+            _plan_next(draft, remaining_kinds, at, generator)
         at += generator.uniform(*GAP_SECONDS)
     return sorted(draft.planned, key=lambda fault: (fault.at, fault.target))
 
 
-def _strike(draft: _Draft, deck: list[FaultKind], at: float, generator: random.Random) -> None:
+def _plan_next(
+    draft: _Draft, remaining_kinds: list[FaultKind], at: float, generator: random.Random
+) -> None:
     """Plan the next fault of the deck that fits at `at`, now and then twice."""
-    if not deck:
-        deck.extend(FaultKind)
-        generator.shuffle(deck)
-    for position, kind in enumerate(deck):
+    if not remaining_kinds:
+        remaining_kinds.extend(FaultKind)
+        generator.shuffle(remaining_kinds)
+    for position, kind in enumerate(remaining_kinds):
         if not _plan(draft, kind, at, generator):
             continue
-        del deck[position]
-        if generator.random() < TWICE_SHARE:
-            _plan(draft, kind, at + TWICE_DELAY_SECONDS, generator)
+        del remaining_kinds[position]
+        if generator.random() < REPEATED_SHARE:
+            _plan(draft, kind, at + REPEAT_DELAY_SECONDS, generator)
         return
 
 
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -9,16 +9,16 @@
 from jasperwalk_lab.chaos.attribution import FlowAttribution
 from jasperwalk_lab.chaos.change_checks import (
     check_in_force,
-    check_kept,
     check_order,
     check_resends,
+    check_stored_outcomes,
     check_winners,
 )
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.leaving import LeavingReport, check_leaving
 from jasperwalk_lab.chaos.observations import Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory
-from jasperwalk_lab.chaos.reach import check_reached
+from jasperwalk_lab.chaos.propagation import check_propagation
 from jasperwalk_lab.chaos.refusals import check_resent_refusals
 from jasperwalk_lab.chaos.report import (
     ChangeFigures,
@@ -62,7 +62,7 @@
     calls: CallHistory
     changes: ChangeHistory
     observations: Observations
-    happened: list[HappenedFault]
+    happened: list[FaultRecord]
     samples: list[RevisionSample]
     final: FinalState
     journal: list[JournalRecord]
@@ -125,7 +125,7 @@
     yield from check_resends(changes)
     yield from check_winners(changes)
     yield from check_in_force(record.changes.in_force, record.happened)
-    yield from check_reached(changes, record.samples, record.happened)
+    yield from check_propagation(changes, record.samples, record.happened)
     yield from check_final(record.final, record.changes)
     for fault in record.happened:
         if fault.failure is not None:
@@ -138,26 +138,26 @@
 def check_final(final: FinalState, changes: ChangeHistory) -> Iterator[ChaosViolation]:
     """Check that all processes agree on the end, and that it holds every accepted change."""
     for replica, outcomes in final.outcomes.items():
-        yield from check_kept(changes.changes, replica, outcomes)
+        yield from check_stored_outcomes(changes.changes, replica, outcomes)
     for revision in set(final.tenant_revisions.values()):
         yield from check_order(
             changes.changes, final.raced_tenant, final.initial_revision, revision
         )
-    wanted = max(final.table_revision, changes.newest_revision())
+    expected_revision = max(final.table_revision, changes.newest_revision())
     for process, revision in final.process_revisions.items():
-        if revision < wanted:
-            detail = f"{process} stands at revision {revision}, not {wanted}, at the end"
+        if revision < expected_revision:
+            detail = f"{process} stands at revision {revision}, not {expected_revision}, at the end"
             yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
 def _change_figures(history: ChangeHistory) -> ChangeFigures:
-    firsts = [change.answers[0] for change in history.changes if change.answers]
+    first_answers = [change.answers[0] for change in history.changes if change.answers]
     races = {(c.tenant, c.expected) for c in history.changes if c.expected is not None}
     return ChangeFigures(
         submitted=len(history.changes),
-        accepted=sum(isinstance(first, Accepted) for first in firsts),
-        refused=sum(isinstance(first, Refused) for first in firsts),
-        undecided=len(history.changes) - len(firsts),
+        accepted=sum(isinstance(first, Accepted) for first in first_answers),
+        refused=sum(isinstance(first, Refused) for first in first_answers),
+        undecided=len(history.changes) - len(first_answers),
         resent=sum(len(change.answers) > 1 for change in history.changes),
         races=len(races),
     )
--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -15,7 +15,7 @@
 from jasperwalk_lab.fleet import Fleet, make_run_folder
 from jasperwalk_lab.fleet_options import FleetOptions
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetPlaces, places_of, read_places
+from jasperwalk_lab.load.listeners import FleetListeners, listeners_of, read_listeners
 from jasperwalk_lab.load.profile import PROFILES, LoadProfile
 from jasperwalk_lab.load.result import LoadResult
 from jasperwalk_lab.operations import CallHistory
@@ -58,14 +58,14 @@
     if (example is None) == (fleet_folder is None):
         raise click.UsageError("give either --example or --fleet")
     if fleet_folder is not None:
-        places = read_places(fleet_folder)
-        profile = _profile(places.example, seconds, rate)
-        result = run_stoppable(_run(places, profile, seed))
+        fleet_listeners = read_listeners(fleet_folder)
+        profile = _profile(fleet_listeners.example, seconds, rate)
+        result = run_stoppable(_run(fleet_listeners, profile, seed))
     else:
         name = str(example)
         options = FleetOptions(service_time_ms=service_time_ms, service_time_varies=True)
         profile = _profile(name, seconds, rate)
-        result = run_stoppable(_run_own(name, profile, seed, runs, options))
+        result = run_stoppable(_run_on_own_fleet(name, profile, seed, runs, options))
     click.echo(describe(result), err=as_json)
     if as_json:
         click.echo(msgspec.json.encode(result).decode())
@@ -75,21 +75,21 @@
     return PROFILES[example].scaled(rate).model_copy(update={"seconds": seconds})
 
 
-async def _run_own(
+async def _run_on_own_fleet(
     example: str, profile: LoadProfile, seed: int, runs: Path, options: FleetOptions
 ) -> LoadResult:
     run_folder = make_run_folder(runs, f"load-{example}")
     _progress(f"run folder {run_folder}, seed {seed}")
     async with Fleet(load_example(example), run_folder, seed, options) as fleet:
         await fleet.start()
-        return await _run(places_of(fleet), profile, seed)
+        return await _run(listeners_of(fleet), profile, seed)
 
 
-async def _run(places: FleetPlaces, profile: LoadProfile, seed: int) -> LoadResult:
+async def _run(fleet_listeners: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
     # A part of the name is drawn anew, as back ends remember the identities of earlier loads.
     name = f"load{seed}-{random.SystemRandom().randrange(RUN_NAME_LIMIT):x}"
-    caller = Caller(name, Path(places.ca_file), CallHistory())
-    loop = OpenLoop(caller, places, profile, seed, _progress)
+    caller = Caller(name, Path(fleet_listeners.ca_file), CallHistory())
+    loop = OpenLoop(caller, fleet_listeners, profile, seed, _progress)
     try:
         await loop.open_flows()
         return await loop.run()
--- a/src/jasperwalk_lab/commands/soak.py
+++ b/src/jasperwalk_lab/commands/soak.py
@@ -19,7 +19,7 @@
 from jasperwalk_lab.soak.run import run_soak
 
 EXIT_PROMISE_BROKEN = 1
-SHORTEST_MINUTES = 0.4
+MIN_MINUTES = 0.4
 SEED_BITS = 31
 SECONDS_PER_MINUTE = 60.0
 PLANES = ("datagrams", "http3")
@@ -28,7 +28,7 @@
 @click.command("soak")
 @click.option(
     "--minutes",
-    type=click.FloatRange(min=SHORTEST_MINUTES),
+    type=click.FloatRange(min=MIN_MINUTES),
     default=2.0,
     show_default=True,
     help="Length of the run.",
@@ -72,7 +72,7 @@
     runs_to_play.extend((seconds, drawn_seed + offset) for offset in range(seeds))
     broken = False
     for run_seconds, each_seed in runs_to_play:
-        soaking = run_soak(run_seconds, each_seed, runs, _tell, SIZES[size])
+        soaking = run_soak(run_seconds, each_seed, runs, _print_progress, SIZES[size])
         report = run_stoppable(soaking)
         _print(report, as_json)
         broken = broken or bool(report.violations)
@@ -81,14 +81,14 @@
 
 def _soak_http3(example: str, minutes: float, seed: int, runs: Path, as_json: bool) -> int:
     seconds = minutes * SECONDS_PER_MINUTE
-    report = run_stoppable(run_chaos(example, seconds, seed, runs, _tell))
+    report = run_stoppable(run_chaos(example, seconds, seed, runs, _print_progress))
     click.echo(describe_chaos(report), err=as_json)
     if as_json:
         click.echo(msgspec.json.encode(report).decode())
     return EXIT_PROMISE_BROKEN if report.violations else 0
 
 
-def _tell(line: str) -> None:
+def _print_progress(line: str) -> None:
     click.echo(line, err=True)
 
 
--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -62,12 +62,12 @@
         """Return the same deployment with other tenants."""
         return replace(self, tenants=tenants)
 
-    def moved(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
+    def relocated(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
         """Return the same deployment with fresh end points for listeners and members."""
-        tenants = tuple(self._moved_tenant(t, make_vip, make_member) for t in self.tenants)
+        tenants = tuple(self._relocated_tenant(t, make_vip, make_member) for t in self.tenants)
         return self.with_tenants(tenants)
 
-    def _moved_tenant(
+    def _relocated_tenant(
         self, tenant: Tenant, make_vip: EndpointMaker, make_member: EndpointMaker
     ) -> Tenant:
         values: dict[str, Any] = dict(tenant.values)
--- a/src/jasperwalk_lab/load/places.py
+++ b/src/jasperwalk_lab/load/listeners.py
@@ -10,10 +10,10 @@
 from jasperwalk_lab.errors import LabSettingsError
 from jasperwalk_lab.fleet import Fleet
 
-PLACES_FILE = "places.json"
+LISTENERS_FILE = "places.json"
 
 
-class FleetPlaces(msgspec.Struct, frozen=True):
+class FleetListeners(msgspec.Struct, frozen=True):
     """The example's name, the CA file, and each service's listener (`ip:port`)."""
 
     example: str
@@ -24,31 +24,31 @@
         """Return a service's VIP and port; raise `LabSettingsError` for an unknown one."""
         if service not in self.listeners:
             reason = f"no service {service!r}; there are {', '.join(sorted(self.listeners))}"
-            raise LabSettingsError(Path(PLACES_FILE), reason)
+            raise LabSettingsError(Path(LISTENERS_FILE), reason)
         return Endpoint.parse(self.listeners[service])
 
 
-def places_of(fleet: Fleet) -> FleetPlaces:
+def listeners_of(fleet: Fleet) -> FleetListeners:
     """Describe a fleet."""
     example = fleet.layout.example
-    return FleetPlaces(
+    return FleetListeners(
         example=example.name,
         ca_file=str(fleet.certificates.ca_file),
         listeners={each.name: str(each.listener) for each in example.services()},
     )
 
 
-def write_places(fleet: Fleet) -> Path:
+def write_listeners(fleet: Fleet) -> Path:
     """Write a fleet's places to its run folder; return the file."""
-    path = fleet.run_folder / PLACES_FILE
-    path.write_bytes(msgspec.json.encode(places_of(fleet)))
+    path = fleet.run_folder / LISTENERS_FILE
+    path.write_bytes(msgspec.json.encode(listeners_of(fleet)))
     return path
 
 
-def read_places(run_folder: Path) -> FleetPlaces:
+def read_listeners(run_folder: Path) -> FleetListeners:
     """Read the places of a running fleet; raise `LabSettingsError`."""
-    path = run_folder / PLACES_FILE
+    path = run_folder / LISTENERS_FILE
     try:
-        return msgspec.json.decode(path.read_bytes(), type=FleetPlaces)
+        return msgspec.json.decode(path.read_bytes(), type=FleetListeners)
     except (OSError, msgspec.MsgspecError) as error:
         raise LabSettingsError(path, str(error)) from error
--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -32,19 +32,19 @@
 from jasperwalk_lab.simulator.clock import SimulatedProcess
 
 POLL_SECONDS = 0.25
-CONNECT_PATIENCE_SECONDS = 6.0
-ANSWER_PATIENCE_SECONDS = 8.0
+CONNECT_WAIT_LIMIT_SECONDS = 6.0
+ANSWER_WAIT_LIMIT_SECONDS = 8.0
 """Time without any progress after which a caller gives a flow up."""
 DEADLINE_MS = 4000
 STATUS_OK, STATUS_CREATED = 200, 201
 FIRST_CONTENT_BYTE = 0x80
 """The model's packets are CBOR arrays, which begin with this byte or a higher one."""
-MOST_SENDS = 4
-SUBMISSIONS, STREAMS = 0.35, 0.15
+MAX_SENDS = 4
+SUBMISSION_SHARE, STREAM_SHARE = 0.35, 0.15
 """Shares of the operations; the rest are look-ups."""
-LOST_ANSWERS = 0.2
+LOST_ANSWER_SHARE = 0.2
 """Share of the submissions' answers that a caller loses, so that it sends again."""
-FLOW_USED_AGAIN = 0.8
+FLOW_REUSE_SHARE = 0.8
 """Share of the requests that go over the flow that is open already."""
 STREAM_INTERVAL_MS = 250.0
 
@@ -80,7 +80,7 @@
         self._stream_ids = itertools.count(0, 4)
         self._connected = asyncio.Event()
         self.ended = False
-        self._world.flows[self.address] = self.take
+        self._world.flows[self.address] = self.on_datagram
 
     @property
     def host(self) -> str:
@@ -90,7 +90,7 @@
     async def connect(self) -> bool:
         """Open the flow; False when nobody answered."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + CONNECT_PATIENCE_SECONDS
+        until = loop.time() + CONNECT_WAIT_LIMIT_SECONDS
         source = self._random.randbytes(8)
         while not self._connected.is_set() and loop.time() < until:
             self._send(model_flow.initial_packet(self._destination, source))
@@ -108,7 +108,7 @@
         while not stream.ended and not self.ended:
             if len(stream.frames) > count:
                 progress_at, count = loop.time(), len(stream.frames)
-            if loop.time() - progress_at > ANSWER_PATIENCE_SECONDS:
+            if loop.time() - progress_at > ANSWER_WAIT_LIMIT_SECONDS:
                 self._send_content([stream_id, None, b"", count, True])
                 return stream.frames, BreakReason.TIMED_OUT
             self._send_content([stream_id, headers, body, count, False])
@@ -125,7 +125,7 @@
         self.ended = True
         self._world.flows.pop(self.address, None)
 
-    def take(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
         """Take a datagram from the fabric."""
         if data[0] < FIRST_CONTENT_BYTE:
             # A stateless reset; while keys change, agents send one for each key.
@@ -134,13 +134,13 @@
             return
         content = cbor2.loads(data)
         if content[0] == model_flow.CONNECTION_ID:
-            self._take_connection_id(*content[1:])
+            self._on_connection_id(*content[1:])
         elif content[0] == model_flow.FRAMES:
-            self._take_frames(*content[1:])
+            self._on_frames(*content[1:])
         elif content[0] == model_flow.CLOSE:
             self._end()
 
-    def _take_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
+    def _on_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
         if not self._connection_id:
             # Another agent may have answered too, where the Initial was sent again: the first
             # answer stands, and later ones of other agents are not followed.
@@ -150,7 +150,7 @@
         self._number, self._connection_id, self._reset_token = number, connection_id, token
         self._connected.set()
 
-    def _take_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
+    def _on_frames(self, stream_id: int, first: int, frames: list[Any]) -> None:
         stream = self._streams.get(stream_id)
         if stream is None or first > len(stream.frames):
             return
@@ -169,7 +169,7 @@
         self._send(model_flow.short_packet(self._connection_id, content))
 
     def _send(self, payload: bytes) -> None:
-        self._world.spray(self._process, self.address, self._vip, payload)
+        self._world.send_from_caller(self._process, self.address, self._vip, payload)
 
 
 async def _wait(event: asyncio.Event, seconds: float) -> None:
@@ -201,9 +201,9 @@
 
     def _operation(self) -> Operation:
         drawn = self._random.random()
-        if drawn < SUBMISSIONS:
+        if drawn < SUBMISSION_SHARE:
             return Submission(f"{self._name}/{self._count}".encode())
-        if drawn < SUBMISSIONS + STREAMS:
+        if drawn < SUBMISSION_SHARE + STREAM_SHARE:
             return LongStream(self._random.choice((2.0, 5.0, 9.0)), STREAM_INTERVAL_MS)
         return Lookup(f"{self._count}")
 
@@ -213,9 +213,9 @@
             ticket = await self._obtain_ticket()
             if not ticket:
                 return
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             outcome = await self._send(identity, operation, ticket)
-            lost_the_answer = bool(ticket) and self._random.random() < LOST_ANSWERS
+            lost_the_answer = bool(ticket) and self._random.random() < LOST_ANSWER_SHARE
             if isinstance(outcome, Answered) and not lost_the_answer:
                 return
             if isinstance(outcome, Broken | Unknown) or lost_the_answer:
@@ -254,7 +254,7 @@
 
     async def _open_flow(self) -> Flow | None:
         flow = self._flow
-        if flow is not None and not flow.ended and self._random.random() < FLOW_USED_AGAIN:
+        if flow is not None and not flow.ended and self._random.random() < FLOW_REUSE_SHARE:
             return flow
         self._drop_flow()
         flow = Flow(self._process, self._service, self._world.next_flow_number(), self._random)
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -15,8 +15,8 @@
 RECOVERY_SECONDS = 4.0
 """Time after a fault for which a process still counts as disturbed: it reconnects and, where
 it was lost, is found out."""
-LONGEST_DRAIN_SECONDS = 20.0
-LONGEST_MOVE_SECONDS = 30.0
+MAX_DRAIN_SECONDS = 20.0
+MAX_MOVE_SECONDS = 30.0
 MOVE_POLL_SECONDS = 0.02
 
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Mood:
-    """A back end misbehaves for `seconds`; see `Moods` for the fields."""
+    """A back end misbehaves for `seconds`; see `BackendBehaviour` for the fields."""
 
     host: str
     seconds: float
@@ -143,10 +143,10 @@
 
     async def run(self, faults: list[Fault]) -> None:
         """Carry out every fault at its time and return when the last one is over."""
-        began = self._world.now
-        await asyncio.gather(*(self._at(began + fault.at, fault) for fault in faults))
+        started_at = self._world.now
+        await asyncio.gather(*(self._perform_at(started_at + fault.at, fault) for fault in faults))
 
-    async def _at(self, when: float, fault: Fault) -> None:
+    async def _perform_at(self, when: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, when - self._world.now))
         self._world.record.trace(self._world.now, f"fault {fault.action}")
         await self._perform(fault.action)
@@ -169,9 +169,9 @@
             case Move():
                 await self._move(action)
             case Mood():
-                await self._mood(action)
+                await self._misbehave(action)
             case Weather():
-                await self._weather(action)
+                await self._degrade_network(action)
             case Burst():
                 await self._burst(action)
 
@@ -185,11 +185,11 @@
             self._after(FABRIC_LAG_SECONDS, _leave_fabric, world, host)
         await asyncio.sleep(action.seconds)
         host.start()
-        self._note_restart(host.name)
+        self._record_restart(host.name)
         if isinstance(host, BalancerHost):
             self._after(FABRIC_LAG_SECONDS, _join_fabric, world, host)
 
-    def _note_restart(self, name: str) -> None:
+    def _record_restart(self, name: str) -> None:
         world, replica = self._world, self._world.any_replica()
         revision = 0 if replica is None else replica.state.revision
         world.record.restarts.append(Restart(name, world.now, revision))
@@ -226,7 +226,7 @@
         host = self._world.host(action.host)
         assert isinstance(host, ControlHost)
         begin = self._world.now
-        await replace_replica(self._world, host, self._administrator.console.random)
+        await replace_replica(self._world, host, self._administrator.operator_client.random)
         self._world.record.disturbances[host.name].append(
             Interval(begin, self._world.now + RECOVERY_SECONDS)
         )
@@ -252,30 +252,30 @@
     async def _move(self, action: Move) -> None:
         world, host = self._world, self._world.host(action.host)
         await self._administrator.move(action.host, action.service)
-        until = world.now + LONGEST_MOVE_SECONDS
+        until = world.now + MAX_MOVE_SECONDS
         while not _serves(host, action.service) and world.now < until:
             await asyncio.sleep(MOVE_POLL_SECONDS)
         if not _serves(host, action.service):
-            world.violated(f"move-stuck: {action.host} to {action.service}")
+            world.record_violation(f"move-stuck: {action.host} to {action.service}")
         world.moving.discard(action.host)
         world.record.trace(world.now, f"serving {action.host} {action.service}")
         world.record.planned_ends[action.host].append(Interval(world.now, world.now))
 
     async def _wait_until_stopped(self, host: AgentHost) -> None:
-        until = self._world.now + LONGEST_DRAIN_SECONDS
+        until = self._world.now + MAX_DRAIN_SECONDS
         while host.process is not None and self._world.now < until:
             await asyncio.sleep(0.1)
 
     async def _leave(self, action: Leave) -> None:
         asked_at = self._world.now
         self._world.platform.leave(action.host)
-        await self._until_drained(action.host)
-        self._administrator.note_drain(action.host, asked_at)
+        await self._wait_until_drained(action.host)
+        self._administrator.record_drain(action.host, asked_at)
         await asyncio.sleep(action.seconds)
-        self._administrator.close_drain(action.host)
+        self._administrator.record_drain_end(action.host)
         self._world.platform.stay(action.host)
 
-    async def _until_drained(self, host: str) -> None:
+    async def _wait_until_drained(self, host: str) -> None:
         for _ in range(300):
             replica = self._world.any_replica()
             if replica is not None and any(
@@ -285,16 +285,21 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def _mood(self, action: Mood) -> None:
+    async def _misbehave(self, action: Mood) -> None:
         if action.stalls:
             self._disturb(action.host, action.seconds)
-        moods = self._world.program(action.host).moods
-        moods.refuses, moods.stalls = action.refuses, action.stalls
-        moods.shed_share, moods.lies = action.shed_share, action.lies
+        behaviour = self._world.program(action.host).behaviour
+        behaviour.refuses, behaviour.stalls = action.refuses, action.stalls
+        behaviour.shed_share, behaviour.lies = action.shed_share, action.lies
         await asyncio.sleep(action.seconds)
-        moods.refuses, moods.stalls, moods.shed_share, moods.lies = False, False, 0.0, None
+        behaviour.refuses, behaviour.stalls, behaviour.shed_share, behaviour.lies = (
+            False,
+            False,
+            0.0,
+            None,
+        )
 
-    async def _weather(self, action: Weather) -> None:
+    async def _degrade_network(self, action: Weather) -> None:
         conditions = self._world.network.conditions
         conditions.loss, conditions.duplication = action.loss, action.duplication
         await asyncio.sleep(action.seconds)
--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -22,12 +22,12 @@
 CLUSTER_ID = "simulated"
 SNAPSHOT_INTERVAL_ENTRIES = 60
 """Small, so that snapshots and the log's truncation happen in every run."""
-NO_PORT = Endpoint("127.0.0.1", 0)
-NO_FILE = Path("unused")
-HIGHEST_DRIFT = 0.01
+UNUSED_ENDPOINT = Endpoint("127.0.0.1", 0)
+UNUSED_PATH = Path("unused")
+MAX_CLOCK_DRIFT = 0.01
 
 
-class WatchedReplica(ControlReplica):
+class ObservedReplica(ControlReplica):
     """The product's replica, which also shows the world every entry that it applies."""
 
     def entry_applied(self, entry: AppliedEntry[Outcome]) -> None:
@@ -45,7 +45,7 @@
         self.name = name
         self.zone = zone
         self.process: SimulatedProcess | None = None
-        self._boots = itertools.count(1)
+        self._start_numbers = itertools.count(1)
 
     @property
     def running(self) -> bool:
@@ -56,9 +56,9 @@
         """Start the process, if it is down."""
         if self.process is not None:
             return
-        drift = self.world.fault_random.uniform(-HIGHEST_DRIFT, HIGHEST_DRIFT)
+        drift = self.world.fault_random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.process = SimulatedProcess(self.name, self.zone, self.world, drift)
-        self.process.random.seed(f"{self.world.seed}-{self.name}-{next(self._boots)}")
+        self.process.random.seed(f"{self.world.seed}-{self.name}-{next(self._start_numbers)}")
         self.process.start(self.main())
 
     def kill(self, machine_lost: bool = False) -> None:
@@ -68,7 +68,7 @@
         self.process.machine_lost = machine_lost
         self.process.kill()
         self.world.network.process_ended(self.process)
-        self.world.ended.append(self.process)
+        self.world.ended_processes.append(self.process)
         self.process = None
 
     def freeze(self) -> None:
@@ -108,7 +108,7 @@
             name=self.name,
             cluster_id=CLUSTER_ID,
             replica_id=self.replica_id,
-            data_folder=NO_FILE,
+            data_folder=UNUSED_PATH,
             peer_listen=self.endpoint,
             peers=peers,
             snapshot_interval_entries=SNAPSHOT_INTERVAL_ENTRIES,
@@ -116,7 +116,7 @@
         )
         assert self.process is not None
         random = self.process.random
-        self.replica = WatchedReplica(config, MetricsRegistry("control"), random)
+        self.replica = ObservedReplica(config, MetricsRegistry("control"), random)
         await self.replica.start()
         await self.replica.run()
 
@@ -156,7 +156,7 @@
             cluster_id=CLUSTER_ID,
             zone=self.zone,
             listen=self.endpoint,
-            admin_listen=NO_PORT,
+            admin_listen=UNUSED_ENDPOINT,
             control=self.world.control_endpoints(),
             agent_networks=[LOOPBACK_NETWORK],
             new_flows_per_second=1000,
@@ -187,12 +187,12 @@
             cluster_id=CLUSTER_ID,
             zone=self.zone,
             listen=self.endpoint,
-            admin_listen=NO_PORT,
+            admin_listen=UNUSED_ENDPOINT,
             control=self.world.control_endpoints(),
             backend=Endpoint("127.0.0.1", BACKEND_PORT),
             fabric=FABRIC,
-            certificate_file=NO_FILE,
-            private_key_file=NO_FILE,
+            certificate_file=UNUSED_PATH,
+            private_key_file=UNUSED_PATH,
         )
         self.stopping = False
         self.agent = Agent(settings)
--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -75,26 +75,26 @@
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = operations
-        self._told = {
+        self._known_revisions = {
             each.result.revision for each in operations if isinstance(each.result, AcceptedAt)
         }
-        self._seen: set[tuple[int, State]] = set()
+        self._visited: set[tuple[int, State]] = set()
         self._order: list[str] = []
-        self._must = 0
+        self._required = 0
         for position, each in enumerate(operations):
             if not isinstance(each.result, Open):
-                self._must |= 1 << position
+                self._required |= 1 << position
 
     def run(self, initial: int) -> list[str] | None:
         """Search from the initial revision."""
-        return self._order if self._extend(0, initial) else None
+        return self._order if self._search_from(0, initial) else None
 
-    def _extend(self, done: int, state: State) -> bool:
-        if done & self._must == self._must:
+    def _search_from(self, done: int, state: State) -> bool:
+        if done & self._required == self._required:
             return True
-        if (done, state) in self._seen:
+        if (done, state) in self._visited:
             return False
-        self._seen.add((done, state))
+        self._visited.add((done, state))
         horizon = min(
             (
                 each.completed
@@ -106,34 +106,34 @@
         for position, each in enumerate(self._operations):
             if done >> position & 1 or each.invoked > horizon:
                 continue
-            following = self._effect(each, state)
-            if following is None:
+            next_state = self._state_after(each, state)
+            if next_state is None:
                 continue
             self._order.append(each.name)
-            if self._extend(done | 1 << position, following):
+            if self._search_from(done | 1 << position, next_state):
                 return True
             self._order.pop()
         return False
 
-    def _effect(self, operation: Operation, state: State) -> State | None:
+    def _state_after(self, operation: Operation, state: State) -> State | None:
         """Return the state after an operation; None where its result does not fit."""
         match operation.result:
             case AcceptedAt(revision=revision):
-                fits = operation.expected is None or self._is(state, operation.expected)
+                fits = operation.expected is None or self._may_be(state, operation.expected)
                 return revision if fits else None
             case RefusedAt(current=current):
                 differs = operation.expected is not None and operation.expected != current
-                return current if differs and self._is(state, current) else None
+                return current if differs and self._may_be(state, current) else None
             case ReadAt(revision=revision):
-                return revision if self._is(state, revision) else None
+                return revision if self._may_be(state, revision) else None
             case Open():
                 expects = operation.expected is not None
-                if expects and not self._is(state, operation.expected):
+                if expects and not self._may_be(state, operation.expected):
                     return None
                 return operation.name
 
-    def _is(self, state: State, revision: int | None) -> bool:
+    def _may_be(self, state: State, revision: int | None) -> bool:
         """Tell whether the state may be `revision`: an untold one may be any untold number."""
         if isinstance(state, str):
-            return revision not in self._told and revision != 0
+            return revision not in self._known_revisions and revision != 0
         return state == revision
--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -37,7 +37,7 @@
 INITIAL_LENGTH = 1200
 RETRANSMISSION_SECONDS = 0.3
 IDLE_SECONDS = 60.0
-MOST_FRAMES_IN_DATAGRAM = 16
+MAX_FRAMES_IN_DATAGRAM = 16
 
 CONNECTION_ID, FRAMES, CLOSE = "connection-id", "frames", "close"
 HEAD, DATA, END, RESET = "head", "data", "end", "reset"
@@ -90,7 +90,7 @@
     frames: list[Frame] = field(default_factory=list)
     acknowledged: int = 0
     sent: int = 0
-    waits_since: float = 0.0
+    oldest_unacknowledged_at: float = 0.0
     """When the oldest frame that is not acknowledged was sent, or an earlier one acknowledged."""
 
     @property
@@ -119,19 +119,19 @@
         self._events: deque[ModelEvent] = deque()
         self._streams: dict[int, ModelStream] = {}
         self._caller = b""
-        self._announce = False
+        self._connection_id_pending = False
         self._closing = False
-        self._heard_at: float | None = None
+        self._last_received_at: float | None = None
         self._now = 0.0
         self.is_closed = False
 
     def receive_datagram(self, payload: bytes, caller: bytes, now: float) -> None:
         """Take one packet of the caller."""
-        self._caller, self._heard_at, self._now = caller, now, now
+        self._caller, self._last_received_at, self._now = caller, now, now
         if payload[0] & LONG_HEADER_BIT:
-            self._announce = True
+            self._connection_id_pending = True
             return
-        self._note_use(payload[1 : 1 + CONNECTION_ID_LENGTH])
+        self._record_connection_id_use(payload[1 : 1 + CONNECTION_ID_LENGTH])
         stream_id, headers, body, acknowledged, cancelled = cbor2.loads(
             payload[1 + CONNECTION_ID_LENGTH :]
         )
@@ -145,7 +145,7 @@
             return
         if acknowledged > stream.acknowledged:
             stream.acknowledged = acknowledged
-            stream.waits_since = now
+            stream.oldest_unacknowledged_at = now
         if cancelled:
             self._events.append(ModelCancel(stream_id))
 
@@ -159,7 +159,7 @@
         newest = self._new_connection_id(self._host_cids[-1].sequence_number + 1)
         self._host_cids.append(newest)
         self._events.append(ConnectionIdIssued(connection_id=newest.cid))
-        self._announce = True
+        self._connection_id_pending = True
 
     def send_ping(self, uid: int) -> None:
         """Keep the flow open; the model's callers poll while a request is open."""
@@ -169,7 +169,7 @@
         token = self._reset_token_of(connection_id)
         return QuicConnectionId(connection_id, sequence_number, token, was_sent=True)
 
-    def _note_use(self, connection_id: bytes) -> None:
+    def _record_connection_id_use(self, connection_id: bytes) -> None:
         """Take the first packet of the flow as its handshake, and a new ID as acknowledged."""
         if not self._handshake_complete:
             self._handshake_complete = True
@@ -180,7 +180,7 @@
                 self._events.append(ConnectionIdRetired(connection_id=former.cid))
             self._host_cids = [newest]
         else:
-            self._announce = True
+            self._connection_id_pending = True
 
     def next_event(self) -> ModelEvent | None:
         """Return what happened next, None for nothing."""
@@ -206,30 +206,30 @@
 
     def get_timer(self) -> float | None:
         """Return when the flow is due again."""
-        if self.is_closed or self._heard_at is None:
+        if self.is_closed or self._last_received_at is None:
             return None
-        due = self._heard_at + IDLE_SECONDS
+        due = self._last_received_at + IDLE_SECONDS
         for stream in self._streams.values():
             if stream.acknowledged < len(stream.frames):
-                due = min(due, stream.waits_since + RETRANSMISSION_SECONDS)
+                due = min(due, stream.oldest_unacknowledged_at + RETRANSMISSION_SECONDS)
         return due
 
     def handle_timer(self, now: float) -> None:
         """Send again what was not acknowledged, or end an idle flow."""
         self._now = now
-        if self._heard_at is not None and now >= self._heard_at + IDLE_SECONDS:
+        if self._last_received_at is not None and now >= self._last_received_at + IDLE_SECONDS:
             self.is_closed = True
             self._events.append(ModelEnd())
             return
         for stream in self._streams.values():
-            if now >= stream.waits_since + RETRANSMISSION_SECONDS:
+            if now >= stream.oldest_unacknowledged_at + RETRANSMISSION_SECONDS:
                 stream.sent = min(stream.sent, stream.acknowledged)
 
     def datagrams_to_send(self, now: float) -> list[tuple[bytes, bytes]]:
         """Return the datagrams that are due, each with the caller's packed end point."""
         contents: list[list[Any]] = []
-        if self._announce:
-            self._announce = False
+        if self._connection_id_pending:
+            self._connection_id_pending = False
             newest = self._host_cids[-1]
             content = [newest.sequence_number, newest.cid, newest.stateless_reset_token]
             contents.append([CONNECTION_ID, *content])
@@ -237,8 +237,8 @@
             while stream.sent < len(stream.frames):
                 first = stream.sent
                 if first == stream.acknowledged:
-                    stream.waits_since = now
-                frames = stream.frames[first : first + MOST_FRAMES_IN_DATAGRAM]
+                    stream.oldest_unacknowledged_at = now
+                frames = stream.frames[first : first + MAX_FRAMES_IN_DATAGRAM]
                 stream.sent += len(frames)
                 contents.append([FRAMES, stream_id, first, frames])
         if self._closing and not self.is_closed:
--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Conditions:
+class NetworkConditions:
     """What the network does to traffic: probabilities for one message, delays in seconds.
 
     `between_zones` and `to_clients` are the one-way delays; each is drawn up to `jitter`
@@ -46,7 +46,7 @@
 class Network:
     """Carries everything between processes; `cuts` holds one-way pairs of names."""
 
-    def __init__(self, random: Random, conditions: Conditions) -> None:
+    def __init__(self, random: Random, conditions: NetworkConditions) -> None:
         self.random = random
         self.conditions = conditions
         self.cuts: set[tuple[str, str]] = set()
@@ -72,7 +72,7 @@
         self,
         sender: SimulatedProcess,
         receiver: SimulatedProcess,
-        take: Callable[..., Any],
+        deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
         """Carry one datagram, or lose or double it."""
@@ -82,18 +82,18 @@
             delay = self.delay(sender, receiver)
             if lost or self.is_cut(sender, receiver):
                 continue
-            deliver_at(delay, receiver, take, arguments)
+            deliver_at(delay, receiver, deliver, arguments)
 
     def send_once(
         self,
         sender: SimulatedProcess,
         receiver: SimulatedProcess,
-        take: Callable[..., Any],
+        deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
         """Carry one message of a connection that is not modelled: once, or not at all."""
         if not self.is_cut(sender, receiver):
-            deliver_at(self.delay(sender, receiver), receiver, take, arguments)
+            deliver_at(self.delay(sender, receiver), receiver, deliver, arguments)
 
     def listen(self, endpoint: Endpoint, listener: Listener) -> None:
         """Take connections at an end point, in place of any earlier listener."""
@@ -144,11 +144,14 @@
 
 
 def deliver_at(
-    delay: float, receiver: SimulatedProcess, take: Callable[..., Any], arguments: tuple[Any, ...]
+    delay: float,
+    receiver: SimulatedProcess,
+    deliver: Callable[..., Any],
+    arguments: tuple[Any, ...],
 ) -> None:
     """Hand something to a process after a delay; a dead process never gets it."""
     asyncio.get_running_loop().call_later(
-        delay, receiver.call, take, *arguments, context=contextvars.Context()
+        delay, receiver.call, deliver, *arguments, context=contextvars.Context()
     )
 
 
@@ -181,7 +184,7 @@
         self._arrived = asyncio.Event()
         self._outbox: deque[bytes | None] = deque()
         self._next_arrival = 0.0
-        self._pumping = False
+        self._resume_scheduled = False
 
     def limit_received_frames(self, max_frame_bytes: int) -> None:
         """Take note of a limit; the simulated frames are small."""
@@ -191,7 +194,7 @@
         if self.closed:
             raise ConnectionLost(reason="closed on this side")
         self._outbox.append(payload)
-        self._pump()
+        self._send_queued()
 
     async def send(self, payload: bytes) -> None:
         """Queue one frame; raises as `write` does."""
@@ -222,7 +225,7 @@
             self._outbox.clear()
             self._outbox.append(None)
             self._arrived.set()
-            self._pump()
+            self._send_queued()
 
     async def close(self, timeout_seconds: float = 1.0) -> None:
         """Close after what was written."""
@@ -230,18 +233,20 @@
             self.closed = True
             self._outbox.append(None)
             self._arrived.set()
-            self._pump()
+            self._send_queued()
 
-    def _pump(self) -> None:
+    def _send_queued(self) -> None:
         """Send what waits, in order; while the way is cut, look again a little later."""
-        if self._pumping:
+        if self._resume_scheduled:
             return
         receiver = self.other.process
         loop = asyncio.get_running_loop()
         while self._outbox:
             if self.network.is_cut(self.process, receiver):
-                self._pumping = True
-                loop.call_later(CUT_POLL_SECONDS, self._pump_again, context=contextvars.Context())
+                self._resume_scheduled = True
+                loop.call_later(
+                    CUT_POLL_SECONDS, self._resume_sending, context=contextvars.Context()
+                )
                 return
             frame = self._outbox.popleft()
             delay = self.network.delay(self.process, receiver)
@@ -252,19 +257,19 @@
             self._next_arrival = max(earliest, loop.time() + delay)
             loop.call_at(self._next_arrival, self._arrive, frame, context=contextvars.Context())
 
-    def _pump_again(self) -> None:
-        self._pumping = False
-        self._pump()
+    def _resume_sending(self) -> None:
+        self._resume_scheduled = False
+        self._send_queued()
 
     def _arrive(self, frame: bytes | None) -> None:
         receiver = self.other.process
         if receiver.alive:
-            receiver.call(self.other.take, frame)
+            receiver.call(self.other.deliver, frame)
         elif not receiver.machine_lost:
             # Nobody is there any more: the machine's kernel resets the connection.
-            deliver_at(RESET_SECONDS, self.process, self.take, (None,))
+            deliver_at(RESET_SECONDS, self.process, self.deliver, (None,))
 
-    def take(self, frame: bytes | None) -> None:
+    def deliver(self, frame: bytes | None) -> None:
         """Take a frame of the other side; None is its end."""
         if frame is None:
             self.closed = True
--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -10,7 +10,7 @@
 from jasperwalk.control.state.outcomes import Outcome
 from jasperwalk_lab.operations import CallRecord
 
-CROSSING_SECONDS = 0.1
+MAX_CLOSE_RACE_SECONDS = 0.1
 """Longest time from the invocation of a request until it meets the closing of its flow."""
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class TableMark:
+class TableRevision:
     """A process had `revision` in force from `at` on."""
 
     at: float
@@ -63,7 +63,7 @@
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
+    def overlaps(self, begin: float, end: float) -> bool:
         """Tell whether it overlaps with another span."""
         return self.begin < end and begin < self.end
 
@@ -96,7 +96,9 @@
 
     changes: list[Change] = field(default_factory=list)
     calls: list[CallRecord] = field(default_factory=list)
-    marks: defaultdict[str, list[TableMark]] = field(default_factory=lambda: defaultdict(list))
+    table_revisions: defaultdict[str, list[TableRevision]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     disturbances: defaultdict[str, list[Interval]] = field(
         default_factory=lambda: defaultdict(list)
     )
@@ -125,9 +127,10 @@
         A request on the wire at that very moment meets a closed flow, too.
         """
         return any(
-            each.begin - CROSSING_SECONDS <= invoked <= each.end for each in self.planned_ends[name]
+            each.begin - MAX_CLOSE_RACE_SECONDS <= invoked <= each.end
+            for each in self.planned_ends[name]
         )
 
     def disturbed(self, name: str, begin: float, end: float) -> bool:
         """Tell whether a process was down, frozen or cut off at some time within a span."""
-        return any(each.meets(begin, end) for each in self.disturbances[name])
+        return any(each.overlaps(begin, end) for each in self.disturbances[name])
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -19,26 +19,26 @@
 from jasperwalk_lab.simulator.clock import VirtualLoop
 from jasperwalk_lab.simulator.disk import Disk
 from jasperwalk_lab.simulator.faults import Fault, FaultInjector
-from jasperwalk_lab.simulator.operators import Administrator, Console, Operator
+from jasperwalk_lab.simulator.operators import Administrator, Operator, OperatorClient
 from jasperwalk_lab.simulator.scenarios import Scenario
-from jasperwalk_lab.simulator.seams import Replacement, product_seams, replaced
+from jasperwalk_lab.simulator.system_substitutes import Replacement, replaced, system_replacements
 from jasperwalk_lab.simulator.verdicts import (
     Measures,
     check_calls,
     check_changes,
     check_drains,
     check_in_force,
-    check_kept,
+    check_outcomes_kept,
     check_revisions,
-    measure_leaders,
-    measure_restarts,
+    measure_catch_up,
+    measure_leader_gaps,
 )
 from jasperwalk_lab.simulator.world import World
 
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 6.0
 """Quiet time after the last fault, in which everything has to come right."""
-QUIET_TIMEOUT_SECONDS = 40.0
+SETTLE_TIMEOUT_SECONDS = 40.0
 CALLERS_PER_SERVICE = 4
 OPERATOR_COUNT = 3
 
@@ -87,20 +87,20 @@
     structlog.configure(wrapper_class=quiet, cache_logger_on_first_use=False)
     loop = VirtualLoop()
     try:
-        with replaced([*product_seams(), *applied.replacements]):
+        with replaced([*system_replacements(), *applied.replacements]):
             result = loop.run_until_complete(_Run(scenario, seed, chosen, applied).perform())
         result.violations.extend(f"process-failed: {each}" for each in loop.failures[:3])
     finally:
         loop.close()
         del loop
-        _forget_processes()
+        _discard_processes()
         structlog.reset_defaults()
     if trace_file is not None:
         trace_file.write_text("\n".join(result.events) + "\n")
     return result
 
 
-def _forget_processes() -> None:
+def _discard_processes() -> None:
     """Drop what the run's processes left, without the noise of their unfinished tasks."""
     hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
     try:
@@ -123,32 +123,37 @@
     async def perform(self) -> RunResult:
         """Start the fleet, disturb it, let it settle, judge it."""
         world = World(self._seed, self._scenario.layout, self._defect.disk_class)
-        administrator = Administrator(self._console(world, 0))
+        administrator = Administrator(self._operator_client(world, 0))
         world.start()
         await administrator.set_up()
-        if not await self._until(world, world.ready, READY_SECONDS, "fleet-not-ready"):
+        if not await self._wait_until(world, world.ready, READY_TIMEOUT_SECONDS, "fleet-not-ready"):
             return self._result(world)
         injector = FaultInjector(world, administrator)
         tasks = [*self._start_operators(world), *self._start_callers(world)]
         await injector.run(self._faults)
         await asyncio.sleep(SETTLE_SECONDS)
         world.traffic = False
-        await asyncio.wait(tasks, timeout=QUIET_TIMEOUT_SECONDS)
-        await self._until(
-            world, lambda: _is_settled(world), QUIET_TIMEOUT_SECONDS, "fleet-not-settled"
+        await asyncio.wait(tasks, timeout=SETTLE_TIMEOUT_SECONDS)
+        await self._wait_until(
+            world, lambda: _is_settled(world), SETTLE_TIMEOUT_SECONDS, "fleet-not-settled"
         )
-        self._judge(world)
+        self._check_run(world)
         return self._result(world)
 
-    def _console(self, world: World, number: int) -> Console:
+    def _operator_client(self, world: World, number: int) -> OperatorClient:
         name = f"operator-{number}"
         side = world.controls[number % len(world.controls)]
         world.operator_sides[name] = side.name
-        return Console(world, name, side.zone, Random(f"{self._seed}-{name}"))
+        return OperatorClient(world, name, side.zone, Random(f"{self._seed}-{name}"))
 
     def _start_operators(self, world: World) -> list[asyncio.Task[None]]:
-        consoles = [self._console(world, number) for number in range(1, OPERATOR_COUNT + 1)]
-        return [console.process.start(Operator(console).run()) for console in consoles]
+        operator_clients = [
+            self._operator_client(world, number) for number in range(1, OPERATOR_COUNT + 1)
+        ]
+        return [
+            operator_client.process.start(Operator(operator_client).run())
+            for operator_client in operator_clients
+        ]
 
     def _start_callers(self, world: World) -> list[asyncio.Task[None]]:
         tasks: list[asyncio.Task[None]] = []
@@ -160,23 +165,23 @@
                 tasks.append(world.clients.start(caller.run()))
         return tasks
 
-    async def _until(
+    async def _wait_until(
         self, world: World, condition: Callable[[], bool], seconds: float, violation: str
     ) -> bool:
         until = world.now + seconds
         while not condition():
             if world.now >= until:
-                world.violated(f"{violation}: within {seconds} s")
+                world.record_violation(f"{violation}: within {seconds} s")
                 return False
             await asyncio.sleep(0.05)
         return True
 
-    def _judge(self, world: World) -> None:
+    def _check_run(self, world: World) -> None:
         record = world.record
         controls = [each.name for each in world.controls]
         for host in world.controls:
             if host.replica is not None:
-                self._judge_replica(world, host.name, host.replica)
+                self._check_replica(world, host.name, host.replica)
         arrivals = {host: program.arrivals for host, program in world.programs.items()}
         journal = [each.record for host in arrivals.values() for each in host]
         self._report, broken = check_calls(record, journal)
@@ -200,18 +205,18 @@
             *check_revisions(record),
             *_differing_tables(world),
         ]
-        measure_leaders(record, controls, self._measures)
-        measure_restarts(record, self._measures)
+        measure_leader_gaps(record, controls, self._measures)
+        measure_catch_up(record, self._measures)
         for finding in findings:
-            world.violated(finding)
+            world.record_violation(finding)
 
-    def _judge_replica(self, world: World, name: str, replica: ControlReplica) -> None:
+    def _check_replica(self, world: World, name: str, replica: ControlReplica) -> None:
         found = {
             change.change_id: replica.state.outcome_of(change.change_id)
             for change in world.record.changes
         }
-        for finding in check_kept(world.record.changes, name, found):
-            world.violated(finding)
+        for finding in check_outcomes_kept(world.record.changes, name, found):
+            world.record_violation(finding)
 
     def _result(self, world: World) -> RunResult:
         record = world.record
--- a/src/jasperwalk_lab/simulator/seams.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -238,7 +238,7 @@
         """Do nothing."""
 
 
-class RecordingRunner(FollowerRunner):
+class RecordingFollowerRunner(FollowerRunner):
     """The product's follower runner, which also tells the world of every revision."""
 
     def __init__(
@@ -293,7 +293,7 @@
         """Do nothing."""
 
 
-def _general_stand_ins() -> list[tuple[Any, Any]]:
+def _module_wide_substitutes() -> list[tuple[Any, Any]]:
     """Return what is replaced under every name of every product module: original, stand-in."""
     clock = types.SimpleNamespace(
         monotonic=ProcessClock.monotonic,
@@ -314,27 +314,27 @@
         (transport_client.port_accepts, port_accepts),
         (FramedServer, SimulatedServer),
         (AdminServer, NoAdminServer),
-        (FollowerRunner, RecordingRunner),
+        (FollowerRunner, RecordingFollowerRunner),
     ]
 
 
-def _general_seams() -> list[tuple[Any, str, Any]]:
-    stand_ins = {id(original): stand_in for original, stand_in in _general_stand_ins()}
+def _module_wide_patch_points() -> list[tuple[Any, str, Any]]:
+    substitutes = {id(original): substitute for original, substitute in _module_wide_substitutes()}
     modules = [
         module for name, module in sorted(sys.modules.items()) if name.startswith(PRODUCT_PREFIX)
     ]
     return [
-        (module, name, stand_ins[id(value)])
+        (module, name, substitutes[id(value)])
         for module in modules
         for name, value in vars(module).items()
-        if id(value) in stand_ins
+        if id(value) in substitutes
     ]
 
 
-def _seams() -> list[tuple[Any, str, Any]]:
+def _patch_points() -> list[tuple[Any, str, Any]]:
     random = types.SimpleNamespace(SystemRandom=_seeded, Random=_seeded)
     return [
-        *_general_seams(),
+        *_module_wide_patch_points(),
         (agent_process, "random", random),
         (balancer_process, "random", random),
         (replica, "PlatformPoller", SimulatedPoller),
@@ -358,7 +358,7 @@
 
     owner: Any
     name: str
-    stand_in: Any
+    substitute: Any
 
 
 @contextlib.contextmanager
@@ -367,13 +367,13 @@
     originals = [(each.owner, each.name, each.owner.__dict__[each.name]) for each in replacements]
     try:
         for each in replacements:
-            setattr(each.owner, each.name, each.stand_in)
+            setattr(each.owner, each.name, each.substitute)
         yield
     finally:
         for owner, name, original in reversed(originals):
             setattr(owner, name, original)
 
 
-def product_seams() -> list[Replacement]:
+def system_replacements() -> list[Replacement]:
     """Return the seams of a run."""
-    return [Replacement(owner, name, stand_in) for owner, name, stand_in in _seams()]
+    return [Replacement(owner, name, substitute) for owner, name, substitute in _patch_points()]
--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -15,7 +15,7 @@
 
 from jasperwalk.addresses import Endpoint
 from jasperwalk_lab.soak.history import (
-    FlowAsked,
+    FlowRequested,
     OpenFlowReset,
     RequestEnded,
     RequestOutcome,
@@ -43,14 +43,14 @@
 )
 
 READY_POLL_SECONDS = 0.5
-MISSES_OUT = 2
-COPY_SECONDS = (0.0, 0.2, 0.6)
+MAX_MISSED_POLLS = 2
+OPENING_SEND_SECONDS = (0.0, 0.2, 0.6)
 """When an opening packet and its copies are sent."""
-OPENING_SECONDS = 1.4
-RESEND_SECONDS = (0.0, 0.2, 0.4, 0.8)
+OPENING_TIMEOUT_SECONDS = 1.4
+REQUEST_SEND_PAUSES_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
-REQUEST_SECONDS = 2.5
-TRIES = 3
+REQUEST_TIMEOUT_SECONDS = 2.5
+MAX_TRIES = 3
 FIRST_PORT = 10_000
 LAST_PORT = 60_000
 OK_STATUS = 200
@@ -82,10 +82,10 @@
     async def run(self) -> None:
         """Ask the balancers until cancelled."""
         while True:
-            await asyncio.gather(*(self._ask(each) for each in self.balancers))
+            await asyncio.gather(*(self._send_request(each) for each in self.balancers))
             await asyncio.sleep(READY_POLL_SECONDS)
 
-    async def _ask(self, place: BalancerPlace) -> None:
+    async def _send_request(self, place: BalancerPlace) -> None:
         answer = await self._caller.call(place.ready, "GET", READY_PATH, seconds=READY_POLL_SECONDS)
         is_ready = answer.status == OK_STATUS
         self._misses[place.name] = 0 if is_ready else self._misses.get(place.name, 0) + 1
@@ -98,9 +98,11 @@
         """
         if last is not None and self.exists(last.name):
             return last
-        inside = [each for each in self.balancers if self._misses.get(each.name, 0) < MISSES_OUT]
-        near = [each for each in inside if zone in ("", each.zone)]
-        places = near or inside or self.balancers
+        reachable = [
+            each for each in self.balancers if self._misses.get(each.name, 0) < MAX_MISSED_POLLS
+        ]
+        same_zone = [each for each in reachable if zone in ("", each.zone)]
+        places = same_zone or reachable or self.balancers
         return max(places, key=lambda each: crc32(key + each.name.encode()))
 
 
@@ -143,7 +145,7 @@
         history: SoakHistory,
         hosts: Callable[[], list[SoakHost]],
         route_of: Callable[[Endpoint], SoakRoute],
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         """`address` is where the balancers and agents send callers' packets to."""
         self._address = address
@@ -152,7 +154,7 @@
         self._history = history
         self._hosts = hosts
         self._route_of = route_of
-        self._drawn = drawn
+        self._rng = rng
         self._flows: dict[tuple[Endpoint, Endpoint], CallerFlow] = {}
         self._next_port = FIRST_PORT
         self._next_request = 0
@@ -171,12 +173,12 @@
         if self._transport is not None:
             self._transport.close()
 
-    async def request_now_and_then(self, listener: Endpoint, pause: float) -> None:
+    async def request_repeatedly(self, listener: Endpoint, pause: float) -> None:
         """Keep one flow for many requests, until cancelled; a lost one is opened again."""
         flow: CallerFlow | None = None
         while True:
             flow = await self._request(listener, flow, is_last=False)
-            await asyncio.sleep(pause * self._drawn.uniform(0.5, 1.5))
+            await asyncio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
     async def request_once(self, listener: Endpoint, zone: str = "") -> None:
         """Open a flow for one request."""
@@ -190,30 +192,34 @@
         request_id = f"q{self._next_request}"
         began_at = self._clock()
         outcome = RequestOutcome.GIVEN_UP
-        for attempt in range(TRIES):
+        for attempt in range(MAX_TRIES):
             # Every further try is a request of its own: the first may have run.
             attempt_id = request_id if attempt == 0 else f"{request_id}.{attempt}"
             flow = flow or await self._open(listener, attempt_id, zone)
             if flow is None:
                 continue
-            if await self._ask(flow, attempt_id, is_last):
+            if await self._send_request(flow, attempt_id, is_last):
                 if not flow.answer.startswith(NOT_RUN_MARK):
-                    self._note(began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow))
+                    self._record_ended(
+                        began_at, attempt_id, RequestOutcome.ANSWERED, _answered_id(flow)
+                    )
                     return None if is_last else flow
-                self._note_refused(flow, attempt_id, is_by_host=True)
+                self._record_refused(flow, attempt_id, is_by_host=True)
                 outcome = RequestOutcome.REFUSED
             elif flow.was_reset:
                 outcome = RequestOutcome.FLOW_RESET
             self._forget(flow)
             flow = None
-        self._note(began_at, request_id, outcome, "")
+        self._record_ended(began_at, request_id, outcome, "")
         return None
 
-    def _note(self, began_at: float, name: str, outcome: RequestOutcome, answered: str) -> None:
+    def _record_ended(
+        self, began_at: float, name: str, outcome: RequestOutcome, answered: str
+    ) -> None:
         ended = RequestEnded(began_at, self._clock(), name, outcome, answered)
         self._history.requests.append(ended)
 
-    def _note_refused(self, flow: CallerFlow, request_id: str, is_by_host: bool) -> None:
+    def _record_refused(self, flow: CallerFlow, request_id: str, is_by_host: bool) -> None:
         route = self._route_of(flow.listener)
         refused = RequestRefused(
             self._clock(), request_id, flow.name(), route.service, route.priority, is_by_host
@@ -223,30 +229,33 @@
     async def _open(self, listener: Endpoint, request_id: str, zone: str) -> CallerFlow | None:
         endpoint = Endpoint(self._address.host, self._next_port)
         self._next_port = FIRST_PORT if self._next_port >= LAST_PORT else self._next_port + 1
-        flow = CallerFlow(endpoint, listener, self._drawn.randrange(2**31), zone)
+        flow = CallerFlow(endpoint, listener, self._rng.randrange(2**31), zone)
         self._flows[(endpoint, listener)] = flow
         began_at = self._clock()
-        self._history.asked.append(FlowAsked(began_at, flow.name()))
-        for copy, at in enumerate((*COPY_SECONDS, OPENING_SECONDS)):
+        self._history.asked.append(FlowRequested(began_at, flow.name()))
+        for copy, at in enumerate((*OPENING_SEND_SECONDS, OPENING_TIMEOUT_SECONDS)):
             await self._wait(flow, began_at + at - self._clock())
             if flow.acknowledged is not None:
                 return flow
-            if flow.was_reset or at == OPENING_SECONDS:
+            if flow.was_reset or at == OPENING_TIMEOUT_SECONDS:
                 break
             self._send(flow, Packet(endpoint, listener, flow.sequence, copy, SYN))
         if flow.was_reset:
-            self._note_refused(flow, request_id, is_by_host=False)
+            self._record_refused(flow, request_id, is_by_host=False)
         self._forget(flow)
         return None
 
-    async def _ask(self, flow: CallerFlow, request_id: str, is_last: bool) -> bool:
+    async def _send_request(self, flow: CallerFlow, request_id: str, is_last: bool) -> bool:
         """Send a request until it is answered; False where the flow is lost or time is up."""
         data = REQUEST_MARK + request_id.encode()
         number = flow.sequence + 1
         flow.answer, flow.expected = b"", (number + len(data)) % 2**32
         assert flow.acknowledged is not None
         packet = Packet(flow.endpoint, flow.listener, number, flow.acknowledged, ACK, data)
-        for pause in (*RESEND_SECONDS, REQUEST_SECONDS - sum(RESEND_SECONDS)):
+        for pause in (
+            *REQUEST_SEND_PAUSES_SECONDS,
+            REQUEST_TIMEOUT_SECONDS - sum(REQUEST_SEND_PAUSES_SECONDS),
+        ):
             await self._wait(flow, pause)
             if flow.answer or flow.was_reset:
                 break
@@ -288,7 +297,7 @@
         if flow is None:
             return
         if packet.flags & RST:
-            self._note_reset(flow)
+            self._record_reset(flow)
             flow.was_reset = True
         elif packet.flags & SYN:
             if flow.acknowledged is None:
@@ -297,7 +306,7 @@
             flow.answer = packet.data
         flow.answered.set()
 
-    def _note_reset(self, flow: CallerFlow) -> None:
+    def _record_reset(self, flow: CallerFlow) -> None:
         """Note a reset on a flow that a living host holds open; hosts here never reset."""
         for host in self._hosts():
             held = host.flows.get((flow.endpoint, flow.listener))
--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -11,13 +11,13 @@
 from jasperwalk_lab.soak.history import (
     HostAtEnd,
     MachineStall,
-    OpeningTaken,
+    OpeningReceived,
     RequestOutcome,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
     ZoneOrdered,
 )
-from jasperwalk_lab.soak.refusal_checks import ran_though_refused, urgency_breaks
+from jasperwalk_lab.soak.refusal_checks import priority_violations, ran_though_refused
 
 HOST_DRAIN_SECONDS = 0.5
 """Acknowledgements of an agent hold at once; the rest is for packets under way."""
@@ -25,18 +25,18 @@
 """Within this time an order holds wherever a balancer or the agent has a home."""
 CONFIGURATION_SECONDS = 4.0
 """Age of an acknowledgement from which no replica may answer with an older configuration."""
-PLANNED_CALM_SECONDS = 6.0
+UNPLANNED_FAULT_REACH_SECONDS = 6.0
 """A reset counts as planned work's where no other fault was this near before it."""
-BACK_SECONDS = 6.0
+RECOVERY_SECONDS = 6.0
 """Time after the last fault in which the service comes back."""
-LEAST_ANSWERED_SHARE = 0.97
+MIN_ANSWERED_SHARE = 0.97
 """Share of the requests after that which have to be answered: one in a hundred may meet its end
 of the run."""
-LEAST_REQUESTS_AFTER = 20
-LEAST_FLOWS_A_HOST = 10.0
+MIN_REQUESTS_AFTER_RECOVERY = 20
+MIN_FLOWS_PER_HOST = 10.0
 """New flows a host of a service on average from which one without any is left out: with flows
 chosen at random that happens once in twenty thousand."""
-MOST_MEMORY_GROWTH = 1.5
+MAX_MEMORY_GROWTH = 1.5
 MEMORY_SLACK_BYTES = 24 << 20
 DESCRIPTOR_SLACK = 24
 
@@ -99,7 +99,9 @@
     return sorted(found, key=lambda each: each.at)
 
 
-def not_excused(violations: list[SoakViolation], stalls: list[MachineStall]) -> list[SoakViolation]:
+def without_stall_violations(
+    violations: list[SoakViolation], stalls: list[MachineStall]
+) -> list[SoakViolation]:
     """Leave out promises with a time in them that were broken near a stall of the machine."""
     return [
         each
@@ -127,7 +129,7 @@
 
 
 def _right_service(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
-    arrived: list[OpeningTaken | RequestRun] = [*history.openings, *history.runs]
+    arrived: list[OpeningReceived | RequestStarted] = [*history.openings, *history.runs]
     for seen in arrived:
         if seen.service != seen.route_service:
             detail = f"{seen.host_id} of {seen.service} got a packet for {seen.route_service}"
@@ -213,7 +215,7 @@
             each
             for each in unplanned
             if each.began_at <= reset.at
-            and reset.at <= (each.ended_at or history.ends_at) + PLANNED_CALM_SECONDS
+            and reset.at <= (each.ended_at or history.ends_at) + UNPLANNED_FAULT_REACH_SECONDS
         ]
         if not near:
             detail = f"{reset.flow} at {reset.host_id}"
@@ -227,24 +229,24 @@
 
 def _back_in_time(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     last = _last_fault_ends_at(history)
-    after = [each for each in history.requests if each.began_at > last + BACK_SECONDS]
+    after = [each for each in history.requests if each.began_at > last + RECOVERY_SECONDS]
     counts = Counter(each.outcome for each in after)
     answered = counts[RequestOutcome.ANSWERED]
-    if len(after) < LEAST_REQUESTS_AFTER or answered < LEAST_ANSWERED_SHARE * len(after):
-        detail = f"{answered} of {len(after)} requests, {BACK_SECONDS} s after the last fault"
-        yield SoakViolation(SoakPromise.BACK_IN_TIME, last + BACK_SECONDS, detail)
+    if len(after) < MIN_REQUESTS_AFTER_RECOVERY or answered < MIN_ANSWERED_SHARE * len(after):
+        detail = f"{answered} of {len(after)} requests, {RECOVERY_SECONDS} s after the last fault"
+        yield SoakViolation(SoakPromise.BACK_IN_TIME, last + RECOVERY_SECONDS, detail)
 
 
 def _hosts_back_in_use(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     last = _last_fault_ends_at(history)
-    since = last + BACK_SECONDS
+    since = last + RECOVERY_SECONDS
     counts = Counter(each.host_id for each in history.openings if each.at > since)
     by_service: dict[str, list[HostAtEnd]] = defaultdict(list)
     for host in history.hosts_at_end:
         by_service[host.service].append(host)
     for hosts in by_service.values():
         flows = sum(counts[host.host_id] for host in hosts)
-        if flows < LEAST_FLOWS_A_HOST * len(hosts):
+        if flows < MIN_FLOWS_PER_HOST * len(hosts):
             continue
         for host in hosts:
             if host.started_at <= last and not counts[host.host_id]:
@@ -269,7 +271,7 @@
 
 
 def _urgent_first(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
-    for broken in urgency_breaks(history):
+    for broken in priority_violations(history):
         begun = ", ".join(f"{count} at {host}" for host, count in broken.counts.items())
         detail = f"{broken.refused.request_id}; less urgent ones begun after it: {begun}"
         yield SoakViolation(SoakPromise.URGENT_FIRST, broken.refused.at, detail)
@@ -283,7 +285,7 @@
 
 def _resources(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     for use in history.uses:
-        most_bytes = use.first_bytes * MOST_MEMORY_GROWTH + MEMORY_SLACK_BYTES
+        most_bytes = use.first_bytes * MAX_MEMORY_GROWTH + MEMORY_SLACK_BYTES
         if use.last_bytes > most_bytes:
             detail = f"{use.process}: {use.first_bytes >> 20} MB, then {use.last_bytes >> 20} MB"
             yield SoakViolation(SoakPromise.RESOURCES, history.ends_at, detail)
--- a/src/jasperwalk_lab/soak/faults.py
+++ b/src/jasperwalk_lab/soak/faults.py
@@ -113,9 +113,9 @@
     FaultKind.CONTROL_LINKS_ABANDONED: FaultShape(TargetGroup.ALL, 0.1, 0.2),
     FaultKind.HOST_SPEAKS_LATE: FaultShape(TargetGroup.HOST, 0.3, 2.5),
 }
-LATER_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
+SEPARATELY_DRAWN_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
 """Kinds with random numbers of their own: the schedules of kept seeds stay as they were."""
-PRESSURE = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
+OVERLOAD_KINDS = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
 """Load beyond what hosts bear. It excuses no broken promise, and `pressure` alone plans it."""
 
 
@@ -138,7 +138,7 @@
         return self.at + self.seconds
 
 
-class HappenedFault(msgspec.Struct, frozen=True):
+class InjectedFault(msgspec.Struct, frozen=True):
     """A fault as it took place; `ended_at` is None where the run ended before it was undone."""
 
     planned: PlannedFault
--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -18,7 +18,7 @@
 from jasperwalk_lab.soak.hosts import HostPlace
 from jasperwalk_lab.soak.processes import SoakProcess
 from jasperwalk_lab.soak.relays import TcpRelay, UdpRelay
-from jasperwalk_lab.soak.schedule import SoakNames
+from jasperwalk_lab.soak.schedule import SoakTargets
 from jasperwalk_lab.supervisor import Supervisor
 
 ZONES = ("north", "south")
@@ -50,18 +50,18 @@
 }
 
 
-class NoFreeBlock(Exception):
+class NoFreeAddressBlock(Exception):
     """Every block of loopback addresses is taken by another run."""
 
 
 class SoakFleet:
     """Lays the processes out; use it as an asynchronous context."""
 
-    def __init__(self, folder: Path, drawn: random.Random, size: SoakSize) -> None:
-        """Lay the processes out on addresses of their own; raises `NoFreeBlock`."""
+    def __init__(self, folder: Path, rng: random.Random, size: SoakSize) -> None:
+        """Lay the processes out on addresses of their own; raises `NoFreeAddressBlock`."""
         self.folder = folder
         self._claim, self._block = _claim_block()
-        self._drawn = drawn
+        self._rng = rng
         self._control_hosts = self._hosts(1, size.controls)
         self._control_relays = self._hosts(2, size.controls)
         self._balancer_hosts = self._hosts(3, size.balancers)
@@ -75,8 +75,8 @@
             *self._agent_relays,
             self._host(9, 1),
         ]
-        names = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
-        self._ports = common_ports(names, every)
+        targets = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
+        self._ports = common_ports(targets, every)
         self.callers = Endpoint(self._host(9, 1), self._ports["callers"])
         self.supervisor = Supervisor(folder)
         self.processes: dict[str, SoakProcess] = {}
@@ -95,10 +95,10 @@
     def _at(self, host: str, port: str) -> Endpoint:
         return Endpoint(host, self._ports[port])
 
-    def names(self) -> SoakNames:
+    def targets(self) -> SoakTargets:
         """Return what faults may strike."""
         by_role = {role: self.of_role(role) for role in ROLES}
-        return SoakNames(
+        return SoakTargets(
             tuple(each.name for each in by_role["control"]),
             tuple(each.name for each in by_role["balancer"]),
             tuple(each.name for each in by_role["agent"]),
@@ -174,7 +174,7 @@
             self._at(host, "calls"),
         )
         self.hosts[name] = place
-        self.agent_relays[name] = UdpRelay(relay, listen, self._host(6, number + 1), self._drawn)
+        self.agent_relays[name] = UdpRelay(relay, listen, self._host(6, number + 1), self._rng)
         self._add(
             name,
             "agent",
@@ -232,4 +232,4 @@
             claim.close()
             continue
         return claim, block
-    raise NoFreeBlock("all blocks are taken")
+    raise NoFreeAddressBlock("all blocks are taken")
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasperwalk_lab.soak.faults import HappenedFault
+from jasperwalk_lab.soak.faults import InjectedFault
 
 
 class RequestOutcome(enum.StrEnum):
@@ -20,7 +20,7 @@
     """Every try was refused before it ran."""
 
 
-class OpeningTaken(msgspec.Struct, frozen=True):
+class OpeningReceived(msgspec.Struct, frozen=True):
     """An opening packet that reached a host; `route_service` is whose listener it named.
 
     Here and below `host_id` names one start of a host.
@@ -36,7 +36,7 @@
     priority: int = 0
 
 
-class RequestRun(msgspec.Struct, frozen=True):
+class RequestStarted(msgspec.Struct, frozen=True):
     """A request that a host began to run."""
 
     at: float
@@ -47,7 +47,7 @@
     flow: str = ""
 
 
-class FlowAsked(msgspec.Struct, frozen=True):
+class FlowRequested(msgspec.Struct, frozen=True):
     """A caller's first opening packet of a flow."""
 
     at: float
@@ -65,7 +65,7 @@
     is_by_host: bool = False
 
 
-class HostBegan(msgspec.Struct, frozen=True):
+class HostStarted(msgspec.Struct, frozen=True):
     """A host that started beside an agent; it takes the place of the one before."""
 
     at: float
@@ -114,7 +114,7 @@
     started_at: float
 
 
-class HostCold(msgspec.Struct, frozen=True):
+class HostColdPeriod(msgspec.Struct, frozen=True):
     """A host is cold from its start on."""
 
     host_id: str
@@ -122,7 +122,7 @@
     ends_at: float
 
 
-class UnusableTaken(msgspec.Struct, frozen=True):
+class InvalidAnnouncementAccepted(msgspec.Struct, frozen=True):
     """An announcement that names no host to use, and that an agent acknowledged."""
 
     at: float
@@ -159,7 +159,7 @@
     is_answered: bool = True
 
 
-class ProcessUse(msgspec.Struct, frozen=True):
+class ProcessResources(msgspec.Struct, frozen=True):
     """Memory and descriptors of a process when traffic had begun, and at the end."""
 
     process: str
@@ -180,23 +180,23 @@
 class SoakHistory:
     """Everything recorded; times are seconds of the run."""
 
-    openings: list[OpeningTaken] = field(default_factory=list)
-    runs: list[RequestRun] = field(default_factory=list)
+    openings: list[OpeningReceived] = field(default_factory=list)
+    runs: list[RequestStarted] = field(default_factory=list)
     requests: list[RequestEnded] = field(default_factory=list)
-    asked: list[FlowAsked] = field(default_factory=list)
+    asked: list[FlowRequested] = field(default_factory=list)
     refused: list[RequestRefused] = field(default_factory=list)
-    hosts_began: list[HostBegan] = field(default_factory=list)
+    hosts_began: list[HostStarted] = field(default_factory=list)
     resets: list[OpenFlowReset] = field(default_factory=list)
     drained: list[HostDrained] = field(default_factory=list)
-    cold: list[HostCold] = field(default_factory=list)
-    unusable_taken: list[UnusableTaken] = field(default_factory=list)
+    cold: list[HostColdPeriod] = field(default_factory=list)
+    unusable_taken: list[InvalidAnnouncementAccepted] = field(default_factory=list)
     zones: list[ZoneOrdered] = field(default_factory=list)
     acknowledged: list[ConfigurationAcknowledged] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
-    faults: list[HappenedFault] = field(default_factory=list)
+    faults: list[InjectedFault] = field(default_factory=list)
     ended_processes: list[str] = field(default_factory=list)
     killed_at_stop: list[ProcessKilledAtStop] = field(default_factory=list)
-    uses: list[ProcessUse] = field(default_factory=list)
+    uses: list[ProcessResources] = field(default_factory=list)
     stalls: list[MachineStall] = field(default_factory=list)
     hosts_at_end: list[HostAtEnd] = field(default_factory=list)
     ends_at: float = 0.0
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from jasperwalk_lab.soak.faults import (
-    LATER_KINDS,
-    PRESSURE,
+    OVERLOAD_KINDS,
+    SEPARATELY_DRAWN_KINDS,
     SHAPES,
     FaultKind,
     PlannedFault,
@@ -22,34 +22,36 @@
 FIRST_FAULT_SECONDS = 2.0
 LAST_FAULT_BEFORE_END_SECONDS = 8.0
 """Faults are over early enough for the service to come back and to be seen."""
-GAP_SECONDS = (0.4, 2.2)
+FAULT_INTERVAL_SECONDS = (0.4, 2.2)
 """Shortest and longest time between two strikes."""
-CONTROLS_OUT_AT_ONCE = 1
+MAX_CONTROLS_DOWN = 1
 """More than one of three would leave no quorum."""
-AGENTS_OUT_AT_ONCE = 2
-BALANCERS_OUT_AT_ONCE = 1
+MAX_AGENTS_DOWN = 2
+MAX_BALANCERS_DOWN = 1
 SETTLE_SECONDS = 3.0
 """Time after a fault before the same target is struck again, and before all are killed."""
 EVERYTHING = "everything"
-RUSH_EVERY_SECONDS = (9.0, 15.0)
+FAULT_BURST_INTERVAL_SECONDS = (9.0, 15.0)
 """Shortest and longest time between the beginnings of two rushes."""
-LATER_KINDS_EVERY_SECONDS = (5.0, 10.0)
-"""Shortest and longest time between two faults of `LATER_KINDS`."""
-RUSH_SECONDS = 1.0
+SEPARATE_KINDS_INTERVAL_SECONDS = (5.0, 10.0)
+"""Shortest and longest time between two faults of `SEPARATELY_DRAWN_KINDS`."""
+FAULT_BURST_SECONDS = 1.0
 """Time within which the faults of a rush begin."""
-RUSH_FAULTS = (4, 8)
+FAULTS_PER_BURST = (4, 8)
 """Fewest and most faults of a rush in the smallest fleet."""
-STRUCK_KINDS = tuple(k for k in FaultKind if k not in PRESSURE and k not in LATER_KINDS)
-RUSH_NEVER_STRIKES = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
+BASE_KINDS = tuple(
+    k for k in FaultKind if k not in OVERLOAD_KINDS and k not in SEPARATELY_DRAWN_KINDS
+)
+NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
 """A lost disk beside dead replicas may be more than has to be borne."""
-DISK_CALM_SECONDS = 8.0
+DISK_LOSS_MARGIN_SECONDS = 8.0
 """No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
-SMALLEST_AGENTS = 6
-MOST_SCALE = 3
+BASE_AGENT_COUNT = 6
+MAX_SCALE = 3
 """Larger fleets are struck more often, up to this many times: one machine starts them all."""
 
 
-class SoakNames(msgspec.Struct, frozen=True):
+class SoakTargets(msgspec.Struct, frozen=True):
     """The names that faults may strike."""
 
     controls: tuple[str, ...]
@@ -70,130 +72,135 @@
         }[group]
 
 
-MOST_OUT = {
-    TargetGroup.CONTROL: CONTROLS_OUT_AT_ONCE,
-    TargetGroup.BALANCER: BALANCERS_OUT_AT_ONCE,
-    TargetGroup.AGENT: AGENTS_OUT_AT_ONCE,
-    TargetGroup.HOST: AGENTS_OUT_AT_ONCE,
+MAX_DOWN = {
+    TargetGroup.CONTROL: MAX_CONTROLS_DOWN,
+    TargetGroup.BALANCER: MAX_BALANCERS_DOWN,
+    TargetGroup.AGENT: MAX_AGENTS_DOWN,
+    TargetGroup.HOST: MAX_AGENTS_DOWN,
     TargetGroup.ZONE: 1,
     TargetGroup.CALLERS: 1,
     TargetGroup.ALL: 1,
 }
 
 
-def most_out(names: SoakNames, group: TargetGroup) -> int:
+def max_down(targets: SoakTargets, group: TargetGroup) -> int:
     """Return how many targets of a group may be out at once: the same share in every fleet."""
     if group is TargetGroup.CONTROL:
-        return (len(names.controls) - 1) // 2
+        return (len(targets.controls) - 1) // 2
     if group is TargetGroup.BALANCER:
-        return max(BALANCERS_OUT_AT_ONCE, len(names.balancers) // 3)
+        return max(MAX_BALANCERS_DOWN, len(targets.balancers) // 3)
     if group in (TargetGroup.AGENT, TargetGroup.HOST):
-        return max(AGENTS_OUT_AT_ONCE, len(names.agents) // 3)
-    return MOST_OUT[group]
+        return max(MAX_AGENTS_DOWN, len(targets.agents) // 3)
+    return MAX_DOWN[group]
 
 
-def plan_rushes(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_fault_bursts(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the rushes of a run of `seconds`, in the order of their beginning."""
-    drawn = random.Random(f"rushes {seed}")
-    kinds = [kind for kind in STRUCK_KINDS if kind not in RUSH_NEVER_STRIKES]
-    scale = _scale(names)
+    rng = random.Random(f"rushes {seed}")
+    kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
+    scale = _scale(targets)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*RUSH_EVERY_SECONDS)
+    at = rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     while at < latest:
-        for _ in range(scale * drawn.randint(*RUSH_FAULTS)):
-            kind = drawn.choice(kinds)
+        for _ in range(scale * rng.randint(*FAULTS_PER_BURST)):
+            kind = rng.choice(kinds)
             shape = SHAPES[kind]
-            begins_at = round(at + drawn.uniform(0.0, RUSH_SECONDS), 2)
-            length = round(drawn.uniform(shape.shortest, shape.longest), 2)
+            begins_at = round(at + rng.uniform(0.0, FAULT_BURST_SECONDS), 2)
+            length = round(rng.uniform(shape.shortest, shape.longest), 2)
             if begins_at + length <= latest + 1.0:
-                target = drawn.choice(names.of(shape.group))
+                target = rng.choice(targets.of(shape.group))
                 planned.append(PlannedFault(begins_at, kind, target, length))
-        at += drawn.uniform(*RUSH_EVERY_SECONDS)
+        at += rng.uniform(*FAULT_BURST_INTERVAL_SECONDS)
     return sorted(planned, key=lambda each: each.at)
 
 
-def plan_later_kinds(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the faults of `LATER_KINDS`, whatever else is out of order."""
-    drawn = random.Random(f"later kinds {seed}")
+def plan_separately_drawn(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
+    """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
+    rng = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
-    at = drawn.uniform(*LATER_KINDS_EVERY_SECONDS)
+    at = rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        kind = drawn.choice(LATER_KINDS)
+        kind = rng.choice(SEPARATELY_DRAWN_KINDS)
         shape = SHAPES[kind]
-        length = round(drawn.uniform(shape.shortest, shape.longest), 2)
-        target = drawn.choice(names.of(shape.group))
+        length = round(rng.uniform(shape.shortest, shape.longest), 2)
+        target = rng.choice(targets.of(shape.group))
         planned.append(PlannedFault(round(at, 2), kind, target, length))
-        at += drawn.uniform(*LATER_KINDS_EVERY_SECONDS)
+        at += rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
     latest = seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     return [each for each in planned if each.ends_at <= latest]
 
 
-def _scale(names: SoakNames) -> int:
-    return min(MOST_SCALE, max(1, len(names.agents) // SMALLEST_AGENTS))
+def _scale(targets: SoakTargets) -> int:
+    return min(MAX_SCALE, max(1, len(targets.agents) // BASE_AGENT_COUNT))
 
 
-def plan_run(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan everything that a run brings about, in the order of its beginning."""
-    rushes = plan_rushes(names, seconds, seed)
-    steady = [each for each in plan_soak(names, seconds, seed) if not _needs_calm(each, rushes)]
-    return sorted([*steady, *rushes], key=lambda each: each.at)
+    fault_bursts = plan_fault_bursts(targets, seconds, seed)
+    steady = [
+        each
+        for each in plan_steady_faults(targets, seconds, seed)
+        if not _is_too_near_burst(each, fault_bursts)
+    ]
+    return sorted([*steady, *fault_bursts], key=lambda each: each.at)
 
 
-def _needs_calm(fault: PlannedFault, rushes: list[PlannedFault]) -> bool:
+def _is_too_near_burst(fault: PlannedFault, fault_bursts: list[PlannedFault]) -> bool:
     """Tell whether a disk would be lost, or all be killed, near a rush that strikes replicas."""
-    if fault.kind not in RUSH_NEVER_STRIKES:
+    if fault.kind not in NEVER_IN_BURSTS:
         return False
     return any(
-        fault.at < each.ends_at + DISK_CALM_SECONDS and each.at < fault.ends_at + DISK_CALM_SECONDS
-        for each in rushes
+        fault.at < each.ends_at + DISK_LOSS_MARGIN_SECONDS
+        and each.at < fault.ends_at + DISK_LOSS_MARGIN_SECONDS
+        for each in fault_bursts
         if SHAPES[each.kind].group is TargetGroup.CONTROL
     )
 
 
-def plan_soak(names: SoakNames, seconds: float, seed: int) -> list[PlannedFault]:
+def plan_steady_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
-    drawn = random.Random(f"soak {seed}")
+    rng = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
-    deck: list[FaultKind] = []
+    remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
-    scale = _scale(names)
+    scale = _scale(targets)
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
-        if not deck:
-            deck = drawn.sample(STRUCK_KINDS, len(STRUCK_KINDS))
-        kind = deck.pop()
+        if not remaining_kinds:
+            remaining_kinds = rng.sample(BASE_KINDS, len(BASE_KINDS))
+        kind = remaining_kinds.pop()
         if SHAPES[kind].group is TargetGroup.ALL:
             # Everything is killed only while nothing else is out of order.
             at = max([at, *(each.ends_at + SETTLE_SECONDS for each in planned)])
-        fault = _draw(kind, names, planned, at, drawn)
+        fault = _draw(kind, targets, planned, at, rng)
         if fault is not None and fault.ends_at <= seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0:
             planned.append(fault)
-        at += drawn.uniform(*GAP_SECONDS) / scale
+        at += rng.uniform(*FAULT_INTERVAL_SECONDS) / scale
     return planned
 
 
 def _draw(
     kind: FaultKind,
-    names: SoakNames,
+    targets: SoakTargets,
     planned: list[PlannedFault],
     at: float,
-    drawn: random.Random,
+    rng: random.Random,
 ) -> PlannedFault | None:
     """Return the next fault, None where too much is out of order already."""
     shape = SHAPES[kind]
-    seconds = round(drawn.uniform(shape.shortest, shape.longest), 2)
-    target = drawn.choice(names.of(shape.group))
+    seconds = round(rng.uniform(shape.shortest, shape.longest), 2)
+    target = rng.choice(targets.of(shape.group))
     fault = PlannedFault(round(at, 2), kind, target, seconds)
-    near = [each for each in planned if _meet(each, fault)]
+    near = [each for each in planned if _are_too_close(each, fault)]
     if shape.group is TargetGroup.ALL:
         return None if near else fault
     if any(SHAPES[each.kind].group is TargetGroup.ALL for each in near):
         return None
     same_group = {each.target for each in near if SHAPES[each.kind].group is shape.group}
-    is_too_much = target in same_group or len(same_group) >= most_out(names, shape.group)
+    is_too_much = target in same_group or len(same_group) >= max_down(targets, shape.group)
     return None if is_too_much else fault
 
 
-def _meet(one: PlannedFault, other: PlannedFault) -> bool:
+def _are_too_close(one: PlannedFault, other: PlannedFault) -> bool:
     """Tell whether two faults overlap, or one follows the other too soon."""
     return one.at < other.ends_at + SETTLE_SECONDS and other.at < one.ends_at + SETTLE_SECONDS
--- a/src/jasperwalk_lab/soak/rushes.py
+++ b/src/jasperwalk_lab/soak/surges.py
@@ -8,21 +8,21 @@
 from typing import Any
 
 from jasperwalk.addresses import Endpoint
-from jasperwalk_lab.soak.pressure import Rush, RushWidth
+from jasperwalk_lab.soak.overload import Surge, SurgeScope
 from jasperwalk_lab.soak.wire import SoakRoute
 
-RUSH_FACTOR = 5.0
+SURGE_FACTOR = 5.0
 """Load of a rush as a multiple of the ordinary one, on top of it."""
-MOST_PER_SECOND = 400.0
+MAX_REQUESTS_PER_SECOND = 400.0
 """Rate that no rush exceeds: the stand-ins share the machine with what they test."""
-MOST_AT_ONCE = 600
+MAX_OUTSTANDING_REQUESTS = 600
 """Requests of a rush that wait at once; further ones are left out."""
 
 RequestOnce = Callable[[Endpoint, str], Coroutine[Any, Any, None]]
 """Has one request answered on a flow of its own, by callers in a zone (empty: anywhere)."""
 
 
-class RushingCallers:
+class SurgeCallers:
     """Starts the requests of rushes."""
 
     def __init__(
@@ -30,35 +30,35 @@
         request_once: RequestOnce,
         routes: Sequence[SoakRoute],
         zones: Sequence[str],
-        ordinary_per_second: float,
-        drawn: random.Random,
+        normal_requests_per_second: float,
+        rng: random.Random,
     ) -> None:
         self._request_once = request_once
         self._routes = routes
         self._zones = zones
-        self._per_second = min(RUSH_FACTOR * ordinary_per_second, MOST_PER_SECOND)
-        self._drawn = drawn
+        self._per_second = min(SURGE_FACTOR * normal_requests_per_second, MAX_REQUESTS_PER_SECOND)
+        self._rng = rng
 
-    async def rush(self, rush: Rush, seconds: float) -> None:
+    async def surge(self, surge: Surge, seconds: float) -> None:
         """Send requests at the rush's rate for some seconds; return when they have ended."""
         loop = asyncio.get_running_loop()
-        routes, ends_at = self.routes_of(rush), loop.time() + seconds
+        routes, ends_at = self.routes_of(surge), loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         while loop.time() < ends_at:
-            if len(running) < MOST_AT_ONCE:
-                listener = self._drawn.choice(routes).listener
-                task = asyncio.create_task(self._request_once(listener, self.zone_of(rush)))
+            if len(running) < MAX_OUTSTANDING_REQUESTS:
+                listener = self._rng.choice(routes).listener
+                task = asyncio.create_task(self._request_once(listener, self.zone_of(surge)))
                 running.add(task)
                 task.add_done_callback(running.discard)
-            await asyncio.sleep(self._drawn.expovariate(self._per_second))
+            await asyncio.sleep(self._rng.expovariate(self._per_second))
         await asyncio.gather(*running)
 
-    def routes_of(self, rush: Rush) -> list[SoakRoute]:
+    def routes_of(self, surge: Surge) -> list[SoakRoute]:
         """Return the routes that a rush asks for."""
-        if rush.width is not RushWidth.KIND:
+        if surge.scope is not SurgeScope.KIND:
             return list(self._routes)
-        return [each for each in self._routes if str(each.priority) == rush.value]
+        return [each for each in self._routes if str(each.priority) == surge.value]
 
-    def zone_of(self, rush: Rush) -> str:
+    def zone_of(self, surge: Surge) -> str:
         """Return where the callers of a rush are: each of them in some zone."""
-        return rush.value if rush.width is RushWidth.ZONE else self._drawn.choice(self._zones)
+        return surge.value if surge.scope is SurgeScope.ZONE else self._rng.choice(self._zones)
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -3,37 +3,37 @@
 import pytest
 
 from jasperwalk_lab.soak.checks import (
-    BACK_SECONDS,
     CONFIGURATION_SECONDS,
     HOST_DRAIN_SECONDS,
-    PLANNED_CALM_SECONDS,
+    RECOVERY_SECONDS,
     STALL_REACH_SECONDS,
+    UNPLANNED_FAULT_REACH_SECONDS,
     ZONE_DRAIN_SECONDS,
     SoakPromise,
     SoakViolation,
     check_all,
-    not_excused,
+    without_stall_violations,
 )
-from jasperwalk_lab.soak.faults import FaultKind, HappenedFault, PlannedFault
+from jasperwalk_lab.soak.faults import FaultKind, InjectedFault, PlannedFault
 from jasperwalk_lab.soak.history import (
     ConfigurationAcknowledged,
     ConfigurationRead,
-    FlowAsked,
+    FlowRequested,
     HostAtEnd,
-    HostBegan,
-    HostCold,
+    HostColdPeriod,
     HostDrained,
+    HostStarted,
+    InvalidAnnouncementAccepted,
     MachineStall,
     OpenFlowReset,
-    OpeningTaken,
+    OpeningReceived,
     ProcessKilledAtStop,
-    ProcessUse,
+    ProcessResources,
     RequestEnded,
     RequestOutcome,
     RequestRefused,
-    RequestRun,
+    RequestStarted,
     SoakHistory,
-    UnusableTaken,
     ZoneOrdered,
 )
 
@@ -44,11 +44,11 @@
 
 def fault(kind, began_at, ended_at):
     planned = PlannedFault(began_at, kind, "x", ended_at - began_at)
-    return HappenedFault(planned, began_at, ended_at)
+    return InjectedFault(planned, began_at, ended_at)
 
 
 def opening(at, host_id="h1", zone="north", route_service="web"):
-    return OpeningTaken(at, host_id, "web", route_service, zone)
+    return OpeningReceived(at, host_id, "web", route_service, zone)
 
 
 def history(**parts):
@@ -69,11 +69,14 @@
 def test_a_clean_run_breaks_nothing():
     made = history(
         openings=[opening(1.0), opening(1.1)],
-        runs=[RequestRun(1.2, "q1", "h1", "web", "web"), RequestRun(1.3, "q1", "h1", "web", "web")],
+        runs=[
+            RequestStarted(1.2, "q1", "h1", "web", "web"),
+            RequestStarted(1.3, "q1", "h1", "web", "web"),
+        ],
         acknowledged=[ConfigurationAcknowledged(1.0, 3)],
         reads=[ConfigurationRead(2.0, 1), ConfigurationRead(2.0 + CONFIGURATION_SECONDS, 3)],
         faults=[fault(FaultKind.AGENT_TERMINATED, 5.0, 6.0)],
-        uses=[ProcessUse("agent-0", 30 << 20, 32 << 20, 20, 22)],
+        uses=[ProcessResources("agent-0", 30 << 20, 32 << 20, 20, 22)],
     )
     assert promises(made) == set()
 
@@ -81,8 +84,8 @@
 BROKEN = {
     SoakPromise.AT_MOST_ONCE: {
         "runs": [
-            RequestRun(1.0, "q1", "h1", "web", "web"),
-            RequestRun(2.0, "q1", "h2", "web", "web"),
+            RequestStarted(1.0, "q1", "h1", "web", "web"),
+            RequestStarted(2.0, "q1", "h2", "web", "web"),
         ]
     },
     SoakPromise.RIGHT_ANSWER: {"requests": [RequestEnded(1.0, 1.1, "q1", ANSWERED, "q2")]},
@@ -96,7 +99,7 @@
         "openings": [opening(1.2 + ZONE_DRAIN_SECONDS)],
     },
     SoakPromise.WARM_UP: {
-        "cold": [HostCold("h1", 1.0, 3.0)],
+        "cold": [HostColdPeriod("h1", 1.0, 3.0)],
         "openings": [opening(1.9 + number / 100) for number in range(COLD_FLOWS + 1)],
     },
     SoakPromise.CONFIGURATION_KEPT: {
@@ -116,7 +119,7 @@
             RequestEnded(50.0, 52.0, f"late{number}", RequestOutcome.GIVEN_UP)
             for number in range(10)
         ],
-        "faults": [fault(FaultKind.ALL_KILLED, 40.0, 49.0 - BACK_SECONDS)],
+        "faults": [fault(FaultKind.ALL_KILLED, 40.0, 49.0 - RECOVERY_SECONDS)],
     },
     SoakPromise.HOSTS_BACK_IN_USE: {
         "hosts_at_end": [HostAtEnd(f"h{number}", "web", 0.0) for number in (1, 2)],
@@ -124,18 +127,20 @@
     },
     SoakPromise.NO_EXIT: {"ended_processes": ["agent-1"]},
     SoakPromise.STOPS_IN_TIME: {"killed_at_stop": [ProcessKilledAtStop(9.0, "agent-1")]},
-    SoakPromise.OTHER_WRITERS: {"unusable_taken": [UnusableTaken(9.0, "agent-1", b"{}")]},
+    SoakPromise.OTHER_WRITERS: {
+        "unusable_taken": [InvalidAnnouncementAccepted(9.0, "agent-1", b"{}")]
+    },
     SoakPromise.URGENT_FIRST: {
-        "hosts_began": [HostBegan(0.0, "agent-1", "h1", "web")],
-        "asked": [FlowAsked(9.0, "f2"), FlowAsked(9.0, "f3")],
-        "openings": [OpeningTaken(9.2, "h1", "web", "web", "north", f, 1) for f in ("f2", "f3")],
+        "hosts_began": [HostStarted(0.0, "agent-1", "h1", "web")],
+        "asked": [FlowRequested(9.0, "f2"), FlowRequested(9.0, "f3")],
+        "openings": [OpeningReceived(9.2, "h1", "web", "web", "north", f, 1) for f in ("f2", "f3")],
         "refused": [RequestRefused(9.1, "q1", "f1", "web", 0)],
     },
     SoakPromise.REFUSED_NOT_RUN: {
         "refused": [RequestRefused(9.0, "q1", "f1", "web", 0)],
-        "runs": [RequestRun(9.1, "q1", "h1", "web", "web", "f1")],
+        "runs": [RequestStarted(9.1, "q1", "h1", "web", "web", "f1")],
     },
-    SoakPromise.RESOURCES: {"uses": [ProcessUse("agent-0", 30 << 20, 90 << 20, 20, 20)]},
+    SoakPromise.RESOURCES: {"uses": [ProcessResources("agent-0", 30 << 20, 90 << 20, 20, 20)]},
 }
 
 
@@ -145,7 +150,7 @@
 
 
 def test_descriptors_that_stay_open_are_found():
-    made = history(uses=[ProcessUse("agent-0", 30 << 20, 30 << 20, 20, 80)])
+    made = history(uses=[ProcessResources("agent-0", 30 << 20, 30 << 20, 20, 80)])
     assert promises(made) == {SoakPromise.RESOURCES}
 
 
@@ -160,7 +165,7 @@
 def test_a_reset_soon_after_an_unplanned_fault_is_excused():
     made = history(
         resets=[OpenFlowReset(9.0, "flow", "h1")],
-        faults=[fault(FaultKind.AGENT_KILLED, 2.0, 9.1 - PLANNED_CALM_SECONDS)],
+        faults=[fault(FaultKind.AGENT_KILLED, 2.0, 9.1 - UNPLANNED_FAULT_REACH_SECONDS)],
     )
     assert promises(made) == set()
 
@@ -178,7 +183,7 @@
     assert promises(made) == set()
 
 
-def test_of_two_orders_that_race_either_may_come_last():
+def test_either_of_two_racing_orders_may_take_effect_last():
     """Soak, seed 315: a restore was repeated from 22.75 to 25.72 s, and a drain came at 23.21."""
     made = history(
         zones=[ZoneOrdered("north", False, 1.0, 3.0), ZoneOrdered("north", True, 1.5, 1.6)],
@@ -208,6 +213,6 @@
     late = SoakViolation(SoakPromise.STOPS_IN_TIME, 30.0, "agent-1")
     twice = SoakViolation(SoakPromise.AT_MOST_ONCE, 30.0, "q1")
     near, far = MachineStall(31.0, 2.0), MachineStall(30.1 + STALL_REACH_SECONDS, 2.0)
-    assert not_excused([late, twice], [near]) == [twice]
-    assert not_excused([late, twice], [far]) == [late, twice]
-    assert not_excused([late, twice], []) == [late, twice]
+    assert without_stall_violations([late, twice], [near]) == [twice]
+    assert without_stall_violations([late, twice], [far]) == [late, twice]
+    assert without_stall_violations([late, twice], []) == [late, twice]
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -7,13 +7,13 @@
 import pytest
 
 from jasperwalk_lab.chaos.faults import SHAPES, TargetGroup
-from jasperwalk_lab.chaos.report import LEAST_FAULT_KINDS
+from jasperwalk_lab.chaos.report import MIN_FAULT_KINDS
 from jasperwalk_lab.chaos.schedule import (
-    CONTROLS_OUT_AT_ONCE,
     FIRST_FAULT_SECONDS,
     LAST_FAULT_BEFORE_END_SECONDS,
-    LEAST_BALANCERS_WELL,
-    TWICE_DELAY_SECONDS,
+    MAX_IMPAIRED_CONTROLS,
+    MIN_HEALTHY_BALANCERS,
+    REPEAT_DELAY_SECONDS,
     FleetFacts,
     plan_faults,
 )
@@ -36,28 +36,28 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_plan_keeps_its_times_and_has_kinds_enough(seed):
     planned = plan_faults(FACTS, SECONDS, seed)
-    latest = SECONDS - LAST_FAULT_BEFORE_END_SECONDS + TWICE_DELAY_SECONDS
+    latest = SECONDS - LAST_FAULT_BEFORE_END_SECONDS + REPEAT_DELAY_SECONDS
     assert all(FIRST_FAULT_SECONDS <= fault.at <= latest for fault in planned)
     assert planned == sorted(planned, key=lambda fault: (fault.at, fault.target))
-    assert len({fault.kind for fault in planned}) >= LEAST_FAULT_KINDS
+    assert len({fault.kind for fault in planned}) >= MIN_FAULT_KINDS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_more_is_out_of_service_than_the_fleet_can_bear(seed):
+def test_faults_keep_the_limits_on_processes_out_of_service(seed):
     planned = plan_faults(FACTS, SECONDS, seed)
     service_of = {host: name for name, hosts in FACTS.hosts.items() for host in hosts}
-    most = {
-        TargetGroup.BALANCER: len(FACTS.balancers) - LEAST_BALANCERS_WELL,
-        TargetGroup.CONTROL: CONTROLS_OUT_AT_ONCE,
+    limits = {
+        TargetGroup.BALANCER: len(FACTS.balancers) - MIN_HEALTHY_BALANCERS,
+        TargetGroup.CONTROL: MAX_IMPAIRED_CONTROLS,
     }
     for moment in (fault.at for fault in planned):
-        out = [
+        impaired = [
             fault
             for fault in planned
             if SHAPES[fault.kind].impairs and fault.at <= moment < fault.at + fault.seconds
         ]
-        assert len({fault.target for fault in out}) == len(out)
-        for group, limit in most.items():
-            assert sum(SHAPES[fault.kind].group is group for fault in out) <= limit
-        hosts = Counter(service_of[f.target] for f in out if f.target in service_of)
+        assert len({fault.target for fault in impaired}) == len(impaired)
+        for group, limit in limits.items():
+            assert sum(SHAPES[fault.kind].group is group for fault in impaired) <= limit
+        hosts = Counter(service_of[f.target] for f in impaired if f.target in service_of)
         assert all(count <= len(FACTS.hosts[name]) // 2 for name, count in hosts.items())
--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -7,19 +7,19 @@
 from jasperwalk_lab.caller import Caller
 from jasperwalk_lab.load.arrivals import draw_arrivals
 from jasperwalk_lab.load.driver import OpenLoop
-from jasperwalk_lab.load.places import FleetPlaces
+from jasperwalk_lab.load.listeners import FleetListeners
 from jasperwalk_lab.load.profile import LoadProfile, ServiceLoad
 from jasperwalk_lab.operations import CallHistory
 
 SERVICE = ServiceLoad(service="s", requests_per_second=200, flows=2, lookups=1.0)
-PLACES = FleetPlaces(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
+LISTENERS = FleetListeners(example="none", ca_file="", listeners={"s": "127.0.0.1:9"})
 
 
 class StuckFlow:
     """Never opens; its calls are still under way when the last arrival comes."""
 
-    def __init__(self, gate):
-        self._gate = gate
+    def __init__(self, release):
+        self._release = release
 
     def in_use(self):
         return self
@@ -31,23 +31,23 @@
         return False
 
     async def connection(self):
-        await self._gate.wait()
+        await self._release.wait()
 
 
 def run(tmp_path, most_outstanding):
     profile = LoadProfile(services=(SERVICE,), seconds=0.2, most_outstanding=most_outstanding)
 
     async def scenario():
-        gate = asyncio.Event()
+        release = asyncio.Event()
         caller = Caller("test", tmp_path, CallHistory())
-        loop = OpenLoop(caller, PLACES, profile, 1, lambda _: None)
+        loop = OpenLoop(caller, LISTENERS, profile, 1, lambda _: None)
         pool = loop._pools["s"]
-        pool.flow = lambda _rank: StuckFlow(gate)
+        pool.flow = lambda _rank: StuckFlow(release)
         running = asyncio.create_task(loop.run())
         while loop.counts.due < len(expected(profile)):
             await asyncio.sleep(0.01)
         outstanding = loop.counts.outstanding
-        gate.set()
+        release.set()
         return outstanding, await running
 
     return scenario, profile
