--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,12 +17,12 @@
 from bench.forwarders import LIMITED_FLOWS_PER_SECOND, ReaderKind, run_balancer_loop
 from bench.harness import Figure, spawning
 from bench.running import (
-    LONGEST_CASE_SECONDS,
+    MAX_CASE_SECONDS,
     Forwarder,
-    await_traffic,
     balancer_round,
     running_forwarder,
     running_sink,
+    wait_for_traffic,
 )
 from bench.traffic import BURST_LENGTH, TrafficClass, flood, generate_evenly
 from jasperwalk.addresses import Endpoint
@@ -92,14 +92,14 @@
     """Send the established datagrams while so many senders flood."""
     with _flood(sink, loop.endpoint, senders) as sent:
         if senders:
-            await_traffic(loop)
+            wait_for_traffic(loop)
         before, sent_before, started = loop.snapshot(), sent(), time.monotonic()
         arguments = (TrafficClass.ESTABLISHED, sink, loop.endpoint)
         process = spawning.Process(
             target=generate_evenly, args=(*arguments, ESTABLISHED_COUNT, ESTABLISHED_PER_SECOND)
         )
         process.start()
-        process.join(LONGEST_CASE_SECONDS)
+        process.join(MAX_CASE_SECONDS)
         assert process.exitcode == 0, process.exitcode
         time.sleep(SETTLING_SECONDS)
         seconds, offered = time.monotonic() - started, sent() - sent_before
@@ -127,7 +127,7 @@
     finally:
         stop.set()
         for process in processes:
-            process.join(LONGEST_CASE_SECONDS)
+            process.join(MAX_CASE_SECONDS)
             if process.is_alive():
                 process.kill()
                 process.join()
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -14,7 +14,7 @@
 import pytest
 
 LIST_PATH = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
 SEPARATOR = " | "
 FIELDS = 3
 
@@ -36,8 +36,8 @@
     """Parse the list; raise `KnownRedListError` for a malformed or overlong one."""
     lines = [line.strip() for line in text.splitlines()]
     entries = [_parse_line(line) for line in lines if line and not line.startswith("#")]
-    if len(entries) > MOST_ENTRIES:
-        raise KnownRedListError(f"KNOWN-RED.txt lists {len(entries)}; at most {MOST_ENTRIES}")
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedListError(f"KNOWN-RED.txt lists {len(entries)}; at most {MAX_ENTRIES}")
     return entries
 
 
@@ -64,11 +64,11 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Leave the listed tests out of the run."""
     listed = {entry.test for entry in config.stash[ENTRIES]}
-    passed_over = [item for item in items if item.nodeid in listed]
-    if not passed_over:
+    deselected = [item for item in items if item.nodeid in listed]
+    if not deselected:
         return
     items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(
--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -17,7 +17,7 @@
 
 CLOCK_TOLERANCE_SECONDS = 0.05
 """Clocks of two processes are read a little apart."""
-CUT_SHORT = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
+INTERRUPTED = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
 """What a journal says of a run whose back end or agent was lost."""
 
 
@@ -35,18 +35,18 @@
             self._agents[flow.caller_port].append(flow)
         self._runs: dict[str, list[JournalRecord]] = defaultdict(list)
         for run in journal:
-            if run.outcome in CUT_SHORT:
+            if run.outcome in INTERRUPTED:
                 self._runs[run.request_id].append(run)
         self._losses = list(losses)
 
     def cause_of(self, record: CallRecord) -> str | None:
         """Return the fault's name; None when no agent that it needed was killed meanwhile."""
         for loss in self._losses:
-            if self._had_flow(loss, record) or self._ran(loss, record):
+            if self._held_flow(loss, record) or self._ran_request(loss, record):
                 return loss.cause
         return None
 
-    def _had_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
+    def _held_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
         """Tell whether the lost agent had the flow.
 
         The agent is judged by what the fabric saw, not by what the answer says of itself: a
@@ -60,17 +60,17 @@
         agents = {seen.agent for seen in sightings if opened <= seen.at <= record.completed}
         return loss.agent in agents and opened <= loss.at <= record.completed
 
-    def _ran(self, loss: AgentLoss, record: CallRecord) -> bool:
+    def _ran_request(self, loss: AgentLoss, record: CallRecord) -> bool:
         """Tell whether the stream was reset because the lost agent was running its request."""
         broken = record.outcome
         if not isinstance(broken, Broken) or broken.reason is not BreakReason.STREAM_RESET:
             return False
         if broken.host != loss.host or not record.invoked <= loss.at <= record.completed:
             return False
-        return any(_was_cut_by(loss, run) for run in self._runs[record.request_id])
+        return any(_was_interrupted_by(loss, run) for run in self._runs[record.request_id])
 
 
-def _was_cut_by(loss: AgentLoss, run: JournalRecord) -> bool:
+def _was_interrupted_by(loss: AgentLoss, run: JournalRecord) -> bool:
     """Tell whether a run at the lost host was in progress when it was lost."""
     if run.host != loss.host or run.ran_at > loss.at:
         return False
--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -169,11 +169,11 @@
         """Change what the platform's list will say of a host."""
         await _put(self.layout.platform_list, f"/lab/machines/{host}", StateChange(state))
 
-    async def shed(self, host: str, sheds: bool) -> None:
+    async def set_shedding(self, host: str, shedding: bool) -> None:
         """Let a back end refuse, or take, whatever arrives."""
-        await _put(self.member(host).backend, "/lab/drain", DrainBody(sheds))
+        await _put(self.member(host).backend, "/lab/drain", DrainBody(shedding))
 
-    async def lie(self, host: str, faults: ReportFaults) -> None:
+    async def set_report_faults(self, host: str, faults: ReportFaults) -> None:
         """Let a back end's reports mislead."""
         await _put(self.member(host).backend, "/lab/faults", faults)
 
@@ -183,7 +183,7 @@
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             return msgspec.json.decode(await response.read(), type=FlowList).flows
 
-    def kept_journals(self) -> list[JournalRecord]:
+    def read_journals(self) -> list[JournalRecord]:
         """Read the journals of all back ends, killed ones too."""
         files = self.planner.journal_files()
         return [record for path in files for record in read_journal_file(path)]
--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.errors import JasperwalkError
 from jasperwalk_lab.chaos.actions import FaultActions
-from jasperwalk_lab.chaos.faults import SHAPES, HappenedFault, PlannedFault, TargetGroup
+from jasperwalk_lab.chaos.faults import SHAPES, FaultRecord, PlannedFault, TargetGroup
 
 Progress = Callable[[str], None]
 
@@ -25,8 +25,8 @@
     def __init__(self, actions: FaultActions, progress: Progress) -> None:
         self._actions = actions
         self._progress = progress
-        self._turns: dict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
-        self.happened: list[HappenedFault] = []
+        self._locks: dict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
+        self.happened: list[FaultRecord] = []
 
     async def run(self, planned: Sequence[PlannedFault]) -> None:
         """Strike and undo all faults; a failure is noted with its fault.
@@ -36,16 +36,16 @@
         start = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
             for fault in planned:
-                tasks.create_task(self._await_turn(fault, start))
+                tasks.create_task(self._run_in_turn(fault, start))
 
-    async def _await_turn(self, fault: PlannedFault, start: float) -> None:
+    async def _run_in_turn(self, fault: PlannedFault, start: float) -> None:
         await asyncio.sleep(start + fault.at - asyncio.get_running_loop().time())
-        async with self._turns[_turn_of(fault)]:
-            await self._strike(fault)
+        async with self._locks[_lock_name(fault)]:
+            await self._inject(fault)
 
-    async def _strike(self, fault: PlannedFault) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         loop = asyncio.get_running_loop()
-        happened = HappenedFault(kind=fault.kind, target=fault.target, began=loop.time())
+        happened = FaultRecord(kind=fault.kind, target=fault.target, began=loop.time())
         self.happened.append(happened)
         self._progress(f"{fault.at:6.1f} s  {fault.kind} {fault.target}")
         try:
@@ -59,7 +59,7 @@
         happened.ended = loop.time()
 
 
-def _turn_of(fault: PlannedFault) -> str:
+def _lock_name(fault: PlannedFault) -> str:
     """Name what `fault` has for itself while it lasts."""
     group = SHAPES[fault.kind].group
     return group.value if group is TargetGroup.CONTROL else fault.target
--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -24,7 +24,7 @@
 from jasperwalk.transport.identity import Identity, identity_of
 from jasperwalk.transport.tls import LinkTls
 
-ANYBODY = "*"
+ANY_PROCESS = "*"
 CHUNK_BYTES = 64 * 1024
 
 log = structlog.get_logger()
@@ -52,7 +52,7 @@
 
     def is_cut(self, source: str, destination: str) -> bool:
         """Tell whether bytes from `source` to `destination` are held back."""
-        pairs = ((source, destination), (source, ANYBODY), (ANYBODY, destination))
+        pairs = ((source, destination), (source, ANY_PROCESS), (ANY_PROCESS, destination))
         return any(Cut(*pair) in self._cuts for pair in pairs)
 
     async def wait_open(self, source: str, destination: str) -> None:
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Link:
+class LinkRelay:
     """The relay in front of the replica `identity`: listens at `listen`, calls `target`."""
 
     identity: Identity
@@ -104,18 +104,22 @@
         caller = identity_of(writer.get_extra_info("peercert"))
         replica = self.identity.name
         await self.rules.wait_open(caller.name, replica)
-        far_reader, far_writer = await asyncio.open_connection(
+        replica_reader, replica_writer = await asyncio.open_connection(
             self.target.host, self.target.port, ssl=self.keys.of(caller).client_context()
         )
         try:
-            forth = asyncio.create_task(self._pump(reader, far_writer, caller.name, replica))
-            back = asyncio.create_task(self._pump(far_reader, writer, replica, caller.name))
-            await asyncio.wait((forth, back), return_when=asyncio.FIRST_COMPLETED)
-            for pump in (forth, back):
+            to_replica = asyncio.create_task(
+                self._pump(reader, replica_writer, caller.name, replica)
+            )
+            to_caller = asyncio.create_task(
+                self._pump(replica_reader, writer, replica, caller.name)
+            )
+            await asyncio.wait((to_replica, to_caller), return_when=asyncio.FIRST_COMPLETED)
+            for pump in (to_replica, to_caller):
                 pump.cancel()
-            await asyncio.gather(forth, back, return_exceptions=True)
+            await asyncio.gather(to_replica, to_caller, return_exceptions=True)
         finally:
-            far_writer.close()
+            replica_writer.close()
 
     async def _pump(
         self,
--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.observations import Recovery
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
-LEAST_REQUESTS = 500
-LEAST_FAULT_KINDS = 4
+MIN_REQUESTS = 500
+MIN_FAULT_KINDS = 4
 SHOWN_VIOLATIONS = 20
 
 
@@ -89,7 +89,7 @@
     return [RecoveryFigure(r.process, r.changes_missed, round(r.seconds, 3)) for r in recoveries]
 
 
-def count_faults(happened: Sequence[HappenedFault]) -> dict[str, int]:
+def count_faults(happened: Sequence[FaultRecord]) -> dict[str, int]:
     """Count the faults that really took place, by kind."""
     done = [fault.kind.value for fault in happened if fault.failure is None]
     return dict(sorted(Counter(done).items()))
@@ -98,11 +98,11 @@
 def check_size(requests: int, faults: dict[str, int]) -> list[ChaosViolation]:
     """Check that the run was large enough to say anything."""
     found = []
-    if requests < LEAST_REQUESTS:
-        detail = f"{requests} of at least {LEAST_REQUESTS}"
+    if requests < MIN_REQUESTS:
+        detail = f"{requests} of at least {MIN_REQUESTS}"
         found.append(ChaosViolation(ChaosPromise.TOO_FEW_REQUESTS, detail))
-    if len(faults) < LEAST_FAULT_KINDS:
-        detail = f"{len(faults)} kinds of at least {LEAST_FAULT_KINDS}"
+    if len(faults) < MIN_FAULT_KINDS:
+        detail = f"{len(faults)} kinds of at least {MIN_FAULT_KINDS}"
         found.append(ChaosViolation(ChaosPromise.TOO_FEW_FAULTS, detail))
     return found
 
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -23,7 +23,7 @@
     PAUSE_SECONDS,
     STREAM_EXTRA_SECONDS,
     STREAM_INTERVAL_MS,
-    Target,
+    TrafficTarget,
     short_operation,
 )
 
@@ -35,24 +35,24 @@
 """How often a caller sends a submission again whose outcome it does not know."""
 NEEDLESS_RESEND_SHARE = 0.05
 """Share of answered submissions that are sent again, as after an answer that was lost."""
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 0.5
 
 
 class ChaosTraffic:
     """Callers of several services; every call lands in the caller's history."""
 
     def __init__(
-        self, caller: Caller, targets: list[Target], generator: random.Random, seconds: float
+        self, caller: Caller, targets: list[TrafficTarget], generator: random.Random, seconds: float
     ) -> None:
         self._caller = caller
         self._targets = targets
         self._random = generator
         self._seconds = seconds
-        self._ending = False
+        self._stopping = False
 
     def end(self) -> None:
         """Let every caller finish the call in hand and go."""
-        self._ending = True
+        self._stopping = True
 
     async def run(self) -> None:
         """Run all callers until `end`."""
@@ -65,7 +65,7 @@
                 tasks.create_task(self._stream(self._seconds))
 
     async def _short_caller(self) -> None:
-        while not self._ending:
+        while not self._stopping:
             target = self._choose_target()
             operation = short_operation(self._random)
             attempts: list[Flow] = []
@@ -76,9 +76,9 @@
                     continue
                 await self._call_on(connection, target)
 
-    async def _call_on(self, connection: Connection, target: Target) -> None:
+    async def _call_on(self, connection: Connection, target: TrafficTarget) -> None:
         for _ in range(CALLS_PER_CONNECTION):
-            if self._ending or not connection.alive:
+            if self._stopping or not connection.alive:
                 return
             operation = short_operation(self._random)
             if isinstance(operation, Submission):
@@ -91,7 +91,7 @@
             await asyncio.sleep(self._random.uniform(*PAUSE_SECONDS))
 
     async def _submit(
-        self, connection: Connection, target: Target, operation: Submission
+        self, connection: Connection, target: TrafficTarget, operation: Submission
     ) -> CallOutcome:
         """Submit with a ticket; send again, elsewhere, what may have run."""
         request_id = self._caller.next_request_id()
@@ -115,7 +115,7 @@
         return not isinstance(outcome, NotRun)
 
     async def _resend(
-        self, target: Target, operation: Submission, request_id: str, ticket: str
+        self, target: TrafficTarget, operation: Submission, request_id: str, ticket: str
     ) -> CallOutcome:
         invoked = _now()
         attempts: list[Flow] = []
@@ -130,14 +130,14 @@
 
     async def _stream_caller(self) -> None:
         await asyncio.sleep(self._random.uniform(0.0, STREAM_SECONDS[0]))
-        while not self._ending:
+        while not self._stopping:
             await self._stream(self._random.uniform(*STREAM_SECONDS))
 
     async def _stream(self, seconds: float) -> None:
         """Open one stream; a refused one is asked for again, on another connection."""
         operation = LongStream(seconds=seconds, interval_ms=STREAM_INTERVAL_MS)
         target = self._choose_target()
-        while not self._ending:
+        while not self._stopping:
             attempts: list[Flow] = []
             connecting = self._caller.connect(target.service, target.listener, attempts)
             async with connecting as connection:
@@ -150,16 +150,16 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
-        await asyncio.sleep(self._random.uniform(longest / 2, longest))
+        max_wait = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
+        await asyncio.sleep(self._random.uniform(max_wait / 2, max_wait))
 
-    def _not_connected(self, target: Target, operation: Operation, flow: Flow) -> None:
+    def _not_connected(self, target: TrafficTarget, operation: Operation, flow: Flow) -> None:
         request_id = self._caller.next_request_id()
-        self._caller.not_connected(target.service, operation, flow.opened, request_id, flow)
+        self._caller.record_not_connected(target.service, operation, flow.opened, request_id, flow)
 
     def _record(
         self,
-        target: Target,
+        target: TrafficTarget,
         operation: Operation,
         request_id: str,
         invoked: float,
@@ -168,7 +168,7 @@
     ) -> None:
         self._caller.record(target.service, operation, request_id, invoked, outcome, flow)
 
-    def _choose_target(self) -> Target:
+    def _choose_target(self) -> TrafficTarget:
         shares = [target.share for target in self._targets]
         return self._random.choices(self._targets, weights=shares)[0]
 
--- a/src/jasperwalk_lab/control_client.py
+++ b/src/jasperwalk_lab/control_client.py
@@ -22,7 +22,7 @@
 HTTP_UNAVAILABLE = 503
 HTTP_OUTCOME_UNKNOWN = 504
 """A resend with the same change ID learns the outcome."""
-RESENT_STATUSES = frozenset({0, HTTP_UNAVAILABLE, HTTP_OUTCOME_UNKNOWN})
+RETRIED_STATUSES = frozenset({0, HTTP_UNAVAILABLE, HTTP_OUTCOME_UNKNOWN})
 """Answers after which a request is sent again; 0 stands for no answer."""
 
 
@@ -48,9 +48,9 @@
 class ControlClient:
     """Talks to any replica; a replica that is down or has no leader is tried again."""
 
-    def __init__(self, replicas: Sequence[Endpoint], give_up_seconds: float = 20.0) -> None:
+    def __init__(self, replicas: Sequence[Endpoint], retry_seconds: float = 20.0) -> None:
         self._replicas = list(replicas)
-        self._give_up_seconds = give_up_seconds
+        self._retry_seconds = retry_seconds
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
 
@@ -111,13 +111,13 @@
         if body:
             # The same change ID on every try: a resend gets the first outcome.
             headers = {"Idempotency-Key": str(uuid.uuid4()), "Content-Type": content_type}
-        deadline = asyncio.get_running_loop().time() + self._give_up_seconds
+        deadline = asyncio.get_running_loop().time() + self._retry_seconds
         while True:
             status, answer = await self._try(method, path, body, headers)
             if status in HTTP_OK_RANGE:
                 return answer
             expired = asyncio.get_running_loop().time() > deadline
-            if expired or status not in RESENT_STATUSES:
+            if expired or status not in RETRIED_STATUSES:
                 text = answer.decode(errors="replace")
                 raise ControlRefused(path=path, status=status, body=text)
             await asyncio.sleep(RETRY_SECONDS)
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -23,16 +23,16 @@
 from jasperwalk_lab.journal import JournalRecord
 from jasperwalk_lab.operations import CallHistory
 from jasperwalk_lab.summary import (
-    LEAST_ANSWERED,
-    LEAST_STREAMS,
+    MIN_ANSWERED,
+    MIN_STREAMS,
     BrokenPromise,
     DemoSummary,
     PromiseKind,
     summarise,
 )
-from jasperwalk_lab.traffic import Target, Traffic
+from jasperwalk_lab.traffic import Traffic, TrafficTarget
 
-STREAMS = LEAST_STREAMS + 10
+STREAMS = MIN_STREAMS + 10
 STREAM_SECONDS = 10.0
 SHORT_CALLERS = 16
 WARM_UP_SECONDS = 1.5
@@ -61,19 +61,19 @@
     options: FleetOptions = DEFAULT_OPTIONS,
 ) -> DemoResult:
     """Run the demo; logs, settings and data stay in a new folder under `runs`."""
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     run_folder = make_run_folder(runs, f"demo-{example_name}")
     progress(f"run folder {run_folder}, seed {seed}")
     async with Fleet(load_example(example_name), run_folder, seed, options) as fleet:
         await fleet.start()
-        elapsed = asyncio.get_running_loop().time() - began
+        elapsed = asyncio.get_running_loop().time() - started_at
         progress(f"fleet of {len(fleet.layout.members)} agents is up after {elapsed:.1f} s")
         demo = Demo(fleet, seed, progress)
         await demo.run()
         sent = ", ".join(f"{each.name} {each.sent}" for each in await fleet.sprayed())
         progress(f"datagrams sprayed: {sent}")
         journal = await fleet.journals()
-        demo.note_ended_processes()
+        demo.record_ended_processes()
         progress("stopping the fleet")
     report = HistoryChecker(journal).check(demo.history.records)
     summary = summarise(
@@ -82,7 +82,7 @@
         seed=seed,
         imbalance=demo.imbalance(journal),
         in_force_seconds=demo.in_force_seconds,
-        duration_seconds=asyncio.get_running_loop().time() - began,
+        duration_seconds=asyncio.get_running_loop().time() - started_at,
         failures=demo.failures,
     )
     return DemoResult(summary=summary, report=report)
@@ -157,12 +157,12 @@
         self._progress(f"revision {view.revision} in force on {places}, {agents}")
 
     async def _wait_for_calls(self) -> None:
-        while self._traffic.short_calls() < LEAST_ANSWERED:
+        while self._traffic.short_calls() < MIN_ANSWERED:
             await asyncio.sleep(0.1)
 
-    def note_ended_processes(self) -> None:
+    def record_ended_processes(self) -> None:
         """Note each process that ended though nobody stopped it."""
-        for name in self._fleet.supervisor.ended_early():
+        for name in self._fleet.supervisor.ended_unexpectedly():
             self.failures.append(BrokenPromise(PromiseKind.PROCESS_ENDED, name))
 
     def imbalance(self, journal: list[JournalRecord]) -> float:
@@ -177,9 +177,9 @@
             for before, after in services
         )
 
-    def _targets(self) -> list[Target]:
+    def _targets(self) -> list[TrafficTarget]:
         return [
-            Target(
+            TrafficTarget(
                 service=service.name,
                 listener=service.listener,
                 share=sum(member.slots for member in service.members),
--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -29,7 +29,7 @@
 )
 from jasperwalk_lab.fabric_core import (
     AgentSightings,
-    DelayLine,
+    DelayQueue,
     FabricBalancer,
     FabricCounters,
     Sprayer,
@@ -37,7 +37,7 @@
 
 BATCH = 64
 """Datagrams read from one socket before the event loop serves the others."""
-LARGEST_DATAGRAM = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 TIMER_RESOLUTION_SECONDS = 0.001
 PROBE_INTERVAL_SECONDS = 0.25
@@ -61,9 +61,9 @@
         self.sprayer = Sprayer(generator)
         self.counters = FabricCounters()
         self.return_delay = return_delay
-        self._line = DelayLine()
+        self._delayed = DelayQueue()
         self._timer: asyncio.Handle | None = None
-        self._armed_for = math.inf
+        self._timer_due = math.inf
         self._sockets: list[socket.socket] = []
         self._channels: dict[Endpoint, int] = {}
         self.agents = AgentSightings()
@@ -104,7 +104,7 @@
                 healthy = response.status == 200  # noqa: PLR2004 - HTTP 200 OK
         except (aiohttp.ClientError, TimeoutError, OSError):
             healthy = False
-        self.sprayer.probed(balancer.name, healthy)
+        self.sprayer.record_probe(balancer.name, healthy)
         if balancer.in_use != was_in_use:
             log.info("balancer_health", balancer=balancer.name, in_use=balancer.in_use)
 
@@ -122,7 +122,7 @@
         opened = self._sockets[channel]
         for _ in range(BATCH):
             try:
-                payload, caller = opened.recvfrom(LARGEST_DATAGRAM)
+                payload, caller = opened.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             self._spray(channel, listener, caller, payload)
@@ -151,12 +151,12 @@
     def _read_answers(self, opened: socket.socket) -> None:
         for _ in range(BATCH):
             try:
-                datagram, agent = opened.recvfrom(LARGEST_DATAGRAM)
+                datagram, agent = opened.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
-            self._return(datagram, agent)
+            self._return_answer(datagram, agent)
 
-    def _return(self, datagram: bytes, agent: tuple[str, int]) -> None:
+    def _return_answer(self, datagram: bytes, agent: tuple[str, int]) -> None:
         try:
             vip, caller = decode_header(datagram)
         except MalformedProxyHeader:
@@ -169,7 +169,7 @@
         if agent in self.agents.cut:
             self.counters.dropped_by_cut += 1
             return
-        self.agents.saw(caller.port, agent, asyncio.get_running_loop().time())
+        self.agents.record_answer(caller.port, agent, asyncio.get_running_loop().time())
         self.counters.answered += 1
         self._send_after(self.return_delay, channel, caller, datagram[HEADER_LENGTH:])
 
@@ -179,26 +179,26 @@
         if delay <= 0:
             self._send(channel, destination, payload)
             return
-        self._line.put(asyncio.get_running_loop().time() + delay, channel, destination, payload)
-        self._arm()
+        self._delayed.put(asyncio.get_running_loop().time() + delay, channel, destination, payload)
+        self._start_timer()
 
-    def _arm(self) -> None:
-        due = self._line.next_due()
-        if due is None or due >= self._armed_for:
+    def _start_timer(self) -> None:
+        due = self._delayed.next_due()
+        if due is None or due >= self._timer_due:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._armed_for = due
-        self._timer = asyncio.get_running_loop().call_at(due, self._flush)
+        self._timer_due = due
+        self._timer = asyncio.get_running_loop().call_at(due, self._send_due)
 
-    def _flush(self) -> None:
+    def _send_due(self) -> None:
         self._timer = None
-        self._armed_for = math.inf
+        self._timer_due = math.inf
         # uvloop's timers have a resolution of 1 ms: take what is due within half of it.
         latest = asyncio.get_running_loop().time() + TIMER_RESOLUTION_SECONDS / 2
-        for datagram in self._line.take_due(latest):
+        for datagram in self._delayed.take_due(latest):
             self._send(datagram.channel, datagram.destination, datagram.payload)
-        self._arm()
+        self._start_timer()
 
     def _send(self, channel: int, destination: Endpoint, payload: bytes) -> None:
         try:
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -60,7 +60,7 @@
         self.cut: set[tuple[str, int]] = set()
         self._periods: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
-    def saw(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
+    def record_answer(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
         """Note that an agent answered a caller.
 
         A port may belong to one flow after another, so an answer after a pause counts anew.
@@ -108,12 +108,12 @@
     def add(self, balancer: FabricBalancer) -> None:
         """Add a balancer, or replace the one of the same name."""
         self._balancers[balancer.name] = balancer
-        self._refresh()
+        self._update_in_use()
 
     def remove(self, name: str) -> bool:
         """Forget a balancer; tell whether it was known."""
         known = self._balancers.pop(name, None) is not None
-        self._refresh()
+        self._update_in_use()
         return known
 
     def get(self, name: str) -> FabricBalancer | None:
@@ -128,13 +128,13 @@
         """Return the balancers that get datagrams now."""
         return list(self._in_use)
 
-    def probed(self, name: str, healthy: bool) -> None:
+    def record_probe(self, name: str, healthy: bool) -> None:
         """Take the result of one probe of the balancer's health page."""
         balancer = self._balancers.get(name)
         if balancer is None:
             return
         balancer.failures = 0 if healthy else balancer.failures + 1
-        self._refresh()
+        self._update_in_use()
 
     def choose(self) -> FabricBalancer | None:
         """Choose a balancer for one datagram; None when none is healthy."""
@@ -142,7 +142,7 @@
             return None
         return self._in_use[int(self._random.random() * len(self._in_use))]
 
-    def _refresh(self) -> None:
+    def _update_in_use(self) -> None:
         self._in_use = [b for b in self._balancers.values() if b.in_use]
 
 
@@ -157,7 +157,7 @@
     payload: bytes = field(compare=False)
 
 
-class DelayLine:
+class DelayQueue:
     """Datagrams that wait for their one-way delay, by the time they are due."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk_lab/layout.py
+++ b/src/jasperwalk_lab/layout.py
@@ -13,7 +13,7 @@
 BALANCERS = 3
 SPARE_BALANCERS = 1
 """Balancers with settings that are not started with the fleet, but may join later."""
-LOWEST_SECOND_OCTET = 16
+MIN_SECOND_OCTET = 16
 SECOND_OCTETS = 200
 HOSTS_PER_PREFIX = 250
 
@@ -76,7 +76,7 @@
 
     def __init__(self, reservations: PortReservations) -> None:
         process_id = os.getpid()
-        second_octet = LOWEST_SECOND_OCTET + (process_id >> 8) % SECOND_OCTETS
+        second_octet = MIN_SECOND_OCTET + (process_id >> 8) % SECOND_OCTETS
         self._prefix = f"127.{second_octet}.{process_id & 0xFF}"
         self._reservations = reservations
         self._last = 0
@@ -90,17 +90,17 @@
 def plan_layout(example: Example, reservations: PortReservations) -> Layout:
     """Give every process of the example's fleet its end points."""
     hosts = LoopbackHosts(reservations)
-    moved = example.moved(hosts.endpoint, hosts.endpoint)
-    zones = moved.zones()
+    relocated = example.relocated(hosts.endpoint, hosts.endpoint)
+    zones = relocated.zones()
     balancers = [
-        _balancer(number, zones, moved, hosts) for number in range(BALANCERS + SPARE_BALANCERS)
+        _balancer(number, zones, relocated, hosts) for number in range(BALANCERS + SPARE_BALANCERS)
     ]
     return Layout(
-        example=moved,
+        example=relocated,
         controls=tuple(_control(number, zones, hosts) for number in range(CONTROL_REPLICAS)),
         balancers=tuple(balancers[:BALANCERS]),
         spare_balancers=tuple(balancers[BALANCERS:]),
-        members=tuple(_members(moved, hosts)),
+        members=tuple(_members(relocated, hosts)),
         fabric_return=hosts.endpoint(),
         fabric_admin=hosts.endpoint(),
         platform_list=hosts.endpoint(),
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -30,15 +30,15 @@
     check_in_force,
     check_outcomes_kept,
     check_revisions,
-    measure_leaders,
-    measure_restarts,
+    measure_catch_up,
+    measure_leader_gaps,
 )
 from jasperwalk_lab.simulator.world import World
 
 READY_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 6.0
 """Quiet time after the last fault, in which everything has to come right."""
-QUIET_TIMEOUT_SECONDS = 40.0
+SETTLE_TIMEOUT_SECONDS = 40.0
 CALLERS_PER_SERVICE = 4
 OPERATOR_COUNT = 3
 
@@ -133,9 +133,9 @@
         await injector.run(self._faults)
         await asyncio.sleep(SETTLE_SECONDS)
         world.traffic = False
-        await asyncio.wait(tasks, timeout=QUIET_TIMEOUT_SECONDS)
+        await asyncio.wait(tasks, timeout=SETTLE_TIMEOUT_SECONDS)
         await self._wait_until(
-            world, lambda: _is_settled(world), QUIET_TIMEOUT_SECONDS, "fleet-not-settled"
+            world, lambda: _is_settled(world), SETTLE_TIMEOUT_SECONDS, "fleet-not-settled"
         )
         self._check_run(world)
         return self._result(world)
@@ -205,8 +205,8 @@
             *check_revisions(record),
             *_differing_tables(world),
         ]
-        measure_leaders(record, controls, self._measures)
-        measure_restarts(record, self._measures)
+        measure_leader_gaps(record, controls, self._measures)
+        measure_catch_up(record, self._measures)
         for finding in findings:
             world.record_violation(finding)
 
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -178,10 +178,10 @@
             ]
             late = [until_accepted + seconds for seconds in times]
             measures.until_no_new_work.append(max([*early, *late], default=0.0))
-        yield from _late_work(drain, times)
+        yield from _check_no_late_work(drain, times)
 
 
-def _late_work(drain: DrainSpan, times: list[float]) -> Iterator[str]:
+def _check_no_late_work(drain: DrainSpan, times: list[float]) -> Iterator[str]:
     late = [seconds for seconds in times if seconds > DRAINED_SECONDS]
     if late:
         yield f"new-work-while-leaving: {drain.host} {max(late):.2f} s after its drain"
@@ -220,7 +220,7 @@
     return max(0.0, next(reached, math.inf) - begin)
 
 
-def measure_leaders(record: Record, controls: list[str], measures: Measures) -> None:
+def measure_leader_gaps(record: Record, controls: list[str], measures: Measures) -> None:
     """Take the times without a leader while a majority of the control machines was well."""
     for gap in record.leader_gaps:
         undisturbed = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
@@ -228,7 +228,7 @@
             measures.until_leader_replaced.append(gap.end - gap.begin)
 
 
-def measure_restarts(record: Record, measures: Measures) -> None:
+def measure_catch_up(record: Record, measures: Measures) -> None:
     """Take the times until a restarted balancer or agent had what control had at its start."""
     for restart in record.restarts:
         reached = [
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -75,7 +75,7 @@
         self._size = size
         self._seconds = FAULT_FREE_SECONDS + seconds
         self._progress = progress
-        self._planned = plan_with_overload(fleet.names(), seconds, seed)
+        self._planned = plan_with_overload(fleet.targets(), seconds, seed)
         self._began_at = time.monotonic()
         self._rng = random.Random(f"traffic {seed}")
         self.history = SoakHistory()
@@ -90,9 +90,11 @@
             route_of,
             self._rng,
         )
-        normal_per_second = size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
+        normal_requests_per_second = (
+            size.short_requests_per_second + size.long_callers / LONG_PAUSE_SECONDS
+        )
         surge_callers = SurgeCallers(
-            self._callers.request_once, ROUTES, ZONES, normal_per_second, self._rng
+            self._callers.request_once, ROUTES, ZONES, normal_requests_per_second, self._rng
         )
         self._operators = Operators(
             fleet.replicas(), _configuration, self._clock, self.history, self._rng
@@ -130,7 +132,7 @@
         for agent in self._fleet.hosts:
             await self._hosts.start(agent, is_cold=False)
         await self._operators.configure()
-        await self._until_ready()
+        await self._wait_until_ready()
         self._began_at = time.monotonic()
         self._discard_startup()
         background = [
@@ -167,7 +169,7 @@
         for host in self._hosts.all():
             host.started_at = -COLD_SECONDS
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         caller = HttpCaller()
         async with asyncio.timeout(READY_SECONDS):
             for place in self._fleet.balancers:
@@ -191,27 +193,27 @@
 
     async def _monitor(self) -> None:
         """Note processes that end by themselves, and tell how the run goes."""
-        told_at = 0.0
+        reported_at = 0.0
         while True:
             slept_at = self._clock()
             await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
             late_seconds = self._clock() - slept_at - MONITOR_INTERVAL_SECONDS
             if late_seconds > STALL_SECONDS:
                 self.history.stalls.append(MachineStall(self._clock(), round(late_seconds, 2)))
-            for name in self._fleet.supervisor.ended_early():
+            for name in self._fleet.supervisor.ended_unexpectedly():
                 if name not in self.history.ended_processes:
                     self.history.ended_processes.append(name)
             if not self._first_sample and self._clock() > FIRST_SAMPLE_SECONDS:
                 self._first_sample = {n: each.use() for n, each in self._fleet.processes.items()}
-            if self._clock() - told_at >= PROGRESS_SECONDS:
-                told_at = self._clock()
-                self._report_progress(told_at)
+            if self._clock() - reported_at >= PROGRESS_SECONDS:
+                reported_at = self._clock()
+                self._report_progress(reported_at)
 
     def _report_progress(self, now: float) -> None:
         counts = Counter(each.outcome.value for each in self.history.requests)
-        told = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+        summary = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         faults = "; ".join(self._injector.now) or "none"
-        self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {told}  faults now: {faults}")
+        self._progress(f"{now:6.1f} s of {self._seconds:.0f}  {summary}  faults now: {faults}")
 
     def _record_resources(self) -> None:
         for name, process in self._fleet.processes.items():
--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -9,9 +9,9 @@
 
 from jasperwalk_lab.history import HistoryReport, ViolationKind
 
-LEAST_ANSWERED = 1_000
-LEAST_STREAMS = 50
-LONGEST_IN_FORCE_SECONDS = 10.0
+MIN_ANSWERED = 1_000
+MIN_STREAMS = 50
+MAX_IN_FORCE_SECONDS = 10.0
 SHOWN_VIOLATIONS = 10
 
 
@@ -105,11 +105,11 @@
 def _too_few_answers(report: HistoryReport) -> list[BrokenPromise]:
     short_answers = report.answered - report.streams_answered
     broken: list[BrokenPromise] = []
-    if short_answers < LEAST_ANSWERED:
-        detail = f"{short_answers} of at least {LEAST_ANSWERED} requests"
+    if short_answers < MIN_ANSWERED:
+        detail = f"{short_answers} of at least {MIN_ANSWERED} requests"
         broken.append(BrokenPromise(PromiseKind.TOO_FEW_ANSWERS, detail))
-    if report.streams_answered < LEAST_STREAMS:
-        detail = f"{report.streams_answered} of at least {LEAST_STREAMS} long streams"
+    if report.streams_answered < MIN_STREAMS:
+        detail = f"{report.streams_answered} of at least {MIN_STREAMS} long streams"
         broken.append(BrokenPromise(PromiseKind.TOO_FEW_ANSWERS, detail))
     return broken
 
@@ -117,7 +117,7 @@
 def _slow_change(in_force_seconds: float | None) -> list[BrokenPromise]:
     if in_force_seconds is None:
         return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, "it never was")]
-    if in_force_seconds > LONGEST_IN_FORCE_SECONDS:
+    if in_force_seconds > MAX_IN_FORCE_SECONDS:
         detail = f"only after {in_force_seconds:.1f} s"
         return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, detail)]
     return []
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -24,7 +24,7 @@
 """Shortest and longest pause of a caller between two short calls."""
 CALL_TIMEOUT_SECONDS = 10.0
 STREAM_ATTEMPTS = 20
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 0.5
 STREAM_INTERVAL_MS = 100.0
 STREAM_EXTRA_SECONDS = 10.0
 """What a stream may take beyond its own length."""
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Target:
+class TrafficTarget:
     """A service, its listener, and its part of the traffic."""
 
     service: str
@@ -47,17 +47,21 @@
     """Callers of several services; all calls land in one history."""
 
     def __init__(
-        self, caller: Caller, history: CallHistory, targets: list[Target], generator: random.Random
+        self,
+        caller: Caller,
+        history: CallHistory,
+        targets: list[TrafficTarget],
+        generator: random.Random,
     ) -> None:
         self._caller = caller
         self._history = history
         self._targets = targets
         self._random = generator
-        self._ending = False
+        self._stopping = False
 
     def end(self) -> None:
         """Let callers of short calls finish the call in hand and go."""
-        self._ending = True
+        self._stopping = True
 
     def short_calls(self) -> int:
         """Return how many short calls have been answered."""
@@ -75,18 +79,20 @@
         await asyncio.gather(*(self._stream(seconds) for _ in range(count)))
 
     async def _short_caller(self) -> None:
-        while not self._ending:
+        while not self._stopping:
             target = self._choose_target()
             invoked = asyncio.get_running_loop().time()
             async with self._caller.connect(target.service, target.listener) as connection:
                 if connection is None:
-                    self._caller.not_connected(target.service, self._short_operation(), invoked)
+                    self._caller.record_not_connected(
+                        target.service, self._short_operation(), invoked
+                    )
                     continue
                 await self._call_on(connection)
 
     async def _call_on(self, connection: Connection) -> None:
         for _ in range(CALLS_PER_CONNECTION):
-            if self._ending or not connection.alive:
+            if self._stopping or not connection.alive:
                 return
             record = await connection.call(self._short_operation(), CALL_TIMEOUT_SECONDS)
             if isinstance(record.outcome, NotRun):
@@ -101,7 +107,7 @@
             invoked = asyncio.get_running_loop().time()
             async with self._caller.connect(target.service, target.listener) as connection:
                 if connection is None:
-                    self._caller.not_connected(target.service, operation, invoked)
+                    self._caller.record_not_connected(target.service, operation, invoked)
                     return
                 record = await connection.call(operation, seconds + STREAM_EXTRA_SECONDS)
             if not isinstance(record.outcome, NotRun):
@@ -109,10 +115,10 @@
             await self._wait_to_retry(record.outcome)
 
     async def _wait_to_retry(self, refusal: NotRun) -> None:
-        longest = min(refusal.retry_after_seconds, LONGEST_RETRY_SECONDS)
-        await asyncio.sleep(self._random.uniform(longest / 2, longest))
+        max_wait = min(refusal.retry_after_seconds, MAX_RETRY_SECONDS)
+        await asyncio.sleep(self._random.uniform(max_wait / 2, max_wait))
 
-    def _choose_target(self) -> Target:
+    def _choose_target(self) -> TrafficTarget:
         shares = [target.share for target in self._targets]
         return self._random.choices(self._targets, weights=shares)[0]
 
--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -7,10 +7,10 @@
 import pytest
 
 from jasperwalk_lab.chaos.api import Accepted, NotDecided, Refused
-from jasperwalk_lab.chaos.faults import FaultKind, HappenedFault
+from jasperwalk_lab.chaos.faults import FaultKind, FaultRecord
 from jasperwalk_lab.chaos.observations import AgentLoss, LeavingPeriod, Observations
 from jasperwalk_lab.chaos.operators import ChangeHistory, InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.report import LEAST_REQUESTS
+from jasperwalk_lab.chaos.report import MIN_REQUESTS
 from jasperwalk_lab.chaos.revisions import RevisionSample
 from jasperwalk_lab.chaos.verdict import FinalState, RunRecord, judge
 from jasperwalk_lab.chaos.violations import ChaosPromise
@@ -67,10 +67,10 @@
         example="zagreb",
         seed=1,
         seconds=40.0,
-        calls=CallHistory([call(f"a-{number}") for number in range(LEAST_REQUESTS)]),
+        calls=CallHistory([call(f"a-{number}") for number in range(MIN_REQUESTS)]),
         changes=ChangeHistory([WON, LOST], [InForceTime("c-1", 0.5, accepted=2.0, ended=2.5)]),
         observations=Observations(),
-        happened=[HappenedFault(kind, "x", 1.0, 2.0) for kind in KINDS],
+        happened=[FaultRecord(kind, "x", 1.0, 2.0) for kind in KINDS],
         samples=[RevisionSample("balancer-1", at, at + 5) for at in (1, 2)],
         final=FinalState(
             raced_tenant="godisnjak",
@@ -80,7 +80,7 @@
             table_revision=7,
             process_revisions={"balancer-1": 7},
         ),
-        journal=[ran(f"a-{number}") for number in range(LEAST_REQUESTS)],
+        journal=[ran(f"a-{number}") for number in range(MIN_REQUESTS)],
         flows=[FlowView(PORT, AGENT, 9.1)],
         processes=3,
         duration_seconds=50.0,
@@ -114,22 +114,22 @@
     record.samples.append(RevisionSample("balancer-1", 3, 6))
 
 
-def spoil_known(record):
+def spoil_in_force_reports(record):
     words = ("127.0.0.1:1: no answer",)
-    struck = HappenedFault(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
-    record.happened.append(struck)
+    fault = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
+    record.happened.append(fault)
     waits = {"c-1": 18.5, "c-2": 19.5}  # ten seconds from the end of the fault on
     for change_id, ended in waits.items():
         record.changes.in_force.append(InForceTime(change_id, None, 2.0, ended, words))
 
 
-def spoil_reached(record):
-    record.happened.append(HappenedFault(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
+def spoil_propagation(record):
+    record.happened.append(FaultRecord(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5, 18.5)]
 
 
-def spoil_reached_without_excuse(record):
-    record.happened.append(HappenedFault(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
+def spoil_propagation_without_excuse(record):
+    record.happened.append(FaultRecord(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5)]
 
 
@@ -137,7 +137,7 @@
     record.final.process_revisions["agent-u-1"] = 6
 
 
-def spoil_kept(record):
+def spoil_stored_outcome(record):
     record.final.outcomes["control-1"]["c-2"] = NotDecided("status 0")
 
 
@@ -146,7 +146,7 @@
 
 
 def spoil_fault(record):
-    record.happened.append(HappenedFault(KINDS[0], "x", 1.0, 2.0, failure="not healthy in time"))
+    record.happened.append(FaultRecord(KINDS[0], "x", 1.0, 2.0, failure="not healthy in time"))
 
 
 def spoil_process(record):
@@ -187,11 +187,11 @@
     ),
     (ChaosPromise.WORK_ON_LEAVING_HOST, spoil_leaving),
     (ChaosPromise.REVISION_WENT_BACK, spoil_samples),
-    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_known),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached_without_excuse),
+    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_in_force_reports),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
-    (ChaosPromise.CHANGE_LOST, spoil_kept),
+    (ChaosPromise.CHANGE_LOST, spoil_stored_outcome),
     (ChaosPromise.NOT_LINEARIZABLE, spoil_tenant),
     (ChaosPromise.TWO_WINNERS, with_changes(change("c-3", 3, Accepted(7, 7)))),
     (
@@ -208,7 +208,7 @@
 def test_a_good_record_has_no_violation():
     report = judge(good_record())
     assert report.violations == []
-    assert (report.requests, report.answered) == (LEAST_REQUESTS, LEAST_REQUESTS)
+    assert (report.requests, report.answered) == (MIN_REQUESTS, MIN_REQUESTS)
     assert (report.changes.accepted, report.changes.refused) == (1, 1)
 
 
@@ -223,9 +223,9 @@
 
 def test_time_counts_from_the_end_of_a_fault_that_kept_a_process_away():
     record = good_record()
-    spoil_reached(record)
+    spoil_propagation(record)
     record.samples.pop()
-    spoil_known(record)
+    spoil_in_force_reports(record)
     report = judge(record)
     assert [found.detail.split()[0] for found in report.violations] == ["c-2"]
     assert (report.in_force.count, report.in_force_never_known) == (1, 2)
--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -13,7 +13,7 @@
 from jasperwalk.addresses import Endpoint
 from jasperwalk.messages.proxy_protocol import HEADER_LENGTH, decode_header, encode_header
 from jasperwalk_lab.fabric import Fabric
-from jasperwalk_lab.fabric_core import AgentSightings, DelayLine, FabricBalancer, Sprayer
+from jasperwalk_lab.fabric_core import AgentSightings, DelayQueue, FabricBalancer, Sprayer
 
 SEED = 20_261
 BURST = 20
@@ -46,16 +46,16 @@
 
 def test_two_failed_probes_remove_a_balancer_and_one_good_brings_it_back():
     spray = sprayer(balancer("a"))
-    spray.probed("a", healthy=False)
+    spray.record_probe("a", healthy=False)
     assert spray.choose() is not None
-    spray.probed("a", healthy=False)
+    spray.record_probe("a", healthy=False)
     assert spray.choose() is None
-    spray.probed("a", healthy=True)
+    spray.record_probe("a", healthy=True)
     assert spray.choose() is not None
 
 
 def test_delay_line_orders_by_due_time_then_by_arrival():
-    line = DelayLine()
+    line = DelayQueue()
     for due, payload in [(2.0, b"late"), (1.0, b"first"), (1.0, b"second")]:
         line.put(due, 0, VIP, payload)
     assert line.next_due() == 1.0
@@ -137,5 +137,5 @@
 def test_a_port_that_is_used_again_is_seen_again():
     sightings = AgentSightings()
     for at in (1.0, 1.9, 2.5, 4.0):
-        sightings.saw(5000, ("127.0.0.1", 7100), at)
+        sightings.record_answer(5000, ("127.0.0.1", 7100), at)
     assert [seen.at for seen in sightings.all()] == [1.0, 4.0]
