--- a/tests/simulator/test_runs.py
+++ b/tests/simulator/test_runs.py
@@ -46,6 +46,6 @@
 
 
 @pytest.mark.parametrize("seeds", ["", "a-b", "5-4"])
-def test_seeds_that_are_none_are_refused(seeds):
+def test_invalid_seeds_are_refused(seeds):
     result = CliRunner().invoke(simulate, ["--seeds", seeds])
     assert result.exit_code == 2
