--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_page_holds_every_variant_and_needs_nothing_from_outside(tmp_path):
+def test_a_page_shows_every_variant_without_external_resources(tmp_path):
     header = HeaderLine("x", "why & <how>?", "now", "abc", True, machine_facts(), "name = 1")
     append_line(tmp_path, header)
     append_line(tmp_path, run_line("plain", 1, {"drain-host": 2}, []))
