--- a/tests/simulator/test_clock.py
+++ b/tests/simulator/test_clock.py
@@ -37,7 +37,7 @@
         loop.run_until_complete(spin())
 
 
-def test_a_frozen_process_goes_on_late_and_a_killed_one_never(loop):
+def test_a_frozen_process_resumes_late_and_a_killed_one_never(loop):
     ticks = []
 
     async def run():
