--- a/tests/simulator/test_runs.py
+++ b/tests/simulator/test_runs.py
@@ -32,7 +32,7 @@
     assert {failure for each in listed for failure in each["failures"]} == {*Failure}
 
 
-def test_a_failing_seed_is_reported_with_its_replay_and_only_the_faults_that_it_needs():
+def test_a_failing_seed_is_reported_with_its_replay_and_minimal_faults():
     mutant = "late-answer-reused"
     arguments = ["--scenario", "misleading-back-ends", "--seeds", "1", "--mutant", mutant]
     result = CliRunner().invoke(simulate, [*arguments, "--processes", "1", "--json"])
