--- a/src/jasperwalk_lab/chaos/propagation.py
+++ b/src/jasperwalk_lab/chaos/propagation.py
@@ -67,10 +67,10 @@
     return sorted(found, key=lambda outage: outage.began)
 
 
-def deadline_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
+def deadline_after(since: float, limit: float, known_outages: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
     deadline = since + limit
-    for outage in struck:
+    for outage in known_outages:
         if outage.began <= deadline and outage.ended >= since:
             deadline = max(deadline, outage.ended + limit)
     return deadline
@@ -85,14 +85,16 @@
     by_process: dict[str, list[RevisionSample]] = defaultdict(list)
     for sample in sorted(samples, key=lambda each: each.at):
         by_process[sample.process].append(sample)
-    struck = outages(happened)
+    known_outages = outages(happened)
     accepted = [(change, change.accepted()) for change in changes]
     for process, seen in by_process.items():
         for change, answer in accepted:
             if answer is None:
                 continue
             since = max(change.completed, seen[0].at)
-            deadline = deadline_after(since, PROPAGATION_LIMIT_SECONDS, struck.get(process, ()))
+            deadline = deadline_after(
+                since, PROPAGATION_LIMIT_SECONDS, known_outages.get(process, ())
+            )
             late = _outdated_revision(seen, answer.revision, deadline)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
