--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -106,12 +106,12 @@
         await asyncio.gather(*self._waits)
         await self._api.close()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Let the race in hand be the last."""
         self._stopping = True
 
     async def run_races(self) -> None:
-        """Race until `end`."""
+        """Race until `stop`."""
         while not self._stopping:
             seen = await self._api.tenant(self._any_replica(), self._tenant.name)
             if seen is not None:
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -50,12 +50,12 @@
         self._seconds = seconds
         self._stopping = False
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Let every caller finish the call in hand and go."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Run all callers until `end`."""
+        """Run all callers until `stop`."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(SHORT_CALLERS):
                 tasks.create_task(self._short_caller())
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -124,7 +124,7 @@
                 self.failures.append(BrokenPromise(PromiseKind.CHANGE_FAILED, detail))
             await streams
             await self._wait_for_calls()
-            self._traffic.end()
+            self._traffic.stop()
 
     async def _change_fleet(self) -> None:
         layout = self._fleet.layout
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -59,7 +59,7 @@
         self._random = generator
         self._stopping = False
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Let callers of short calls finish the call in hand and go."""
         self._stopping = True
 
@@ -71,7 +71,7 @@
         )
 
     async def run_short_calls(self, callers: int) -> None:
-        """Run `callers` callers of short calls until `end`."""
+        """Run `callers` callers of short calls until `stop`."""
         await asyncio.gather(*(self._short_caller() for _ in range(callers)))
 
     async def run_streams(self, count: int, seconds: float) -> None:
