--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -82,9 +82,9 @@
 
     def stop(self) -> None:
         """Close all sockets."""
-        for opened in self._sockets:
-            asyncio.get_running_loop().remove_reader(opened)
-            opened.close()
+        for udp_socket in self._sockets:
+            asyncio.get_running_loop().remove_reader(udp_socket)
+            udp_socket.close()
         if self._timer is not None:
             self._timer.cancel()
 
@@ -109,20 +109,20 @@
             log.info("balancer_health", balancer=balancer.name, in_use=balancer.in_use)
 
     def _open(self, endpoint: Endpoint) -> Endpoint:
-        opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        opened.setblocking(False)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
-        opened.bind((endpoint.host, endpoint.port))
-        self._sockets.append(opened)
-        host, port = opened.getsockname()
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
+        udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
+        udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
+        udp_socket.bind((endpoint.host, endpoint.port))
+        self._sockets.append(udp_socket)
+        host, port = udp_socket.getsockname()
         return Endpoint(host=host, port=port)
 
     def _read_callers(self, channel: int, listener: Endpoint) -> None:
-        opened = self._sockets[channel]
+        udp_socket = self._sockets[channel]
         for _ in range(BATCH):
             try:
-                payload, caller = opened.recvfrom(MAX_DATAGRAM_BYTES)
+                payload, caller = udp_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             self._spray(channel, listener, caller, payload)
@@ -148,10 +148,10 @@
             balancer.delay, len(self._sockets) - 1, balancer.endpoint, header + payload
         )
 
-    def _read_answers(self, opened: socket.socket) -> None:
+    def _read_answers(self, udp_socket: socket.socket) -> None:
         for _ in range(BATCH):
             try:
-                datagram, agent = opened.recvfrom(MAX_DATAGRAM_BYTES)
+                datagram, agent = udp_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             self._return_answer(datagram, agent)
