--- a/src/jasperwalk_lab/chaos/leaving.py
+++ b/src/jasperwalk_lab/chaos/leaving.py
@@ -38,11 +38,11 @@
         last = max((run.ran_at - period.since for run in within), default=0.0)
         seconds.append(last)
         late = [run for run in within if run.ran_at - period.since > LEAVING_LIMIT_SECONDS]
-        violations.extend(_late(period, run) for run in late)
+        violations.extend(_late_run(period, run) for run in late)
     return LeavingReport(tuple(seconds), tuple(violations))
 
 
-def _late(period: LeavingPeriod, run: JournalRecord) -> ChaosViolation:
+def _late_run(period: LeavingPeriod, run: JournalRecord) -> ChaosViolation:
     after = run.ran_at - period.since
     detail = (
         f"{run.path} {run.request_id} began at {period.host} {after:.1f} s after {period.cause}"
