--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -181,7 +181,7 @@
         violations=sum(len(each.violations) for each in failed),
         wall_seconds=round(wall_seconds, 1),
         cpu_seconds=round(sum(each.cpu_seconds for each in summaries), 1),
-        scenarios=[_sums(scenario.name, summaries) for scenario in scenarios],
+        scenarios=[_summarise_scenario(scenario.name, summaries) for scenario in scenarios],
         distributions=distributions(each.measures for each in summaries),
         failed=[
             _failed_run(summary, mutant, shortened=number < SHORTENED_RUNS)
@@ -191,7 +191,7 @@
     )
 
 
-def _sums(name: str, summaries: list[RunSummary]) -> ScenarioSummary:
+def _summarise_scenario(name: str, summaries: list[RunSummary]) -> ScenarioSummary:
     own = [each for each in summaries if each.scenario == name]
     return ScenarioSummary(
         name=name,
