--- a/src/jasperwalk_lab/commands/fleet.py
+++ b/src/jasperwalk_lab/commands/fleet.py
@@ -34,13 +34,13 @@
     async with Fleet(load_example(example), run_folder, seed) as running:
         await running.start()
         write_listeners(running)
-        _print_places(running)
+        _print_endpoints(running)
         with contextlib.suppress(asyncio.CancelledError):  # a signal ends the wait
             await asyncio.Event().wait()
         click.echo("stopping the fleet", err=True)
 
 
-def _print_places(running: Fleet) -> None:
+def _print_endpoints(running: Fleet) -> None:
     layout = running.layout
     for control in layout.controls:
         click.echo(f"control   {control.name:<16} http://{control.api}")
