--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -189,26 +189,26 @@
     """What is owed and earned, by kind and by window."""
 
     def __init__(self) -> None:
-        self._owed: dict[tuple[str, int], float] = defaultdict(float)
+        self._possible: dict[tuple[str, int], float] = defaultdict(float)
         self._earned: dict[tuple[str, int], float] = defaultdict(float)
 
     def owe(self, cohort: Cohort) -> None:
-        self._owed[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
+        self._possible[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
 
     def earn(self, cohort: Cohort, count: float, worth: float) -> None:
         self._earned[cohort.name, cohort.window] += count * worth
 
     def ideal(self) -> Ideal:
-        names = dict.fromkeys(name for name, _ in self._owed)
-        windows = sorted({window for _, window in self._owed})
+        names = dict.fromkeys(name for name, _ in self._possible)
+        windows = sorted({window for _, window in self._possible})
         return Ideal(
-            self._part(list(self._owed)),
-            {name: self._part([key for key in self._owed if key[0] == name]) for name in names},
-            tuple(self._part([key for key in self._owed if key[1] == w]) for w in windows),
+            self._part(list(self._possible)),
+            {name: self._part([key for key in self._possible if key[0] == name]) for name in names},
+            tuple(self._part([key for key in self._possible if key[1] == w]) for w in windows),
         )
 
     def _part(self, keys: Sequence[tuple[str, int]]) -> float:
-        owed = sum(self._owed[key] for key in keys)
+        owed = sum(self._possible[key] for key in keys)
         return sum(self._earned[key] for key in keys) / owed if owed else 1.0
 
 
