--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -208,8 +208,8 @@
         )
 
     def _part(self, keys: Sequence[tuple[str, int]]) -> float:
-        owed = sum(self._possible[key] for key in keys)
-        return sum(self._earned[key] for key in keys) / owed if owed else 1.0
+        possible = sum(self._possible[key] for key in keys)
+        return sum(self._earned[key] for key in keys) / possible if possible else 1.0
 
 
 class _Backlog:
