--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -169,7 +169,7 @@
         now = step * step_seconds
         if now < site.seconds:
             for cohort in _arrivals(day, site, now, step_seconds):
-                ledger.owe(cohort)
+                ledger.add_possible(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
             slots = available_slots(service, site.slots[service], day.faults, now)
@@ -192,7 +192,7 @@
         self._possible: dict[tuple[str, int], float] = defaultdict(float)
         self._earned: dict[tuple[str, int], float] = defaultdict(float)
 
-    def owe(self, cohort: Cohort) -> None:
+    def add_possible(self, cohort: Cohort) -> None:
         self._possible[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
 
     def earn(self, cohort: Cohort, count: float, worth: float) -> None:
