--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -195,7 +195,7 @@
     def add_possible(self, cohort: Cohort) -> None:
         self._possible[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
 
-    def earn(self, cohort: Cohort, count: float, worth: float) -> None:
+    def add_earned(self, cohort: Cohort, count: float, worth: float) -> None:
         self._earned[cohort.name, cohort.window] += count * worth
 
     def ideal(self) -> Ideal:
@@ -250,7 +250,7 @@
     while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
-        ledger.earn(cohort, count, worth)
+        ledger.add_earned(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
         if cohort.waiting > MIN_REQUESTS:
