--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -202,12 +202,17 @@
         names = dict.fromkeys(name for name, _ in self._possible)
         windows = sorted({window for _, window in self._possible})
         return Ideal(
-            self._part(list(self._possible)),
-            {name: self._part([key for key in self._possible if key[0] == name]) for name in names},
-            tuple(self._part([key for key in self._possible if key[1] == w]) for w in windows),
+            self._earned_share(list(self._possible)),
+            {
+                name: self._earned_share([key for key in self._possible if key[0] == name])
+                for name in names
+            },
+            tuple(
+                self._earned_share([key for key in self._possible if key[1] == w]) for w in windows
+            ),
         )
 
-    def _part(self, keys: Sequence[tuple[str, int]]) -> float:
+    def _earned_share(self, keys: Sequence[tuple[str, int]]) -> float:
         possible = sum(self._possible[key] for key in keys)
         return sum(self._earned[key] for key in keys) / possible if possible else 1.0
 
