--- a/bench/overload.py
+++ b/bench/overload.py
@@ -54,8 +54,8 @@
         one_queue: list[FloodRound] = []
         separate: list[FloodRound] = []
         for _ in range(ROUNDS):
-            one_queue.append(_flooded(sink, ReaderKind.LIMITED_ONE_QUEUE))
-            separate.append(_flooded(sink, ReaderKind.LIMITED))
+            one_queue.append(_run_flooded(sink, ReaderKind.LIMITED_ONE_QUEUE))
+            separate.append(_run_flooded(sink, ReaderKind.LIMITED))
     return [
         _figure(
             "overload.established.calm", [each.share for each in without_flood], "forwarded", None
@@ -83,7 +83,7 @@
     ]
 
 
-def _flooded(sink: Endpoint, kind: ReaderKind) -> FloodRound:
+def _run_flooded(sink: Endpoint, kind: ReaderKind) -> FloodRound:
     with running_forwarder(run_balancer_loop, sink, kind) as loop:
         return _run_round(loop, sink, FLOOD_SENDERS)
 
