--- a/bench/agent.py
+++ b/bench/agent.py
@@ -88,22 +88,22 @@
 def _measure_handshakes(agent: Server, bare: Server) -> list[Figure]:
     plan = (Workload.HANDSHAKES, HANDSHAKES_AT_A_TIME)
     rounds = [(_run_round(agent, *plan), _run_round(bare, *plan)) for _ in range(ROUNDS)]
-    mine, baselines = [each[0] for each in rounds], [each[1] for each in rounds]
-    return _figures("agent.handshake", mine, "bare HTTP/3 server", baselines)
+    agent_rounds, baselines = [each[0] for each in rounds], [each[1] for each in rounds]
+    return _figures("agent.handshake", agent_rounds, "bare HTTP/3 server", baselines)
 
 
 def _measure_requests(agent: Server, bare: Server, backend: Server) -> list[Figure]:
-    mine: list[Round] = []
+    agent_rounds: list[Round] = []
     bare_rounds: list[Round] = []
     backend_rounds: list[Round] = []
     for _ in range(ROUNDS):
-        mine.append(_run_round(agent, Workload.REQUESTS, REQUESTS_AT_A_TIME))
+        agent_rounds.append(_run_round(agent, Workload.REQUESTS, REQUESTS_AT_A_TIME))
         bare_rounds.append(_run_round(bare, Workload.REQUESTS, REQUESTS_AT_A_TIME))
         plan = (Workload.HTTP1_REQUESTS, HTTP1_REQUESTS_AT_A_TIME)
         backend_rounds.append(_run_round(backend, *plan))
     return [
-        *_figures("agent.request", mine, "bare HTTP/3 server", bare_rounds),
-        *_figures("agent.request-to-back-end", mine, "bare back end", backend_rounds),
+        *_figures("agent.request", agent_rounds, "bare HTTP/3 server", bare_rounds),
+        *_figures("agent.request-to-back-end", agent_rounds, "bare back end", backend_rounds),
     ]
 
 
