--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -22,7 +22,7 @@
 
     def action(self, kind):
         @contextlib.asynccontextmanager
-        async def strike(target):
+        async def inject(target):
             self.log.append(("struck", target))
             if self.error is not None and kind is FaultKind.AGENT_KILLED:
                 raise self.error
@@ -30,7 +30,7 @@
             await asyncio.sleep(SLOW_UNDO_SECONDS)
             self.log.append(("undone", target))
 
-        return strike
+        return inject
 
 
 def _run(actions, *planned):
