--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -54,7 +54,7 @@
     assert spray.choose() is not None
 
 
-def test_delay_line_orders_by_due_time_then_by_arrival():
+def test_delay_queue_orders_by_due_time_then_by_arrival():
     line = DelayQueue()
     for due, payload in [(2.0, b"late"), (1.0, b"first"), (1.0, b"second")]:
         line.put(due, 0, VIP, payload)
