--- a/tests/lab/test_fabric.py
+++ b/tests/lab/test_fabric.py
@@ -55,13 +55,13 @@
 
 
 def test_delay_queue_orders_by_due_time_then_by_arrival():
-    line = DelayQueue()
+    queue = DelayQueue()
     for due, payload in [(2.0, b"late"), (1.0, b"first"), (1.0, b"second")]:
-        line.put(due, 0, VIP, payload)
-    assert line.next_due() == 1.0
-    assert [datagram.payload for datagram in line.take_due(1.5)] == [b"first", b"second"]
-    assert [datagram.payload for datagram in line.take_due(2.0)] == [b"late"]
-    assert line.next_due() is None
+        queue.put(due, 0, VIP, payload)
+    assert queue.next_due() == 1.0
+    assert [datagram.payload for datagram in queue.take_due(1.5)] == [b"first", b"second"]
+    assert [datagram.payload for datagram in queue.take_due(2.0)] == [b"late"]
+    assert queue.next_due() is None
 
 
 @pytest.mark.parametrize(
