--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class _Draft:
+class _Plan:
     """Faults planned so far and the limits that the next one must keep."""
 
     facts: FleetFacts
@@ -94,7 +94,7 @@
 def plan_faults(facts: FleetFacts, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     generator = random.Random(seed)
-    draft = _Draft(facts)
+    draft = _Plan(facts)
     remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
@@ -105,7 +105,7 @@
 
 
 def _plan_next(
-    draft: _Draft, remaining_kinds: list[FaultKind], at: float, generator: random.Random
+    draft: _Plan, remaining_kinds: list[FaultKind], at: float, generator: random.Random
 ) -> None:
     """Plan the next fault of the deck that fits at `at`, now and then twice."""
     if not remaining_kinds:
@@ -120,7 +120,7 @@
         return
 
 
-def _plan(draft: _Draft, kind: FaultKind, at: float, generator: random.Random) -> bool:
+def _plan(draft: _Plan, kind: FaultKind, at: float, generator: random.Random) -> bool:
     shape = SHAPES[kind]
     seconds = round(generator.uniform(shape.shortest, shape.longest), 2)
     targets = draft.free_targets(kind, at, seconds)
