--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -94,40 +94,40 @@
 def plan_faults(facts: FleetFacts, seconds: float, seed: int) -> list[PlannedFault]:
     """Plan the faults of a run of `seconds`, in the order of their beginning."""
     generator = random.Random(seed)
-    draft = _Plan(facts)
+    plan = _Plan(facts)
     remaining_kinds: list[FaultKind] = []
     at = FIRST_FAULT_SECONDS
     while at < seconds - LAST_FAULT_BEFORE_END_SECONDS:
         for _ in range(2 if generator.random() < SIMULTANEOUS_SHARE else 1):
-            _plan_next(draft, remaining_kinds, at, generator)
+            _plan_next(plan, remaining_kinds, at, generator)
         at += generator.uniform(*GAP_SECONDS)
-    return sorted(draft.planned, key=lambda fault: (fault.at, fault.target))
+    return sorted(plan.planned, key=lambda fault: (fault.at, fault.target))
 
 
 def _plan_next(
-    draft: _Plan, remaining_kinds: list[FaultKind], at: float, generator: random.Random
+    plan: _Plan, remaining_kinds: list[FaultKind], at: float, generator: random.Random
 ) -> None:
     """Plan the next fault of the deck that fits at `at`, now and then twice."""
     if not remaining_kinds:
         remaining_kinds.extend(FaultKind)
         generator.shuffle(remaining_kinds)
     for position, kind in enumerate(remaining_kinds):
-        if not _plan(draft, kind, at, generator):
+        if not _plan(plan, kind, at, generator):
             continue
         del remaining_kinds[position]
         if generator.random() < REPEATED_SHARE:
-            _plan(draft, kind, at + REPEAT_DELAY_SECONDS, generator)
+            _plan(plan, kind, at + REPEAT_DELAY_SECONDS, generator)
         return
 
 
-def _plan(draft: _Plan, kind: FaultKind, at: float, generator: random.Random) -> bool:
+def _plan(plan: _Plan, kind: FaultKind, at: float, generator: random.Random) -> bool:
     shape = SHAPES[kind]
     seconds = round(generator.uniform(shape.shortest, shape.longest), 2)
-    targets = draft.free_targets(kind, at, seconds)
+    targets = plan.free_targets(kind, at, seconds)
     if not targets:
         return False
     target = generator.choice(targets)
-    draft.planned.append(PlannedFault(round(at, 2), kind, target, seconds))
+    plan.planned.append(PlannedFault(round(at, 2), kind, target, seconds))
     return True
 
 
