--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -112,15 +112,15 @@
         remaining_kinds.extend(FaultKind)
         generator.shuffle(remaining_kinds)
     for position, kind in enumerate(remaining_kinds):
-        if not _plan(plan, kind, at, generator):
+        if not _try_plan(plan, kind, at, generator):
             continue
         del remaining_kinds[position]
         if generator.random() < REPEATED_SHARE:
-            _plan(plan, kind, at + REPEAT_DELAY_SECONDS, generator)
+            _try_plan(plan, kind, at + REPEAT_DELAY_SECONDS, generator)
         return
 
 
-def _plan(plan: _Plan, kind: FaultKind, at: float, generator: random.Random) -> bool:
+def _try_plan(plan: _Plan, kind: FaultKind, at: float, generator: random.Random) -> bool:
     shape = SHAPES[kind]
     seconds = round(generator.uniform(shape.shortest, shape.longest), 2)
     targets = plan.free_targets(kind, at, seconds)
