--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -272,8 +272,8 @@
 
 def _urgent_first(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     for broken in priority_violations(history):
-        begun = ", ".join(f"{count} at {host}" for host, count in broken.counts.items())
-        detail = f"{broken.refused.request_id}; less urgent ones begun after it: {begun}"
+        started = ", ".join(f"{count} at {host}" for host, count in broken.counts.items())
+        detail = f"{broken.refused.request_id}; less urgent ones begun after it: {started}"
         yield SoakViolation(SoakPromise.URGENT_FIRST, broken.refused.at, detail)
 
 
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -60,19 +60,19 @@
             continue
         counts = {}
         for host_id in _hosts_at(history, refused):
-            begun = [
+            started = [
                 each
                 for each in openings[host_id]
                 if refused.at < each.at <= refused.at + wait_seconds
             ]
             late = [
                 each
-                for each in begun
+                for each in started
                 if each.priority > refused.priority
                 and sent_at.get(each.flow, refused.at) < refused.at
             ]
             ran = sum(refused.at < at <= refused.at + wait_seconds for at in runs[host_id])
-            allowed = max_owed + least_share * max(ran, len(begun))
+            allowed = max_owed + least_share * max(ran, len(started))
             counts[host_id] = len(late) if len(late) > allowed else 0
         if counts and all(counts.values()):
             yield PriorityViolation(refused, counts)
