--- a/src/jasperwalk_lab/soak/wire.py
+++ b/src/jasperwalk_lab/soak/wire.py
@@ -125,10 +125,10 @@
 
     def invalid_bodies(self) -> list[bytes]:
         """Return bodies like this one that name no host to use: each has one fault."""
-        document, whole = self.document(), self.body()
+        document, intact = self.document(), self.body()
         without = [{k: v for k, v in document.items() if k != name} for name in REQUIRED_FIELDS]
         changed = [{**document, name: value} for name, value in INVALID_VALUES]
-        unreadable = [b"", b"[]", whole[:-3], whole.replace(b'"v1"', b'"\xff\xfe"'), b"\x00" * 64]
+        unreadable = [b"", b"[]", intact[:-3], intact.replace(b'"v1"', b'"\xff\xfe"'), b"\x00" * 64]
         return [*(json.dumps(each).encode() for each in (*without, *changed)), *unreadable]
 
 
