--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -152,9 +152,9 @@
 def test_overload_leaves_the_faults_of_a_seed_unchanged(seed):
     planned = plan_with_overload(TARGETS, 60.0, seed)
     added = OVERLOAD_KINDS | set(SEPARATELY_DRAWN_KINDS)
-    struck = [each for each in planned if each.kind not in added]
+    without_overload = [each for each in planned if each.kind not in added]
     shifted = [round(each.at + FAULT_FREE_SECONDS, 2) for each in plan_faults(TARGETS, 60.0, seed)]
-    assert [each.at for each in struck] == shifted
+    assert [each.at for each in without_overload] == shifted
     last = FAULT_FREE_SECONDS + 60.0 - LAST_FAULT_BEFORE_END_SECONDS + 1.0
     assert max(each.ends_at for each in planned) <= last
 
