--- a/tests/lab/test_load_flows.py
+++ b/tests/lab/test_load_flows.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("ping_seconds", [0.001, None])
-def test_an_open_flow_sends_pings_only_if_it_is_told_to(ping_seconds):
+def test_an_open_flow_sends_pings_only_with_a_ping_interval(ping_seconds):
     async def scenario(pool, _caller):
         connection = await pool.flow(0).connection()
         if ping_seconds is None:
