--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -67,7 +67,7 @@
         self._balancer_hosts = self._hosts(3, size.balancers)
         self._agent_hosts = self._hosts(4, size.agents)
         self._agent_relays = self._hosts(5, size.agents)
-        every = [
+        claimed_hosts = [
             *self._control_hosts,
             *self._control_relays,
             *self._balancer_hosts,
@@ -76,7 +76,7 @@
             self._host(9, 1),
         ]
         targets = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
-        self._ports = common_ports(targets, every)
+        self._ports = common_ports(targets, claimed_hosts)
         self.callers = Endpoint(self._host(9, 1), self._ports["callers"])
         self.supervisor = Supervisor(folder)
         self.processes: dict[str, SoakProcess] = {}
