--- a/src/jasperwalk_lab/simulator/__init__.py
+++ b/src/jasperwalk_lab/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""A deterministic simulator: the product's own code on virtual time, under seeded faults."""
+"""Deterministic simulation: runs the product's own code on virtual time, under seeded faults."""
--- a/src/jasperwalk_lab/simulator/backend.py
+++ b/src/jasperwalk_lab/simulator/backend.py
@@ -1,6 +1,7 @@
-"""The back ends of the simulator: they run, refuse, stall and lie, and journal what ran.
+"""Simulated backends: they run, refuse, delay or shed requests, and journal every arrival.
 
-`ModelBackend` stands in for the agent's HTTP client, `jasperwalk.agent.backend.Backend`.
+`ModelBackend` replaces the agent's HTTP client, `jasperwalk.agent.backend.Backend`. The journal is
+what the checkers compare with the callers' outcomes after the run.
 """
 
 from __future__ import annotations
@@ -36,10 +37,11 @@
 
 @dataclass
 class BackendBehaviour:
-    """How a back end behaves now.
+    """The current behaviour of one backend, set by faults.
 
-    `refuses` takes no connection, `stalls` runs requests but answers too late, `shed_share`
-    is refused as not run, and `lies` is what /health says regardless (None: the truth).
+    `refuses` rejects connections, `stalls` runs requests but answers too late,
+    `shed_share` is the share of requests that is refused as not run, and `lies` is the result
+    that /health reports regardless of `refuses` (None: the true one).
     """
 
     refuses: bool = False
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One journalled arrival: when (true seconds), and the record for the history checker."""
+    """A request that arrived at `at` (true seconds), with its record for the history checker."""
 
     at: float
     record: JournalRecord
@@ -58,16 +60,16 @@
 
 @dataclass
 class BackendProgram:
-    """The program beside one agent; it outlives restarts of the agent."""
+    """The backend process of one agent; it survives restarts of the agent."""
 
     host: str
     behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     arrivals: list[Arrival] = field(default_factory=list)
     late_answer: bytes | None = None
-    """An answer that nobody waited for any more, for the defect that reuses it."""
+    """Answer to a request that ran past its deadline; the mutant `late-answer-reused` sends it."""
 
     def record_arrival(self, service: str, request: Request, outcome: RunOutcome) -> JournalRecord:
-        """Journal one arrival."""
+        """Append an arrival to the journal and return its record."""
         identity = header_of(request, answers.REQUEST_HEADER)
         record = JournalRecord(identity, service, self.host, request.path, outcome)
         self.arrivals.append(Arrival(asyncio.get_running_loop().time(), record))
@@ -75,12 +77,12 @@
 
 
 def header_of(request: Request, name: str) -> str:
-    """Return a request's header field, empty when it has none."""
+    """Return a header field of a request, or an empty string if it is absent."""
     return next((value for key, value in request.headers if key == name), "")
 
 
 class ModelBackend:
-    """Runs requests on the back end beside the agent that is running."""
+    """Runs requests on the backend of the agent in whose process it was created."""
 
     reuses_late_answers = False
 
@@ -91,10 +93,10 @@
         self._clock = clock
 
     async def close(self) -> None:
-        """Close the client."""
+        """Do nothing; there is no connection to close."""
 
     async def check(self, path: str, timeout_seconds: float) -> bool:
-        """Ask the health path."""
+        """Return the result of a health check."""
         await asyncio.sleep(0.001)
         behaviour = self._program.behaviour
         return not behaviour.refuses if behaviour.lies is None else behaviour.lies
@@ -106,7 +108,7 @@
         sink: ResponseSink,
         on_head: Callable[[], None],
     ) -> Outcome:
-        """Run one request and pass its answer to `sink`."""
+        """Run one request and write its answer to `sink`, unless the deadline passes first."""
         await asyncio.sleep(0.001)
         behaviour = self._program.behaviour
         if behaviour.refuses:
@@ -162,7 +164,7 @@
 
 
 def stream_shape(path: str) -> tuple[float, float]:
-    """Read length (seconds) and interval (ms) from the path of a long stream."""
+    """Parse the duration (seconds) and the chunk interval (ms) from the path of a long stream."""
     query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
     return float(query["seconds"]), float(query["interval_ms"])
 
--- a/src/jasperwalk_lab/simulator/caller.py
+++ b/src/jasperwalk_lab/simulator/caller.py
@@ -1,4 +1,7 @@
-"""Callers of the simulator: flows over the balancers, requests, resends, and the record."""
+"""Simulated callers: they open flows through the balancers, send and resend requests.
+
+The outcome of every request goes into the run's record, for the checkers.
+"""
 
 from __future__ import annotations
 
@@ -34,36 +37,36 @@
 POLL_SECONDS = 0.25
 CONNECT_WAIT_LIMIT_SECONDS = 6.0
 ANSWER_WAIT_LIMIT_SECONDS = 8.0
-"""Time without any progress after which a caller gives a flow up."""
+"""Time without progress of an answer after which a caller cancels the request."""
 DEADLINE_MS = 4000
 STATUS_OK, STATUS_CREATED = 200, 201
 FIRST_CONTENT_BYTE = 0x80
-"""The model's packets are CBOR arrays, which begin with this byte or a higher one."""
+"""The model's packets are CBOR arrays, whose first byte is at least this one."""
 MAX_SENDS = 4
 SUBMISSION_SHARE, STREAM_SHARE = 0.35, 0.15
-"""Shares of the operations; the rest are look-ups."""
+"""Shares of the operations; all others are look-ups."""
 LOST_ANSWER_SHARE = 0.2
-"""Share of the submissions' answers that a caller loses, so that it sends again."""
+"""Share of the answers to submissions that a caller discards, so that it resends them."""
 FLOW_REUSE_SHARE = 0.8
-"""Share of the requests that go over the flow that is open already."""
+"""Share of the requests that reuse an open flow."""
 STREAM_INTERVAL_MS = 250.0
 
 
 @dataclass
 class Stream:
-    """What a caller has of one answer."""
+    """The part of an answer that a caller has received."""
 
     frames: list[Any] = field(default_factory=list)
     progressed: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def ended(self) -> bool:
-        """Tell whether the answer is whole, or was reset."""
+        """Tell whether the answer is complete or was reset."""
         return bool(self.frames) and self.frames[-1][0] in (model_flow.END, model_flow.RESET)
 
 
 class Flow:
-    """The caller's side of one flow."""
+    """The caller's end of one flow: opens it, sends requests and reassembles the answers."""
 
     def __init__(self, process: SimulatedProcess, service: str, number: int, random: Random):
         self._process = process
@@ -84,11 +87,11 @@
 
     @property
     def host(self) -> str:
-        """Return the host that holds the flow, empty while none does."""
+        """Return the host of the agent that holds the flow, empty while there is none."""
         return self._agent
 
     async def connect(self) -> bool:
-        """Open the flow; False when nobody answered."""
+        """Open the flow; return False if no agent answered in time."""
         loop = asyncio.get_running_loop()
         until = loop.time() + CONNECT_WAIT_LIMIT_SECONDS
         source = self._random.randbytes(8)
@@ -100,7 +103,11 @@
     async def request(
         self, headers: list[list[bytes]], body: bytes
     ) -> tuple[list[Any], BreakReason | None]:
-        """Send a request and return the answer's frames, and why they end early if they do."""
+        """Send a request; return the answer's frames, and the reason if the answer is incomplete.
+
+        The request is repeated with the count of received frames until the answer ends. An
+        answer that makes no progress is cancelled.
+        """
         stream_id = next(self._stream_ids)
         stream = self._streams[stream_id] = Stream()
         loop = asyncio.get_running_loop()
@@ -121,14 +128,14 @@
         return stream.frames, BreakReason.STREAM_RESET if reset else None
 
     def close(self) -> None:
-        """Forget the flow, as a caller does whose machine lost power."""
+        """Discard the flow without notice, as if the caller's machine had lost power."""
         self.ended = True
         self._world.flows.pop(self.address, None)
 
     def on_datagram(self, data: bytes) -> None:
-        """Take a datagram from the fabric."""
+        """Handle a datagram that the fabric delivered."""
         if data[0] < FIRST_CONTENT_BYTE:
-            # A stateless reset; while keys change, agents send one for each key.
+            # A stateless reset; during a key rotation agents send one for each key.
             if self._reset_token and data.endswith(self._reset_token):
                 self._end()
             return
@@ -142,8 +149,8 @@
 
     def _on_connection_id(self, number: int, connection_id: bytes, token: bytes) -> None:
         if not self._connection_id:
-            # Another agent may have answered too, where the Initial was sent again: the first
-            # answer stands, and later ones of other agents are not followed.
+            # A repeated Initial may be answered by another agent, too. The flow stays with the
+            # agent that answered first; connection IDs of other agents are ignored.
             self._agent = self._world.host_of(connection_id)
         elif number <= self._number or self._world.host_of(connection_id) != self._agent:
             return
@@ -154,7 +161,7 @@
         stream = self._streams.get(stream_id)
         if stream is None or first > len(stream.frames):
             return
-        if stream.ended:  # the last acknowledgement was lost
+        if stream.ended:  # the last acknowledgement was lost; repeat it
             self._send_content([stream_id, None, b"", len(stream.frames), False])
             return
         stream.frames.extend(frames[len(stream.frames) - first :])
@@ -181,7 +188,7 @@
 
 
 class Caller:
-    """One caller that asks one service for this and that until told to stop."""
+    """A caller that sends a random mix of requests to one service."""
 
     def __init__(self, process: SimulatedProcess, name: str, service: str, random: Random) -> None:
         self._process = process
@@ -193,7 +200,7 @@
         self._flow: Flow | None = None
 
     async def run(self) -> None:
-        """Ask until the world's traffic ends."""
+        """Send requests until the run stops its traffic."""
         while self._world.traffic:
             await asyncio.sleep(self._random.uniform(0.1, 0.8))
             self._count += 1
--- a/src/jasperwalk_lab/simulator/campaign.py
+++ b/src/jasperwalk_lab/simulator/campaign.py
@@ -1,4 +1,4 @@
-"""Many runs at once: scenarios times seeds over the processes of this machine."""
+"""Runs many simulations in parallel: every scenario under every seed, in worker processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RunSummary(msgspec.Struct):
-    """What came of one run, without its trace."""
+    """The result of one run, without its trace; printed as JSON by `jasperwalk-lab simulate`."""
 
     scenario: str
     seed: int
@@ -36,7 +36,7 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One run to make; `mutant` is empty for the product as it is."""
+    """One run to execute; `mutant` is empty for the unmodified product."""
 
     scenario: str
     seed: int
@@ -44,14 +44,14 @@
 
 
 def run_job(job: Job) -> RunResult:
-    """Make one run, with its whole trace."""
+    """Execute one run; the result has the complete trace."""
     scenario = scenario_named(job.scenario)
     mutant = mutant_named(job.mutant)
     return run_scenario(scenario, job.seed, None if mutant is None else mutant.defect)
 
 
 def summarize(job: Job) -> RunSummary:
-    """Make one run and keep what counts."""
+    """Execute one run and return its summary, with the CPU time it took."""
     before = _cpu_seconds()
     result = run_job(job)
     report = result.report
@@ -81,7 +81,10 @@
     processes: int,
     progress: Callable[[RunSummary], None],
 ) -> list[RunSummary]:
-    """Run every scenario under every seed; the order of the result is that of the arguments."""
+    """Run every scenario under every seed, and return the summaries in that order.
+
+    `progress` is called with each summary as soon as all earlier ones are there.
+    """
     jobs = [Job(scenario.name, seed, mutant) for scenario in scenarios for seed in seeds]
     summaries = []
     for summary in _results(jobs, processes):
@@ -99,7 +102,7 @@
 
 
 def default_processes() -> int:
-    """Return the number of processes that a campaign takes: one for each core."""
+    """Return the default number of worker processes: one for each usable core."""
     return len(os.sched_getaffinity(0))
 
 
--- a/src/jasperwalk_lab/simulator/clock.py
+++ b/src/jasperwalk_lab/simulator/clock.py
@@ -1,9 +1,9 @@
 """Virtual time: an event loop that never waits, and processes that drift, freeze and die.
 
-The loop runs the product's asyncio code unchanged. When nothing is left to run, it moves its
-clock to the next timer instead of sleeping. Every callback belongs to the process whose
-context it was created in, so a frozen process gets all its callbacks late and a killed one
-gets none any more, exactly where it stood.
+The loop runs the product's asyncio code unchanged. When no callback is ready, it advances its
+clock to the next timer instead of sleeping. Every callback belongs to the process in whose
+context it was created. So the callbacks of a frozen process are deferred until it is resumed,
+and those of a killed process are dropped, wherever its code was suspended.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
 Result = TypeVar("Result")
 
 CLOCK_START_SECONDS = 1000.0
-"""Virtual time at which a run begins; not zero, so that ages never reach back before it."""
+"""Virtual time at the start of a run; not zero, so that no age reaches back before zero."""
 MIN_WAIT_SECONDS = 1e-4
-"""Timers are no finer than this, as on a real machine. A drifting clock comes closer and closer
-to a deadline; it would never reach it by ever smaller steps."""
+"""Resolution of timers, as on a real machine. Without it, a process with a drifting clock would
+approach a deadline in ever smaller steps and never reach it."""
 TURNS_UNTIL_TIME_ADVANCES = 1_000
-"""Turns of the loop after which some time has passed, as on a real machine. A deadline may be
-due by one rounding and not yet by another; whoever waits for it would spin for ever."""
+"""Loop iterations without a wait after which time advances, as on a real machine. A deadline may
+be due in one computation and, by rounding, not yet in another; a process that polls for it would
+otherwise loop for ever."""
 MAX_TURNS_WITHOUT_WAIT = 100_000
-"""Turns without a wait after which a process is held to spin."""
+"""Loop iterations without a wait after which the run fails, as some process never waits."""
 DISK_SYNC_SECONDS = (0.001, 0.02)
-"""Least and longest time that a sync of a simulated disk takes."""
+"""Minimum and maximum duration of a sync of a simulated disk."""
 
 _running: contextvars.ContextVar[SimulatedProcess | None] = contextvars.ContextVar(
     "running", default=None
@@ -39,10 +40,10 @@
 
 
 class SimulatedProcess:
-    """One process of the fleet: its clock and whether it runs.
+    """One process of the fleet: its clock, its randomness, and whether it runs.
 
-    `drift` is the share by which its clock runs fast (or slow, where negative). `world` is
-    what stand-ins for sockets and disks look up through the running process.
+    `drift` is the fraction by which its clock is fast (negative: slow). `world` gives the
+    substitutes for sockets and disks access to the run, through the running process.
     """
 
     def __init__(self, name: str, zone: str, world: Any, drift: float = 0.0) -> None:
@@ -53,7 +54,7 @@
         self.alive = True
         self.frozen = False
         self.machine_lost = False
-        """Whether the machine went with the process, so that nobody resets its connections."""
+        """Whether the machine failed with the process, so that no kernel resets its connections."""
         self.random: Random = Random(f"{name}")
         self._waiting: list[_DeferredCallback] = []
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -61,33 +62,36 @@
         self._context.run(_running.set, self)
 
     def now(self) -> float:
-        """Return this process's own clock, seconds."""
+        """Return the time of this process's own, drifting clock, seconds."""
         true_seconds = asyncio.get_running_loop().time()
         return true_seconds + self.drift * (true_seconds - CLOCK_START_SECONDS)
 
     def start(self, job: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run a coroutine as a part of this process."""
+        """Start a coroutine in this process."""
         return self._context.copy().run(asyncio.get_running_loop().create_task, job)
 
     def call(self, function: Callable[..., Any], *arguments: Any) -> None:
-        """Run a function soon as a part of this process; nothing happens once it is dead."""
+        """Schedule a function in this process; it does not run if the process is dead by then."""
         asyncio.get_running_loop().call_soon(function, *arguments, context=self._context.copy())
 
     def run(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """Run a function at once as a part of this process."""
+        """Run a function in this process immediately."""
         return self._context.copy().run(function, *arguments)
 
     def hold_task(self, task: asyncio.Task[Any]) -> None:
-        """Hold a task to the end of the run: a killed one must not run its `finally`."""
+        """Keep a reference to a task until it ends.
+
+        A task of a killed process must not be collected, which would run its `finally` blocks.
+        """
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard, context=contextvars.Context())
 
     def freeze(self) -> None:
-        """Stop the process as SIGSTOP does."""
+        """Suspend the process, as SIGSTOP does."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let the process go on; what was due meanwhile runs now, in order."""
+        """Resume the process, as SIGCONT does; deferred callbacks run now, in their order."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
         loop = asyncio.get_running_loop()
@@ -102,7 +106,7 @@
     def run_callback(
         self, callback: Callable[..., Any], arguments: tuple[Any, ...], handle: _HandleCell
     ) -> None:
-        """Run a callback of this process now, later, or never."""
+        """Run a callback, defer it while the process is frozen, or drop it once it is dead."""
         if not self.alive:
             return
         if self.frozen:
@@ -113,7 +117,7 @@
 
 
 class _HandleCell:
-    """Where a callback finds its own handle, to see whether it was cancelled meanwhile."""
+    """Holds the handle of a callback, so that a deferred one can see whether it was cancelled."""
 
     __slots__ = ("handle",)
 
@@ -131,22 +135,22 @@
     context: contextvars.Context
 
     def run(self) -> None:
-        """Run it, unless it was cancelled meanwhile."""
+        """Run the callback, unless it was cancelled in the meantime."""
         if self.cell.handle is None or not self.cell.handle.cancelled():
             self.callback(*self.arguments)
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Reports nothing and, instead of waiting, tells how long the loop meant to wait."""
+    """A selector that never waits, but adds up the time that the loop wanted to wait."""
 
     def __init__(self) -> None:
         super().__init__()
         self.waited_seconds = 0.0
         self._turns = 0
-        """Turns of the loop since it last had to wait."""
+        """Loop iterations since the last one that would have waited."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return at once."""
+        """Return no events immediately, and advance the virtual time by `timeout`."""
         if timeout is None:
             raise RuntimeError("nothing is left to run in virtual time")
         if timeout > 0.0:
@@ -162,7 +166,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on virtual time; the same calls give the same order of callbacks."""
+    """A deterministic event loop on virtual time: equal calls give the same order of callbacks."""
 
     def __init__(self) -> None:
         self._virtual_selector = _VirtualTimeSelector()
@@ -181,7 +185,7 @@
         *args: *Arguments,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Run a callback in its process's turn."""
+        """Schedule a callback, subject to the state of the process that it belongs to."""
         cell = _HandleCell()
         cell.handle = super().call_soon(_run_in_process, callback, args, cell, context=context)
         return cell.handle
@@ -193,7 +197,7 @@
         *args: *Arguments,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run a callback at a time, in its process's turn."""
+        """Schedule a callback at a time, subject to the state of its process."""
         cell = _HandleCell()
         handle = super().call_at(when, _run_in_process, callback, args, cell, context=context)
         cell.handle = handle
@@ -205,9 +209,10 @@
         func: Callable[[Unpack[Arguments]], Result],
         *args: *Arguments,
     ) -> asyncio.Future[Result]:
-        """Do the work after the time that a disk takes; no thread is started.
+        """Call the function after the duration of a disk sync; no thread is started.
 
-        A worker's `begin` is told of the work first, for a crash in the middle of it.
+        If the function is a method of an object with a method `begin`, that is called first, so
+        that a crash during the sync can leave partial work.
         """
         return self.create_task(self._simulate_disk_work(func, args))
 
@@ -238,7 +243,7 @@
 
 
 def current_process() -> SimulatedProcess:
-    """Return the process that runs now; raises `LookupError` outside of any."""
+    """Return the running process; raise `LookupError` outside of any."""
     process = _running.get()
     if process is None:
         raise LookupError("no simulated process is running")
@@ -256,10 +261,10 @@
 
 
 class ProcessClock:
-    """Stands in for the module `time` in product modules: the running process's clock."""
+    """Replaces the module `time` in product modules by the clock of the running process."""
 
     @staticmethod
     def monotonic() -> float:
-        """Return the clock of the process that asks."""
+        """Return the time of the calling process's clock."""
         process = _running.get()
         return asyncio.get_running_loop().time() if process is None else process.now()
--- a/src/jasperwalk_lab/simulator/configuration.py
+++ b/src/jasperwalk_lab/simulator/configuration.py
@@ -1,4 +1,7 @@
-"""The templates and tenants of a simulated deployment."""
+"""Templates and tenants of a simulated deployment: its services, and studios.
+
+Studios are small tenants without running members, which operators change concurrently.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from jasperwalk_lab.simulator.layout import Layout, ServiceLayout
 
 STUDIO_COUNT = 3
-"""Small tenants without live members that operators race on."""
+"""Number of studios."""
 
 _TEMPLATE = """
 name = "{name}"
@@ -28,7 +31,7 @@
 
 
 def template_text(name: str) -> str:
-    """Return the template of a service, or of the studios."""
+    """Return the text of the template of a service, or of the studios."""
     return _TEMPLATE.format(name=name)
 
 
@@ -40,18 +43,18 @@
 
 
 def service_values(layout: Layout, service: ServiceLayout) -> dict[str, Any]:
-    """Return the first values of a service's tenant."""
+    """Return the initial parameter values of a service's tenant."""
     pool = [member_value(layout, host, service.slots) for host in service.hosts()]
     return {"vip": str(layout.listener(service.name)), "pool": pool}
 
 
 def studio_name(number: int) -> str:
-    """Return the name of a small tenant."""
+    """Return the name of a studio."""
     return f"studio-{number}"
 
 
 def studio_values(number: int, queue: int) -> dict[str, Any]:
-    """Return the values of a small tenant."""
+    """Return the parameter values of a studio."""
     zone = "nowhere"
     member = {"host": f"none-{number}", "zone": zone, "address": f"127.0.4.{number + 1}:7000"}
     return {"vip": f"127.2.0.{number + 1}:443", "pool": [member], "queue": queue}
--- a/src/jasperwalk_lab/simulator/distribution.py
+++ b/src/jasperwalk_lab/simulator/distribution.py
@@ -1,4 +1,4 @@
-"""The measured times of many runs: p50, p99 and the longest."""
+"""Summarizes the durations that many runs measured: p50, p99 and maximum."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Distribution(msgspec.Struct):
-    """Virtual seconds over all occasions; zeros when there was none."""
+    """Virtual seconds over all occasions; zeros if there was none."""
 
     occasions: int
     p50_seconds: float
@@ -23,7 +23,7 @@
 
 
 def distributions(measures: Iterable[Measures]) -> dict[str, Distribution]:
-    """Return the distribution of each measure over many runs, by its name."""
+    """Return the distribution of each field of `Measures` over all runs, by its name."""
     kept = list(measures)
     return {
         each.name: _distribution([value for one in kept for value in getattr(one, each.name)])
@@ -44,5 +44,5 @@
 
 
 def _percentile(ordered: list[float], share: float) -> float:
-    """Return the smallest value that at least `share` of all do not exceed."""
+    """Return the smallest value that is at least as large as `share` of all values."""
     return round(ordered[max(0, math.ceil(share * len(ordered)) - 1)], 4)
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -1,4 +1,9 @@
-"""Faults: small typed events on a timetable, so that a failing run can be shortened."""
+"""Faults and their injection into a run.
+
+A fault is a small typed action at a fixed time, so that a failing run can be minimized by leaving
+faults out. The text of an action goes into the trace. The injector also records which processes
+a fault disturbs, so that the checkers excuse only what the fault explains.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +18,8 @@
 from jasperwalk_lab.simulator.world import FABRIC_LAG_SECONDS, World
 
 RECOVERY_SECONDS = 4.0
-"""Time after a fault for which a process still counts as disturbed: it reconnects and, where
-it was lost, is found out."""
+"""Time after a fault for which a process still counts as disturbed: it reconnects, and if it was
+lost, this is detected."""
 MAX_DRAIN_SECONDS = 20.0
 MAX_MOVE_SECONDS = 30.0
 MOVE_POLL_SECONDS = 0.02
@@ -22,9 +27,9 @@
 
 @dataclass(frozen=True)
 class Kill:
-    """End a process at once; it starts again after `seconds`.
+    """Kill a process as SIGKILL does, and restart it after `seconds`.
 
-    With `power`, its machine goes too, so that nobody resets its connections.
+    With `power`, its machine loses power, so that no kernel resets its connections.
     """
 
     host: str
@@ -34,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Freeze:
-    """Stop a process as SIGSTOP does, for `seconds`."""
+    """Suspend a process for `seconds`, as SIGSTOP does."""
 
     host: str
     seconds: float
@@ -42,9 +47,9 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """Cut hosts off for `seconds`, from everyone else or from `apart_from` alone.
+    """Partition hosts for `seconds` from all other processes, or only from `apart_from`.
 
-    With `one_way` they hear nothing, but are heard.
+    With `one_way` only the traffic towards the hosts is lost.
     """
 
     hosts: tuple[str, ...]
@@ -55,9 +60,9 @@
 
 @dataclass(frozen=True)
 class Wipe:
-    """Lose a control machine's disk; an operator replaces the replica under a new ID.
+    """Erase a control machine's disk; an operator replaces its replica under a new ID.
 
-    As soon as that is done, the machine `then_lose` is lost for `seconds`, if one is named.
+    Immediately after the replacement, the machine `then_lose`, if any, is down for `seconds`.
     """
 
     host: str
@@ -67,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Drain:
-    """An operator drains a host for `seconds`; with `stop`, its agent is stopped meanwhile."""
+    """An operator drains a host for `seconds`; with `stop`, its agent is stopped for that time."""
 
     host: str
     seconds: float
@@ -76,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Leave:
-    """The platform says that a host is leaving, for `seconds`."""
+    """The platform's list reports a host as leaving, for `seconds`."""
 
     host: str
     seconds: float
@@ -92,7 +97,7 @@
 
 @dataclass(frozen=True)
 class Mood:
-    """A back end misbehaves for `seconds`; see `BackendBehaviour` for the fields."""
+    """A backend misbehaves for `seconds`; see `BackendBehaviour` for the fields."""
 
     host: str
     seconds: float
@@ -104,7 +109,7 @@
 
 @dataclass(frozen=True)
 class Weather:
-    """The network loses and doubles datagrams for `seconds`."""
+    """The network loses and duplicates datagrams for `seconds`."""
 
     seconds: float
     loss: float
@@ -113,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """Operators make many changes, one right after the other."""
+    """Operators make many changes without pauses between them."""
 
     count: int
 
@@ -123,18 +128,18 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """An action at a time, seconds after the fleet was ready."""
+    """An action, and when it starts: seconds after the fleet was ready."""
 
     at: float
     action: FaultAction
 
     def describe(self) -> str:
-        """Describe the fault in one line."""
+        """Describe the fault in one line, for the output and the trace."""
         return f"{self.at:.2f}s {self.action}"
 
 
 class FaultInjector:
-    """Carries faults out and notes whom they disturb."""
+    """Carries out faults, and records which processes they disturb and when."""
 
     def __init__(self, world: World, administrator: Administrator) -> None:
         self._world = world
@@ -142,7 +147,7 @@
         self._cuts: list[set[tuple[str, str]]] = []
 
     async def run(self, faults: list[Fault]) -> None:
-        """Carry out every fault at its time and return when the last one is over."""
+        """Carry out every fault at its time; return when the last one is over."""
         started_at = self._world.now
         await asyncio.gather(*(self._perform_at(started_at + fault.at, fault) for fault in faults))
 
@@ -318,7 +323,7 @@
 
 
 def _serves(host: Host, service: str) -> bool:
-    """Tell whether an agent has a service as its own."""
+    """Tell whether the agent of a host serves the service, by the agent's own view."""
     assert isinstance(host, AgentHost)
     view = None if host.agent is None else host.agent.view
     return view is not None and view.service is not None and view.service.name == service
--- a/src/jasperwalk_lab/simulator/hosts.py
+++ b/src/jasperwalk_lab/simulator/hosts.py
@@ -1,4 +1,8 @@
-"""The fleet's processes: each host starts the product's own process object on virtual time."""
+"""The machines of the fleet; each runs the product's own process object on virtual time.
+
+A machine starts, kills, freezes and resumes its process. Each start has a fresh clock drift and
+a random sequence of its own, both derived from the seed of the run.
+"""
 
 from __future__ import annotations
 
@@ -21,24 +25,24 @@
 
 CLUSTER_ID = "simulated"
 SNAPSHOT_INTERVAL_ENTRIES = 60
-"""Small, so that snapshots and the log's truncation happen in every run."""
+"""Small, so that every run takes snapshots and truncates the log."""
 UNUSED_ENDPOINT = Endpoint("127.0.0.1", 0)
 UNUSED_PATH = Path("unused")
 MAX_CLOCK_DRIFT = 0.01
 
 
 class ObservedReplica(ControlReplica):
-    """The product's replica, which also shows the world every entry that it applies."""
+    """The product's replica, which also reports every entry that it applies to the world."""
 
     def entry_applied(self, entry: AppliedEntry[Outcome]) -> None:
-        """Take note of one applied entry."""
+        """Report an applied entry to the checks of the world, then handle it."""
         process = current_process()
         process.world.applied(process.name, entry)
         super().entry_applied(entry)
 
 
 class Host:
-    """A machine with one process of the fleet, which may be started again and again."""
+    """A machine with one process of the fleet, which may be restarted any number of times."""
 
     def __init__(self, world: Any, name: str, zone: str) -> None:
         self.world = world
@@ -53,7 +57,7 @@
         return self.process is not None and not self.process.frozen
 
     def start(self) -> None:
-        """Start the process, if it is down."""
+        """Start the process if it is down."""
         if self.process is not None:
             return
         drift = self.world.fault_random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
@@ -62,7 +66,7 @@
         self.process.start(self.main())
 
     def kill(self, machine_lost: bool = False) -> None:
-        """End the process at once."""
+        """Kill the process, with its machine if `machine_lost`."""
         if self.process is None:
             return
         self.process.machine_lost = machine_lost
@@ -72,12 +76,12 @@
         self.process = None
 
     def freeze(self) -> None:
-        """Stop the process as SIGSTOP does."""
+        """Suspend the process, as SIGSTOP does."""
         if self.process is not None:
             self.process.freeze()
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         if self.process is not None:
             self.process.thaw()
 
@@ -87,7 +91,7 @@
 
 
 class ControlHost(Host):
-    """A machine with a control replica; its disk outlives the process unless wiped."""
+    """A machine with a control replica; its disk survives restarts unless it is wiped."""
 
     def __init__(self, world: Any, machine: int, replica_id: int) -> None:
         super().__init__(world, f"control-{machine}", world.layout.zone(machine))
@@ -121,21 +125,21 @@
         await self.replica.run()
 
     def open_disk(self, new_disk_id: str) -> Disk:
-        """Return the disk; an empty one is made when there is none."""
+        """Return the disk, after creating an empty one if there is none."""
         if self.disk is None:
             random = self.world.fault_random
             self.disk = self.world.disk_class(self.replica_id, new_disk_id, random)
         return self.disk
 
     def kill(self, machine_lost: bool = False) -> None:
-        """End the process; what was not synced is lost."""
+        """Kill the process; data that was not synced is lost."""
         super().kill(machine_lost)
         self.replica = None
         if self.disk is not None:
             self.disk.crash()
 
     def wipe(self, new_replica_id: int) -> None:
-        """Lose the disk; the machine comes back as another replica."""
+        """Kill the process and erase the disk; the next start uses the new replica ID."""
         self.kill(machine_lost=True)
         self.disk = None
         self.replica_id = new_replica_id
@@ -171,7 +175,7 @@
 
 
 class AgentHost(Host):
-    """A machine with an agent and a back end beside it."""
+    """A machine with an agent and its backend."""
 
     def __init__(self, world: Any, name: str, number: int) -> None:
         super().__init__(world, name, world.layout.zone(number))
@@ -181,7 +185,7 @@
         self.stopped_at = 0.0
 
     async def main(self) -> None:
-        """Run an agent; a planned stop ends it from inside."""
+        """Run an agent until it ends by itself, after a planned stop."""
         settings = AgentSettings.model_construct(
             name=self.name,
             cluster_id=CLUSTER_ID,
@@ -200,7 +204,7 @@
         self.world.agent_stopped(self)
 
     def stop(self) -> None:
-        """Stop the agent as SIGTERM does: it ends its open requests first."""
+        """Stop the agent as SIGTERM does: it completes its open requests first."""
         event = self.world.stop_events.get(self.name)
         if self.process is not None and event is not None:
             self.stopping = True
--- a/src/jasperwalk_lab/simulator/layout.py
+++ b/src/jasperwalk_lab/simulator/layout.py
@@ -1,4 +1,7 @@
-"""The simulated deployments: scaled-down Zagreb and Hanoi with the brief's delays."""
+"""The simulated deployments: scaled-down Zagreb and Hanoi with the brief's delays.
+
+A layout names the hosts, zones, services and addresses of the fleet, all derived from numbers.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True)
 class ServiceLayout:
-    """A service: how many hosts, and the slots of each."""
+    """A service: the number of its hosts, and the slots of each."""
 
     name: str
     host_count: int
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """A deployment; one-way delays in seconds."""
+    """A deployment; `between_zones` and `to_clients` are one-way delays in seconds."""
 
     name: str
     zones: tuple[str, ...]
@@ -40,19 +43,19 @@
     balancer_count: int = 3
 
     def conditions(self) -> NetworkConditions:
-        """Return the network's conditions without faults."""
+        """Return the network conditions without faults."""
         return NetworkConditions(between_zones=self.between_zones, to_clients=self.to_clients)
 
     def zone(self, number: int) -> str:
-        """Spread processes over the zones by their number."""
+        """Return the zone of the machine with this number; numbers cycle through the zones."""
         return self.zones[number % len(self.zones)]
 
     def replica_endpoint(self, machine: int) -> Endpoint:
-        """Return where the control replica of a machine listens."""
+        """Return the address of the control replica on a machine."""
         return Endpoint(f"127.0.1.{machine}", PEER_PORT)
 
     def balancer_endpoint(self, number: int) -> Endpoint:
-        """Return where a balancer takes datagrams."""
+        """Return the address at which a balancer receives datagrams."""
         return Endpoint(f"127.0.2.{number}", BALANCER_PORT)
 
     def listener(self, service: str) -> Endpoint:
@@ -61,7 +64,7 @@
         return Endpoint(f"127.1.0.{names.index(service) + 1}", 443)
 
     def agent_endpoint(self, host: str) -> Endpoint:
-        """Return the forwarding end point of a host's agent."""
+        """Return the forwarding address of a host's agent."""
         hosts = [each for service in self.services for each in service.hosts()]
         return Endpoint(f"127.0.3.{hosts.index(host) + 1}", AGENT_PORT)
 
--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -1,14 +1,15 @@
-"""Is a history of changes linearizable? After Wing and Gong, with Lowe's memory of states.
-
-The specification is one tenant at a time (tenants are independent objects, so a history is
-linearizable when that of each tenant is): a register whose value is the revision of its last
-accepted change. A change either names the revision that it expects, or none. It is
-
-- accepted at a revision: legal when nothing or the current revision was expected;
-- refused by a revision mismatch that names the current revision: legal when that is the
-  current one and another was expected;
-- open (no outcome came back): it may have taken effect at any time after it was invoked, at a
-  revision that nobody was told, or never.
+"""Checks whether a history of changes is linearizable.
+
+The search is that of Wing and Gong, with Lowe's cache of visited states. Tenants are independent
+objects, so a history is linearizable if that of each tenant is. The sequential specification of
+a tenant is a register whose value is the revision of its last accepted change. A change names the
+revision that it expects, or none. It is
+
+- accepted at a revision: legal if it expected no revision or the current one;
+- refused by a revision mismatch that names the current revision: legal if that is the current
+  one and the change expected another;
+- open (no outcome was received): it may have taken effect at any time after its invocation, at a
+  revision that no outcome reports, or never.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True)
 class RefusedAt:
-    """The change was refused: the tenant stood at `current`."""
+    """The change was refused; the tenant's revision was `current`."""
 
     current: int
 
 
 @dataclass(frozen=True)
 class Open:
-    """Nobody knows whether the change took effect."""
+    """No outcome was received; the change may have taken effect."""
 
 
 @dataclass(frozen=True)
@@ -61,17 +62,17 @@
 
 
 State = int | str
-"""The tenant's revision; for an open change that took effect, the change's name."""
+"""The tenant's revision, or the name of an open change that took effect."""
 
 
 def find_order(operations: list[Operation], initial: int) -> list[str] | None:
-    """Return the names in an order that explains the history; None where there is none."""
+    """Return the operations' names in a legal order, or None if the history is not linearizable."""
     search = _Search(sorted(operations, key=lambda one: one.invoked))
     return search.run(initial)
 
 
 class _Search:
-    """Depth-first search over which operation takes effect next."""
+    """Depth-first search for a legal order: in each state it tries every possible next operation."""
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = operations
@@ -86,7 +87,7 @@
                 self._required |= 1 << position
 
     def run(self, initial: int) -> list[str] | None:
-        """Search from the initial revision."""
+        """Return a legal order that starts at the initial revision."""
         return self._order if self._search_from(0, initial) else None
 
     def _search_from(self, done: int, state: State) -> bool:
@@ -116,7 +117,7 @@
         return False
 
     def _state_after(self, operation: Operation, state: State) -> State | None:
-        """Return the state after an operation; None where its result does not fit."""
+        """Return the state after an operation, or None if its result is illegal in this state."""
         match operation.result:
             case AcceptedAt(revision=revision):
                 fits = operation.expected is None or self._may_be(state, operation.expected)
@@ -133,7 +134,10 @@
                 return operation.name
 
     def _may_be(self, state: State, revision: int | None) -> bool:
-        """Tell whether the state may be `revision`: an untold one may be any untold number."""
+        """Tell whether the state may be `revision`.
+
+        The unknown revision of an open change may be any that no accepted change reports.
+        """
         if isinstance(state, str):
             return revision not in self._known_revisions and revision != 0
         return state == revision
