--- a/src/jasperwalk_lab/baselines/__init__.py
+++ b/src/jasperwalk_lab/baselines/__init__.py
@@ -1,1 +1,1 @@
-"""Balancers of the lab that place flows in other known ways, to compare the product with."""
+"""Baseline balancers, which place flows in other known ways, for comparison with the product."""
--- a/src/jasperwalk_lab/baselines/flow_table.py
+++ b/src/jasperwalk_lab/baselines/flow_table.py
@@ -1,15 +1,15 @@
 """A balancer that keeps a table of flows, as balancers without routable connection IDs do.
 
-A flow is known by the caller's and the listener's addresses (the PROXY header's address
-block). The connection ID would not do as a key: it changes within the first round trip, when
-the caller begins to use the one that the server chose. A flow that is not in the table goes
-where the hash of its key says, among the members of the balancer's own table, and stays
-there while the balancer runs and the member is not offline. Balancers don't share entries.
-
-Agents pass a stray packet on to the agent that its connection ID names, which would hide
-the table's mistakes. So all packets are marked as handed over already: an agent that does
-not hold the flow drops them, as a server does that has never heard of the flow, and a cold
-agent takes the new flows that it is sent.
+The key of a flow is its caller's and listener's addresses (the PROXY header's address block).
+The connection ID is no usable key: it changes within the first round trip, when the caller
+starts to use the one that the server chose. A flow that is not in the table is placed by the
+hash of its key among the members of the balancer's own table. It stays there while the balancer
+runs and the member is not offline. Balancers don't share entries.
+
+Agents forward a packet of an unknown flow to the agent that its connection ID names, which
+would hide misplaced flows. So all packets are marked as handed over already: an agent that does
+not hold the flow drops them, like a server that does not know the flow, and a cold agent
+accepts the new flows that it is sent.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 MAX_TABLE_FLOWS = 200_000
 ALREADY_HANDED_OVER = 1
 BALANCER_DECIDES_REVISION = 1 << 48
-"""A revision newer than any agent's, so that agents take the flows that they are sent."""
+"""A revision newer than any agent's, so that agents accept the flows that they are sent."""
 
 
 class FlowTableCore(BalancerCore):
-    """Decides for each datagram by the balancer's own table of flows."""
+    """Forwards each datagram by the balancer's own table of flows."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         super().__init__(table, agent_networks, new_flows_per_second, now)
 
     def table_changed(self, table: RoutingTable) -> None:
-        """Take the table's new state; flows that are known stay where they are."""
+        """Apply a new routing table; known flows stay with their member."""
         super().table_changed(table)
         self._routing_table = table
         self._members.table_changed(table)
         self._datagram_seal = DatagramSeal(table.keys_for(KeyPurpose.DATAGRAM))
 
     def handle(self, datagram: bytes, now: float) -> Forward | DropReason:
-        """Decide for one datagram from the fabric; never raises."""
+        """Forward or drop one datagram from the fabric; never raises."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._refuse(DropReason.OVERSIZED)
         if not datagram.startswith(HEADER_PREFIX) or len(datagram) <= HEADER_LENGTH:
@@ -83,7 +83,7 @@
         return Forward((agent.host, agent.port), forwarded)
 
     def handle_all(self, datagrams: Iterable[bytes], now: float) -> Outcomes:
-        """Decide for datagrams from the fabric, in their order; never raises."""
+        """Forward or drop datagrams from the fabric, in their order; never raises."""
         outcomes = Outcomes()
         for datagram in datagrams:
             outcomes.add(self.handle(datagram, now))
--- a/src/jasperwalk_lab/baselines/load_pages.py
+++ b/src/jasperwalk_lab/baselines/load_pages.py
@@ -1,4 +1,4 @@
-"""Polls the back ends' load pages, which may lag or mislead."""
+"""Polls the load pages of the backends, whose values may be stale or wrong."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from jasperwalk_lab.backend_core import LoadReport
 
 POLL_SECONDS = 1.0
-"""A report a second and host is what control's few kilobytes a second leave room for."""
+"""One report per second and host fits into control's few kilobytes per second."""
 REQUEST_TIMEOUT_SECONDS = 0.5
 
 
 class LoadPages:
-    """The busy slots that each member told last, by the member's forwarding address."""
+    """The busy slots that each member reported last, by the member's forwarding address."""
 
     def __init__(self, pages: dict[Endpoint, str]) -> None:
         self._pages = pages
         self.loads: dict[Endpoint, float] = {}
 
     async def poll_forever(self) -> None:
-        """Poll until cancelled; a page that does not answer keeps its last report."""
+        """Poll until cancelled; the last report of a page that does not answer is kept."""
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
--- a/src/jasperwalk_lab/baselines/placements.py
+++ b/src/jasperwalk_lab/baselines/placements.py
@@ -1,7 +1,8 @@
-"""Ways to place new flows that the product does not use (sans-IO), behind its own interface.
+"""Placement algorithms for new flows that the product does not use (sans-IO).
 
-Each remembers where it sent an Initial, so that the retransmissions of one flow go the same
-way from one balancer. Balancers do not share what they remember, as real ones would not.
+They implement the product's interface `CandidateIndex`. Each remembers where it sent an Initial,
+so that one balancer sends retransmissions of a flow to the same member. As in real deployments,
+balancers don't share this memory.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from jasperwalk.routing.rendezvous import CandidatePair, PreparedMember
 
 MAX_REMEMBERED_INITIALS = 20_000
-"""Initials whose choice a balancer remembers."""
+"""Number of Initials whose member a balancer remembers."""
 
 
 class StickyIndex(CandidateIndex, ABC):
@@ -27,7 +28,7 @@
         self._chosen: OrderedDict[tuple[int, bytes], PreparedMember] = OrderedDict()
 
     def candidates(self, service_id: int, flow_key: bytes) -> CandidatePair | None:
-        """Return the member for a flow, without a second choice."""
+        """Return the member for a flow, without a second candidate."""
         prepared_members = self.prepared_members(service_id)
         if not prepared_members:
             return None
@@ -41,11 +42,11 @@
 
     @abstractmethod
     def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
-        """Choose a member for a flow that was not seen before."""
+        """Choose a member for a new flow."""
 
 
 class RoundRobinIndex(StickyIndex):
-    """Smooth weighted round robin: each member's turn comes in proportion to its weight."""
+    """Smooth weighted round robin: members are chosen in proportion to their weights."""
 
     def __init__(self, source: MemberSource, generator: random.Random) -> None:
         super().__init__(source)
@@ -53,9 +54,9 @@
         self._credits: dict[tuple[int, Endpoint], float] = {}
 
     def choose(self, service_id: int, prepared_members: Sequence[PreparedMember]) -> PreparedMember:
-        """Choose the member with the most credit; the members' first credits are random.
+        """Choose the member with the most credit; initial credits are random.
 
-        The random start keeps balancers that started together from taking turns in step.
+        Otherwise balancers that started together would choose the same members at the same time.
         """
         total = 0.0
         for each in prepared_members:
@@ -70,10 +71,10 @@
 
 
 class LeastReportedIndex(StickyIndex):
-    """The member whose load page told the least, by weight; a random one of equal ones.
+    """Chooses the member with the least reported load by weight, at random among equal ones.
 
-    `loads` holds the busy slots that each member's page told last, as old as the round of
-    polling; a member that never reported counts as idle.
+    `loads` holds the busy slots that each member's load page reported last, which may be as old
+    as the polling interval; a member that never reported counts as idle.
     """
 
     def __init__(
--- a/src/jasperwalk_lab/baselines/process.py
+++ b/src/jasperwalk_lab/baselines/process.py
@@ -23,7 +23,7 @@
 
 
 class LoadPageSettings(BaseModel):
-    """Where a member's load is told: its forwarding address and the page's URL."""
+    """A member's forwarding address, and the URL of its load page."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -46,18 +46,18 @@
     """The product's core with another index of candidates."""
 
     def use_index(self, index: CandidateIndex) -> None:
-        """Place new flows by `index` from now on."""
+        """Use `index` for the placement of new flows from now on."""
         self._new_flows.index = index
 
 
 class BaselineProcess(BalancerProcess):
-    """The product's process around a baseline's core."""
+    """The product's balancer process with the core of a baseline."""
 
     def __init__(
         self, settings: BalancerSettings, placement: FlowPlacement, seed: int, pages: LoadPages
     ) -> None:
         super().__init__(settings)
-        counters = self.core.counters  # the metrics read these
+        counters = self.core.counters  # the metrics read these counters
         self.core = self._make_core(settings, placement, seed, pages)
         self.core.counters = counters
 
