--- a/src/jasperwalk_lab/report/figures.py
+++ b/src/jasperwalk_lab/report/figures.py
@@ -1,4 +1,4 @@
-"""The measures of a run that the page compares across variants."""
+"""The measures of a run that the report compares across variants."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class NamedMeasure:
-    """A measure with the heading under which the page shows it."""
+    """A measure and its heading in the report."""
 
     heading: str
     value: Measure
 
 
 def runs_by_variant(results: ExperimentResults) -> dict[str, list[RunLine]]:
-    """Return the runs of each variant, in the order in which variants first ran."""
+    """Return the runs of each variant, in the order of the variants' first runs."""
     grouped: dict[str, list[RunLine]] = defaultdict(list)
     for run in results.runs:
         grouped[run.variant].append(run)
@@ -29,7 +29,7 @@
 
 
 def measures(results: ExperimentResults) -> list[NamedMeasure]:
-    """Return the measures that these runs have."""
+    """Return the measures of these runs, with those of each service and kind of operation."""
     services = sorted({name for run in results.runs for name in run.imbalance_work})
     kinds = sorted({kind for run in results.runs for kind in run.load.latencies})
     found = [NamedMeasure("waited or refused while a slot was free", _waiting_share)]
@@ -53,7 +53,7 @@
 
 
 def causes_of_breaks(runs: Iterable[RunLine]) -> dict[str, int]:
-    """Return the broken flows of some runs by their cause."""
+    """Return the number of broken flows of the runs by cause."""
     causes: Counter[str] = Counter()
     for run in runs:
         causes.update(run.broken_flows)
--- a/src/jasperwalk_lab/report/page.py
+++ b/src/jasperwalk_lab/report/page.py
@@ -1,4 +1,4 @@
-"""Puts an experiment's plots and tables together on one page."""
+"""Renders the plots and tables of an experiment as one HTML page."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 def write_report(folder: Path) -> Path:
-    """Write the page of a result folder; raise `LabSettingsError` for an unusable one."""
+    """Write the page into a result folder; raise `LabSettingsError` if its results are unusable."""
     path = folder / PAGE_FILE
     path.write_text(render_page(read_results(folder)), encoding="utf-8")
     return path
 
 
 def render_page(results: ExperimentResults) -> str:
-    """Return the whole page."""
+    """Return the complete page."""
     header = results.header
     title = f"Experiment {header.experiment}"
     parts = [
--- a/src/jasperwalk_lab/report/plots.py
+++ b/src/jasperwalk_lab/report/plots.py
@@ -1,4 +1,4 @@
-"""The page's plots, each as an SVG that stands in the page itself."""
+"""The plots of the report, each as inline SVG."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from jasperwalk_lab.report.statistics import estimate
 
 mpl.rcParams["svg.hashsalt"] = "jasperwalk"
-"""Makes the SVG's inner names the same on every rendering."""
+"""Makes the IDs within the SVG equal in all renderings."""
 WIDTH_INCHES = 9.0
 HEIGHT_INCHES = 3.2
 EVENT_LABEL_HEIGHT = 0.02
-"""Where names of events begin, as a part of the plot's height."""
+"""Height at which the labels of events start, as a fraction of the plot's height."""
 PERCENTILES = ("p50_ms", "p90_ms", "p99_ms", "max_ms")
 
 
@@ -114,7 +114,7 @@
 
 
 def _mark_events(axes: Axes, runs: Sequence[RunLine]) -> None:
-    """Mark the first run's events; their names stand inside the plot, at its foot."""
+    """Mark the events of the first run by lines, with labels at the bottom of the plot."""
     for event in runs[0].events if runs else []:
         axes.axvline(event.at, color="grey", linewidth=0.8, linestyle=":")
         name = axes.text(
@@ -137,5 +137,5 @@
 
 
 def _nan_if_none(seconds: float | None) -> float:
-    """Return NaN, which leaves a gap in a plot, for a time that is not known."""
+    """Return NaN, which leaves a gap in the plot, for an unknown time."""
     return math.nan if seconds is None else seconds
--- a/src/jasperwalk_lab/report/statistics.py
+++ b/src/jasperwalk_lab/report/statistics.py
@@ -10,19 +10,19 @@
 T_QUANTILES_95 = (12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228)
 """Student's t, two-sided 95%, for 1 to 10 degrees of freedom."""
 T_QUANTILE_LARGE_SAMPLE = 2.0
-"""Used beyond 10 degrees of freedom; a little wide there."""
+"""Approximate quantile for more than 10 degrees of freedom."""
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """Mean of repetitions and half the width of its 95% interval; 0 repetitions give nan."""
+    """Mean of repetitions and half the width of its 95% interval; NaN without repetitions."""
 
     mean: float
     half_width: float
     repetitions: int
 
     def __str__(self) -> str:
-        """Show mean and interval."""
+        """Format the mean and the interval."""
         if self.repetitions <= 1:
             return f"{self.mean:.4g} (one run)"
         return f"{self.mean:.4g} ± {self.half_width:.2g}"
