--- a/src/jasperwalk_lab/simulator/disk.py
+++ b/src/jasperwalk_lab/simulator/disk.py
@@ -41,7 +41,7 @@
         self.state.apply(batch)
 
     def crash(self) -> None:
-        """Lose the batch that is being written, except for a prefix that may have reached the disk."""
+        """Lose the batch that is being written, except for a prefix that reached the disk."""
         batch, self._batch_in_flight = self._batch_in_flight, None
         if batch is None or self._random.random() < LOST_BATCH_SHARE:
             return
--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """Partition hosts for `seconds` from all other processes, or only from `apart_from`.
+    """Cut hosts off for `seconds` from all other hosts and operators, or only from `apart_from`.
 
     With `one_way` only the traffic towards the hosts is lost.
     """
@@ -62,7 +62,7 @@
 class Wipe:
     """Erase a control machine's disk; an operator replaces its replica under a new ID.
 
-    Immediately after the replacement, the machine `then_lose`, if any, is down for `seconds`.
+    Immediately after that, the machine `then_lose`, if any, loses power for `seconds`.
     """
 
     host: str
--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -51,7 +51,7 @@
 class Operation:
     """One change of a tenant, from its first invocation to its completion (seconds).
 
-    An open one has no completion: `completed` is infinite.
+    For an open one, `completed` is infinite.
     """
 
     name: str
@@ -66,13 +66,13 @@
 
 
 def find_order(operations: list[Operation], initial: int) -> list[str] | None:
-    """Return the operations' names in a legal order, or None if the history is not linearizable."""
+    """Return the operations' names in a legal order, or None if there is no such order."""
     search = _Search(sorted(operations, key=lambda one: one.invoked))
     return search.run(initial)
 
 
 class _Search:
-    """Depth-first search for a legal order: in each state it tries every possible next operation."""
+    """Depth-first search for a legal order; tries every possible next operation in each state."""
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = operations
--- a/src/jasperwalk_lab/simulator/minimization.py
+++ b/src/jasperwalk_lab/simulator/minimization.py
@@ -1,4 +1,7 @@
-"""A failing run made short: the fewest faults that still break the same promise."""
+"""Minimizes a failing run: leaves out faults while the same kind of violation still occurs.
+
+The remaining faults, and the events that concern the processes in the violations, are shown.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from jasperwalk_lab.simulator.scenarios import scenario_named
 
 MAX_EVENTS_SHOWN = 40
-"""Longest list of events that is shown."""
+"""Maximum number of events that are shown, violations included."""
 MAX_VIOLATIONS_SHOWN = 10
 VIOLATION = " VIOLATION "
 ALWAYS_SHOWN = (" fault ", " over ", VIOLATION, " restart ", " stopped ", " resumed ")
@@ -18,7 +21,7 @@
 
 @dataclass(frozen=True)
 class MinimizedRun:
-    """The faults that are enough, and the events that tell the story."""
+    """The faults that suffice for the violation, and the relevant events of the trace."""
 
     faults: list[str]
     events: list[str]
@@ -30,7 +33,7 @@
 
 
 def minimize_faults(scenario_name: str, seed: int, mutant_name: str, kind: str) -> MinimizedRun:
-    """Leave out one fault after the other for as long as a violation of `kind` remains."""
+    """Try to leave out each fault in turn; keep it out if a violation of `kind` remains."""
     scenario, mutant = scenario_named(scenario_name), mutant_named(mutant_name)
     defect = None if mutant is None else mutant.defect
 
@@ -48,7 +51,7 @@
 
 
 def _relevant_events(result: RunResult, kind: str) -> list[str]:
-    """Pick the events of faults and of whoever the violations name."""
+    """Return the events of faults, violations, and the subjects that violations of `kind` name."""
     names = {
         word.strip(",:;")
         for violation in result.violations
--- a/src/jasperwalk_lab/simulator/model_flow.py
+++ b/src/jasperwalk_lab/simulator/model_flow.py
@@ -1,9 +1,9 @@
-"""A model of QUIC and HTTP/3 for the simulator: no cryptography, everything else alike.
+"""A model of QUIC and HTTP/3 for the simulator, without cryptography.
 
-It keeps what the product's own end point relies on: an Initial with a connection ID that the
+It has what the product's own endpoint relies on: an Initial with a connection ID that the
 caller chose, a routable connection ID that the agent chose, streams that survive lost,
-doubled and reordered datagrams, a stateless reset, an idle time-out. `ModelConnection` stands
-in for `RoutableServerConnection`, `ModelHttp` for `Http3Flow`.
+duplicated and reordered datagrams, a stateless reset, an idle time-out. `ModelConnection`
+replaces `RoutableServerConnection`, and `ModelHttp` replaces `Http3Flow`.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 HEAD, DATA, END, RESET = "head", "data", "end", "reset"
 
 Frame = list[Any]
-"""Kind of a frame and its content."""
+"""The kind of a frame, followed by its content."""
 
 
 def initial_packet(destination: bytes, source: bytes) -> bytes:
-    """Build a caller's first packet: an Initial of QUIC version 1, padded."""
+    """Build a caller's opening packet: a padded Initial of QUIC version 1."""
     head = b"\xc3\x00\x00\x00\x01" + bytes([len(destination)]) + destination
     head += bytes([len(source)]) + source + b"\x00"
     rest = INITIAL_LENGTH - len(head) - 2
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class ModelRequest:
-    """A whole request arrived on a stream."""
+    """A complete request arrived on a stream."""
 
     stream_id: int
     headers: HeaderList
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class ModelCancel:
-    """The caller gave a stream up."""
+    """The caller cancelled a stream."""
 
     stream_id: int
 
@@ -85,22 +85,22 @@
 
 @dataclass
 class ModelStream:
-    """What was answered on a stream, and how much of it the caller has."""
+    """The answer on a stream: its frames, and how many of them were sent and acknowledged."""
 
     frames: list[Frame] = field(default_factory=list)
     acknowledged: int = 0
     sent: int = 0
     oldest_unacknowledged_at: float = 0.0
-    """When the oldest frame that is not acknowledged was sent, or an earlier one acknowledged."""
+    """When the oldest unacknowledged frame was sent, or the frame before it acknowledged."""
 
     @property
     def ended(self) -> bool:
-        """Tell whether the answer has its end."""
+        """Tell whether the answer's last frame is there."""
         return bool(self.frames) and self.frames[-1][0] == END
 
 
 class ModelConnection:
-    """The server's side of a flow."""
+    """The server's end of a flow."""
 
     def __init__(
         self,
@@ -126,7 +126,7 @@
         self.is_closed = False
 
     def receive_datagram(self, payload: bytes, caller: bytes, now: float) -> None:
-        """Take one packet of the caller."""
+        """Handle one packet of the caller."""
         self._caller, self._last_received_at, self._now = caller, now, now
         if payload[0] & LONG_HEADER_BIT:
             self._connection_id_pending = True
@@ -155,14 +155,14 @@
         return self._host_cids[0]
 
     def renew_connection_ids(self) -> None:
-        """Issue another connection ID, which the caller shall use from now on."""
+        """Issue another connection ID, which the caller is to use from now on."""
         newest = self._new_connection_id(self._host_cids[-1].sequence_number + 1)
         self._host_cids.append(newest)
         self._events.append(ConnectionIdIssued(connection_id=newest.cid))
         self._connection_id_pending = True
 
     def send_ping(self, uid: int) -> None:
-        """Keep the flow open; the model's callers poll while a request is open."""
+        """Do nothing: the model's callers poll while a request is open, so the flow stays open."""
 
     def _new_connection_id(self, sequence_number: int) -> QuicConnectionId:
         connection_id = self._next_connection_id()
@@ -170,7 +170,11 @@
         return QuicConnectionId(connection_id, sequence_number, token, was_sent=True)
 
     def _record_connection_id_use(self, connection_id: bytes) -> None:
-        """Take the first packet of the flow as its handshake, and a new ID as acknowledged."""
+        """Record which connection ID a packet used.
+
+        The first packet completes the handshake. The use of the newest ID acknowledges it and
+        retires the older ones; until then it is announced again.
+        """
         if not self._handshake_complete:
             self._handshake_complete = True
             self._events.append(HandshakeCompleted(None, False, False))
@@ -183,20 +187,20 @@
             self._connection_id_pending = True
 
     def next_event(self) -> ModelEvent | None:
-        """Return what happened next, None for nothing."""
+        """Return the next event, or None if there is none."""
         return self._events.popleft() if self._events else None
 
     def answer(self, stream_id: int, frame: Frame) -> None:
-        """Put a frame of an answer on a stream."""
+        """Append a frame to the answer on a stream."""
         self._streams[stream_id].frames.append(frame)
 
     def unsent_bytes(self, stream_id: int) -> int:
-        """Return the bytes that wait; the model's callers are never slow."""
+        """Return 0 unsent bytes: the model's callers are never slow."""
         return 0
 
     @property
     def has_undelivered_answers(self) -> bool:
-        """Tell whether the caller does not have the whole of some ended answer."""
+        """Tell whether some ended answer is not completely acknowledged."""
         ended = (each for each in self._streams.values() if each.ended)
         return any(each.acknowledged < len(each.frames) for each in ended)
 
@@ -205,7 +209,7 @@
         self._closing = True
 
     def get_timer(self) -> float | None:
-        """Return when the flow is due again."""
+        """Return the time of the next retransmission or idle time-out, None if there is neither."""
         if self.is_closed or self._last_received_at is None:
             return None
         due = self._last_received_at + IDLE_SECONDS
@@ -215,7 +219,7 @@
         return due
 
     def handle_timer(self, now: float) -> None:
-        """Send again what was not acknowledged, or end an idle flow."""
+        """Retransmit frames that were not acknowledged in time, or end an idle flow."""
         self._now = now
         if self._last_received_at is not None and now >= self._last_received_at + IDLE_SECONDS:
             self.is_closed = True
@@ -226,7 +230,7 @@
                 stream.sent = min(stream.sent, stream.acknowledged)
 
     def datagrams_to_send(self, now: float) -> list[tuple[bytes, bytes]]:
-        """Return the datagrams that are due, each with the caller's packed end point."""
+        """Return the datagrams that are due, each with the caller's packed address."""
         contents: list[list[Any]] = []
         if self._connection_id_pending:
             self._connection_id_pending = False
@@ -248,7 +252,7 @@
 
 
 class ModelHttp:
-    """The HTTP side of a flow, with the methods of `Http3Flow`."""
+    """The HTTP layer of a flow, with the methods of `Http3Flow`."""
 
     def __init__(self, number: int, connection: ModelConnection) -> None:
         self._number = number
@@ -257,11 +261,11 @@
 
     @property
     def open_requests(self) -> int:
-        """Count the requests that are not answered to their end."""
+        """Return the number of requests whose answer has not ended."""
         return len(self._open)
 
     def handle(self, event: ModelEvent) -> list[RequestEvent]:
-        """Translate an event of the flow."""
+        """Translate an event of the flow into request events."""
         match event:
             case ModelRequest(stream_id=stream_id, headers=headers, body=body):
                 self._open.add(stream_id)
@@ -275,11 +279,11 @@
         return []
 
     def send_headers(self, stream_id: int, headers: HeaderList, ended: bool) -> bool:
-        """Send the head of an answer; False when the stream takes nothing any more."""
+        """Send the head of an answer; return False if the request is no longer open."""
         return self._send(stream_id, [HEAD, [list(one) for one in headers]], ended)
 
     def send_data(self, stream_id: int, data: bytes, ended: bool) -> bool:
-        """Send a piece of an answer; False as in `send_headers`."""
+        """Send a piece of the body; return False if the request is no longer open."""
         return self._send(stream_id, [DATA, data], ended)
 
     def abort(self, stream_id: int) -> None:
@@ -288,7 +292,7 @@
         self._open.discard(stream_id)
 
     def go_away(self) -> None:
-        """Do nothing: callers of the simulator keep to their flow, as GOAWAY lets them."""
+        """Do nothing: simulated callers go on with their flow, which GOAWAY permits."""
 
     def _send(self, stream_id: int, frame: Frame, ended: bool) -> bool:
         if stream_id not in self._open:
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -1,7 +1,7 @@
-"""Deliberate defects, to show that the checks can fail: each is caught by a named run.
+"""Mutants: deliberate defects that show that the checks can fail.
 
-A defect takes the place of a name of the product for the length of one run; nothing of it
-stands in the product.
+Each mutant names a scenario, a seed, and the kind of violation that the run has to report. A
+defect replaces names of the product for the duration of one run; the product has no code for it.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 from jasperwalk_lab.simulator.system_substitutes import Replacement
 
 SEEDS_TRIED = 8
-"""Runs that have to catch a defect, at the latest."""
+"""Number of seeds, one of which has to catch the defect."""
 UNSYNCED_BATCHES = 8
-"""Batches after which the disk of `log-not-synced` happens to be written."""
+"""The disk of `log-not-synced` keeps every batch up to the last multiple of this count."""
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """A defect, and the run that catches it by a violation of the kind `violation`.
+    """A defect, and the run that detects it by a violation of the kind `violation`.
 
-    What a seed does changes with the product, so `seeds` holds a few more to try.
+    The run that a seed gives changes with the product, so `seeds` has a few more to try.
     """
 
     name: str
@@ -58,12 +58,12 @@
 
     @property
     def seeds(self) -> range:
-        """Return the seeds to try, the one that is known to catch the defect first."""
+        """Return the seeds to try, beginning with the one that is known to detect the defect."""
         return range(self.seed, self.seed + SEEDS_TRIED)
 
 
 class _UnsyncedDisk(Disk):
-    """Answers before it has synced: a power loss takes the last batches."""
+    """Reports batches as synced before they are: a power loss loses the last ones."""
 
     def __init__(self, replica_id: int, disk_id: str, random: Random) -> None:
         super().__init__(replica_id, disk_id, random)
@@ -86,7 +86,7 @@
 
 
 class _ForgottenVoteDisk(Disk):
-    """Writes term and vote with snapshots only: a power loss takes them."""
+    """Syncs term and vote only together with a snapshot: a power loss loses newer ones."""
 
     def __init__(self, replica_id: int, disk_id: str, random: Random) -> None:
         super().__init__(replica_id, disk_id, random)
@@ -318,5 +318,5 @@
 
 
 def mutant_named(name: str) -> Mutant | None:
-    """Return a mutant by its name, None for the empty name."""
+    """Return a mutant by its name, or None if there is none of this name."""
     return next((each for each in MUTANTS if each.name == name), None)
--- a/src/jasperwalk_lab/simulator/network.py
+++ b/src/jasperwalk_lab/simulator/network.py
@@ -1,4 +1,8 @@
-"""The seeded network: datagrams that are lost, doubled and delayed, and ordered connections."""
+"""The simulated network: datagrams and framed connections between processes.
+
+Datagrams are lost, duplicated and delayed by a seeded random sequence. Frames of a connection
+arrive in order and exactly once; losses and partitions only delay them.
+"""
 
 from __future__ import annotations
 
@@ -21,15 +25,15 @@
 """Time until the kernel of a live machine resets the connections of a dead process."""
 FRAME_SPACING_SECONDS = 1e-6
 CUT_POLL_SECONDS = 0.1
-"""How often a connection tries to get a frame through a cut."""
+"""Interval at which a connection checks whether a cut is over."""
 
 
 @dataclass
 class NetworkConditions:
-    """What the network does to traffic: probabilities for one message, delays in seconds.
+    """Delays (seconds), and probabilities of loss and duplication of one message.
 
-    `between_zones` and `to_clients` are the one-way delays; each is drawn up to `jitter`
-    times longer, so that datagrams overtake one another.
+    The one-way delays `between_zones`, `to_clients` and `within_zone` are minima. Each message
+    adds a random share of up to `jitter` times the minimum, so that datagrams are reordered.
     """
 
     between_zones: float
@@ -44,7 +48,10 @@
 
 
 class Network:
-    """Carries everything between processes; `cuts` holds one-way pairs of names."""
+    """Carries all traffic between processes.
+
+    `cuts` holds pairs of process names, sender and receiver, between which traffic is lost.
+    """
 
     def __init__(self, random: Random, conditions: NetworkConditions) -> None:
         self.random = random
@@ -54,11 +61,11 @@
         self.connections: defaultdict[str, list[Connection]] = defaultdict(list)
 
     def is_cut(self, sender: SimulatedProcess, receiver: SimulatedProcess) -> bool:
-        """Tell whether nothing gets from one process to the other."""
+        """Tell whether the traffic from one process to the other is cut."""
         return (sender.name, receiver.name) in self.cuts
 
     def delay(self, sender: SimulatedProcess, receiver: SimulatedProcess) -> float:
-        """Draw the time under way, seconds."""
+        """Draw the one-way delay of a message, seconds."""
         zones = (sender.zone, receiver.zone)
         if CLIENT_ZONE in zones:
             base = self.conditions.to_clients
@@ -75,7 +82,7 @@
         deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
-        """Carry one datagram, or lose or double it."""
+        """Deliver one datagram after a delay, unless it is lost; it may be duplicated."""
         copies = 1 + (self.random.random() < self.conditions.duplication)
         for _ in range(copies):
             lost = self.random.random() < self.conditions.loss
@@ -91,12 +98,12 @@
         deliver: Callable[..., Any],
         *arguments: Any,
     ) -> None:
-        """Carry one message of a connection that is not modelled: once, or not at all."""
+        """Deliver a message of a connection that is not modelled, unless the way is cut."""
         if not self.is_cut(sender, receiver):
             deliver_at(self.delay(sender, receiver), receiver, deliver, arguments)
 
     def listen(self, endpoint: Endpoint, listener: Listener) -> None:
-        """Take connections at an end point, in place of any earlier listener."""
+        """Accept connections at an address; replaces any earlier listener."""
         self.listeners[endpoint] = listener
 
     async def connect(
@@ -124,7 +131,7 @@
     async def accepts(
         self, caller: SimulatedProcess, endpoint: Endpoint, timeout_seconds: float
     ) -> bool:
-        """Answer as `jasperwalk.transport.client.port_accepts` does."""
+        """Tell whether a connection would be accepted, like the client's `port_accepts`."""
         listener = self.listeners.get(endpoint)
         if listener is None or self._unreachable(caller, listener.process):
             await asyncio.sleep(timeout_seconds)
@@ -134,7 +141,7 @@
         return bool(listener.process.alive)
 
     def process_ended(self, process: SimulatedProcess) -> None:
-        """Reset the connections of a dead process, unless its machine went with it."""
+        """Reset the connections of a dead process, unless its machine was lost, too."""
         for connection in self.connections.pop(process.name, []):
             if not process.machine_lost:
                 connection.abort()
@@ -149,7 +156,7 @@
     deliver: Callable[..., Any],
     arguments: tuple[Any, ...],
 ) -> None:
-    """Hand something to a process after a delay; a dead process never gets it."""
+    """Call `deliver` in a process after a delay; a process that is dead by then skips it."""
     asyncio.get_running_loop().call_later(
         delay, receiver.call, deliver, *arguments, context=contextvars.Context()
     )
@@ -157,7 +164,7 @@
 
 @dataclass(frozen=True)
 class Listener:
-    """A process that takes connections."""
+    """A process that accepts connections, and its handler of new ones."""
 
     process: SimulatedProcess
     accept: Callable[[Connection], None]
@@ -166,8 +173,8 @@
 class Connection:
     """One side of a connection, with the methods of `FramedConnection` that the product uses.
 
-    Frames arrive whole and in order. A cut holds them back and the connection stands; the
-    death of a process resets it once the network lets the reset through.
+    Frames arrive complete and in order. A cut delays them without ending the connection. The
+    end of a process resets the connection as soon as the network delivers the reset.
     """
 
     def __init__(self, network: Network, process: SimulatedProcess, peer: Hello | None) -> None:
@@ -175,11 +182,11 @@
         self.process = process
         self.peer = peer
         self.identity = None
-        """Simulated links have no certificates."""
+        """Simulated connections have no certificates."""
         self.other: Connection
         self.closed = False
         self.identity = None
-        """Set over TLS alone, which is not modelled."""
+        """Only set with TLS, which is not modelled."""
         self._inbox: deque[bytes] = deque()
         self._arrived = asyncio.Event()
         self._outbox: deque[bytes | None] = deque()
@@ -187,22 +194,22 @@
         self._resume_scheduled = False
 
     def limit_received_frames(self, max_frame_bytes: int) -> None:
-        """Take note of a limit; the simulated frames are small."""
+        """Do nothing: simulated frames stay below the limit."""
 
     def write(self, payload: bytes) -> None:
-        """Queue one frame; raises `ConnectionLost` on a closed connection."""
+        """Queue one frame; raise `ConnectionLost` if the connection is closed."""
         if self.closed:
             raise ConnectionLost(reason="closed on this side")
         self._outbox.append(payload)
         self._send_queued()
 
     async def send(self, payload: bytes) -> None:
-        """Queue one frame; raises as `write` does."""
+        """Queue one frame; raise like `write`."""
         self.write(payload)
         await asyncio.sleep(0)
 
     async def receive(self) -> bytes:
-        """Return the next frame; raises `ConnectionLost` once there is none any more."""
+        """Return the next frame; raise `ConnectionLost` after the last one."""
         while not self._inbox:
             if self.closed:
                 raise ConnectionLost(reason="closed by the other side")
@@ -211,7 +218,7 @@
         return self._inbox.popleft()
 
     async def receive_request(self, timeout_seconds: float) -> bytes:
-        """Return the next frame; raises `RequestTimeout`, or as `receive` does."""
+        """Return the next frame; raise `RequestTimeout`, or like `receive`."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 return await self.receive()
@@ -219,7 +226,7 @@
             raise RequestTimeout(timeout_seconds=timeout_seconds) from error
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Reset the connection; frames that are still queued are discarded."""
         if not self.closed:
             self.closed = True
             self._outbox.clear()
@@ -228,7 +235,7 @@
             self._send_queued()
 
     async def close(self, timeout_seconds: float = 1.0) -> None:
-        """Close after what was written."""
+        """Close the connection after the queued frames."""
         if not self.closed:
             self.closed = True
             self._outbox.append(None)
@@ -236,7 +243,7 @@
             self._send_queued()
 
     def _send_queued(self) -> None:
-        """Send what waits, in order; while the way is cut, look again a little later."""
+        """Send the queued frames in order; while the way is cut, try again periodically."""
         if self._resume_scheduled:
             return
         receiver = self.other.process
@@ -252,7 +259,7 @@
             delay = self.network.delay(self.process, receiver)
             if self.network.random.random() < self.network.conditions.loss:
                 delay += RETRANSMISSION_SECONDS
-            # Timers of the very same time fire in no set order.
+            # Timers of equal times fire in an unspecified order, so arrivals are spaced.
             earliest = self._next_arrival + FRAME_SPACING_SECONDS
             self._next_arrival = max(earliest, loop.time() + delay)
             loop.call_at(self._next_arrival, self._arrive, frame, context=contextvars.Context())
@@ -266,11 +273,11 @@
         if receiver.alive:
             receiver.call(self.other.deliver, frame)
         elif not receiver.machine_lost:
-            # Nobody is there any more: the machine's kernel resets the connection.
+            # The process has ended, and the kernel of its machine resets the connection.
             deliver_at(RESET_SECONDS, self.process, self.deliver, (None,))
 
     def deliver(self, frame: bytes | None) -> None:
-        """Take a frame of the other side; None is its end."""
+        """Receive a frame of the other side; None is the end of the connection."""
         if frame is None:
             self.closed = True
         elif not self.closed:
--- a/src/jasperwalk_lab/simulator/operators.py
+++ b/src/jasperwalk_lab/simulator/operators.py
@@ -1,4 +1,7 @@
-"""Operators of the simulator: they race with expected revisions and resend lost changes."""
+"""Simulated operators: they make concurrent changes with expected revisions, and resend them.
+
+Every attempt and its outcome goes into the record, for the checks of the changes.
+"""
 
 from __future__ import annotations
 
@@ -31,17 +34,17 @@
 
 ANSWER_WAIT_LIMIT_SECONDS = 3.0
 LOST_ANSWER_SHARE = 0.15
-"""Share of the answers that an operator loses, whatever the network does."""
+"""Share of the answers that do not reach the operator, in addition to network faults."""
 EXPECTED_REVISION_SHARE = 0.7
-"""Share of the changes that name the revision that they expect."""
+"""Share of the changes that carry an expected revision."""
 MAX_SENDS = 6
 BURST_CONCURRENCY = 16
-"""Changes of a burst that are under way at once."""
+"""Changes of a burst that are in flight at the same time."""
 STUDIO_TEMPLATE = "studio"
 
 
 class OperatorClient:
-    """Sends changes to replicas and records what came back."""
+    """Sends changes to control replicas and records the outcomes."""
 
     def __init__(self, world: World, name: str, zone: str, random: Random) -> None:
         self.world = world
@@ -51,12 +54,12 @@
         self._count = 0
 
     def new_change_id(self) -> str:
-        """Return a change ID that was not used."""
+        """Return an unused change ID."""
         self._count += 1
         return f"{self.name}/{self._count}"
 
     async def send_until_outcome(self, command: OperatorCommand, sends: int = MAX_SENDS) -> Change:
-        """Send a change again and again until an outcome comes back, to any replica."""
+        """Send a change to random replicas until an outcome is received, at most `sends` times."""
         change = Change(command, self.name)
         self.world.record.changes.append(change)
         for _ in range(sends):
@@ -118,7 +121,7 @@
 
 
 class Operator:
-    """Changes the studios' queues, with the revision that it read or without."""
+    """Changes the queue lengths of random studios, mostly with the revision that it read before."""
 
     def __init__(
         self, operator_client: OperatorClient, pause_seconds: tuple[float, float] = (0.2, 1.2)
@@ -127,7 +130,7 @@
         self._pause_seconds = pause_seconds
 
     async def run(self) -> None:
-        """Change until the world's traffic ends."""
+        """Make changes until the run stops its traffic."""
         world, random = self.operator_client.world, self.operator_client.random
         while world.traffic:
             await asyncio.sleep(random.uniform(*self._pause_seconds))
@@ -145,7 +148,7 @@
             await self.operator_client.send_until_outcome(command)
 
     def _read_revision(self, tenant: str) -> int:
-        """Read a tenant's revision on some replica that this operator can reach."""
+        """Read a tenant's revision from a random replica that this operator can reach."""
         world = self.operator_client.world
         reachable = [
             each.replica
@@ -162,7 +165,7 @@
 
 
 class Administrator:
-    """The operator who sets the fleet up, drains hosts and moves them between services."""
+    """The operator who configures the fleet, drains hosts and moves them between services."""
 
     def __init__(self, operator_client: OperatorClient) -> None:
         self.operator_client = operator_client
@@ -189,32 +192,32 @@
         await self._submit(SetTenant(change_id, None, name, name, values))
 
     async def drain(self, host: str) -> None:
-        """Drain a host, and note when that was accepted."""
+        """Drain a host, and record when the change was accepted."""
         change_id = self.operator_client.new_change_id()
         asked_at = self.world.now
         await self._submit(SetHostState(change_id, host, AdminState.DRAINING))
         self.record_drain(host, asked_at)
 
     def record_drain(self, host: str, asked_at: float) -> None:
-        """Note that a host, which was asked to leave earlier, gets no new work from now on."""
+        """Record that a host, whose drain was requested at `asked_at`, is draining from now on."""
         span = DrainSpan(host, self.world.now, float("inf"), asked_at)
         self.world.record.drains.append(span)
 
     async def resume(self, host: str) -> None:
-        """Take a host back into service."""
+        """Return a host to service."""
         self.record_drain_end(host)
         change_id = self.operator_client.new_change_id()
         await self._submit(SetHostState(change_id, host, AdminState.ENABLED))
 
     def record_drain_end(self, host: str) -> None:
-        """Note that a host may get new work again."""
+        """Record that a host may get new work again."""
         drains = self.world.record.drains
         for position, span in enumerate(drains):
             if span.host == host and span.end == float("inf"):
                 drains[position] = dataclasses.replace(span, end=self.world.now)
 
     async def move(self, host: str, to_service: str) -> None:
-        """Take a host out of its service, and put it into another one."""
+        """Remove a host from the pool of its service, and add it to that of another one."""
         layout, world = self.world.layout, self.world
         from_service = world.service_by_host[host]
         world.moving.add(host)
@@ -224,7 +227,7 @@
         world.record.trace(world.now, f"moved {host} to {to_service} of {layout.name}")
 
     async def burst(self, count: int) -> None:
-        """Make many changes without a pause, some of them at once."""
+        """Make many changes without pauses, a fixed number of them concurrently."""
         workers = (
             self._run_burst_changes(range(first, count, BURST_CONCURRENCY))
             for first in range(BURST_CONCURRENCY)
--- a/src/jasperwalk_lab/simulator/platform.py
+++ b/src/jasperwalk_lab/simulator/platform.py
@@ -1,4 +1,4 @@
-"""The simulated platform's list of machines, which lags behind the truth."""
+"""The simulated platform's list of machines, which lags behind their true state."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from jasperwalk.membership.platform import MachineState, PlatformList, PlatformMachine
 
 LAG_SECONDS = 2.0
-"""Longest time by which a fetched list is behind."""
+"""Maximum age of a fetched list."""
 
 
 class Platform:
-    """Versions of the list with the time of each; a fetch may return an old one."""
+    """All versions of the list with their times; a fetch may return an old one."""
 
     def __init__(self, machines: list[PlatformMachine], random: Random) -> None:
         self._versions: list[tuple[float, PlatformList]] = []
@@ -21,21 +21,21 @@
         self._publish()
 
     def leave(self, host: str) -> None:
-        """Say that a machine is leaving."""
+        """Report a machine as leaving."""
         self._set(host, MachineState.LEAVING)
 
     def stay(self, host: str) -> None:
-        """Say that a machine stays."""
+        """Report a machine as live again."""
         self._set(host, MachineState.LIVE)
 
     def fetch(self) -> PlatformList:
-        """Return the list as some lagging copy has it."""
+        """Return the version of the list of a random time within the maximum lag."""
         until = asyncio.get_running_loop().time() - self._random.uniform(0.0, LAG_SECONDS)
         known = [each for at, each in self._versions if at <= until]
         return known[-1] if known else self._versions[0][1]
 
     def leaving(self) -> list[str]:
-        """Return the hosts that leave, by the newest list."""
+        """Return the leaving hosts of the newest version."""
         machines = self._versions[-1][1].machines
         return [each.host for each in machines if each.state is MachineState.LEAVING]
 
--- a/src/jasperwalk_lab/simulator/record.py
+++ b/src/jasperwalk_lab/simulator/record.py
@@ -1,4 +1,8 @@
-"""What a run recorded: changes, calls, revisions, drains, disturbances, the trace."""
+"""The record of a run, on which the checks work after its end.
+
+It holds changes, calls, table revisions, drains, disturbances and the trace. The hash of the trace
+tells whether two runs were equal. Times are true virtual seconds, not those of a process.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +15,15 @@
 from jasperwalk_lab.operations import CallRecord
 
 MAX_CLOSE_RACE_SECONDS = 0.1
-"""Longest time from the invocation of a request until it meets the closing of its flow."""
+"""Maximum time from the invocation of a request until it reaches a flow that has just closed."""
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One sending of a change: when, to whom, and what came back.
+    """One attempt to send a change: the replica, the times, and the result.
 
-    `outcome` is None when no outcome came; `refusal` is then the kind of a typed failure, or
-    empty when the answer was lost.
+    `outcome` is None if none was received; `refusal` is then the kind of the error, or empty
+    if the answer was lost.
     """
 
     replica: str
@@ -31,7 +35,7 @@
 
 @dataclass
 class Change:
-    """An operator's change with all its attempts; times are true seconds."""
+    """An operator's change with all its attempts."""
 
     command: OperatorCommand
     operator: str
@@ -39,12 +43,12 @@
 
     @property
     def change_id(self) -> str:
-        """Return the change ID that all attempts carry."""
+        """Return the change ID, which is the same in all attempts."""
         return self.command.change_id
 
     @property
     def outcomes(self) -> list[Outcome]:
-        """Return every outcome that came back."""
+        """Return all outcomes that were received."""
         return [each.outcome for each in self.attempts if each.outcome is not None]
 
 
@@ -58,21 +62,21 @@
 
 @dataclass(frozen=True)
 class Interval:
-    """A span of true time, seconds."""
+    """A span of time, seconds."""
 
     begin: float
     end: float
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Tell whether it overlaps with another span."""
+        """Tell whether it overlaps another span."""
         return self.begin < end and begin < self.end
 
 
 @dataclass(frozen=True)
 class DrainSpan:
-    """A host was leaving from the acceptance of its drain until `end`.
+    """A host was draining from `begin`, when its drain was accepted, until `end`.
 
-    `asked_at` is when operators, or the platform's list, first said so.
+    `asked_at` is when an operator or the platform's list first requested the drain.
     """
 
     host: str
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Restart:
-    """A process started again at a time when control's table stood at `revision`."""
+    """A process restarted at a time at which control's table had `revision`."""
 
     host: str
     at: float
@@ -114,17 +118,17 @@
     not_connected: int = 0
 
     def trace(self, now: float, text: str) -> None:
-        """Add one line to the trace."""
+        """Add a line to the trace."""
         self.events.append(f"{now:.6f} {text}")
 
     def trace_hash(self) -> str:
-        """Return a hash of the trace; equal runs have equal ones."""
+        """Return a hash of the trace; equal runs have equal hashes."""
         return hashlib.sha256("\n".join(self.events).encode()).hexdigest()[:16]
 
     def ended_as_planned(self, name: str, invoked: float) -> bool:
-        """Tell whether a call was invoked while the host's flows had ended by plan.
+        """Tell whether a call was invoked after the planned end of the host's flows.
 
-        A request on the wire at that very moment meets a closed flow, too.
+        A request that was in transit at that moment reaches a closed flow, too.
         """
         return any(
             each.begin - MAX_CLOSE_RACE_SECONDS <= invoked <= each.end
@@ -132,5 +136,5 @@
         )
 
     def disturbed(self, name: str, begin: float, end: float) -> bool:
-        """Tell whether a process was down, frozen or cut off at some time within a span."""
+        """Tell whether a process was down, frozen or cut off at any time within a span."""
         return any(each.overlaps(begin, end) for each in self.disturbances[name])
--- a/src/jasperwalk_lab/simulator/repair.py
+++ b/src/jasperwalk_lab/simulator/repair.py
@@ -1,4 +1,4 @@
-"""The operator's repair of a control replica that lost its disk: remove, add, promote."""
+"""Replaces a control replica that lost its disk, as an operator does: remove, add, promote."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def replace_replica(world: World, host: ControlHost, random: Random) -> None:
-    """Wipe a machine's disk, and bring it back as a voter under a new replica ID."""
+    """Wipe a machine's disk, restart it, and make it a voter under a new replica ID."""
     lost = host.replica_id
     new = world.new_replica_id()
     host.wipe(new)
@@ -62,5 +62,5 @@
         except JasperwalkError as error:
             world.record.trace(world.now, f"repair {type(step).__name__} {error.kind}")
 
-    # The operator's own patience; the proposal goes on without it.
+    # The operator stops waiting after this time; the proposal continues.
     await asyncio.wait([leader.process.start(propose())], timeout=2.0)
--- a/src/jasperwalk_lab/simulator/run.py
+++ b/src/jasperwalk_lab/simulator/run.py
@@ -1,4 +1,9 @@
-"""One run: a scenario under a seed, from the start of the fleet to the verdicts."""
+"""Executes one run: a scenario under a seed, from the start of the fleet to the checks.
+
+The product runs on a `VirtualLoop`, with its access to the system replaced. The run starts and
+configures the fleet, sends traffic during the faults, waits until the fleet has recovered, and
+then checks the record. Equal arguments give an equal trace.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +42,7 @@
 
 READY_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 6.0
-"""Quiet time after the last fault, in which everything has to come right."""
+"""Time after the last fault during which the traffic continues while the fleet recovers."""
 SETTLE_TIMEOUT_SECONDS = 40.0
 CALLERS_PER_SERVICE = 4
 OPERATOR_COUNT = 3
@@ -45,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A deliberate defect for a run: names replaced, or another kind of disk."""
+    """A deliberate defect for a run: replaced names of the product, or another kind of disk."""
 
     replacements: tuple[Replacement, ...] = ()
     disk_class: type[Disk] = Disk
@@ -53,7 +58,7 @@
 
 @dataclass
 class RunResult:
-    """What came of a run."""
+    """The result of a run."""
 
     scenario: str
     seed: int
@@ -69,7 +74,7 @@
 
 
 def planned_faults(scenario: Scenario, seed: int) -> list[Fault]:
-    """Return the timetable that a seed gives."""
+    """Return the timetable of faults that a scenario draws from a seed."""
     return scenario.plan(scenario.layout, Random(f"{seed}-{scenario.name}"))
 
 
@@ -80,7 +85,10 @@
     faults: Sequence[Fault] | None = None,
     trace_file: Path | None = None,
 ) -> RunResult:
-    """Run a scenario, with its own faults or with a part of them."""
+    """Run a scenario, with its own faults or with the given ones.
+
+    The trace is written to `trace_file`, if any.
+    """
     chosen = list(planned_faults(scenario, seed) if faults is None else faults)
     applied = defect or Defect()
     quiet = structlog.make_filtering_bound_logger(logging.CRITICAL)
@@ -101,7 +109,7 @@
 
 
 def _discard_processes() -> None:
-    """Drop what the run's processes left, without the noise of their unfinished tasks."""
+    """Collect the garbage of the run's processes, without messages about their unfinished tasks."""
     hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
     try:
         gc.collect()
@@ -110,7 +118,7 @@
 
 
 class _Run:
-    """The steps of one run."""
+    """One run: its parameters, and its steps in order."""
 
     def __init__(self, scenario: Scenario, seed: int, faults: list[Fault], defect: Defect) -> None:
         self._scenario = scenario
@@ -121,7 +129,7 @@
         self._report = HistoryReport()
 
     async def perform(self) -> RunResult:
-        """Start the fleet, disturb it, let it settle, judge it."""
+        """Start the fleet, inject the faults, wait for its recovery, and check the record."""
         world = World(self._seed, self._scenario.layout, self._defect.disk_class)
         administrator = Administrator(self._operator_client(world, 0))
         world.start()
@@ -239,7 +247,7 @@
 
 
 def _is_settled(world: World) -> bool:
-    """Tell whether all replicas hold the same, and all followers are current."""
+    """Tell whether all replicas run and are equally far, and the fleet is ready."""
     replicas = [each.replica for each in world.controls]
     if any(each is None for each in replicas) or world.leader() is None:
         return False
@@ -248,7 +256,7 @@
 
 
 def _differing_tables(world: World) -> list[str]:
-    """Name the balancers whose table is not the one that control accepted."""
+    """Return a finding for each balancer whose table differs from that of control."""
     replica = world.any_replica()
     if replica is None:
         return ["no-replica: none runs after the run"]
--- a/src/jasperwalk_lab/simulator/scenarios.py
+++ b/src/jasperwalk_lab/simulator/scenarios.py
@@ -1,6 +1,8 @@
-"""The scenarios: which failure of the brief each provokes, and against which promises.
+"""The scenarios: the failures that each provokes, and the promises that it tests.
 
-A scenario draws its timetable of faults from the seed. Names of hosts follow `layout`.
+A scenario draws its timetable of faults from the seed; changing the order of the draws changes the
+run of every seed. The names of hosts are those of `layout`. Promises and failures are the lines of
+the brief, so that `--list` shows which scenario covers which line.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
 
 
 class Promise(enum.StrEnum):
-    """The brief's "What must always hold", line by line."""
+    """What must always hold: the lines of that section of the brief."""
 
     FLOW_SURVIVES_PLANNED_CHANGES = "flow-survives-planned-changes"
     RIGHT_SERVICE = "right-service"
@@ -42,7 +44,7 @@
 
 
 class Failure(enum.StrEnum):
-    """The brief's "What fails", line by line."""
+    """What fails: the lines of that section of the brief."""
 
     BALANCERS_DIE_AND_JOIN = "balancers-die-and-join"
     BACK_ENDS_DRAIN = "back-ends-drain"
@@ -56,14 +58,14 @@
 
 
 POWER_LOSSES = 5
-"""Losses of power in a run of `power-lost`."""
+"""Number of power losses in a run of `power-lost`."""
 
 FaultPlan = Callable[[Layout, Random], list[Fault]]
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A named way to disturb a deployment."""
+    """A named deployment and plan of faults, with the promises and failures that it covers."""
 
     name: str
     description: str
@@ -247,7 +249,7 @@
         Weather(8.0, loss=0.05, duplication=0.05),
         Burst(40),
     ]
-    # One wipe a run: a second one before the repair would lose a majority for good.
+    # At most one wipe a run: a second one before the repair would lose the majority permanently.
     return _at_random_times(random, random.sample(choices, 7), 12.0)
 
 
@@ -367,5 +369,5 @@
 
 
 def scenario_named(name: str) -> Scenario:
-    """Return a scenario by its name."""
+    """Return a scenario by its name; raise `StopIteration` if there is none."""
     return next(each for each in SCENARIOS if each.name == name)
--- a/src/jasperwalk_lab/simulator/system_substitutes.py
+++ b/src/jasperwalk_lab/simulator/system_substitutes.py
@@ -1,7 +1,7 @@
-"""Where the product meets the operating system, and what the simulator puts there.
+"""Substitutes for the operating system, and the patch points at which they replace it.
 
-Each seam is a name in one product module: a socket, a disk, a clock, a source of randomness,
-or QUIC's cryptography. Everything between the seams is the product's own code, unchanged.
+Each patch point is a name in one product module: a socket, a disk, a clock, a source of
+randomness, or QUIC's cryptography. All other code of the product runs unchanged.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 NANOSECONDS_PER_SECOND = 1_000_000_000
 CONNECT_TIMEOUT_SECONDS = 2.0
 TRAILING_ENTRIES = 20
-"""Entries kept below a snapshot: few, so that whoever was away needs a snapshot."""
+"""Log entries kept below a snapshot; few, so that a replica that was down needs a snapshot."""
 
 
 async def connect(
@@ -60,7 +60,7 @@
     tls: object = None,
     **_: object,
 ) -> Connection:
-    """Open a simulated connection."""
+    """Open a simulated connection from the running process."""
     process = current_process()
     network = process.world.network
     opened: Connection = await network.connect(process, endpoint, hello, connect_timeout_seconds)
@@ -75,7 +75,7 @@
 
 
 class SimulatedServer:
-    """Stands in for `FramedServer`."""
+    """Replaces `FramedServer`: accepts connections from the simulated network."""
 
     def __init__(
         self,
@@ -90,12 +90,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Take connections."""
+        """Start to accept connections."""
         listener = Listener(self._process, self._accept)
         self._process.world.network.listen(self.endpoint, listener)
 
     async def close(self) -> None:
-        """Take none any more and end those that stand."""
+        """Accept no more connections, and end the open ones."""
         self._process.world.network.listeners.pop(self.endpoint, None)
         tasks = list(self._tasks)
         for task in tasks:
@@ -120,7 +120,7 @@
 
 
 class SimulatedStorage:
-    """Stands in for `FileStorage`: the disk of the replica that is starting."""
+    """Replaces `FileStorage` by the simulated disk of the replica that is starting."""
 
     def __init__(
         self, folder: Path, cluster_id: str, replica_id: int, new_disk_id: str, **_: object
@@ -133,19 +133,19 @@
         return loaded
 
     def begin(self, batch: PersistBatch) -> None:
-        """Begin to write a batch."""
+        """Start to write a batch; `VirtualLoop.run_in_executor` calls this by its name."""
         self._disk.write(batch)
 
     def persist(self, batch: PersistBatch) -> None:
-        """Sync the batch; `VirtualLoop.run_in_executor` has let the disk's time pass."""
+        """Sync the batch, after `VirtualLoop.run_in_executor` has waited for the disk."""
         self._disk.sync()
 
     def close(self) -> None:
-        """Close the files."""
+        """Do nothing; there are no files to close."""
 
 
 class SimulatedPoller:
-    """Stands in for `PlatformPoller`: reads the simulated platform's lagging list."""
+    """Replaces `PlatformPoller`: fetches the simulated platform's lagging list."""
 
     def __init__(self, url: str, interval_seconds: float) -> None:
         self._interval_seconds = interval_seconds
@@ -153,12 +153,12 @@
         self.enabled = False
 
     def take(self) -> PlatformList | None:
-        """Return the list fetched since the last call."""
+        """Return the latest list fetched since the last call, None if there is none."""
         latest, self._latest = self._latest, None
         return latest
 
     async def run(self) -> None:
-        """Poll until cancelled."""
+        """Fetch the list periodically, until cancelled."""
         while True:
             if self.enabled:
                 self._latest = current_process().world.platform.fetch()
@@ -166,7 +166,7 @@
 
 
 class SimulatedReceiver:
-    """Stands in for the balancer's `DatagramReceiver`."""
+    """Replaces the balancer's `DatagramReceiver`: gets datagrams from the simulated network."""
 
     def __init__(self, listen: Endpoint) -> None:
         self.endpoint = listen
@@ -174,7 +174,7 @@
         self._process = current_process()
 
     def start(self, handler: DatagramHandler) -> None:
-        """Take datagrams from now on."""
+        """Start to receive datagrams."""
         process = self._process
 
         def take(data: bytes) -> None:
@@ -186,12 +186,12 @@
         process.world.receivers[self.endpoint] = (process, take)
 
     def stop(self) -> None:
-        """Take none any more."""
+        """Stop receiving datagrams."""
         self._process.world.receivers.pop(self.endpoint, None)
 
 
 class SimulatedTransport:
-    """Stands in for the transport of an agent's datagram socket."""
+    """Replaces the transport of an agent's datagram socket."""
 
     def __init__(self) -> None:
         self._process = current_process()
@@ -211,7 +211,7 @@
 async def open_datagram_port(
     endpoint: AgentEndpoint, listen: Endpoint, fabric: Endpoint
 ) -> tuple[DatagramPort, Endpoint]:
-    """Open an agent's forwarding port."""
+    """Open an agent's forwarding port on the simulated network."""
     port = DatagramPort(endpoint, fabric)
     transport: Any = SimulatedTransport()
     port.connection_made(transport)
@@ -225,7 +225,7 @@
 
 
 class NoAdminServer:
-    """Stands in for `AdminServer`; nobody scrapes a simulated process."""
+    """Replaces `AdminServer` by nothing; no one scrapes a simulated process."""
 
     def __init__(self, endpoint: Endpoint, *_: object) -> None:
         self.endpoint = endpoint
@@ -239,7 +239,7 @@
 
 
 class RecordingFollowerRunner(FollowerRunner):
-    """The product's follower runner, which also tells the world of every revision."""
+    """The product's follower runner, which also reports every revision to the world."""
 
     def __init__(
         self,
@@ -284,17 +284,17 @@
 
 
 class NoCertificateRenewal:
-    """Stands in for `CertificateRenewal`; the model of QUIC has no certificates."""
+    """Replaces `CertificateRenewal` by nothing; the model of QUIC has no certificates."""
 
     def __init__(self, *_: object) -> None:
-        """Take the arguments of the original."""
+        """Accept and ignore the arguments of the original."""
 
     async def run(self, _: object) -> None:
         """Do nothing."""
 
 
 def _module_wide_substitutes() -> list[tuple[Any, Any]]:
-    """Return what is replaced under every name of every product module: original, stand-in."""
+    """Return pairs of an original and its substitute, which replaces it in all product modules."""
     clock = types.SimpleNamespace(
         monotonic=ProcessClock.monotonic,
         time=ProcessClock.monotonic,
@@ -354,7 +354,7 @@
 
 @dataclass(frozen=True)
 class Replacement:
-    """One name of one module or class, and what stands there while a run lasts."""
+    """A name of a module or class, and its substitute for the duration of a run."""
 
     owner: Any
     name: str
@@ -363,7 +363,7 @@
 
 @contextlib.contextmanager
 def replaced(replacements: list[Replacement]) -> Iterator[None]:
-    """Put stand-ins in place, and the originals back at the end."""
+    """Apply replacements, and restore the originals at the end."""
     originals = [(each.owner, each.name, each.owner.__dict__[each.name]) for each in replacements]
     try:
         for each in replacements:
@@ -375,5 +375,5 @@
 
 
 def system_replacements() -> list[Replacement]:
-    """Return the seams of a run."""
+    """Return all replacements of a run, in the order in which they are applied."""
     return [Replacement(owner, name, substitute) for owner, name, substitute in _patch_points()]
--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -1,4 +1,8 @@
-"""The promises, checked on the record of a run; each finding is one line of text."""
+"""Checks the promises on the record of a run, and measures its durations.
+
+Each finding is one line of text that begins with the kind of the violation and a colon. What a
+fault explains is excused: a process counts as disturbed during a fault and until it has recovered.
+"""
 
 from __future__ import annotations
 
@@ -27,17 +31,18 @@
 from jasperwalk_lab.simulator.record import Change, DrainSpan, Record
 
 IN_FORCE_SECONDS = 10.0
-"""Longest time until an accepted change is in force on a balancer that nothing disturbs."""
+"""Maximum time until an accepted change is in force on an undisturbed balancer."""
 DRAINED_SECONDS = 5.0
-"""Time after which a leaving host gets no new work."""
+"""Time after the start of its drain from which a host must get no new work."""
 CERTAINLY_NOT_APPLIED = frozenset({"no-leader", "proposal-lost", "overloaded"})
 
 
 @dataclass
 class Measures:
-    """Virtual seconds, one value for each occasion of a run.
+    """Durations in virtual seconds, one value for each occasion of a run.
 
-    New work and changes count from the first sending of the change, or from the platform's word.
+    `until_no_new_work` and `until_in_force` count from the first attempt of the change, or from
+    the time at which the platform listed the host as leaving.
     """
 
     until_no_new_work: list[float] = field(default_factory=list)
@@ -47,9 +52,9 @@
 
 
 def check_changes(changes: Iterable[Change], final: dict[str, int]) -> Iterator[str]:
-    """Check operators' changes: one outcome each, and a linearizable history of each tenant.
+    """Check that each change has one outcome, and that each tenant's history is linearizable.
 
-    `final` holds the tenants' revisions after the run.
+    `final` maps tenants to their revisions after the run.
     """
     by_tenant: defaultdict[str, list[Operation]] = defaultdict(list)
     for change in changes:
@@ -71,7 +76,7 @@
 
 
 def _operation_of(change: Change, command: SetTenant) -> Operation | None:
-    """Make one operation of a change with all its attempts; None where it had no effect."""
+    """Combine all attempts of a change into one operation; None if it certainly had no effect."""
     if not change.attempts:
         return None
     invoked = change.attempts[0].invoked
@@ -101,15 +106,17 @@
 def check_outcomes_kept(
     changes: Iterable[Change], replica: str, found: dict[str, Outcome | None]
 ) -> Iterator[str]:
-    """Check on one replica, after the run, that every change has the outcome it was told.
+    """Check that a replica, after the run, still has the outcome that operators received.
 
-    `found` holds the replica's outcome of each change ID.
+    `found` maps change IDs to the replica's outcomes.
     """
     for change in changes:
         kept = found.get(change.change_id)
         for reported in change.outcomes:
             if kept != reported:
-                yield f"accepted-lost: {change.change_id} on {replica}: told {reported}, kept {kept}"
+                yield (
+                    f"accepted-lost: {change.change_id} on {replica}: told {reported}, kept {kept}"
+                )
         if kept is not None and not change.outcomes and _certainly_had_no_effect(change):
             yield f"refused-but-applied: {change.change_id} on {replica}"
 
@@ -117,7 +124,7 @@
 def check_calls(
     record: Record, journal: Iterable[JournalRecord]
 ) -> tuple[HistoryReport, list[str]]:
-    """Check callers' requests against what back ends ran."""
+    """Check the outcomes of callers' requests against the journal of the backends."""
     calls = [
         call
         for call in record.calls
@@ -142,11 +149,12 @@
 
 
 def _is_excused(record: Record, call: CallRecord, ran_at: set[str]) -> bool:
-    """Tell whether a flow broke while its host was down, frozen or stalled: no planned change.
+    """Tell whether a fault explains a broken flow: its host was down, frozen or stalled.
 
     `ran_at` are the hosts that the request reached, which may differ from the flow's.
 
-    The planned end of a host's flows excuses only what was invoked after it, or crossed it.
+    The planned end of a host's flows only excuses requests that were invoked after it or were in
+    transit at that time.
     """
     outcome = call.outcome
     if not isinstance(outcome, Broken) or not outcome.host:
@@ -160,7 +168,7 @@
 def check_drains(
     record: Record, arrivals: dict[str, list[Arrival]], measures: Measures
 ) -> Iterator[str]:
-    """Check that a leaving host gets no new work after a few seconds."""
+    """Check that a draining host gets no new work after `DRAINED_SECONDS`."""
     for drain in record.drains:
         if record.disturbed(drain.host, drain.begin, min(drain.end, drain.begin + 60.0)):
             continue
@@ -190,9 +198,9 @@
 def check_in_force(
     record: Record, balancers: Iterable[str], controls: list[str], measures: Measures, end: float
 ) -> Iterator[str]:
-    """Check that accepted changes are in force in seconds wherever nothing is disturbed.
+    """Check that accepted changes are in force on undisturbed balancers in time.
 
-    A majority of the control machines has to be undisturbed for that time, too.
+    Only changes after which a majority of the control machines is undisturbed are checked.
     """
     names = list(balancers)
     for change in record.changes:
@@ -221,7 +229,7 @@
 
 
 def measure_leader_gaps(record: Record, controls: list[str], measures: Measures) -> None:
-    """Take the times without a leader while a majority of the control machines was well."""
+    """Measure the times without a leader, while most control machines were undisturbed."""
     for gap in record.leader_gaps:
         undisturbed = [name for name in controls if not record.disturbed(name, gap.begin, gap.end)]
         if 2 * len(undisturbed) > len(controls):
@@ -229,7 +237,7 @@
 
 
 def measure_catch_up(record: Record, measures: Measures) -> None:
-    """Take the times until a restarted balancer or agent had what control had at its start."""
+    """Measure the times until a restarted process had the revision that control had then."""
     for restart in record.restarts:
         reached = [
             mark.at - restart.at
@@ -241,7 +249,7 @@
 
 
 def check_revisions(record: Record) -> Iterator[str]:
-    """Check that no process goes back to an older revision; a start begins at 0."""
+    """Check that no process goes back to an older revision; a restart begins at revision 0."""
     for name, table_revisions in sorted(record.table_revisions.items()):
         for before, after in itertools.pairwise(table_revisions):
             if 0 < after.revision < before.revision:
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -1,4 +1,7 @@
-"""One simulated fleet with its network, platform, callers and operators."""
+"""The simulated world of one run: the fleet with its network, platform, callers and operators.
+
+It also checks throughout the run that a term has one leader and replicas apply equal entries.
+"""
 
 from __future__ import annotations
 
@@ -28,14 +31,14 @@
 
 HEADER_LENGTH = 28
 FABRIC_LAG_SECONDS = 1.0
-"""Time until the fabric notices that a balancer is gone or new."""
+"""Time until the fabric detects that a balancer is gone or new."""
 MONITOR_INTERVAL_SECONDS = 0.05
 
 DeliverDatagram = Callable[[bytes], None]
 
 
 class World:
-    """Everything of one run. Seams reach it through the running process."""
+    """All state of one run; the substitutes reach it through the running process."""
 
     def __init__(self, seed: int, layout: Layout, disk_class: type[Disk] = Disk) -> None:
         self.seed = seed
@@ -51,7 +54,7 @@
         self.traffic = True
         self.fabric_balancers: list[Endpoint] = []
         self.operator_sides: dict[str, str] = {}
-        """Operators by name, with the control host on whose side of a split each sits."""
+        """For each operator, the control host on whose side of a network split it is."""
         self._flow_numbers = itertools.count(1)
         self._replica_ids = itertools.count(layout.replica_count + 1)
         self._committed: dict[int, AppliedEntry[Outcome]] = {}
@@ -90,7 +93,7 @@
         return next(each for each in self.hosts if each.name == name)
 
     def start(self) -> None:
-        """Start the whole fleet, and what watches it."""
+        """Start all processes of the fleet, and the monitor of its leaders."""
         for host in self.hosts:
             host.start()
         self.fabric_balancers = [each.endpoint for each in self.balancers]
@@ -102,10 +105,10 @@
             for each in self.agents
         ]
 
-    # What the seams ask for
+    # Used by the substitutes of the system
 
     def control_endpoints(self) -> list[Endpoint]:
-        """Return where followers find control replicas."""
+        """Return the addresses of the control replicas."""
         return [each.endpoint for each in self.controls]
 
     def disk(self, replica_id: int, new_disk_id: str) -> Disk:
@@ -114,13 +117,13 @@
         return host.open_disk(new_disk_id)
 
     def program(self, host: str) -> BackendProgram:
-        """Return the program beside an agent."""
+        """Return the backend program of an agent."""
         return self.programs[host]
 
     def service_of_host(self, host: str) -> str:
         """Return the service whose program runs on a host.
 
-        Who moves a host changes its program when the agent takes the new service up.
+        While a host is being moved, that is the service that its agent serves.
         """
         if host in self.moving:
             agent = next(each.agent for each in self.agents if each.name == host)
@@ -129,23 +132,23 @@
         return self.service_by_host[host]
 
     def table_changed(self, process: SimulatedProcess, table: Any) -> None:
-        """Note that a process has another revision in force."""
+        """Record that a process has another revision in force."""
         self.record.table_revisions[process.name].append(TableRevision(self.now, table.revision))
         self.record.trace(self.now, f"table {process.name} {table.revision}")
 
     def follower_started(self, process: SimulatedProcess, core: Any) -> None:
-        """Note a fresh process, whose revisions begin anew."""
+        """Record the start of a process, whose table begins at revision 0."""
         self.record.table_revisions[process.name].append(TableRevision(self.now, 0))
 
     def agent_stopped(self, host: AgentHost) -> None:
-        """Note that an agent ended by itself."""
+        """Record that an agent ended by itself, and end its process."""
         self.record.trace(self.now, f"stopped {host.name}")
         host.stopped_at = self.now
         if host.process is not None:
             self.clients.call(host.kill)
 
     def record_violation(self, text: str) -> None:
-        """Record a broken promise."""
+        """Record a broken promise, once for each text."""
         if text not in self.record.violations:
             self.record.violations.append(text)
             self.record.trace(self.now, f"VIOLATION {text}")
@@ -155,7 +158,7 @@
     def send_from_caller(
         self, caller: SimulatedProcess, source: Endpoint, vip: Endpoint, payload: bytes
     ) -> None:
-        """Hand a caller's datagram to some balancer, as the fabric does."""
+        """Send a caller's datagram to a random balancer, as the fabric does."""
         if not self.fabric_balancers:
             return
         block = source.pack()[:4] + vip.pack()[:4] + source.pack()[4:] + vip.pack()[4:]
@@ -163,7 +166,7 @@
         self.send_datagram(caller, endpoint, HEADER_PREFIX + block + payload)
 
     def send_datagram(self, sender: SimulatedProcess, to: Endpoint, data: bytes) -> None:
-        """Carry a datagram to a balancer, an agent, or through the fabric to a caller."""
+        """Send a datagram to a balancer, an agent, or through the fabric to a caller."""
         if to == FABRIC:
             self._to_caller(sender, data)
             return
@@ -179,21 +182,24 @@
             self.network.send_datagram(sender, self.clients, deliver, data[HEADER_LENGTH:])
 
     def operators_outside(self, hosts: tuple[str, ...]) -> list[str]:
-        """Return the operators who are not on the side of a cut-off group."""
+        """Return the operators that are not on the side of a cut-off group.
+
+        The cut of a single host affects all operators.
+        """
         if len(hosts) == 1:
             return list(self.operator_sides)
         return [name for name, side in self.operator_sides.items() if side not in hosts]
 
     def new_replica_id(self) -> int:
-        """Return a replica ID that was never used."""
+        """Return an unused replica ID."""
         return next(self._replica_ids)
 
     def next_flow_number(self) -> int:
-        """Return a number that no flow had."""
+        """Return an unused flow number."""
         return next(self._flow_numbers)
 
     def host_of(self, connection_id: bytes) -> str:
-        """Return the host that a connection ID names."""
+        """Return the host of the agent that a connection ID names, empty if unknown."""
         replica = self.any_replica()
         if replica is None:
             return ""
@@ -204,29 +210,29 @@
         return "" if routable is None else names.get(routable.address, "")
 
     def record_call(self, call: CallRecord) -> None:
-        """Note one call of a caller."""
+        """Record one call of a caller."""
         self.record.calls.append(call)
         kind = type(call.outcome).__name__
         self.record.trace(self.now, f"call {call.request_id} {call.service} {kind}")
 
     @property
     def not_connected(self) -> int:
-        """Count the flows that could not be opened."""
+        """The number of calls whose flow could not be opened."""
         return self.record.not_connected
 
     @not_connected.setter
     def not_connected(self, count: int) -> None:
         self.record.not_connected = count
 
-    # What stands now
+    # Current state
 
     def any_replica(self) -> ControlReplica | None:
-        """Return the replica that has applied most."""
+        """Return the replica that has applied the most entries."""
         replicas = [each.replica for each in self.controls if each.replica is not None]
         return max(replicas, key=lambda one: one.state.last_index, default=None)
 
     def leader(self) -> ControlHost | None:
-        """Return the host of the leader of the highest term that runs."""
+        """Return the host of the running leader with the highest term."""
         leading = [
             each
             for each in self.controls
@@ -235,7 +241,7 @@
         return max(leading, key=_term_of, default=None)
 
     def ready(self) -> bool:
-        """Tell whether the fleet serves: all members online and all balancers current."""
+        """Tell whether all members are online and all balancers are up to date."""
         replica = self.any_replica()
         if replica is None or not replica.state.tenants():
             return False
@@ -254,7 +260,7 @@
         )
         return len(members) == len(live) and online and current
 
-    # Invariants that are watched all the time
+    # Invariants that are checked throughout the run
 
     async def _monitor_leaders(self) -> None:
         last_led: float | None = None
@@ -270,7 +276,7 @@
             await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
 
     def _check_leader(self, host: ControlHost) -> None:
-        """Election safety: one leader a term."""
+        """Check election safety: a term has at most one leader."""
         assert host.replica is not None
         if not host.replica.runner.is_leader:
             return
@@ -280,7 +286,7 @@
             self.record_violation(f"two-leaders: term {term}")
 
     def applied(self, name: str, entry: AppliedEntry[Outcome]) -> None:
-        """State machine safety: no two replicas apply different entries at an index."""
+        """Check state machine safety: replicas apply the same entry at an index."""
         if self._committed.setdefault(entry.index, entry) != entry:
             self.record_violation(f"entries-differ: index {entry.index} at {name}")
 
