--- a/tests/lab/test_baselines.py
+++ b/tests/lab/test_baselines.py
@@ -1,4 +1,4 @@
-"""The baselines place flows in the way that their names say."""
+"""The baseline balancers place flows by the algorithms that their names state."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -1,4 +1,4 @@
-"""The report's statistics, and a page that needs nothing from outside."""
+"""The statistics of the report, and a page without external resources."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_clock.py
+++ b/tests/simulator/test_clock.py
@@ -1,4 +1,4 @@
-"""The loop on virtual time."""
+"""The event loop on virtual time, and the processes that run on it."""
 
 import asyncio
 
--- a/tests/simulator/test_mutants.py
+++ b/tests/simulator/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each deliberate defect breaks the promise that its scenario is there for."""
+"""The checks can fail: each mutant causes its kind of violation in its scenario."""
 
 import pytest
 
--- a/tests/simulator/test_runs.py
+++ b/tests/simulator/test_runs.py
@@ -1,4 +1,4 @@
-"""Whole runs: repeatable, without violations, and every scenario of the list is there."""
+"""Complete runs: reproducible, free of violations, and covering every line of the brief."""
 
 import json
 
--- a/tests/simulator/test_verdicts.py
+++ b/tests/simulator/test_verdicts.py
@@ -1,4 +1,4 @@
-"""The checkers, with histories that are known to be good and known to be bad."""
+"""The checks of a run, on histories that are known to be correct or incorrect."""
 
 import pytest
 
@@ -111,7 +111,7 @@
 
 
 CHANGES = {
-    # violation kinds, changes, the tenant's revision after the run
+    # expected kinds of violations, changes, the tenant's revision after the run
     "resent, same outcome": (
         [],
         [change(1, 0, attempt(0, None), attempt(1, accepted(5)), attempt(2, accepted(5)))],
@@ -176,7 +176,7 @@
 STREAM = LongStream(1.0, 250.0)
 CUT = Broken(BreakReason.CONNECTION_ENDED, "urednik-1")
 CALLS = {
-    # violation kinds, calls, what ran
+    # expected kinds of violations, calls, journal of the backends
     "answered": ([], [call("a", LOOKUP, correct_answer("a", LOOKUP))], [journal_entry("a")]),
     "another caller's answer": (
         ["wrong-answer"],
