--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -47,12 +47,12 @@
         ((FaultKind.CONTROL_WIPED, "control-1"), (FaultKind.CONTROL_CUT, "control-2"), False),
     ],
 )
-def test_a_target_is_struck_again_only_when_it_is_back(first, second, together):
+def test_faults_of_one_target_do_not_overlap(first, second, together):
     actions = Actions()
     happened = _run(actions, first, second)
-    struck = [word for word, _ in actions.log]
-    apart = ["struck", "undone", "struck", "undone"]
-    assert struck == (["struck", "struck", "undone", "undone"] if together else apart)
+    events = [word for word, _ in actions.log]
+    in_sequence = ["struck", "undone", "struck", "undone"]
+    assert events == (["struck", "struck", "undone", "undone"] if together else in_sequence)
     assert [(fault.kind, fault.target) for fault in happened] == [first, second]
 
 
@@ -73,7 +73,7 @@
     assert ("undone", "u-1") not in actions.log
 
 
-def test_a_known_failure_is_noted_with_its_fault_and_the_others_go_on():
+def test_a_known_failure_is_recorded_with_its_fault_and_the_others_continue():
     actions = Actions(error=TimeoutError())
     happened = _run(actions, (FaultKind.AGENT_KILLED, "u-1"), (FaultKind.HOST_LOST, "u-2"))
     assert [fault.failure for fault in happened] == ["TimeoutError()", None]
--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -114,21 +114,21 @@
     record.samples.append(RevisionSample("balancer-1", 3, 6))
 
 
-def spoil_known(record):
+def spoil_in_force_reports(record):
     words = ("127.0.0.1:1: no answer",)
-    struck = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
-    record.happened.append(struck)
+    fault = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
+    record.happened.append(fault)
     waits = {"c-1": 18.5, "c-2": 19.5}  # ten seconds from the end of the fault on
     for change_id, ended in waits.items():
         record.changes.in_force.append(InForceTime(change_id, None, 2.0, ended, words))
 
 
-def spoil_reached(record):
+def spoil_propagation(record):
     record.happened.append(FaultRecord(FaultKind.BALANCER_FROZEN, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5, 18.5)]
 
 
-def spoil_reached_without_excuse(record):
+def spoil_propagation_without_excuse(record):
     record.happened.append(FaultRecord(FaultKind.BALANCER_CUT, "balancer-1", 5.0, 8.0))
     record.samples = [RevisionSample("balancer-1", at, 6) for at in (1.0, 17.5)]
 
@@ -137,7 +137,7 @@
     record.final.process_revisions["agent-u-1"] = 6
 
 
-def spoil_kept(record):
+def spoil_stored_outcome(record):
     record.final.outcomes["control-1"]["c-2"] = NotDecided("status 0")
 
 
@@ -187,11 +187,11 @@
     ),
     (ChaosPromise.WORK_ON_LEAVING_HOST, spoil_leaving),
     (ChaosPromise.REVISION_WENT_BACK, spoil_samples),
-    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_known),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached),
-    (ChaosPromise.NOT_IN_FORCE, spoil_reached_without_excuse),
+    (ChaosPromise.NOT_KNOWN_IN_FORCE, spoil_in_force_reports),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation),
+    (ChaosPromise.NOT_IN_FORCE, spoil_propagation_without_excuse),
     (ChaosPromise.NOT_IN_FORCE, spoil_final_revision),
-    (ChaosPromise.CHANGE_LOST, spoil_kept),
+    (ChaosPromise.CHANGE_LOST, spoil_stored_outcome),
     (ChaosPromise.NOT_LINEARIZABLE, spoil_tenant),
     (ChaosPromise.TWO_WINNERS, with_changes(change("c-3", 3, Accepted(7, 7)))),
     (
@@ -223,9 +223,9 @@
 
 def test_time_counts_from_the_end_of_a_fault_that_kept_a_process_away():
     record = good_record()
-    spoil_reached(record)
+    spoil_propagation(record)
     record.samples.pop()
-    spoil_known(record)
+    spoil_in_force_reports(record)
     report = judge(record)
     assert [found.detail.split()[0] for found in report.violations] == ["c-2"]
     assert (report.in_force.count, report.in_force_never_known) == (1, 2)
--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -38,7 +38,7 @@
     return Fault("burst", at=at, for_s=for_s, x=x, **fields)
 
 
-def test_a_day_within_the_room_earns_everything():
+def test_a_day_within_capacity_earns_everything():
     best = ideal(day(), site())
     assert best.day == pytest.approx(1.0)
     assert best.windows == pytest.approx((1.0,) * 10)
@@ -48,7 +48,7 @@
     assert ideal(day(), site(slots=5.0, traffic=0.5)).day == pytest.approx(1.0)
 
 
-def test_in_a_lasting_overload_what_has_room_is_served_in_time():
+def test_in_a_lasting_overload_capacity_serves_requests_that_are_in_time():
     """Twice the room for the whole day: half in time, and at its end some late ones more."""
     best = ideal(day(), site(slots=5.0))
     assert best.windows[1:-1] == pytest.approx((0.5,) * 8, abs=0.02)
@@ -71,7 +71,7 @@
     assert best.worst_kind() == "hold"
 
 
-def test_what_is_late_is_served_after_a_rush_at_its_late_worth():
+def test_late_requests_are_served_after_a_rush_at_their_late_worth():
     patient = msgspec.structs.replace(WEB, limit=60.0)
     impatient = msgspec.structs.replace(WEB, limit=0.5)
     rates = {"look-up": 50.0}
@@ -109,7 +109,7 @@
         (Fault("burst", x=3.0), 0.0),
     ],
 )
-def test_faults_of_hosts_cost_room(fault, lost):
+def test_faults_of_hosts_cost_capacity(fault, lost):
     assert lost_share(fault) == pytest.approx(lost)
     holding = msgspec.structs.replace(fault, at=1.0, for_s=2.0, service="web")
     assert available_slots("web", 10.0, [holding], 2.0) == pytest.approx(10.0 * (1 - lost))
@@ -125,7 +125,7 @@
     assert found.faults == (Fault("burst", 1.0, 3.0, 2.0, kind_of_request="a"),)
 
 
-def test_the_days_of_rushes_can_be_worked_out():
+def test_the_days_of_rushes_can_be_computed():
     paths = [str(DAYS / f"rush-{name}.toml") for name in ("tickets", "registry")]
     result = CliRunner().invoke(main, paths)
     assert result.exit_code == 0, result.output
