--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -134,7 +134,7 @@
     action: FaultAction
 
     def describe(self) -> str:
-        """Describe the fault in one line, for the output and the trace."""
+        """Describe the fault in one line, for the output."""
         return f"{self.at:.2f}s {self.action}"
 
 
--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -206,7 +206,7 @@
     ),
     Mutant(
         "revisions-go-back",
-        "a follower takes whatever revision a replica sends that believes itself fresh",
+        "a follower accepts any revision from a replica that considers itself fresh",
         Defect(
             (
                 Replacement(RaftRunner, "quorum_age", lambda _: 0.0),
@@ -231,7 +231,7 @@
     ),
     Mutant(
         "change-register-not-in-snapshots",
-        "a replica that comes back by a snapshot has forgotten the changes' outcomes",
+        "a replica that recovers by a snapshot has lost the outcomes of changes",
         _single_replacement(ChangeRegister, "from_image", staticmethod(_empty_register)),
         "long-absence",
         1,
@@ -247,7 +247,7 @@
     ),
     Mutant(
         "ticket-run-elsewhere",
-        "a request that may not be repeated is tried again when its home does not answer",
+        "a request that must not be repeated is retried when its home does not answer",
         _single_replacement(TicketService, "_relay_home", _run_elsewhere),
         "misleading-back-ends",
         1,
@@ -255,7 +255,7 @@
     ),
     Mutant(
         "service-not-checked",
-        "an agent takes datagrams of any service; the balancers' own check is left",
+        "an agent accepts datagrams of any service; the balancers still check it",
         _single_replacement(DatagramFilter, "admit", _admit_without_check),
         "uneven-updates",
         2,
@@ -263,7 +263,7 @@
     ),
     Mutant(
         "service-checked-nowhere",
-        "neither balancers nor agents look at the service of a datagram",
+        "neither balancers nor agents check the service of a datagram",
         Defect(
             (
                 Replacement(DatagramFilter, "admit", _admit_without_check),
@@ -276,7 +276,7 @@
     ),
     Mutant(
         "late-answer-reused",
-        "a back-end connection is used again after a time-out",
+        "a backend connection is used again after a time-out",
         _single_replacement(ModelBackend, "reuses_late_answers", True),
         "misleading-back-ends",
         1,
@@ -284,7 +284,7 @@
     ),
     Mutant(
         "unknown-told-as-not-run",
-        "a request is refused as not run after it reached the back end",
+        "a request is refused as not run after it reached the backend",
         _single_replacement(dispatcher, "unknown_answer", _answer_unknown_as_not_run),
         "misleading-back-ends",
         1,
@@ -292,7 +292,7 @@
     ),
     Mutant(
         "drain-ignored",
-        "a leaving agent goes on running new requests of its open flows",
+        "a draining agent continues to run new requests of its open flows",
         _single_replacement(ServiceView, "draining", property(lambda self: self.stopping)),
         "hosts-leave",
         1,
@@ -300,7 +300,7 @@
     ),
     Mutant(
         "flows-closed-early",
-        "a planned stop closes flows whose last answers are still under way",
+        "a planned stop closes flows whose last answers are not delivered yet",
         _single_replacement(AgentEndpoint, "has_undelivered_answers", property(lambda _: False)),
         "hosts-leave",
         8,
--- a/src/jasperwalk_lab/simulator/scenarios.py
+++ b/src/jasperwalk_lab/simulator/scenarios.py
@@ -327,7 +327,7 @@
     ),
     Scenario(
         "power-lost",
-        "all control machines lose power at once, again and again, during a burst of changes",
+        "all control machines lose power at once, several times, during a burst of changes",
         (Promise.ACCEPTED_IN_FORCE_AND_KEPT,),
         (Failure.TOGETHER_OR_TWICE, Failure.CHANGES_RESENT),
         HANOI,
@@ -335,7 +335,7 @@
     ),
     Scenario(
         "long-absence",
-        "a balancer, a replica and an agent come back after 250 changes",
+        "a balancer, a replica and an agent restart after 250 changes",
         (Promise.ACCEPTED_IN_FORCE_AND_KEPT, Promise.RIGHT_SERVICE),
         (Failure.RESTART_AFTER_MANY_CHANGES,),
         ZAGREB,
@@ -343,7 +343,7 @@
     ),
     Scenario(
         "misleading-back-ends",
-        "back ends stall, refuse and shed while their health end points say otherwise",
+        "backends stall, refuse and shed while their health endpoints report otherwise",
         (Promise.NOT_RUN_DID_NOT_RUN, Promise.OWN_WHOLE_ANSWER, Promise.AT_MOST_ONCE),
         (),
         HANOI,
