--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -169,7 +169,7 @@
         now = step * step_seconds
         if now < site.seconds:
             for cohort in _arrivals(day, site, now, step_seconds):
-                ledger.owe(cohort)
+                ledger.add_possible(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
             slots = available_slots(service, site.slots[service], day.faults, now)
@@ -189,27 +189,32 @@
     """What is owed and earned, by kind and by window."""
 
     def __init__(self) -> None:
-        self._owed: dict[tuple[str, int], float] = defaultdict(float)
+        self._possible: dict[tuple[str, int], float] = defaultdict(float)
         self._earned: dict[tuple[str, int], float] = defaultdict(float)
 
-    def owe(self, cohort: Cohort) -> None:
-        self._owed[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
+    def add_possible(self, cohort: Cohort) -> None:
+        self._possible[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
 
-    def earn(self, cohort: Cohort, count: float, worth: float) -> None:
+    def add_earned(self, cohort: Cohort, count: float, worth: float) -> None:
         self._earned[cohort.name, cohort.window] += count * worth
 
     def ideal(self) -> Ideal:
-        names = dict.fromkeys(name for name, _ in self._owed)
-        windows = sorted({window for _, window in self._owed})
+        names = dict.fromkeys(name for name, _ in self._possible)
+        windows = sorted({window for _, window in self._possible})
         return Ideal(
-            self._part(list(self._owed)),
-            {name: self._part([key for key in self._owed if key[0] == name]) for name in names},
-            tuple(self._part([key for key in self._owed if key[1] == w]) for w in windows),
+            self._earned_share(list(self._possible)),
+            {
+                name: self._earned_share([key for key in self._possible if key[0] == name])
+                for name in names
+            },
+            tuple(
+                self._earned_share([key for key in self._possible if key[1] == w]) for w in windows
+            ),
         )
 
-    def _part(self, keys: Sequence[tuple[str, int]]) -> float:
-        owed = sum(self._owed[key] for key in keys)
-        return sum(self._earned[key] for key in keys) / owed if owed else 1.0
+    def _earned_share(self, keys: Sequence[tuple[str, int]]) -> float:
+        possible = sum(self._possible[key] for key in keys)
+        return sum(self._earned[key] for key in keys) / possible if possible else 1.0
 
 
 class _Backlog:
@@ -250,7 +255,7 @@
     while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
-        ledger.earn(cohort, count, worth)
+        ledger.add_earned(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
         if cohort.waiting > MIN_REQUESTS:
