--- a/src/jasperwalk_lab/simulator/verdicts.py
+++ b/src/jasperwalk_lab/simulator/verdicts.py
@@ -76,7 +76,7 @@
 
 
 def _operation_of(change: Change, command: SetTenant) -> Operation | None:
-    """Combine all attempts of a change into one operation; None if it certainly had no effect."""
+    """Combine all attempts of a change into one operation; None if it had no effect."""
     if not change.attempts:
         return None
     invoked = change.attempts[0].invoked
--- a/src/jasperwalk_lab/simulator/world.py
+++ b/src/jasperwalk_lab/simulator/world.py
@@ -123,7 +123,8 @@
     def service_of_host(self, host: str) -> str:
         """Return the service whose program runs on a host.
 
-        While a host is being moved, that is the service that its agent serves.
+        An operator who moves a host changes its program when the agent starts to serve the new
+        service, so during a move it is the service that the agent serves.
         """
         if host in self.moving:
             agent = next(each.agent for each in self.agents if each.name == host)
