--- a/src/jasperwalk_lab/simulator/mutants.py
+++ b/src/jasperwalk_lab/simulator/mutants.py
@@ -1,7 +1,7 @@
-"""Deliberate defects, to show that the checks can fail: each is caught by a named run.
+"""Mutants: deliberate defects that show that the checks can fail.
 
-A defect takes the place of a name of the product for the length of one run; nothing of it
-stands in the product.
+Each mutant names a scenario, a seed, and the kind of violation that the run has to report. A
+defect replaces names of the product for the duration of one run; the product has no code for it.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 from jasperwalk_lab.simulator.system_substitutes import Replacement
 
 SEEDS_TRIED = 8
-"""Runs that have to catch a defect, at the latest."""
+"""Number of seeds, one of which has to catch the defect."""
 UNSYNCED_BATCHES = 8
-"""Batches after which the disk of `log-not-synced` happens to be written."""
+"""The disk of `log-not-synced` keeps every batch up to the last multiple of this count."""
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """A defect, and the run that catches it by a violation of the kind `violation`.
+    """A defect, and the run that detects it by a violation of the kind `violation`.
 
-    What a seed does changes with the product, so `seeds` holds a few more to try.
+    The run that a seed gives changes with the product, so `seeds` has a few more to try.
     """
 
     name: str
@@ -58,12 +58,12 @@
 
     @property
     def seeds(self) -> range:
-        """Return the seeds to try, the one that is known to catch the defect first."""
+        """Return the seeds to try, beginning with the one that is known to detect the defect."""
         return range(self.seed, self.seed + SEEDS_TRIED)
 
 
 class _UnsyncedDisk(Disk):
-    """Answers before it has synced: a power loss takes the last batches."""
+    """Reports batches as synced before they are: a power loss loses the last ones."""
 
     def __init__(self, replica_id: int, disk_id: str, random: Random) -> None:
         super().__init__(replica_id, disk_id, random)
@@ -86,7 +86,7 @@
 
 
 class _ForgottenVoteDisk(Disk):
-    """Writes term and vote with snapshots only: a power loss takes them."""
+    """Syncs term and vote only together with a snapshot: a power loss loses newer ones."""
 
     def __init__(self, replica_id: int, disk_id: str, random: Random) -> None:
         super().__init__(replica_id, disk_id, random)
@@ -206,7 +206,7 @@
     ),
     Mutant(
         "revisions-go-back",
-        "a follower takes whatever revision a replica sends that believes itself fresh",
+        "a follower accepts any revision from a replica that considers itself fresh",
         Defect(
             (
                 Replacement(RaftRunner, "quorum_age", lambda _: 0.0),
@@ -231,7 +231,7 @@
     ),
     Mutant(
         "change-register-not-in-snapshots",
-        "a replica that comes back by a snapshot has forgotten the changes' outcomes",
+        "a replica that recovers by a snapshot has lost the outcomes of changes",
         _single_replacement(ChangeRegister, "from_image", staticmethod(_empty_register)),
         "long-absence",
         1,
@@ -247,7 +247,7 @@
     ),
     Mutant(
         "ticket-run-elsewhere",
-        "a request that may not be repeated is tried again when its home does not answer",
+        "a request that must not be repeated is retried when its home does not answer",
         _single_replacement(TicketService, "_relay_home", _run_elsewhere),
         "misleading-back-ends",
         1,
@@ -255,7 +255,7 @@
     ),
     Mutant(
         "service-not-checked",
-        "an agent takes datagrams of any service; the balancers' own check is left",
+        "an agent accepts datagrams of any service; the balancers still check it",
         _single_replacement(DatagramFilter, "admit", _admit_without_check),
         "uneven-updates",
         2,
@@ -263,7 +263,7 @@
     ),
     Mutant(
         "service-checked-nowhere",
-        "neither balancers nor agents look at the service of a datagram",
+        "neither balancers nor agents check the service of a datagram",
         Defect(
             (
                 Replacement(DatagramFilter, "admit", _admit_without_check),
@@ -276,7 +276,7 @@
     ),
     Mutant(
         "late-answer-reused",
-        "a back-end connection is used again after a time-out",
+        "a backend connection is used again after a time-out",
         _single_replacement(ModelBackend, "reuses_late_answers", True),
         "misleading-back-ends",
         1,
@@ -284,7 +284,7 @@
     ),
     Mutant(
         "unknown-told-as-not-run",
-        "a request is refused as not run after it reached the back end",
+        "a request is refused as not run after it reached the backend",
         _single_replacement(dispatcher, "unknown_answer", _answer_unknown_as_not_run),
         "misleading-back-ends",
         1,
@@ -292,7 +292,7 @@
     ),
     Mutant(
         "drain-ignored",
-        "a leaving agent goes on running new requests of its open flows",
+        "a draining agent continues to run new requests of its open flows",
         _single_replacement(ServiceView, "draining", property(lambda self: self.stopping)),
         "hosts-leave",
         1,
@@ -300,7 +300,7 @@
     ),
     Mutant(
         "flows-closed-early",
-        "a planned stop closes flows whose last answers are still under way",
+        "a planned stop closes flows whose last answers are not delivered yet",
         _single_replacement(AgentEndpoint, "has_undelivered_answers", property(lambda _: False)),
         "hosts-leave",
         8,
@@ -318,5 +318,5 @@
 
 
 def mutant_named(name: str) -> Mutant | None:
-    """Return a mutant by its name, None for the empty name."""
+    """Return a mutant by its name, or None if there is none of this name."""
     return next((each for each in MUTANTS if each.name == name), None)
