--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    ("forth", "back"),
+    ("forward", "backward"),
     [(True, True), (True, False), (False, True)],
     ids=["both ways", "to the peer", "from the peer"],
 )
--- a/tests/fleet/test_home_link.py
+++ b/tests/fleet/test_home_link.py
@@ -273,7 +273,7 @@
 
 
 @pytest.mark.parametrize(
-    ("forth", "back"),
+    ("forward", "backward"),
     [(True, True), (True, False), (False, True)],
     ids=["both ways", "to the home", "from the home"],
 )
