--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -80,9 +80,9 @@
             cold_factor=settings.cold_factor,
             started=now,
         )
-        self.state.note(now)
+        self.state.record_report(now)
         self._slots = asyncio.Semaphore(settings.slots)
-        self._pace_factor = 1.0
+        self._service_time_factor = 1.0
 
     def application(self) -> web.Application:
         """Build the HTTP application."""
@@ -94,8 +94,8 @@
         application.router.add_get("/health", self._report)
         application.router.add_get("/load", self._report)
         application.router.add_get("/lab/journal", self._journal)
-        application.router.add_put("/lab/drain", self._drain)
-        application.router.add_put("/lab/pace", self._pace)
+        application.router.add_put("/lab/drain", self._set_draining)
+        application.router.add_put("/lab/pace", self._set_service_time_factor)
         application.router.add_put("/lab/faults", self._faults)
         return application
 
@@ -142,7 +142,7 @@
         finally:
             self.state.waiting -= 1
         self.state.busy += 1
-        self.state.note(_now())
+        self.state.record_report(_now())
         self.journal.set_outcome(request[RECORD], RunOutcome.RUNNING)
         try:
             yield
@@ -150,13 +150,13 @@
             request[RECORD].released_at = time.monotonic()
             self._slots.release()
             self.state.busy -= 1
-            self.state.note(_now())
+            self.state.record_report(_now())
 
     async def _work(self, request: web.Request) -> None:
         service_time = self.settings.service_time_ms / MILLISECONDS
         if self.settings.service_time_varies:
             service_time *= exponential_factor(request[RECORD].request_id)
-        await asyncio.sleep(service_time * self.state.slowness(_now()) * self._pace_factor)
+        await asyncio.sleep(service_time * self.state.slowdown(_now()) * self._service_time_factor)
 
     async def _lookup(self, request: web.Request) -> web.Response:
         async with self._slot(request):
@@ -202,13 +202,13 @@
     async def _journal(self, _request: web.Request) -> web.Response:
         return json_response(self.journal.answer())
 
-    async def _drain(self, request: web.Request) -> web.Response:
+    async def _set_draining(self, request: web.Request) -> web.Response:
         self.state.draining = (await read_body(request, DrainBody)).draining
-        self.state.note(_now())
+        self.state.record_report(_now())
         return web.Response(status=204)
 
-    async def _pace(self, request: web.Request) -> web.Response:
-        self._pace_factor = (await read_body(request, PaceBody)).factor
+    async def _set_service_time_factor(self, request: web.Request) -> web.Response:
+        self._service_time_factor = (await read_body(request, PaceBody)).factor
         return web.Response(status=204)
 
     async def _faults(self, request: web.Request) -> web.Response:
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -58,7 +58,7 @@
         """Tell whether a request that arrives now is refused without running."""
         return self.draining or (self.busy >= self.slots and self.waiting >= self.queue_length)
 
-    def slowness(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return the factor on service times at `now`: 1 when warm."""
         if self.cold_seconds <= 0:
             return 1.0
@@ -73,23 +73,25 @@
             return BackendStatus.STARTING
         return BackendStatus.OK
 
-    def note(self, now: float) -> None:
+    def record_report(self, now: float) -> None:
         """Keep the true report of `now`, for reports that lag; call it after every change."""
         report = LoadReport(status=self.status(now), busy=self.busy, slots=self.slots)
         self._reports.append((now, report))
 
     def report(self, now: float) -> LoadReport:
         """Return what the back end says of itself at `now`, with its faults."""
-        told = self._true_report(now - self.faults.lag_seconds)
+        true_report = self._true_report(now - self.faults.lag_seconds)
         return LoadReport(
-            status=told.status if self.faults.false_status is None else self.faults.false_status,
-            busy=told.busy if self.faults.false_busy is None else self.faults.false_busy,
+            status=true_report.status
+            if self.faults.false_status is None
+            else self.faults.false_status,
+            busy=true_report.busy if self.faults.false_busy is None else self.faults.false_busy,
             slots=self.slots,
         )
 
     def _true_report(self, at: float) -> LoadReport:
-        for noted, report in reversed(self._reports):
-            if noted <= at:
+        for recorded_at, report in reversed(self._reports):
+            if recorded_at <= at:
                 return msgspec.structs.replace(report, status=self._status_since(report, at))
         return LoadReport(status=BackendStatus.STARTING, busy=0, slots=self.slots)
 
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -10,7 +10,7 @@
 
 FAILURES_TO_REMOVE = 2
 """Failed probes in a row after which a balancer gets no more datagrams."""
-PAUSE_SECONDS = 1.0
+SIGHTING_GAP_SECONDS = 1.0
 """Time without an answer after which the next one is a sighting of its own."""
 
 
@@ -45,8 +45,8 @@
 
 
 @dataclass(slots=True)
-class _Spells:
-    begins: list[float]
+class _AnswerPeriods:
+    starts: list[float]
     last: float
 
 
@@ -58,27 +58,27 @@
 
     def __init__(self) -> None:
         self.cut: set[tuple[str, int]] = set()
-        self._spells: dict[tuple[int, tuple[str, int]], _Spells] = {}
+        self._periods: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
-    def saw(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
+    def record_answer(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
         """Note that an agent answered a caller.
 
         A port may belong to one flow after another, so an answer after a pause counts anew.
         """
-        spells = self._spells.get((caller_port, agent))
-        if spells is None:
-            self._spells[caller_port, agent] = _Spells([now], now)
+        periods = self._periods.get((caller_port, agent))
+        if periods is None:
+            self._periods[caller_port, agent] = _AnswerPeriods([now], now)
             return
-        if now - spells.last >= PAUSE_SECONDS:
-            spells.begins.append(now)
-        spells.last = now
+        if now - periods.last >= SIGHTING_GAP_SECONDS:
+            periods.starts.append(now)
+        periods.last = now
 
     def all(self) -> list[Sighting]:
         """Return every sighting."""
         return [
             Sighting(caller_port=port, agent=f"{host}:{number}", at=at)
-            for (port, (host, number)), spells in self._spells.items()
-            for at in spells.begins
+            for (port, (host, number)), periods in self._periods.items()
+            for at in periods.starts
         ]
 
 
@@ -108,12 +108,12 @@
     def add(self, balancer: FabricBalancer) -> None:
         """Add a balancer, or replace the one of the same name."""
         self._balancers[balancer.name] = balancer
-        self._refresh()
+        self._update_in_use()
 
     def remove(self, name: str) -> bool:
         """Forget a balancer; tell whether it was known."""
         known = self._balancers.pop(name, None) is not None
-        self._refresh()
+        self._update_in_use()
         return known
 
     def get(self, name: str) -> FabricBalancer | None:
@@ -128,13 +128,13 @@
         """Return the balancers that get datagrams now."""
         return list(self._in_use)
 
-    def probed(self, name: str, healthy: bool) -> None:
+    def record_probe(self, name: str, healthy: bool) -> None:
         """Take the result of one probe of the balancer's health page."""
         balancer = self._balancers.get(name)
         if balancer is None:
             return
         balancer.failures = 0 if healthy else balancer.failures + 1
-        self._refresh()
+        self._update_in_use()
 
     def choose(self) -> FabricBalancer | None:
         """Choose a balancer for one datagram; None when none is healthy."""
@@ -142,7 +142,7 @@
             return None
         return self._in_use[int(self._random.random() * len(self._in_use))]
 
-    def _refresh(self) -> None:
+    def _update_in_use(self) -> None:
         self._in_use = [b for b in self._balancers.values() if b.in_use]
 
 
@@ -157,7 +157,7 @@
     payload: bytes = field(compare=False)
 
 
-class DelayLine:
+class DelayQueue:
     """Datagrams that wait for their one-way delay, by the time they are due."""
 
     def __init__(self) -> None:
--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -14,13 +14,13 @@
 
 from jasperwalk_lab.operations import BreakReason
 
-LOWEST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 """Statuses below are interim (1xx)."""
 PING_IDENTITY = 0
 """Nobody waits for the acknowledgement of these PINGs."""
 LONG_HEADER_BIT = 0x80
 RESET_TOKEN_LENGTH = 16
-SHORTEST_RESET = 21
+MIN_RESET_BYTES = 21
 """Bytes of the shortest stateless reset (RFC 9000, section 10.3)."""
 
 
@@ -108,7 +108,7 @@
         if isinstance(event, DataReceived):
             exchange.body += event.data
         else:
-            _take_headers(exchange, event)
+            _store_headers(exchange, event)
         if event.stream_ended:
             _end(exchange, None)
 
@@ -146,15 +146,15 @@
 
 def is_stateless_reset(data: bytes, tokens: Collection[bytes]) -> bool:
     """Tell whether a datagram ends with one of the peer's tokens and has the look of a reset."""
-    if len(data) < SHORTEST_RESET or data[0] & LONG_HEADER_BIT:
+    if len(data) < MIN_RESET_BYTES or data[0] & LONG_HEADER_BIT:
         return False
     return data[-RESET_TOKEN_LENGTH:] in tokens
 
 
-def _take_headers(exchange: Exchange, event: HeadersReceived) -> None:
+def _store_headers(exchange: Exchange, event: HeadersReceived) -> None:
     headers = {name.decode(): value.decode() for name, value in event.headers}
     status = int(headers.get(":status", "0"))
-    if status >= LOWEST_FINAL_STATUS:  # neither interim answers nor trailers
+    if status >= MIN_FINAL_STATUS:  # neither interim answers nor trailers
         exchange.status = status
         exchange.headers = headers
 
