--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from jasperwalk_lab.chaos.api import Accepted, ChangeAnswer, Refused
-from jasperwalk_lab.chaos.faults import HappenedFault
+from jasperwalk_lab.chaos.faults import FaultRecord
 from jasperwalk_lab.chaos.operators import InForceTime, SubmittedChange
-from jasperwalk_lab.chaos.reach import control_absences, due_after
+from jasperwalk_lab.chaos.reach import control_outages, deadline_after
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 from jasperwalk_lab.simulator.linearizability import (
     AcceptedAt,
@@ -22,7 +22,7 @@
 )
 
 MISMATCH = "revision-mismatch"
-KNOWN_LIMIT_SECONDS = 10.0
+REPORT_LIMIT_SECONDS = 10.0
 """Time within which control has to say that a change is in force everywhere."""
 
 
@@ -51,7 +51,7 @@
     changes: Iterable[SubmittedChange], tenant: str, initial: int, final: int
 ) -> Iterator[ChaosViolation]:
     """Check that one order explains all answers about a tenant and its `final` revision."""
-    operations = [_operation(c) for c in changes if c.tenant == tenant and _counts(c)]
+    operations = [_operation(c) for c in changes if c.tenant == tenant and _constrains_order(c)]
     ends = [o.invoked if math.isinf(o.completed) else o.completed for o in operations]
     end = max(ends, default=0.0) + 1.0
     operations.append(Operation("final read", end, end, None, ReadAt(final)))
@@ -60,7 +60,7 @@
         yield ChaosViolation(ChaosPromise.NOT_LINEARIZABLE, detail)
 
 
-def check_kept(
+def check_stored_outcomes(
     changes: Iterable[SubmittedChange], replica: str, found: Mapping[str, ChangeAnswer]
 ) -> Iterator[ChaosViolation]:
     """Check after the run that a replica holds, of each change, the outcome that was told."""
@@ -72,16 +72,16 @@
 
 
 def check_in_force(
-    times: Iterable[InForceTime], happened: Iterable[HappenedFault]
+    times: Iterable[InForceTime], happened: Iterable[FaultRecord]
 ) -> Iterator[ChaosViolation]:
     """Check that control said in time, of every change that was watched, that it is in force.
 
     While a replica is struck the others can't know of its subscribers, so the time counts from
     the end of such a fault on. That the change was in force meanwhile is another check's job.
     """
-    struck = control_absences(happened)
+    outages = control_outages(happened)
     for each in times:
-        if each.ended <= due_after(each.accepted, KNOWN_LIMIT_SECONDS, struck):
+        if each.ended <= deadline_after(each.accepted, REPORT_LIMIT_SECONDS, outages):
             continue
         words = "; ".join(each.last_words) or "no answer"
         detail = f"{each.change_id} was not known to be in force after "
@@ -89,7 +89,7 @@
         yield ChaosViolation(ChaosPromise.NOT_KNOWN_IN_FORCE, detail)
 
 
-def _counts(change: SubmittedChange) -> bool:
+def _constrains_order(change: SubmittedChange) -> bool:
     """Tell whether a change says anything about the tenant's order."""
     first = change.answers[0] if change.answers else None
     return not (isinstance(first, Refused) and first.kind != MISMATCH)
--- a/src/jasperwalk_lab/chaos/reach.py
+++ b/src/jasperwalk_lab/chaos/reach.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from jasperwalk_lab.chaos.faults import SHAPES, FaultKind, HappenedFault, TargetGroup
+from jasperwalk_lab.chaos.faults import SHAPES, FaultKind, FaultRecord, TargetGroup
 from jasperwalk_lab.chaos.operators import SubmittedChange
 from jasperwalk_lab.chaos.revisions import RevisionSample
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
-REACH_LIMIT_SECONDS = 10.0
+PROPAGATION_LIMIT_SECONDS = 10.0
 """The brief's "within seconds"."""
-HARMLESS = frozenset(
+FAULTS_WITHOUT_OUTAGE = frozenset(
     {
         FaultKind.BALANCER_CUT,
         FaultKind.HOST_DRAINED,
@@ -32,73 +32,81 @@
 
 
 @dataclass(frozen=True)
-class Absence:
+class Outage:
     """A process was struck from `began` to `ended` (seconds)."""
 
     began: float
     ended: float
 
 
-def absences(happened: Iterable[HappenedFault]) -> dict[str, list[Absence]]:
+def outages(happened: Iterable[FaultRecord]) -> dict[str, list[Outage]]:
     """Return, by process, when faults kept balancers and agents from following control."""
-    found: dict[str, list[Absence]] = defaultdict(list)
+    found: dict[str, list[Outage]] = defaultdict(list)
     for fault in happened:
         group = SHAPES[fault.kind].group
-        if group is TargetGroup.CONTROL or fault.kind in HARMLESS or fault.ended is None:
+        if (
+            group is TargetGroup.CONTROL
+            or fault.kind in FAULTS_WITHOUT_OUTAGE
+            or fault.ended is None
+        ):
             continue
         process = f"agent-{fault.target}" if group is TargetGroup.HOST else fault.target
-        found[process].append(Absence(fault.began, fault.ended))
+        found[process].append(Outage(fault.began, fault.ended))
     for each in found.values():
-        each.sort(key=lambda absence: absence.began)
+        each.sort(key=lambda outage: outage.began)
     return found
 
 
-def control_absences(happened: Iterable[HappenedFault]) -> list[Absence]:
+def control_outages(happened: Iterable[FaultRecord]) -> list[Outage]:
     """Return when any control replica was struck, in the order of the faults' beginning."""
     found = [
-        Absence(fault.began, fault.ended)
+        Outage(fault.began, fault.ended)
         for fault in happened
         if SHAPES[fault.kind].group is TargetGroup.CONTROL and fault.ended is not None
     ]
-    return sorted(found, key=lambda absence: absence.began)
+    return sorted(found, key=lambda outage: outage.began)
 
 
-def due_after(since: float, limit: float, struck: Iterable[Absence]) -> float:
+def deadline_after(since: float, limit: float, struck: Iterable[Outage]) -> float:
     """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
-    due = since + limit
-    for absence in struck:
-        if absence.began <= due and absence.ended >= since:
-            due = max(due, absence.ended + limit)
-    return due
+    deadline = since + limit
+    for outage in struck:
+        if outage.began <= deadline and outage.ended >= since:
+            deadline = max(deadline, outage.ended + limit)
+    return deadline
 
 
-def check_reached(
+def check_propagation(
     changes: Iterable[SubmittedChange],
     samples: Iterable[RevisionSample],
-    happened: Iterable[HappenedFault],
+    happened: Iterable[FaultRecord],
 ) -> Iterator[ChaosViolation]:
     """Check each accepted change on each process that was seen."""
     by_process: dict[str, list[RevisionSample]] = defaultdict(list)
     for sample in sorted(samples, key=lambda each: each.at):
         by_process[sample.process].append(sample)
-    struck = absences(happened)
+    struck = outages(happened)
     accepted = [(change, change.accepted()) for change in changes]
     for process, seen in by_process.items():
         for change, answer in accepted:
             if answer is None:
                 continue
             since = max(change.completed, seen[0].at)
-            due = due_after(since, REACH_LIMIT_SECONDS, struck.get(process, ()))
-            late = _late(seen, answer.revision, due)
+            deadline = deadline_after(since, PROPAGATION_LIMIT_SECONDS, struck.get(process, ()))
+            late = _outdated_revision(seen, answer.revision, deadline)
             if late is not None:
                 detail = f"{change.change_id} on {process}: at revision {late} of "
-                detail += f"{answer.revision}, {due - change.completed:.1f} s after it was accepted"
+                detail += (
+                    f"{answer.revision}, {deadline - change.completed:.1f} s after it was accepted"
+                )
                 yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
-def _late(seen: Sequence[RevisionSample], revision: int, due: float) -> int | None:
-    """Return the older revision that a process still had at the first sample after `due`."""
-    position = bisect.bisect_left(seen, due, key=lambda sample: sample.at)
+def _outdated_revision(
+    seen: Sequence[RevisionSample], revision: int, deadline: float
+) -> int | None:
+    """Return the older revision that a process still had at the first sample after `deadline`."""
+    position = bisect.bisect_left(seen, deadline, key=lambda sample: sample.at)
     if position == len(seen) or seen[position].revision >= revision:
         return None
     return seen[position].revision
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -39,7 +39,7 @@
     asyncio.run(main())
 
 
-def test_a_tcp_relay_carries_bytes_both_ways():
+def test_a_tcp_relay_forwards_bytes_both_ways():
     async def scenario(_relay, reader, writer):
         writer.write(b"hello")
         assert await reader.readexactly(5) == b"hello"
@@ -47,7 +47,7 @@
     over_tcp(scenario)
 
 
-def test_a_silent_tcp_relay_holds_bytes_back_and_carries_them_later():
+def test_a_silent_tcp_relay_holds_bytes_back_and_forwards_them_later():
     async def scenario(relay, reader, writer):
         relay.condition = LinkCondition(silent_forward=True)
         writer.write(b"hello")
@@ -80,7 +80,7 @@
     over_tcp(scenario)
 
 
-def test_the_end_of_a_silenced_connection_is_not_passed_on():
+def test_the_end_of_a_silenced_connection_is_not_forwarded():
     ended = asyncio.Event()
 
     async def record_end(reader, _writer):
@@ -157,7 +157,7 @@
     over_udp(scenario)
 
 
-def test_a_relay_that_loses_everything_carries_nothing():
+def test_a_relay_that_loses_everything_forwards_nothing():
     async def scenario(relay, client, received):
         relay.condition = LinkCondition(loss=1.0)
         client.sendto(b"lost")
--- a/tests/lab/soak/test_soak_surges.py
+++ b/tests/lab/soak/test_soak_surges.py
@@ -26,14 +26,14 @@
     ],
     ids=["all", "a kind of request", "a zone"],
 )
-def test_a_rush_has_its_own_callers(surge, priorities, zones):
+def test_a_surge_has_the_callers_of_its_scope(surge, priorities, zones):
     callers = surge_callers()
     assert {each.priority for each in callers.routes_of(surge)} == priorities
     assert {callers.zone_of(surge) for _ in range(50)} == zones
     assert Surge.parse(surge.target) == surge
 
 
-def test_a_rush_is_several_times_the_ordinary_load_within_a_bound():
+def test_a_surge_is_a_bounded_multiple_of_the_normal_load():
     assert surge_callers(per_second=20.0)._per_second == 20.0 * SURGE_FACTOR
     assert surge_callers(per_second=1e6)._per_second == MAX_REQUESTS_PER_SECOND
 
