--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -29,7 +29,7 @@
 """What a sweep prints of a site that names no target."""
 TARGET_MACHINES = 14_750
 """Own machines at letter 1's size, as the sites name them that do."""
-MIN_POWER, HIGHEST_POWER = 0.0, 2.0
+MIN_POWER, MAX_POWER = 0.0, 2.0
 """Powers with which a figure is carried on, as the bench does it."""
 SIGNIFICANT_DIGITS = 3
 BROKEN = "BROKEN"
@@ -147,11 +147,11 @@
     return Sweep(entry, site, machines, tuple(days), figures)
 
 
-def carry_on(busiest: float, power: float, machines: int) -> float:
+def extrapolate(busiest: float, power: float, machines: int) -> float:
     """Return a figure at the target's size from the one at the largest size played."""
-    bounded_power = min(max(power, MIN_POWER), HIGHEST_POWER)
-    carried = busiest * (TARGET_MACHINES / machines) ** bounded_power
-    return float(f"{carried:.{SIGNIFICANT_DIGITS}g}")
+    bounded_power = min(max(power, MIN_POWER), MAX_POWER)
+    extrapolated = busiest * (TARGET_MACHINES / machines) ** bounded_power
+    return float(f"{extrapolated:.{SIGNIFICANT_DIGITS}g}")
 
 
 def _figures(lines: Iterable[str], largest: int) -> Iterable[SweptFigure]:
@@ -163,9 +163,9 @@
         numbers = row["rest"].split()
         busiest = tuple(float(pair.split(" / ")[1]) for pair in re.findall(PAIR, row["pairs"]))
         power, at_target = float(numbers[0]), numbers[1]
-        is_told = at_target != "-"
-        carried = float(at_target) if is_told else carry_on(busiest[-1], power, largest)
-        yield SweptFigure(row["name"], busiest, power, carried)
+        is_printed = at_target != "-"
+        extrapolated = float(at_target) if is_printed else extrapolate(busiest[-1], power, largest)
+        yield SweptFigure(row["name"], busiest, power, extrapolated)
 
 
 def _days(lines: Iterable[str]) -> Iterable[SweptDay]:
--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -28,7 +28,7 @@
 WORST_WINDOWS = 2
 DOWN_SHARE_OF_FLAPPING = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
-LEAST_REQUESTS = 1e-9
+MIN_REQUESTS = 1e-9
 SHOWN_BELOW = 0.995
 """Windows of less worth are printed."""
 BURST = "burst"
@@ -94,7 +94,7 @@
     """Requests of one kind that came in one step, and how many of them still wait."""
 
     kind: Kind
-    came_at: float
+    arrived_at: float
     window: int
     name: str
     waiting: float
@@ -152,7 +152,7 @@
     return 0.0
 
 
-def room(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
+def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
     """Return the slots of a service that do useful work at a time."""
     for fault in faults:
         if fault.holds(now) and fault.service in ("", service):
@@ -172,7 +172,7 @@
                 ledger.owe(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
-            slots = room(service, site.slots[service], day.faults, now)
+            slots = available_slots(service, site.slots[service], day.faults, now)
             backlog.serve(slots * step_seconds, now, ledger)
     return ledger.ideal()
 
@@ -236,22 +236,24 @@
     def _expire(self, now: float) -> None:
         """Move on what would be late by now, and forget what would be over its limit."""
         for name, queue in self._in_time.items():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.objective:
+            while (
+                queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.objective
+            ):
                 self._late[name].append(queue.popleft())
         for queue in self._late.values():
-            while queue and now + queue[0].kind.work > queue[0].came_at + queue[0].kind.limit:
+            while queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.limit:
                 queue.popleft()
 
 
 def _spend(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
     """Serve a queue from its oldest on; return what room is left."""
-    while queue and slot_seconds > LEAST_REQUESTS:
+    while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
         ledger.earn(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
-        if cohort.waiting > LEAST_REQUESTS:
+        if cohort.waiting > MIN_REQUESTS:
             break
         queue.popleft()
     return slot_seconds
