--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -75,7 +75,16 @@
             *self._agent_relays,
             self._host(9, 1),
         ]
-        port_names = ("replica", "operators", "callers", "ready", "frames", "calls", "packets", "app")
+        port_names = (
+            "replica",
+            "operators",
+            "callers",
+            "ready",
+            "frames",
+            "calls",
+            "packets",
+            "app",
+        )
         self._ports = common_ports(port_names, every)
         self.callers = Endpoint(self._host(9, 1), self._ports["callers"])
         self.supervisor = Supervisor(folder)
