--- a/src/jasperwalk_lab/load/__init__.py
+++ b/src/jasperwalk_lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The open-loop load tool: seeded arrivals on flows of tenants whose sizes follow Zipf."""
+"""The open-loop load generator: seeded arrivals on flows whose shares follow a Zipf law."""
--- a/src/jasperwalk_lab/load/arrivals.py
+++ b/src/jasperwalk_lab/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Draws the arrivals of a load in advance (sans-IO): a seeded Poisson process a service.
+"""Draws the arrivals of a load in advance (sans-IO): a seeded Poisson process per service.
 
 The arrivals depend on the profile and the seed alone, never on how fast answers come, so
 that two variants under the same seed get the same requests at the same times.
--- a/src/jasperwalk_lab/load/driver.py
+++ b/src/jasperwalk_lab/load/driver.py
@@ -1,6 +1,6 @@
-"""Runs a load in an open loop: arrivals come when they are due, however slow answers are.
+"""Runs a load in an open loop: each arrival is sent when it is due, however slow answers are.
 
-At most `most_outstanding` calls are open; an arrival beyond that is counted as overflowed
+At most `most_outstanding` calls are outstanding; an arrival beyond that is counted as overflowed
 and not sent.
 """
 
@@ -20,13 +20,13 @@
 
 PROGRESS_SECONDS = 2.0
 STREAM_EXTRA_SECONDS = 10.0
-"""What a stream may take beyond its own length."""
+"""Time that a stream may take beyond its own length."""
 
 Progress = Callable[[str], None]
 
 
 class OpenLoop:
-    """One load on one fleet; every call lands in the caller's history."""
+    """One load on one fleet; every call is recorded in the caller's history."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         if counts.outstanding >= self._profile.most_outstanding:
             counts.overflowed += 1
             return
-        # The identity is drawn here, in the order of arrivals, so that it does not depend
+        # The request ID is drawn here, in the order of arrivals, so that it does not depend
         # on which call happens to be sent first.
         request_id = self._caller.next_request_id()
         counts.outstanding += 1
--- a/src/jasperwalk_lab/load/flows.py
+++ b/src/jasperwalk_lab/load/flows.py
@@ -1,4 +1,4 @@
-"""Flows of a load: one connection a rank, replaced when its life is over or it has ended."""
+"""Flows of a load: one connection per rank, replaced when it has expired or ended."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from jasperwalk_lab.caller import Caller, Connection
 
 MAX_CONCURRENT_OPENS = 8
-"""Connections opened side by side at the start, so that handshakes don't crowd."""
+"""Connections opened concurrently at the start; limits the burst of handshakes."""
 
 
 class Flow:
-    """One connection and the calls on it; it closes after it was retired and is idle.
+    """One connection and the calls on it; it closes once it is retired and idle.
 
-    A PING goes out every `ping_seconds`, which also tells the caller of a stream, who else
-    sends nothing, that its flow is lost.
+    A PING is sent every `ping_seconds`. It also detects a lost flow for the caller of a stream,
+    who sends nothing else.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._task = asyncio.create_task(self._hold())
 
     async def connection(self) -> Connection | None:
-        """Return the connection once it stands, None when it could not be opened."""
+        """Return the connection once it is open, None where it could not be opened."""
         return await asyncio.shield(self._opened)
 
     def usable(self, now: float) -> bool:
@@ -54,7 +54,7 @@
 
     @contextlib.contextmanager
     def in_use(self) -> Iterator[None]:
-        """Keep the connection open for the length of a call."""
+        """Keep the connection open for the duration of a call."""
         self._calls += 1
         try:
             yield
@@ -125,7 +125,7 @@
             await asyncio.gather(*(self.flow(rank).connection() for rank in ranks))
 
     def flow(self, rank: int) -> Flow:
-        """Return the rank's flow, a new one where the old one is of no use any more."""
+        """Return the rank's flow, a new one where the old one is no longer usable."""
         now = asyncio.get_running_loop().time()
         flow = self._flows.get(rank)
         if flow is not None and flow.usable(now):
--- a/src/jasperwalk_lab/load/latency.py
+++ b/src/jasperwalk_lab/load/latency.py
@@ -1,4 +1,4 @@
-"""Latency histograms (hdrhistogram) by kind of operation."""
+"""Latency histograms (HdrHistogram) by kind of operation."""
 
 from __future__ import annotations
 
--- a/src/jasperwalk_lab/load/listeners.py
+++ b/src/jasperwalk_lab/load/listeners.py
@@ -1,4 +1,4 @@
-"""Where a fleet's listeners are, kept in its run folder so that other commands find them."""
+"""The addresses of a fleet's listeners, stored in its run folder for other commands."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def listeners_of(fleet: Fleet) -> FleetListeners:
-    """Describe a fleet."""
+    """Return the listeners of a running fleet."""
     example = fleet.layout.example
     return FleetListeners(
         example=example.name,
@@ -39,14 +39,14 @@
 
 
 def write_listeners(fleet: Fleet) -> Path:
-    """Write a fleet's places to its run folder; return the file."""
+    """Write a fleet's listeners to its run folder; return the file."""
     path = fleet.run_folder / LISTENERS_FILE
     path.write_bytes(msgspec.json.encode(listeners_of(fleet)))
     return path
 
 
 def read_listeners(run_folder: Path) -> FleetListeners:
-    """Read the places of a running fleet; raise `LabSettingsError`."""
+    """Read the listeners of a running fleet; raise `LabSettingsError`."""
     path = run_folder / LISTENERS_FILE
     try:
         return msgspec.json.decode(path.read_bytes(), type=FleetListeners)
--- a/src/jasperwalk_lab/load/profile.py
+++ b/src/jasperwalk_lab/load/profile.py
@@ -1,4 +1,4 @@
-"""What a load consists of: a rate and a mix for each service, and the shape of its flows."""
+"""Load profiles: rate and mix of requests for each service, and the shape of its flows."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class LoadProfile(BaseModel):
-    """A whole load. Flows live `flow_seconds` on average, exponentially distributed."""
+    """A complete load. Flows live `flow_seconds` on average, exponentially distributed."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -58,7 +58,7 @@
 
 
 PROFILES = {
-    # Proof views stay open for long and hand in submissions; prints are fetched.
+    # Proof views stay open for long and send submissions; prints are downloaded.
     "zagreb": LoadProfile(
         services=(
             ServiceLoad(
@@ -71,7 +71,7 @@
             ServiceLoad(service="probni-otisak", requests_per_second=25.0, flows=30, downloads=1.0),
         ),
     ),
-    # Suggestions and fuzzy matches come in great number; packages are fetched.
+    # Suggestions and fuzzy matches are many lookups; packages are downloaded.
     "hanoi": LoadProfile(
         services=(
             ServiceLoad(
@@ -87,4 +87,4 @@
         ),
     ),
 }
-"""Each example's own mix."""
+"""The profile of each example."""
--- a/src/jasperwalk_lab/load/result.py
+++ b/src/jasperwalk_lab/load/result.py
@@ -11,7 +11,7 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True):
-    """How the calls of a load ended. Latency counts from when the arrival was due."""
+    """How the calls of a load ended. Latency is measured from when the arrival was due."""
 
     seed: int
     seconds: float
@@ -28,7 +28,7 @@
 
 
 def operation_kind(operation: Operation) -> str:
-    """Name the kind of an operation."""
+    """Return the name of an operation's kind."""
     return type(operation).__name__.lower()
 
 
--- a/tests/lab/test_load_arrivals.py
+++ b/tests/lab/test_load_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals depend on profile and seed alone, and have the drawn shape."""
+"""Arrivals depend on profile and seed alone, and have the rates, mix and ranks of the profile."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_load_driver.py
+++ b/tests/lab/test_load_driver.py
@@ -16,7 +16,7 @@
 
 
 class StuckFlow:
-    """Never opens; its calls are still under way when the last arrival comes."""
+    """Opens only on release, so that its calls are still in flight when the last arrival comes."""
 
     def __init__(self, release):
         self._release = release
--- a/tests/lab/test_load_flows.py
+++ b/tests/lab/test_load_flows.py
@@ -1,4 +1,4 @@
-"""Flows are kept by rank, replaced when they are of no use, and closed once they are idle."""
+"""Flows are kept by rank, replaced when they are unusable, and closed once they are idle."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StandInCaller:
-    """Opens a connection each time; `open_now` are those that are not closed."""
+    """Opens a new connection each time; `open_now` are those that are not closed."""
 
     def __init__(self):
         self.open_now = []
--- a/tests/lab/test_load_latency.py
+++ b/tests/lab/test_load_latency.py
@@ -1,4 +1,4 @@
-"""Latencies are kept by kind, in a histogram of bounded range."""
+"""Latencies are recorded by kind, in a histogram of bounded range."""
 
 from __future__ import annotations
 
