--- a/src/jasperwalk_lab/soak/__init__.py
+++ b/src/jasperwalk_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the datagram plane: real processes, faults from outside, checks."""
+"""Randomized soak test of the datagram plane: real processes, injected faults, checked promises."""
--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -1,8 +1,10 @@
-"""Stand-in callers and the router before the balancers.
+"""Stand-in callers and the router in front of the balancers.
 
-The router asks every balancer twice a second whether it is ready; two misses put it out. It picks
-by rendezvous hash of the flow, as the users' routers do: only a lost balancer's flows move. A flow
-that is open goes on through its balancer until that process is gone, also while it stops.
+The router polls the readiness of every balancer twice a second and takes it out after two missed
+polls. It picks a balancer by rendezvous hash of the flow, as the users' routers do: only the flows
+of a lost balancer move. An open flow stays on its balancer until that process is gone, also while
+it stops. Callers open flows, send requests and copies of lost packets, and record how each request
+ended.
 """
 
 from __future__ import annotations
@@ -45,7 +47,7 @@
 READY_POLL_SECONDS = 0.5
 MAX_MISSED_POLLS = 2
 OPENING_SEND_SECONDS = (0.0, 0.2, 0.6)
-"""When an opening packet and its copies are sent."""
+"""When an opening packet and its copies are sent, counted from the first one."""
 OPENING_TIMEOUT_SECONDS = 1.4
 REQUEST_SEND_PAUSES_SECONDS = (0.0, 0.2, 0.4, 0.8)
 """Pauses before a request and its copies are sent."""
@@ -58,7 +60,7 @@
 
 @dataclass
 class BalancerPlace:
-    """Where a balancer takes callers' packets, and where it says whether it is ready."""
+    """Where a balancer receives callers' packets, and where its readiness is read."""
 
     name: str
     callers: Endpoint
@@ -68,11 +70,11 @@
 
 @dataclass
 class Router:
-    """Hands packets to balancers."""
+    """Chooses the balancer for each packet."""
 
     balancers: list[BalancerPlace]
     exists: Callable[[str], bool]
-    """Whether a balancer's process is there, also one that is on its way to its end."""
+    """Whether a balancer's process exists, also while it stops."""
     _misses: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -91,10 +93,10 @@
         self._misses[place.name] = 0 if is_ready else self._misses.get(place.name, 0) + 1
 
     def choose(self, key: bytes, last: BalancerPlace | None, zone: str = "") -> BalancerPlace:
-        """Return the balancer of a flow: of those that are in, or of all if none is.
+        """Return the balancer of a flow, out of those that answer polls, or of all if none does.
 
-        `last` is the one that carries the flow if it is open. Callers in a zone reach its
-        balancers, others only where none of them is in.
+        `last` is the balancer of an open flow. Callers in a zone use its balancers, and others
+        only where none of the zone answers.
         """
         if last is not None and self.exists(last.name):
             return last
@@ -108,7 +110,7 @@
 
 @dataclass
 class CallerFlow:
-    """A flow as its caller sees it."""
+    """State of a flow at its caller."""
 
     endpoint: Endpoint
     listener: Endpoint
@@ -117,25 +119,25 @@
     """Where the caller is, empty where it may reach every balancer."""
     answered: asyncio.Event = field(default_factory=asyncio.Event)
     acknowledged: int | None = None
-    """Number that the host's answer to the opening packet leads to, None before it came."""
+    """Number after the host's answer to the opening packet, None before the answer."""
     was_reset: bool = False
     balancer: BalancerPlace | None = None
-    """The balancer that carries the flow, None while it is not open."""
+    """The balancer of the open flow, None while it is not open."""
     answer: bytes = b""
     expected: int = 0
-    """What an answer to the present request acknowledges; copies of earlier ones say less."""
+    """Number that acknowledges the current request; answers to earlier ones have a lower one."""
 
     def key(self) -> bytes:
-        """Return what the router hashes."""
+        """Return the bytes that the router hashes."""
         return self.endpoint.pack() + self.listener.pack()
 
     def name(self) -> str:
-        """Return what names the flow in the history."""
+        """Return the name of the flow in the history."""
         return flow_name(self.endpoint, self.listener)
 
 
 class Callers:
-    """Runs all callers; `hosts` gives the hosts that live now, to tell whose flow was reset."""
+    """Runs all callers; `hosts` returns the running hosts, to find the host of a reset flow."""
 
     def __init__(
         self,
@@ -147,7 +149,7 @@
         route_of: Callable[[Endpoint], SoakRoute],
         rng: random.Random,
     ) -> None:
-        """`address` is where the balancers and agents send callers' packets to."""
+        """`address` is where balancers and agents send packets for callers."""
         self._address = address
         self._router = router
         self._clock = clock
@@ -174,7 +176,7 @@
             self._transport.close()
 
     async def request_repeatedly(self, listener: Endpoint, pause: float) -> None:
-        """Keep one flow for many requests, until cancelled; a lost one is opened again."""
+        """Send requests on one flow until cancelled; a lost flow is opened again."""
         flow: CallerFlow | None = None
         while True:
             flow = await self._request(listener, flow, is_last=False)
@@ -187,13 +189,13 @@
     async def _request(
         self, listener: Endpoint, flow: CallerFlow | None, is_last: bool, zone: str = ""
     ) -> CallerFlow | None:
-        """Have one request answered, on this flow or another; return the flow if it is open."""
+        """Send a request until it is answered or tries run out; return the flow if it is open."""
         self._next_request += 1
         request_id = f"q{self._next_request}"
         began_at = self._clock()
         outcome = RequestOutcome.GIVEN_UP
         for attempt in range(MAX_TRIES):
-            # Every further try is a request of its own: the first may have run.
+            # Every further try has an ID of its own: the first may have run.
             attempt_id = request_id if attempt == 0 else f"{request_id}.{attempt}"
             flow = flow or await self._open(listener, attempt_id, zone)
             if flow is None:
@@ -246,7 +248,7 @@
         return None
 
     async def _send_request(self, flow: CallerFlow, request_id: str, is_last: bool) -> bool:
-        """Send a request until it is answered; False where the flow is lost or time is up."""
+        """Send a request until it is answered; False where the flow is lost or it times out."""
         data = REQUEST_MARK + request_id.encode()
         number = flow.sequence + 1
         flow.answer, flow.expected = b"", (number + len(data)) % 2**32
@@ -270,7 +272,7 @@
         return True
 
     async def _wait(self, flow: CallerFlow, seconds: float) -> None:
-        """Wait for a packet of the flow."""
+        """Wait for a packet of the flow, at most for `seconds`."""
         flow.answered.clear()
         if seconds <= 0 or flow.was_reset:
             return
@@ -307,7 +309,7 @@
         flow.answered.set()
 
     def _record_reset(self, flow: CallerFlow) -> None:
-        """Note a reset on a flow that a living host holds open; hosts here never reset."""
+        """Record a reset of a flow that a running host holds open; hosts here never reset."""
         for host in self._hosts():
             held = host.flows.get((flow.endpoint, flow.listener))
             if host.is_alive and held is not None and held.is_open:
--- a/src/jasperwalk_lab/soak/checks.py
+++ b/src/jasperwalk_lab/soak/checks.py
@@ -1,4 +1,8 @@
-"""The promises of the datagram plane, each checked on a soak's history."""
+"""The promises of the datagram plane, each with a check on the history of a soak.
+
+A check yields one violation for each time its promise is broken. A violation of a promise with a
+time limit does not count near a stall of the machine.
+"""
 
 from __future__ import annotations
 
@@ -20,29 +24,29 @@
 from jasperwalk_lab.soak.refusal_checks import priority_violations, ran_though_refused
 
 HOST_DRAIN_SECONDS = 0.5
-"""Acknowledgements of an agent hold at once; the rest is for packets under way."""
+"""An agent's acknowledgement is in force at once; this time is for packets on their way."""
 ZONE_DRAIN_SECONDS = 4.0
-"""Within this time an order holds wherever a balancer or the agent has a home."""
+"""Time within which an order is in force wherever a balancer or the agent has a home replica."""
 CONFIGURATION_SECONDS = 4.0
 """Age of an acknowledgement from which no replica may answer with an older configuration."""
 UNPLANNED_FAULT_REACH_SECONDS = 6.0
-"""A reset counts as planned work's where no other fault was this near before it."""
+"""A reset is attributed to planned work where no unplanned fault was active within this time."""
 RECOVERY_SECONDS = 6.0
-"""Time after the last fault in which the service comes back."""
+"""Time after the last fault within which the service recovers."""
 MIN_ANSWERED_SHARE = 0.97
-"""Share of the requests after that which have to be answered: one in a hundred may meet its end
-of the run."""
+"""Share of the requests after recovery that must be answered: one in a hundred may be cut off by
+the end of the run."""
 MIN_REQUESTS_AFTER_RECOVERY = 20
 MIN_FLOWS_PER_HOST = 10.0
-"""New flows a host of a service on average from which one without any is left out: with flows
-chosen at random that happens once in twenty thousand."""
+"""Average of new flows per host of a service from which a host without any counts as left out: with
+flows assigned at random that happens once in twenty thousand."""
 MAX_MEMORY_GROWTH = 1.5
 MEMORY_SLACK_BYTES = 24 << 20
 DESCRIPTOR_SLACK = 24
 
 
 class SoakPromise(enum.StrEnum):
-    """What must hold."""
+    """What must hold in every run; the values name the promises in reports."""
 
     AT_MOST_ONCE = "a request runs at most once"
     RIGHT_ANSWER = "an answer belongs to the request"
@@ -75,10 +79,10 @@
         SoakPromise.URGENT_FIRST,
     )
 )
-"""Promises with a time in them: a machine that stands still for seconds can break them."""
+"""Promises with a time limit: a machine that stalls for seconds can break them."""
 STALL_REACH_SECONDS = 10.0
-"""How near to a stall of the machine a promise with a time in it may be broken by it: the longest
-time in one is that until the service is back, and the look at it after that."""
+"""How near to a stall of the machine a promise with a time limit may be broken by the stall: the
+longest such time is the recovery of the service and its observation after that."""
 
 
 class SoakViolation(msgspec.Struct, frozen=True):
@@ -90,11 +94,11 @@
 
 
 Check = Callable[[SoakHistory, float], Iterator[SoakViolation]]
-"""A check; the number is how many new flows a second a cold host may get."""
+"""A check; the number is how many new flows per second a cold host may get."""
 
 
 def check_all(history: SoakHistory, cold_flows_per_second: float) -> list[SoakViolation]:
-    """Return every broken promise, in the order of time."""
+    """Return every violation, ordered by time."""
     found = [each for check in CHECKS for each in check(history, cold_flows_per_second)]
     return sorted(found, key=lambda each: each.at)
 
@@ -102,7 +106,7 @@
 def without_stall_violations(
     violations: list[SoakViolation], stalls: list[MachineStall]
 ) -> list[SoakViolation]:
-    """Leave out promises with a time in them that were broken near a stall of the machine."""
+    """Return the violations without those of time limits near a stall of the machine."""
     return [
         each
         for each in violations
@@ -154,9 +158,9 @@
 
 
 def _drained_spans(history: SoakHistory) -> Iterator[tuple[float, float, str]]:
-    """Yield from when to when each zone has to be without new flows.
+    """Yield from when to when each zone must get no new flows.
 
-    An order to restore it that is under way together with the one to drain it may come last.
+    A restore order that overlaps the drain order may take effect after it.
     """
     for order in history.zones:
         if not order.drained or order.acknowledged_at is None:
@@ -170,7 +174,7 @@
 
 
 def _may_follow(restore: ZoneOrdered, drain: ZoneOrdered) -> bool:
-    """Tell whether an order to restore may have taken effect after one to drain."""
+    """Tell whether a restore order may have taken effect after a drain order."""
     if restore.acknowledged_at is not None:
         return restore.acknowledged_at > drain.sent_at
     if restore.given_up_at is None:
@@ -223,7 +227,7 @@
 
 
 def _last_fault_ends_at(history: SoakHistory) -> float:
-    """Return when the last fault was over, or the last pressure: callers are late after it too."""
+    """Return when the last fault or overload ended: callers are late after overload too."""
     return max((each.ended_at or each.began_at for each in history.faults), default=0.0)
 
 
@@ -266,14 +270,14 @@
 
 def _other_writers(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     for taken in history.unusable_taken:
-        detail = f"{taken.agent} took {taken.body!r}"
+        detail = f"{taken.agent} accepted {taken.body!r}"
         yield SoakViolation(SoakPromise.OTHER_WRITERS, taken.at, detail)
 
 
 def _urgent_first(history: SoakHistory, _: float) -> Iterator[SoakViolation]:
     for broken in priority_violations(history):
         begun = ", ".join(f"{count} at {host}" for host, count in broken.counts.items())
-        detail = f"{broken.refused.request_id}; less urgent ones begun after it: {begun}"
+        detail = f"{broken.refused.request_id}; less urgent ones started after it: {begun}"
         yield SoakViolation(SoakPromise.URGENT_FIRST, broken.refused.at, detail)
 
 
--- a/src/jasperwalk_lab/soak/faults.py
+++ b/src/jasperwalk_lab/soak/faults.py
@@ -1,4 +1,7 @@
-"""The faults of a soak: what they strike, how long they last, which of them are planned work."""
+"""The kinds of faults of a soak: their targets, their durations, and which are planned work.
+
+Planned work is what operators do on purpose; it must not reset an open flow.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class TargetGroup(enum.StrEnum):
-    """What a fault strikes."""
+    """What a fault is injected into."""
 
     CONTROL = "control"
     BALANCER = "balancer"
@@ -20,7 +23,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What happens."""
+    """What a fault does."""
 
     CONTROL_KILLED = "control-killed"
     CONTROL_PAUSED = "control-paused"
@@ -64,7 +67,7 @@
 
 
 class FaultShape(msgspec.Struct, frozen=True):
-    """A kind's target, its shortest and longest time in seconds, and whether it is planned work."""
+    """A kind's target group, its duration bounds in seconds, and whether it is planned work."""
 
     group: TargetGroup
     shortest: float
@@ -114,13 +117,13 @@
     FaultKind.HOST_SPEAKS_LATE: FaultShape(TargetGroup.HOST, 0.3, 2.5),
 }
 SEPARATELY_DRAWN_KINDS = (FaultKind.CONTROL_LINKS_ABANDONED, FaultKind.HOST_SPEAKS_LATE)
-"""Kinds with random numbers of their own: the schedules of kept seeds stay as they were."""
+"""Kinds drawn by a random generator of their own: the schedules of kept seeds stay the same."""
 OVERLOAD_KINDS = frozenset((FaultKind.CALLERS_RUSH, FaultKind.HOST_SLOW))
-"""Load beyond what hosts bear. It excuses no broken promise, and `pressure` alone plans it."""
+"""Load beyond the hosts' capacity. It excuses no violation, and only `overload` plans it."""
 
 
 class PlannedFault(msgspec.Struct, frozen=True):
-    """One fault: when it begins, what it strikes, how long it lasts; seconds of the run."""
+    """One fault of the schedule: its start, its target and its duration, in seconds of the run."""
 
     at: float
     kind: FaultKind
@@ -129,17 +132,20 @@
 
     @property
     def is_planned(self) -> bool:
-        """Tell whether it is planned work, which may cost no open flow."""
+        """Tell whether it is planned work, which must not reset an open flow."""
         return SHAPES[self.kind].is_planned
 
     @property
     def ends_at(self) -> float:
-        """When it is undone."""
+        """Return when it is undone."""
         return self.at + self.seconds
 
 
 class InjectedFault(msgspec.Struct, frozen=True):
-    """A fault as it took place; `ended_at` is None where the run ended before it was undone."""
+    """A fault as it took place; `ended_at` is None where the run ended before it was undone.
+
+    `failure` says why it could not be injected, and is empty otherwise.
+    """
 
     planned: PlannedFault
     began_at: float
--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -1,6 +1,7 @@
 """The processes of a soak: control replicas, balancers and agents, started through `platform/`.
 
-Each has loopback addresses of its own. Replicas and agents advertise relays, in which links fail.
+Each has loopback addresses of its own. Replicas and agents advertise the addresses of relays, which
+inject link faults.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
 ZONES = ("north", "south")
 SERVICES = ("web", "export")
 CLAIM_PORT = 47_011
-"""A run holds this port at one address of its block, so that no other run takes the block."""
+"""Port that a run binds at one address of its block, so that no other run takes the block."""
 BLOCKS = range(40, 120)
-"""Second numbers of the loopback addresses that runs may use."""
+"""Second octets of the loopback addresses that runs may use."""
 WARM_UP_FLOOR = 5
 ROLES = ("control", "balancer", "agent")
 STORAGE_FAULT_FILE = "storage-fault"
@@ -45,20 +46,20 @@
 
 SIZES = {
     "small": SoakSize(3, 3, 6, 16, 20.0),
-    # Eighty processes, of which ten start at a time: what eight processors bear.
+    # Eighty processes, of which ten start at a time: the limit of eight processors.
     "large": SoakSize(5, 15, 60, 60, 60.0),
 }
 
 
 class NoFreeAddressBlock(Exception):
-    """Every block of loopback addresses is taken by another run."""
+    """Every block of loopback addresses is in use by another run."""
 
 
 class SoakFleet:
-    """Lays the processes out; use it as an asynchronous context."""
+    """Assigns addresses and settings to the processes, and runs them as an asynchronous context."""
 
     def __init__(self, folder: Path, rng: random.Random, size: SoakSize) -> None:
-        """Lay the processes out on addresses of their own; raises `NoFreeAddressBlock`."""
+        """Claim a block of addresses and lay the processes out; raises `NoFreeAddressBlock`."""
         self.folder = folder
         self._claim, self._block = _claim_block()
         self._rng = rng
@@ -105,7 +106,7 @@
         return Endpoint(host, self._ports[port])
 
     def targets(self) -> SoakTargets:
-        """Return what faults may strike."""
+        """Return the targets of faults."""
         by_role = {role: self.of_role(role) for role in ROLES}
         return SoakTargets(
             tuple(each.name for each in by_role["control"]),
@@ -119,7 +120,7 @@
         return [each for each in self.processes.values() if each.role == role]
 
     def replicas(self) -> list[Endpoint]:
-        """Return where operators call."""
+        """Return the addresses of the replicas for operators."""
         return [self._at(host, "operators") for host in self._control_hosts]
 
     def _lay_out(self) -> None:
@@ -201,15 +202,15 @@
         )
 
     def storage_fault_file(self, control: str) -> Path:
-        """Return the file that says how a replica's storage misbehaves."""
+        """Return the file that sets the storage fault of a replica."""
         return self.folder / f"{control}-{STORAGE_FAULT_FILE}"
 
     def wipe(self, control: str) -> None:
-        """Empty a replica's data folder; its process must not run."""
+        """Remove a replica's data folder; its process must not run."""
         shutil.rmtree(self.folder / f"{control}-data", ignore_errors=True)
 
     async def __aenter__(self) -> SoakFleet:
-        """Start everything; the system is founded by its first start only."""
+        """Start everything; only this first start founds the system."""
         for tcp in self.control_relays.values():
             await tcp.start()
         for udp in self.agent_relays.values():
@@ -220,7 +221,7 @@
         return self
 
     async def __aexit__(self, *_failure: object) -> None:
-        """End everything that was started here, by process ID."""
+        """Stop everything that was started here, by process ID."""
         ending = [each.stop() for each in self.processes.values()]
         await asyncio.gather(*ending, return_exceptions=True)
         for tcp in self.control_relays.values():
@@ -231,7 +232,7 @@
 
 
 def _claim_block() -> tuple[socket.socket, int]:
-    """Return a block of addresses that no other run uses, and what claims it."""
+    """Return the socket that claims a block of addresses, and the block's number."""
     for block in random.SystemRandom().sample(BLOCKS, len(BLOCKS)):
         claim = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -241,4 +242,4 @@
             claim.close()
             continue
         return claim, block
-    raise NoFreeAddressBlock("all blocks are taken")
+    raise NoFreeAddressBlock("all blocks of loopback addresses are in use")
--- a/src/jasperwalk_lab/soak/history.py
+++ b/src/jasperwalk_lab/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, hosts and operators of a soak saw; the checks read nothing else."""
+"""What callers, hosts and operators of a soak observed; the only input of the checks."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     route_service: str
     zone: str
     flow: str = ""
-    """Names the flow in the whole history, here and below."""
+    """Name of the flow throughout the history, here and below."""
     priority: int = 0
 
 
 class RequestStarted(msgspec.Struct, frozen=True):
-    """A request that a host began to run."""
+    """A request that a host started to run."""
 
     at: float
     request_id: str
@@ -55,7 +55,7 @@
 
 
 class RequestRefused(msgspec.Struct, frozen=True):
-    """A try that its caller was told did not run: by the system, or by its host."""
+    """A try that the system, or its host, reported to the caller as not run."""
 
     at: float
     request_id: str
@@ -66,7 +66,7 @@
 
 
 class HostStarted(msgspec.Struct, frozen=True):
-    """A host that started beside an agent; it takes the place of the one before."""
+    """A host that started beside an agent; it replaces the one before."""
 
     at: float
     agent: str
@@ -75,7 +75,7 @@
 
 
 class RequestEnded(msgspec.Struct, frozen=True):
-    """What became of a request; `answered_id` is the request that the answer names."""
+    """The end of a request; `answered_id` is the request that the answer names."""
 
     began_at: float
     at: float
@@ -85,7 +85,7 @@
 
 
 class OpenFlowReset(msgspec.Struct, frozen=True):
-    """A reset on a flow that its host, still alive, held open and had not reset itself."""
+    """A reset of a flow that its running host held open and had not reset itself."""
 
     at: float
     flow: str
@@ -93,14 +93,14 @@
 
 
 class HostDrained(msgspec.Struct, frozen=True):
-    """A host's word that it drains, acknowledged by the agent beside it."""
+    """A host's announcement that it drains, acknowledged by the agent beside it."""
 
     at: float
     host_id: str
 
 
 class MachineStall(msgspec.Struct, frozen=True):
-    """The run's own event loop, and so the machine, stood still for `seconds` before `at`."""
+    """The run's own event loop, and so the machine, stalled for `seconds` before `at`."""
 
     at: float
     seconds: float
@@ -115,7 +115,7 @@
 
 
 class HostColdPeriod(msgspec.Struct, frozen=True):
-    """A host is cold from its start on."""
+    """The time in which a host is cold, from its start."""
 
     host_id: str
     begins_at: float
@@ -123,7 +123,7 @@
 
 
 class InvalidAnnouncementAccepted(msgspec.Struct, frozen=True):
-    """An announcement that names no host to use, and that an agent acknowledged."""
+    """An announcement without a usable host that an agent acknowledged nevertheless."""
 
     at: float
     agent: str
@@ -131,27 +131,27 @@
 
 
 class ZoneOrdered(msgspec.Struct, frozen=True):
-    """An order for a zone: when it was sent first, and acknowledged (None where it was not)."""
+    """An order for a zone: when it was first sent, and acknowledged (None where it was not)."""
 
     zone: str
     drained: bool
     sent_at: float
     acknowledged_at: float | None
     given_up_at: float | None = None
-    """When an order that nobody acknowledged was sent for the last time."""
+    """When an order without acknowledgement was sent for the last time."""
 
 
 class ConfigurationAcknowledged(msgspec.Struct, frozen=True):
-    """A configuration that an operator had acknowledged."""
+    """A configuration that a replica acknowledged to an operator."""
 
     at: float
     version: int
 
 
 class ConfigurationRead(msgspec.Struct, frozen=True):
-    """A configuration that was read back from a replica, of version 0 where the answer is none.
+    """A configuration that was read back from a replica; version 0 where the answer is not one.
 
-    `is_answered` is False where nobody answered at the end of the run.
+    `is_answered` is False where no replica answered at the end of the run.
     """
 
     asked_at: float
@@ -160,7 +160,7 @@
 
 
 class ProcessResources(msgspec.Struct, frozen=True):
-    """Memory and descriptors of a process when traffic had begun, and at the end."""
+    """Memory and descriptors of a process soon after traffic started, and at the end."""
 
     process: str
     first_bytes: int
@@ -170,7 +170,7 @@
 
 
 class ProcessKilledAtStop(msgspec.Struct, frozen=True):
-    """A process that did not end within the grace of its stop signal."""
+    """A process that did not end within the grace period after its stop signal."""
 
     at: float
     process: str
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts: they announce themselves, take flows, run requests, drain, crash, turn away."""
+"""Stand-in hosts: they announce themselves, accept flows, run requests, drain, crash, reject."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 HEARTBEAT_SECONDS = 0.8
 RETRY_SECONDS = 0.1
 URGENT_SERVICE_SECONDS = (0.004, 0.03)
-"""Shortest and longest work on a request of the most urgent routes."""
+"""Shortest and longest service time of requests on the most urgent routes."""
 NORMAL_SERVICE_SECONDS = (0.08, 0.16)
-"""The same for all others."""
+"""Shortest and longest service time of all other requests."""
 COLD_SECONDS = 2.0
 CAPACITY = 2
-"""Requests that a host works on at once."""
+"""Requests that a host runs at once."""
 MAX_QUEUED = 8
-"""Further requests that it keeps; it turns others away and says that they did not run."""
+"""Further requests that a host queues; it answers others as not run."""
 REQUEST_MARK = b"request "
 ANSWER_MARK = b"answer "
 NOT_RUN_MARK = b"not run "
@@ -52,7 +52,7 @@
 
 @dataclass
 class HostFlow:
-    """A flow at a host; `answers` are kept for requests that come again, by their number."""
+    """A flow at a host; `answers` are kept by request number, for copies of requests."""
 
     sequence: int
     is_open: bool = False
@@ -63,7 +63,7 @@
 
 @dataclass
 class HostPlace:
-    """Where a host is: its own address, where its packets go, and where it announces itself."""
+    """Where a host is: its own address, where it sends packets, and where it announces itself."""
 
     name: str
     service: str
@@ -75,9 +75,9 @@
 
 @dataclass
 class SoakHost:
-    """One start of a host; a crash ends it. Another start may have its ID, and then knows nothing.
+    """One start of a host, ended by a crash. A later start may have the same ID, but not the state.
 
-    `start_id` names the start in the history: `host_id` alone may be that of several.
+    `start_id` identifies the start in the history, as several starts may share a `host_id`.
     """
 
     place: HostPlace
@@ -90,12 +90,12 @@
     is_cold: bool = True
     rejects_openings: bool = False
     service_time_factor: float = 1.0
-    """How many times as long as usual it works on a request."""
+    """Factor on its service times."""
     is_draining: bool = False
     flows: dict[tuple[Endpoint, Endpoint], HostFlow] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Name this start."""
+        """Identify this start."""
         self.host_id = f"i-{self.place.name}-{self.number}"
         self.start_id = f"{self.host_id}.{self.generation}"
         self.started_unix_ms = 0
@@ -110,7 +110,7 @@
         self._slots = asyncio.Semaphore(CAPACITY)
 
     async def start(self) -> None:
-        """Listen, and announce the host again and again; raises `OSError`."""
+        """Listen, and announce the host periodically; raises `OSError`."""
         place, loop = self.place, asyncio.get_running_loop()
         self._server = await asyncio.start_server(_refuse_call, place.app.host, place.app.port)
         self._transport, _ = await loop.create_datagram_endpoint(
@@ -128,7 +128,7 @@
         self._announcing = asyncio.create_task(self._announce_again())
 
     async def crash(self) -> None:
-        """Forget everything at once, without a word."""
+        """End at once, without an announcement; all state is lost."""
         self.is_alive = False
         for task in (self._announcing, *self._running_requests):
             if task is not None:
@@ -141,7 +141,7 @@
         await asyncio.sleep(0)
 
     async def drain(self, seconds: float) -> None:
-        """Say that the host leaves, serve on for a while, deregister and end."""
+        """Announce that the host drains, go on serving for a while, deregister and end."""
         self.is_draining = True
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
@@ -184,7 +184,7 @@
         )
 
     async def announce_late(self, is_draining: bool) -> None:
-        """Have a call arrive that the host sent before it crashed."""
+        """Deliver a call as if the host had sent it before it crashed."""
         self._calls += 1
         self.is_draining = is_draining
         heartbeat = self._heartbeat()
@@ -193,7 +193,7 @@
         caller.close()
 
     async def announce_invalid(self) -> None:
-        """Send announcements that name no host to use, under this host's name."""
+        """Send invalid announcements under this host's ID; record those that are acknowledged."""
         heartbeat = self._heartbeat()
         for body in heartbeat.invalid_bodies():
             answer = await self._caller.call(self.place.calls, "PUT", heartbeat.path(), body)
@@ -226,7 +226,7 @@
             self._handle_request(key, flow, packet)
 
     def _follows_handshake(self, flow: HostFlow, packet: Packet) -> bool:
-        """Tell whether a packet follows this host's answer up."""
+        """Tell whether the flow is open or the packet follows this host's opening answer."""
         return flow.is_open or (packet.acknowledged - flow.sequence) % 2**32 < 2**16
 
     def _handle_opening(
@@ -308,7 +308,7 @@
 
 
 def flow_name(caller: Endpoint, listener: Endpoint) -> str:
-    """Return what names a flow in the history."""
+    """Return the name of a flow in the history."""
     return f"{caller}>{listener}"
 
 
@@ -317,5 +317,5 @@
 
 
 async def _refuse_call(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Nobody calls a stand-in's health page; that the port is open tells that the host runs."""
+    """Abort the connection: an open port shows that the host runs, and no call is expected here."""
     writer.transport.abort()
--- a/src/jasperwalk_lab/soak/http_calls.py
+++ b/src/jasperwalk_lab/soak/http_calls.py
@@ -1,6 +1,6 @@
-"""Plain HTTP calls of the stand-ins, bounded in time, on connections that are kept.
+"""HTTP calls of the stand-ins, with a time-out, on connections that are reused.
 
-A caller goes on using an open connection until the other side closes it: a process that stops gets
+A caller reuses an open connection until the other side closes it, so that a process that stops gets
 further calls on it meanwhile.
 """
 
@@ -15,12 +15,12 @@
 from jasperwalk.addresses import Endpoint
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""A caller of the platform moves on after a second of silence."""
+"""Time after which a caller of the platform gives up a call."""
 MAX_BODY_BYTES = 1 << 20
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """An answer; status 0 stands for none. `location` is where a redirect leads."""
+    """An answer; status 0 means no answer. `location` is the target of a redirect."""
 
     status: int
     body: bytes = b""
@@ -38,7 +38,7 @@
     writer: asyncio.StreamWriter
 
     def is_usable(self) -> bool:
-        """Tell whether the other side has not closed it."""
+        """Tell whether neither side has closed it."""
         return not self.writer.is_closing() and not self.reader.at_eof()
 
 
@@ -56,7 +56,7 @@
         body: bytes = b"",
         seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> CallAnswer:
-        """Make one call; a failure is an answer without a status."""
+        """Make one call; a failure or time-out returns `NO_ANSWER`."""
         try:
             async with asyncio.timeout(seconds):
                 return await self._call(endpoint, method, path, body)
@@ -64,7 +64,7 @@
             return NO_ANSWER
 
     def close(self) -> None:
-        """Drop the connections."""
+        """Abort the idle connections."""
         for connections in self._idle.values():
             for each in connections:
                 each.writer.transport.abort()
--- a/src/jasperwalk_lab/soak/injector.py
+++ b/src/jasperwalk_lab/soak/injector.py
@@ -1,4 +1,4 @@
-"""Brings a soak's faults about, and undoes them."""
+"""Injects the planned faults of a soak at their times, and undoes them after their duration."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 SLOW_LINK_SECONDS = 0.15
 SLOW_STORAGE_SECONDS = 0.4
 SLOW_HOST_FACTOR = 6.0
-"""How many times as long as usual slow hosts work."""
+"""Factor on the service time of slow hosts."""
 DRAIN_SECONDS = 0.8
 
 Clock = Callable[[], float]
@@ -63,7 +63,7 @@
 
 
 class SoakInjector:
-    """Runs a schedule; faults that cannot be brought about are recorded with the reason."""
+    """Runs a schedule; a fault that cannot be injected is recorded with the reason."""
 
     def __init__(
         self,
@@ -85,10 +85,10 @@
         self._progress = progress
         self._rng = rng
         self.now: list[str] = []
-        """The faults that hold now, for people who watch."""
+        """Labels of the active faults, for the progress lines."""
 
     async def run(self, planned: list[PlannedFault]) -> None:
-        """Bring all of them about, each at its time; return when the last one is undone."""
+        """Inject all of them, each at its time; return when the last one is undone."""
         async with asyncio.TaskGroup() as tasks:
             for fault in planned:
                 tasks.create_task(self._inject_at(fault))
@@ -143,7 +143,7 @@
             self._history.killed_at_stop.append(ProcessKilledAtStop(self._clock(), process.name))
 
     async def _restart_often(self, process: SoakProcess, seconds: float) -> None:
-        """End and start a process again and again, also in the middle of its start."""
+        """Stop or kill a process and start it again several times, also during its start-up."""
         for _ in range(RESTARTS_IN_A_ROW):
             if self._rng.choice((True, False)):
                 await self._end_by_signal(process)
@@ -153,7 +153,7 @@
             await asyncio.sleep(self._rng.uniform(0.0, seconds / RESTARTS_IN_A_ROW))
 
     async def _signal_often(self, process: SoakProcess, seconds: float) -> None:
-        """Tell a process again and again that its settings have changed."""
+        """Send a process the reload signal several times."""
         for _ in range(SIGNALS_IN_A_ROW):
             process.reload()
             await asyncio.sleep(self._rng.uniform(0.0, 2 * seconds / SIGNALS_IN_A_ROW))
@@ -200,12 +200,12 @@
         host.rejects_openings = False
 
     async def _abandon_links(self, _fault: PlannedFault) -> None:
-        """Let nothing through on any connection to a replica that stands; new ones work."""
+        """Silence every open connection to a replica; new connections work."""
         for relay in self._fleet.control_relays.values():
             relay.silence_open_connections()
 
     async def _deliver_late_announcement(self, fault: PlannedFault) -> None:
-        """Let a host crash, another start in its place, and a call of the former one arrive."""
+        """Crash a host, start another in its place, then deliver a call of the former one."""
         former = self._hosts.beside(fault.target)
         await former.crash()
         await self._hosts.start(fault.target, is_cold=True)
@@ -231,9 +231,9 @@
         await self._kill(running, fault.seconds)
 
     async def _start_host_again(self, fault: PlannedFault) -> None:
-        """Let the host end and start again under its ID, once or in a row.
+        """End the host and start it again under its ID, once or several times.
 
-        It crashes, or it says first that it leaves.
+        It crashes, or it drains first.
         """
         for _ in range(self._rng.randint(1, MAX_HOST_RESTARTS)):
             host = self._hosts.beside(fault.target)
@@ -255,7 +255,7 @@
             await asyncio.gather(*changes)
 
     async def _alternate_zone_orders(self, fault: PlannedFault) -> None:
-        """Drain and restore a zone without a pause; the last order restores it."""
+        """Drain and restore a zone without pauses; the last order restores it."""
         ends_at = self._clock() + fault.seconds
         while self._clock() < ends_at:
             await self._operators.drain_zone(fault.target, drained=True)
@@ -283,7 +283,7 @@
 
 
 def covers_every_kind() -> bool:
-    """Tell whether each kind of fault can be brought about."""
+    """Tell whether there is an injection for each kind of fault."""
     on_processes = KILLS | PAUSES | STOPS | RESTARTED_OFTEN | SIGNALLED
     known = on_processes | LINKS.keys() | STORAGE.keys() | SoakInjector._handlers.keys()
     return known == SHAPES.keys()
--- a/src/jasperwalk_lab/soak/kept_seeds.py
+++ b/src/jasperwalk_lab/soak/kept_seeds.py
@@ -1,4 +1,4 @@
-"""The seeds that once failed, each with its length and a line on the cause."""
+"""Regression seeds: each seed that once failed, with the length of its run and the cause."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def read_kept_seeds(path: Path = KEPT_SEEDS) -> list[KeptSeed]:
-    """Read `seed | seconds | cause` lines; `#` begins a comment. Raises `LabSettingsError`."""
+    """Read `seed | seconds | cause` lines; `#` starts a comment. Raises `LabSettingsError`."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
--- a/src/jasperwalk_lab/soak/operators.py
+++ b/src/jasperwalk_lab/soak/operators.py
@@ -1,4 +1,7 @@
-"""Stand-in operators: they send configurations, drain and restore zones, read back, and race."""
+"""Stand-in operators: they send configurations and zone orders, also concurrently, and read back.
+
+They record what replicas acknowledged and returned, for the checks.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +20,20 @@
 from jasperwalk_lab.soak.wire import CONFIG_PATH, SoakConfiguration, evacuation_path, version_of
 
 ORDER_REPEAT_SECONDS = 6.0
-"""How long an order for a zone is repeated."""
+"""How long an order for a zone is repeated without acknowledgement."""
 RETRY_SECONDS = (0.05, 0.1, 0.2, 0.4)
 MAX_REDIRECTS = 2
 CHANGE_PAUSE_SECONDS = (0.5, 2.5)
 READ_PAUSE_SECONDS = 0.7
 READ_AT_END_SECONDS = 8.0
 LOST_ANSWER_SHARE = 0.2
-"""Share of acknowledgements that an operator treats as lost, and sends the order again."""
+"""Share of acknowledgements that an operator treats as lost, so that it sends the order again."""
 OK_STATUS = 200
 REDIRECT_STATUS = 307
 
 
 class Operators:
-    """Calls control replicas at `replicas`, in any order, until one acknowledges."""
+    """Sends orders to control replicas, each try to a random one, until one acknowledges."""
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
         history: SoakHistory,
         rng: random.Random,
     ) -> None:
-        """`make` builds the configuration of a version."""
+        """`make` builds the configuration of a given version."""
         self._replicas = replicas
         self._make = make
         self._clock = clock
@@ -57,20 +60,20 @@
         self._history.acknowledged.append(ConfigurationAcknowledged(self._clock(), version))
 
     async def change_configurations(self) -> None:
-        """Send configurations until cancelled, now and then two at once."""
+        """Send configurations until cancelled, sometimes two at once."""
         while True:
             await asyncio.sleep(self._rng.uniform(*CHANGE_PAUSE_SECONDS))
             racing = [self.configure() for _ in range(self._rng.choice((1, 1, 2)))]
             await asyncio.gather(*racing)
 
     async def read_repeatedly(self) -> None:
-        """Read the configuration back from any replica, until cancelled."""
+        """Read the configuration back from random replicas until cancelled."""
         while True:
             await asyncio.sleep(READ_PAUSE_SECONDS)
             await self._read(self._rng.choice(self._replicas))
 
     async def read_at_end(self) -> None:
-        """Read until a replica answers: what was acknowledged has to be there."""
+        """Read until a replica answers; record an unanswered read where none does in time."""
         asked_at = self._clock()
         while self._clock() < asked_at + READ_AT_END_SECONDS:
             if await self._read(self._rng.choice(self._replicas)):
@@ -86,7 +89,7 @@
         return answer.status == OK_STATUS
 
     async def drain_zone(self, zone: str, drained: bool) -> None:
-        """Order a zone drained or restored, again and again for a limited time."""
+        """Order a zone drained or restored, repeated for a limited time until acknowledged."""
         sent_at = self._clock()
         method = "POST" if drained else "DELETE"
         is_acknowledged = await self._order(
--- a/src/jasperwalk_lab/soak/overload.py
+++ b/src/jasperwalk_lab/soak/overload.py
@@ -1,8 +1,8 @@
-"""Draws load beyond what hosts bear: rushes of callers, and slow hosts.
+"""Draws load beyond the hosts' capacity from the seed: surges of callers, and slow hosts.
 
-A run begins with pressure alone, so that what is refused then is refused for want of room and for
-no other reason. More of it comes together with faults. It has random numbers of its own: the
-faults of a seed are the same with and without it.
+A run starts with overload alone, so that what is refused then is refused for lack of capacity and
+for no other reason. Later overload comes together with faults. It has a random generator of its
+own: the faults of a seed are the same with and without it.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 )
 
 FAULT_FREE_SECONDS = 18.0
-"""Time at the beginning without any fault."""
+"""Time at the start of a run without any fault."""
 FAULT_FREE_SURGE_SECONDS = (2.0, 7.0, 12.0)
-"""When the rushes of that time begin: one of each width, in an order drawn by lot."""
+"""When the surges of that time start: one of each scope, in random order."""
 SURGE_INTERVAL_SECONDS = (10.0, 20.0)
-"""Shortest and longest time between two rushes after that."""
+"""Shortest and longest time between two surges after that."""
 SLOW_HOST_PROBABILITY = 0.5
-"""How often hosts are slow during a rush."""
+"""Probability that some hosts are slow during a surge."""
 SLOW_HOST_SHARE = 6
-"""One host in so many is slow then."""
+"""One host in this many is slow then."""
 
 
 class SurgeScope(enum.StrEnum):
-    """Which callers rush: all of them, those of one kind of request, or those of one zone."""
+    """Which callers surge: all of them, those of one kind of request, or those of one zone."""
 
     ALL = "all"
     KIND = "kind"
@@ -41,25 +41,25 @@
 
 
 class Surge(msgspec.Struct, frozen=True):
-    """A rush of callers: `value` is the kind's priority or the zone's name."""
+    """A surge of callers: `value` is the kind's priority or the zone's name."""
 
     scope: SurgeScope
     value: str = ""
 
     @property
     def target(self) -> str:
-        """Return how the schedule names it."""
+        """Return its name in the schedule."""
         return f"{self.scope}:{self.value}"
 
     @classmethod
     def parse(cls, target: str) -> Surge:
-        """Return what a target of the schedule names; raises `ValueError`."""
+        """Return the surge that a target of the schedule names; raises `ValueError`."""
         scope, _, value = target.partition(":")
         return cls(SurgeScope(scope), value)
 
 
 def plan_with_overload(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan a run of `FAULT_FREE_SECONDS` and `seconds` more, in the order of beginning."""
+    """Plan a run of `FAULT_FREE_SECONDS` and `seconds` more, ordered by start."""
     faults_without_overload = [
         *plan_faults(targets, seconds, seed),
         *plan_separately_drawn(targets, seconds, seed),
@@ -72,7 +72,7 @@
 
 
 def plan_overload(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the rushes and the slow hosts of the same run."""
+    """Plan the surges and the slow hosts of the same run."""
     rng = random.Random(f"pressure {seed}")
     planned: list[PlannedFault] = []
     for at, scope in zip(FAULT_FREE_SURGE_SECONDS, rng.sample(list(SurgeScope), 3), strict=True):
@@ -89,7 +89,7 @@
 def _draw_surge(
     targets: SoakTargets, scope: SurgeScope, at: float, rng: random.Random
 ) -> list[PlannedFault]:
-    """Return a rush, and the hosts that are slow during it."""
+    """Return a surge, and the hosts that are slow during it."""
     value = {
         SurgeScope.ALL: "",
         SurgeScope.KIND: rng.choice(("0", "1")),
--- a/src/jasperwalk_lab/soak/processes.py
+++ b/src/jasperwalk_lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of the product in a soak: how they are started, struck and ended."""
+"""The processes of the product in a soak: starts, stops, kills, pauses and signals them."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 ROOT = Path(__file__).resolve().parents[3]
 RUN_SCRIPT = ROOT / "platform" / "run.py"
 STOP_GRACE_SECONDS = 8.0
-"""From SIGTERM to SIGKILL: an agent may wait for a host that leaves."""
+"""Time from SIGTERM to SIGKILL: an agent may wait for a draining host."""
 
 
 class ProcessNotRunning(Exception):
-    """A process that was to be struck does not run."""
+    """The process that a fault targets does not run."""
 
 
 @dataclass
 class SoakProcess:
-    """One process of the product; `settings` are written anew at each start."""
+    """One process of the product; `settings` are written to its file at each start."""
 
     name: str
     role: str
@@ -37,7 +37,7 @@
     supervisor: Supervisor
 
     async def start(self) -> None:
-        """Start it; its log goes on."""
+        """Start it; its log is continued."""
         path = self.folder / f"{self.name}.toml"
         path.write_text(tomli_w.dumps(self.settings), encoding="utf-8")
         environment = {"PATH": os.environ.get("PATH", ""), SETTINGS_VARIABLE: str(path)}
@@ -45,36 +45,36 @@
         await self.supervisor.start(ProcessPlan(self.name, command, None, environment))
 
     async def kill(self) -> None:
-        """End it at once; raises `ProcessNotRunning`."""
+        """Kill it with SIGKILL; raises `ProcessNotRunning`."""
         self._check_runs()
         await self.supervisor.kill(self.name)
 
     async def stop(self) -> bool:
-        """End it with SIGTERM, after a while with SIGKILL; raises `ProcessNotRunning`.
+        """Stop it with SIGTERM, then after a grace period SIGKILL; raises `ProcessNotRunning`.
 
-        Returns whether it ended in time; while it stands still its time does not run.
+        Returns whether it ended in time; time in which it is paused does not count.
         """
         self._check_runs()
         status = await self.supervisor.stop(self.name, STOP_GRACE_SECONDS)
         return status != -signal.SIGKILL
 
     async def pause(self, seconds: float) -> None:
-        """Let it stand still; raises `ProcessNotRunning`."""
+        """Suspend it for `seconds`; raises `ProcessNotRunning`."""
         self._check_runs()
         paused = psutil.Process(self.supervisor.process_id(self.name))
         paused.suspend()
         try:
             await asyncio.sleep(seconds)
         finally:
-            # It may be stopping meanwhile, or have been killed.
+            # It may have ended or been killed meanwhile.
             with contextlib.suppress(psutil.NoSuchProcess):
                 paused.resume()
 
     def reload(self) -> None:
-        """Tell it that its settings have changed; raises `ProcessNotRunning`.
+        """Send it the reload signal; raises `ProcessNotRunning`.
 
-        A process whose interpreter has not come to the program's first line cannot take the signal
-        yet: that is the system's to bear, and it is passed over.
+        A process whose interpreter has not reached the program's first line would be ended by the
+        signal, which the program cannot prevent: it gets none.
         """
         process_id = self.supervisor.process_id(self.name)
         if process_id is None:
@@ -84,11 +84,11 @@
                 os.kill(process_id, signal.SIGHUP)
 
     def runs(self) -> bool:
-        """Tell whether it runs and was not told to end."""
+        """Tell whether it runs and is not being stopped."""
         return self.supervisor.process_id(self.name) is not None
 
     def exists(self) -> bool:
-        """Tell whether it is there at all, also while it is on its way to its end."""
+        """Tell whether it exists, also while it is being stopped."""
         return self.supervisor.exists(self.name)
 
     def _check_runs(self) -> None:
@@ -108,7 +108,7 @@
 
 
 def _takes_reload_signal(process_id: int) -> bool:
-    """Tell whether a process ignores the reload signal or has a handler of it."""
+    """Tell whether a process ignores the reload signal or has a handler for it."""
     try:
         status = Path(f"/proc/{process_id}/status").read_text(encoding="ascii")
     except FileNotFoundError:
--- a/src/jasperwalk_lab/soak/refusal_checks.py
+++ b/src/jasperwalk_lab/soak/refusal_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of refusals: urgent requests come first, and what was refused did not run."""
+"""Checks on refusals: urgent requests come first, and a refused request did not run."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 )
 
 MAX_OWED = 1.0
-"""Less urgent requests that a host may owe from before, beside that share."""
+"""Less urgent requests that a host may have due from before, beside the least share."""
 FAULT_REACH_SECONDS = 6.0
-"""Refusals within this time after a fault may have other causes than want of room."""
+"""Refusals within this time after a fault may have other causes than lack of capacity."""
 MAX_OPENING_WAIT_SECONDS = 1.4
-"""Longest time for which an opening can wait before its caller gives up."""
+"""Longest time for which an opening packet can wait before its caller gives up."""
 
 
 class PriorityViolation(msgspec.Struct, frozen=True):
-    """An urgent request that was refused while every host began less urgent ones that waited."""
+    """An urgent request that was refused while every host started waiting less urgent ones."""
 
     refused: RequestRefused
     counts: dict[str, int]
-    """Less urgent openings begun after the refusal, by host."""
+    """Less urgent openings started after the refusal, by host."""
 
 
 class RanThoughRefused(msgspec.Struct, frozen=True):
-    """A request that its caller was told did not run, and the host that ran it."""
+    """A request that was reported to its caller as not run, and the host that ran it."""
 
     refused: RequestRefused
     host_id: str
@@ -45,12 +45,12 @@
     max_owed: float = MAX_OWED,
     wait_seconds: float = MAX_OPENING_WAIT_SECONDS,
 ) -> Iterator[PriorityViolation]:
-    """Yield the refusals for which less urgent requests were begun at the same host.
+    """Yield the refusals after which less urgent requests were started at the same host.
 
-    A caller does not learn at which host it was refused. A break is therefore certain only where
-    each host that it can have been began less urgent openings which were sent before the refusal
-    and reached the host after it: more of them than `least_share` of the requests that it ran
-    meanwhile, and `max_owed`.
+    A caller does not learn which host refused it. A violation is therefore certain only where each
+    host that it can have been started less urgent openings which were sent before the refusal and
+    reached the host after it, and these exceed `least_share` of the requests that the host ran
+    meanwhile plus `max_owed`.
     """
     sent_at = {each.flow: each.at for each in history.asked}
     openings = _first_openings(history)
@@ -79,7 +79,7 @@
 
 
 def _first_openings(history: SoakHistory) -> dict[str, list[OpeningReceived]]:
-    """Return the openings at each host, of the copies of a packet the first one only."""
+    """Return the openings at each host, without further copies of the same packet."""
     found: dict[str, dict[str, OpeningReceived]] = defaultdict(dict)
     for opening in history.openings:
         found[opening.host_id].setdefault(opening.flow, opening)
@@ -87,7 +87,7 @@
 
 
 def _times_of_runs(history: SoakHistory) -> dict[str, list[float]]:
-    """Return when each host began its requests."""
+    """Return when each host started its requests."""
     found: dict[str, list[float]] = defaultdict(list)
     for run in history.runs:
         found[run.host_id].append(run.at)
@@ -95,7 +95,7 @@
 
 
 def _hosts_at(history: SoakHistory, refused: RequestRefused) -> list[str]:
-    """Return the hosts of the service when a request was refused."""
+    """Return the hosts of the service at the time of a refusal."""
     hosts: dict[str, str] = {}
     for began in history.hosts_began:
         if began.at <= refused.at and began.service == refused.service:
@@ -104,7 +104,7 @@
 
 
 def _is_for_lack_of_capacity(history: SoakHistory, at: float) -> bool:
-    """Tell whether nothing but pressure was in the way."""
+    """Tell whether no fault but overload can have caused a refusal at that time."""
     return not any(
         fault.began_at <= at <= (fault.ended_at or history.ends_at) + FAULT_REACH_SECONDS
         for fault in history.faults
@@ -113,9 +113,9 @@
 
 
 def ran_though_refused(history: SoakHistory) -> Iterator[RanThoughRefused]:
-    """Yield what ran though its caller was told otherwise.
+    """Yield requests that ran though they were reported as not run.
 
-    A request is known by its ID, and where the system refused it, by its flow as well.
+    A request is matched by its ID, and where the system refused it, also by its flow.
     """
     by_id = {run.request_id: run for run in history.runs}
     by_flow = {run.flow: run for run in history.runs if run.flow}
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -1,9 +1,10 @@
-"""Loopback relays in the links between the product's processes; faults are injected here.
+"""Loopback relays in the links between the product's processes, which inject link faults.
 
-Replicas and agents advertise the address of their relay. A TCP relay carries each connection to
-its replica; a UDP relay carries datagrams to its agent from a socket for each sender, so that
-answers find their way back. A relay can delay, lose, go silent in both ways or one, or reset. A TCP
-relay can also leave the connections that stand silent for good, while new ones work.
+Replicas and agents advertise the address of their relay. A TCP relay forwards each connection to
+its replica; a UDP relay forwards datagrams to its agent from one socket per sender, so that answers
+can be returned to the sender. A relay can delay or lose data, be silent in both directions or one,
+or reset connections. A TCP relay can also silence its open connections for good while new ones
+work.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @dataclass
 class LinkCondition:
-    """How a relay treats what it carries; `forward` is towards the process behind it."""
+    """Faults that a relay applies to its traffic; `forward` is towards the process behind it."""
 
     loss: float = 0.0
     delay_seconds: float = 0.0
@@ -30,12 +31,12 @@
     silent_backward: bool = False
 
     def is_silent(self, forward: bool) -> bool:
-        """Tell whether nothing gets through that way."""
+        """Tell whether nothing gets through in that direction."""
         return self.silent_forward if forward else self.silent_backward
 
 
 class TcpRelay:
-    """Listens at `listen` and connects to `target`; what is silent is held back, not closed."""
+    """Forwards connections from `listen` to `target`; silence holds data back."""
 
     def __init__(self, listen: Endpoint, target: Endpoint) -> None:
         self._listen = listen
@@ -43,17 +44,17 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._connection_conditions: list[LinkCondition] = []
-        """One for each connection: it holds for that connection alone."""
+        """The condition of each open connection alone, in addition to `condition`."""
         self.condition = LinkCondition()
 
     async def start(self) -> None:
-        """Begin to listen; raises `OSError`."""
+        """Start to listen; raises `OSError`."""
         self._server = await asyncio.start_server(
             self._accept, self._listen.host, self._listen.port
         )
 
     async def close(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -61,14 +62,14 @@
             await asyncio.sleep(SILENCE_POLL_SECONDS)
 
     def reset(self) -> None:
-        """End every connection with a reset, also those that were silenced."""
+        """Reset every connection, also those that were silenced."""
         for own_condition in self._connection_conditions:
             own_condition.silent_forward = own_condition.silent_backward = False
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_open_connections(self, forward: bool = True, backward: bool = True) -> None:
-        """Let nothing more through on the connections that stand, that way; nobody is told."""
+        """Silence the open connections in these directions, without closing them."""
         for own_condition in self._connection_conditions:
             own_condition.silent_forward |= forward
             own_condition.silent_backward |= backward
@@ -121,23 +122,23 @@
 
 
 Address = tuple[str, int]
-"""What asyncio calls an address."""
+"""Address of a socket as asyncio has it: host and port."""
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """A socket's protocol that hands datagrams on and ignores that nobody listens."""
+    """Datagram protocol that passes datagrams to a callback and ignores unreachable peers."""
 
     def __init__(self, receive: Callable[[bytes, Address], None]) -> None:
         self._receive = receive
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Hand a datagram on."""
+        """Pass a datagram to the callback."""
         self._receive(data, address)
 
 
 @dataclass
 class UdpRelay:
-    """Stands at `listen` for the agent at `target`; `source_host` is where its own sockets are."""
+    """Forwards datagrams from `listen` to the agent at `target`, from sockets at `source_host`."""
 
     listen: Endpoint
     target: Endpoint
@@ -164,7 +165,7 @@
                 transport.close()
 
     def forward_to_target(self, data: bytes, client: Address) -> None:
-        """Carry a datagram to the agent."""
+        """Forward a datagram to the agent."""
         transport = self._clients.get(client)
         if transport is not None:
             self._forward(True, lambda: transport.sendto(data))
@@ -188,7 +189,7 @@
             self._forward(True, lambda one=data: transport.sendto(one))  # type: ignore[misc]
 
     def forward_to_client(self, data: bytes, client: Address) -> None:
-        """Carry the agent's answer to whom it is for."""
+        """Forward the agent's answer to its client."""
         front = self._front
         if front is not None:
             self._forward(False, lambda: front.sendto(data, client))
--- a/src/jasperwalk_lab/soak/report.py
+++ b/src/jasperwalk_lab/soak/report.py
@@ -1,4 +1,4 @@
-"""The verdict of a soak: JSON, text, and a page with plots."""
+"""The report of a soak: JSON, text, and an HTML page with plots."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SoakReport(msgspec.Struct, frozen=True):
-    """What a soak came to; seconds. `faults` counts those that took place, by kind."""
+    """The result of a soak; times in seconds. `faults` counts those that were injected, by kind."""
 
     plane: str
     seed: int
@@ -39,7 +39,7 @@
     faults_failed: int
     requests: dict[str, int]
     refused: dict[str, int]
-    """Tries refused by the system, by priority, and by hosts."""
+    """Refused tries: by priority where the system refused them, and those refused by hosts."""
     broken: dict[str, int]
     """Violations by promise."""
     median_milliseconds: float
@@ -80,7 +80,7 @@
 
 
 def describe(report: SoakReport) -> str:
-    """Return the report for people, one fact a line."""
+    """Return the report as text, one fact per line."""
     longest = max((each.seconds for each in report.stalls), default=0.0)
     lines = [
         f"seed             {report.seed}, {report.seconds:.0f} s, plane {report.plane}",
@@ -101,7 +101,7 @@
 
 
 def write_page(path: Path, report: SoakReport, history: SoakHistory) -> None:
-    """Write the page."""
+    """Write the HTML page."""
     rows = "".join(
         f"<tr><td>{each.at:.2f}</td><td>{escape(each.promise)}</td><td>{escape(each.detail)}</td></tr>"
         for each in report.violations[:SHOWN_VIOLATIONS]
@@ -120,7 +120,7 @@
 
 
 def _requests_plot(history: SoakHistory) -> str:
-    """Plot requests a second by outcome."""
+    """Plot requests per second by outcome."""
     figure, axes = _axes("Requests a second", "requests")
     for outcome in RequestOutcome:
         counts = Counter(int(each.at) for each in history.requests if each.outcome is outcome)
@@ -132,7 +132,7 @@
 
 
 def _latency_plot(history: SoakHistory) -> str:
-    """Plot the median and the slowest twentieth of answered requests, by second."""
+    """Plot the median and 95th percentile latency of answered requests, by second."""
     figure, axes = _axes("Latency of answered requests", "milliseconds")
     by_second: dict[int, list[float]] = defaultdict(list)
     for each in history.requests:
--- a/src/jasperwalk_lab/soak/routes.py
+++ b/src/jasperwalk_lab/soak/routes.py
@@ -1,4 +1,4 @@
-"""The routes of a soak: each service has an urgent one and one that can wait."""
+"""The routes of a soak: each service has an urgent route and one of normal priority."""
 
 from __future__ import annotations
 
@@ -32,5 +32,5 @@
 
 
 def route_of(listener: Endpoint) -> SoakRoute:
-    """Return the route of a listener, one without a service where there is none."""
+    """Return the route of a listener, or one without a service for an unknown listener."""
     return BY_LISTENER.get(listener, SoakRoute(listener, ""))
--- a/src/jasperwalk_lab/soak/run.py
+++ b/src/jasperwalk_lab/soak/run.py
@@ -1,4 +1,7 @@
-"""One soak: processes, stand-ins, faults and checks, for some minutes."""
+"""Runs one soak: starts the processes and stand-ins, injects the faults, and writes the report.
+
+The seed decides the schedule of faults and the traffic; the history is checked at the end.
+"""
 
 from __future__ import annotations
 
@@ -31,16 +34,16 @@
 
 COLD_FLOWS_PER_SECOND = 8.0
 MAX_COLD_FLOWS_PER_SECOND = 8
-"""What the agents keep to; the check counts what reaches the hosts."""
+"""The limit that agents enforce; the check counts the flows that reach the hosts."""
 LONG_PAUSE_SECONDS = 0.6
 READY_SECONDS = 60.0
 FIRST_SAMPLE_SECONDS = 1.5
 PROGRESS_SECONDS = 5.0
 MONITOR_INTERVAL_SECONDS = 0.2
 STALL_SECONDS = 0.5
-"""Lateness of the run's own watch that is told as a stall of the machine."""
+"""Lateness of the run's own event loop that is recorded as a stall of the machine."""
 OBSERVATION_SECONDS = RECOVERY_SECONDS + 4.0
-"""Time after the last fault in which it is seen whether requests are answered and hosts used."""
+"""Time after the last fault in which the recovery of requests and hosts is observed."""
 OK_STATUS = 200
 
 Progress = Callable[[str], None]
@@ -49,7 +52,7 @@
 async def run_soak(
     seconds: float, seed: int, runs: Path, progress: Progress, size: SoakSize = SIZES["small"]
 ) -> SoakReport:
-    """Play one soak; what it leaves stands in a folder of `runs`."""
+    """Run one soak; its logs, history and report are in a new folder of `runs`."""
     folder = make_run_folder(runs, f"soak-{seed}")
     progress(f"run folder {folder}, seed {seed}")
     async with SoakFleet(folder, random.Random(f"links {seed}"), size) as fleet:
@@ -66,7 +69,7 @@
 
 
 class Soak:
-    """The parts of a run on processes that were started."""
+    """A run on started processes: its stand-ins, its schedule and its history."""
 
     def __init__(
         self, fleet: SoakFleet, size: SoakSize, seconds: float, seed: int, progress: Progress
@@ -127,7 +130,7 @@
         )
 
     async def run(self) -> None:
-        """Bring the service up, let traffic and faults run, and read back at the end."""
+        """Start the service, run traffic and faults, and read the configuration back at the end."""
         await self._callers.start()
         for agent in self._fleet.hosts:
             await self._hosts.start(agent, is_cold=False)
@@ -148,7 +151,7 @@
         ]
         try:
             await self._injector.run(self._planned)
-            # Long enough for the checks that all is back, also after a late end of a fault.
+            # Long enough for the recovery checks, also where a fault ended late.
             await asyncio.sleep(max(OBSERVATION_SECONDS, self._seconds - self._clock()))
         finally:
             await _cancel(background)
@@ -161,7 +164,7 @@
             await host.crash()
 
     def _discard_startup(self) -> None:
-        """Count times from here; the configuration of before still has to be held."""
+        """Count times from here, without openings before; acknowledged configurations stay."""
         self.history.openings.clear()
         self.history.hosts_began = [
             msgspec.structs.replace(each, at=0.0) for each in self.history.hosts_began
@@ -192,7 +195,7 @@
                 await asyncio.sleep(self._rng.expovariate(self._size.short_requests_per_second))
 
     async def _monitor(self) -> None:
-        """Note processes that end by themselves, and tell how the run goes."""
+        """Record stalls and processes that ended by themselves, and report progress."""
         reported_at = 0.0
         while True:
             slept_at = self._clock()
--- a/src/jasperwalk_lab/soak/running_hosts.py
+++ b/src/jasperwalk_lab/soak/running_hosts.py
@@ -1,4 +1,4 @@
-"""The stand-in hosts that run in a soak, by the agents beside them."""
+"""Starts the stand-in hosts of a soak and finds them by the agents beside them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from jasperwalk_lab.soak.hosts import SoakHost
 
 MakeHost = Callable[[str, int, int, bool], SoakHost]
-"""Builds the host beside an agent: its number (part of its ID), which start of all this is, and
-whether it starts cold."""
+"""Builds the host beside an agent from its number (part of its ID), the count of starts beside this
+agent, and whether it starts cold."""
 
 
 class RunningHosts:
-    """The hosts that run now, by the agent beside them; each start has the next number."""
+    """The latest host beside each agent; a new host has the next number."""
 
     def __init__(self, make: MakeHost) -> None:
         self._make = make
@@ -22,11 +22,11 @@
         self._hosts: dict[str, SoakHost] = {}
 
     def all(self) -> list[SoakHost]:
-        """Return the hosts that were started last."""
+        """Return the latest host of each agent."""
         return list(self._hosts.values())
 
     def descriptions(self) -> list[HostAtEnd]:
-        """Return the hosts that run now as the history tells of them."""
+        """Return the hosts that are ready now, as the history records them."""
         return [
             HostAtEnd(each.start_id, each.place.service, each.started_at)
             for each in self._hosts.values()
@@ -38,12 +38,12 @@
         return self._hosts[agent]
 
     async def start(self, agent: str, is_cold: bool) -> None:
-        """Start another host there, if none runs: faults may overlap."""
+        """Start a new host there, unless one runs: faults may overlap."""
         self._numbers[agent] = self._numbers.get(agent, 0) + 1
         await self._start(agent, is_cold)
 
     async def start_again(self, agent: str) -> None:
-        """Start the host that was there under the ID that it had, if none runs."""
+        """Start the previous host again under its ID, unless one runs."""
         await self._start(agent, is_cold=True)
 
     async def _start(self, agent: str, is_cold: bool) -> None:
--- a/src/jasperwalk_lab/soak/schedule.py
+++ b/src/jasperwalk_lab/soak/schedule.py
@@ -1,7 +1,7 @@
-"""Draws the faults of a soak from its seed: the same seed and names give the same schedule.
+"""Draws the faults of a soak from its seed: the same seed and targets give the same schedule.
 
-Most of the time no more is out of order at once than the system has to bear. In between there are
-rushes: many faults begin within a second and overlap, also on the same target.
+Steady faults never put more targets out of service at once than the system has to tolerate. Bursts
+come in addition: many faults start within a second and overlap, also on the same target.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
 
 FIRST_FAULT_SECONDS = 2.0
 LAST_FAULT_BEFORE_END_SECONDS = 8.0
-"""Faults are over early enough for the service to come back and to be seen."""
+"""Faults end early enough for the recovery of the service to be observed."""
 FAULT_INTERVAL_SECONDS = (0.4, 2.2)
-"""Shortest and longest time between two strikes."""
+"""Shortest and longest time between two steady faults."""
 MAX_CONTROLS_DOWN = 1
-"""More than one of three would leave no quorum."""
+"""With more than one of three replicas down there is no quorum."""
 MAX_AGENTS_DOWN = 2
 MAX_BALANCERS_DOWN = 1
 SETTLE_SECONDS = 3.0
-"""Time after a fault before the same target is struck again, and before all are killed."""
+"""Time after a fault before the same target gets another, and before all processes are killed."""
 EVERYTHING = "everything"
 FAULT_BURST_INTERVAL_SECONDS = (9.0, 15.0)
-"""Shortest and longest time between the beginnings of two rushes."""
+"""Shortest and longest time between the starts of two bursts."""
 SEPARATE_KINDS_INTERVAL_SECONDS = (5.0, 10.0)
 """Shortest and longest time between two faults of `SEPARATELY_DRAWN_KINDS`."""
 FAULT_BURST_SECONDS = 1.0
-"""Time within which the faults of a rush begin."""
+"""Time within which the faults of a burst start."""
 FAULTS_PER_BURST = (4, 8)
-"""Fewest and most faults of a rush in the smallest fleet."""
+"""Fewest and most faults of a burst in the smallest fleet."""
 BASE_KINDS = tuple(
     k for k in FaultKind if k not in OVERLOAD_KINDS and k not in SEPARATELY_DRAWN_KINDS
 )
 NEVER_IN_BURSTS = frozenset((FaultKind.CONTROL_WIPED, FaultKind.ALL_KILLED))
-"""A lost disk beside dead replicas may be more than has to be borne."""
+"""A lost disk together with dead replicas may exceed what the system has to tolerate."""
 DISK_LOSS_MARGIN_SECONDS = 8.0
-"""No disk is lost this near to a rush: the lost replica's successor has to hold the log first."""
+"""Distance between a lost disk and a burst: the replaced replica needs the log again first."""
 BASE_AGENT_COUNT = 6
 MAX_SCALE = 3
-"""Larger fleets are struck more often, up to this many times: one machine starts them all."""
+"""Larger fleets get more faults, up to this factor: one machine starts all their processes."""
 
 
 class SoakTargets(msgspec.Struct, frozen=True):
-    """The names that faults may strike."""
+    """The names of the targets of faults."""
 
     controls: tuple[str, ...]
     balancers: tuple[str, ...]
@@ -60,7 +60,7 @@
     zones: tuple[str, ...]
 
     def of(self, group: TargetGroup) -> tuple[str, ...]:
-        """Return the targets of a group; a host has the name of the agent beside it."""
+        """Return the targets of a group; a host goes by the name of the agent beside it."""
         return {
             TargetGroup.CONTROL: self.controls,
             TargetGroup.BALANCER: self.balancers,
@@ -84,7 +84,7 @@
 
 
 def max_down(targets: SoakTargets, group: TargetGroup) -> int:
-    """Return how many targets of a group may be out at once: the same share in every fleet."""
+    """Return how many targets of a group may be down at once: the same share in every fleet."""
     if group is TargetGroup.CONTROL:
         return (len(targets.controls) - 1) // 2
     if group is TargetGroup.BALANCER:
@@ -95,7 +95,7 @@
 
 
 def plan_fault_bursts(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the rushes of a run of `seconds`, in the order of their beginning."""
+    """Plan the fault bursts of a run of `seconds`, ordered by start."""
     rng = random.Random(f"rushes {seed}")
     kinds = [kind for kind in BASE_KINDS if kind not in NEVER_IN_BURSTS]
     scale = _scale(targets)
@@ -116,7 +116,7 @@
 
 
 def plan_separately_drawn(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the faults of `SEPARATELY_DRAWN_KINDS`, whatever else is out of order."""
+    """Plan the faults of `SEPARATELY_DRAWN_KINDS`, regardless of other faults at the time."""
     rng = random.Random(f"later kinds {seed}")
     planned: list[PlannedFault] = []
     at = rng.uniform(*SEPARATE_KINDS_INTERVAL_SECONDS)
@@ -136,7 +136,7 @@
 
 
 def plan_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan everything that a run brings about, in the order of its beginning."""
+    """Plan the steady faults and the bursts of a run, ordered by start."""
     fault_bursts = plan_fault_bursts(targets, seconds, seed)
     steady = [
         each
@@ -147,7 +147,7 @@
 
 
 def _is_too_near_burst(fault: PlannedFault, fault_bursts: list[PlannedFault]) -> bool:
-    """Tell whether a disk would be lost, or all be killed, near a rush that strikes replicas."""
+    """Tell whether a disk would be lost, or all be killed, near a burst that hits replicas."""
     if fault.kind not in NEVER_IN_BURSTS:
         return False
     return any(
@@ -159,7 +159,10 @@
 
 
 def plan_steady_faults(targets: SoakTargets, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the faults of a run of `seconds`, in the order of their beginning."""
+    """Plan the steady faults of a run of `seconds`, ordered by start.
+
+    Kinds are drawn in rounds of all of them, each in random order.
+    """
     rng = random.Random(f"soak {seed}")
     planned: list[PlannedFault] = []
     remaining_kinds: list[FaultKind] = []
@@ -170,7 +173,7 @@
             remaining_kinds = rng.sample(BASE_KINDS, len(BASE_KINDS))
         kind = remaining_kinds.pop()
         if SHAPES[kind].group is TargetGroup.ALL:
-            # Everything is killed only while nothing else is out of order.
+            # Everything is killed only while no other fault is active.
             at = max([at, *(each.ends_at + SETTLE_SECONDS for each in planned)])
         fault = _draw(kind, targets, planned, at, rng)
         if fault is not None and fault.ends_at <= seconds - LAST_FAULT_BEFORE_END_SECONDS + 1.0:
@@ -186,7 +189,7 @@
     at: float,
     rng: random.Random,
 ) -> PlannedFault | None:
-    """Return the next fault, None where too much is out of order already."""
+    """Return the next fault, None where it would put too many targets out of service."""
     shape = SHAPES[kind]
     seconds = round(rng.uniform(shape.shortest, shape.longest), 2)
     target = rng.choice(targets.of(shape.group))
@@ -202,5 +205,5 @@
 
 
 def _are_too_close(one: PlannedFault, other: PlannedFault) -> bool:
-    """Tell whether two faults overlap, or one follows the other too soon."""
+    """Tell whether two faults overlap, or one follows the other within `SETTLE_SECONDS`."""
     return one.at < other.ends_at + SETTLE_SECONDS and other.at < one.ends_at + SETTLE_SECONDS
--- a/src/jasperwalk_lab/soak/surges.py
+++ b/src/jasperwalk_lab/soak/surges.py
@@ -1,4 +1,4 @@
-"""Callers that rush: several times the ordinary load for some seconds, within bounds."""
+"""Surges of callers: a bounded multiple of the normal load, for some seconds."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from jasperwalk_lab.soak.wire import SoakRoute
 
 SURGE_FACTOR = 5.0
-"""Load of a rush as a multiple of the ordinary one, on top of it."""
+"""Load of a surge as a multiple of the normal load, in addition to it."""
 MAX_REQUESTS_PER_SECOND = 400.0
-"""Rate that no rush exceeds: the stand-ins share the machine with what they test."""
+"""Rate that no surge exceeds: the stand-ins share the machine with the processes under test."""
 MAX_OUTSTANDING_REQUESTS = 600
-"""Requests of a rush that wait at once; further ones are left out."""
+"""Requests of a surge that are outstanding at once; further ones are not sent."""
 
 RequestOnce = Callable[[Endpoint, str], Coroutine[Any, Any, None]]
-"""Has one request answered on a flow of its own, by callers in a zone (empty: anywhere)."""
+"""Sends one request on a flow of its own, from callers in a zone (empty: anywhere)."""
 
 
 class SurgeCallers:
-    """Starts the requests of rushes."""
+    """Starts the requests of surges."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._rng = rng
 
     async def surge(self, surge: Surge, seconds: float) -> None:
-        """Send requests at the rush's rate for some seconds; return when they have ended."""
+        """Send requests at the surge's rate for some seconds; return when all have ended."""
         loop = asyncio.get_running_loop()
         routes, ends_at = self.routes_of(surge), loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
@@ -54,11 +54,11 @@
         await asyncio.gather(*running)
 
     def routes_of(self, surge: Surge) -> list[SoakRoute]:
-        """Return the routes that a rush asks for."""
+        """Return the routes that the requests of a surge use."""
         if surge.scope is not SurgeScope.KIND:
             return list(self._routes)
         return [each for each in self._routes if str(each.priority) == surge.value]
 
     def zone_of(self, surge: Surge) -> str:
-        """Return where the callers of a rush are: each of them in some zone."""
+        """Return the zone of a surge's next caller: the surge's zone, or a random one."""
         return surge.value if surge.scope is SurgeScope.ZONE else self._rng.choice(self._zones)
--- a/src/jasperwalk_lab/soak/wire.py
+++ b/src/jasperwalk_lab/soak/wire.py
@@ -1,6 +1,7 @@
-"""What the stand-ins of the users' platform speak: packet heads, heartbeats, configurations.
+"""Formats that the stand-ins of the users' platform speak: packets, heartbeats, configurations.
 
-This module alone of the lab knows the platform's names; `platform/` has the product's side of them.
+This is the only module of the lab that knows the platform's field names and paths; `platform/` has
+the product's side of them.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     ("coldLeftMs", float("inf")),
     ("born", "yesterday"),
 )
-"""Fields of other types, unnamed states and services, absurd numbers."""
+"""Heartbeat fields with wrong types, unknown states and services, or absurd numbers."""
 
 
 class Packet(msgspec.Struct, frozen=True):
@@ -48,7 +49,7 @@
     data: bytes = b""
 
     def encode(self) -> bytes:
-        """Return the datagram; the sum is not looked at by the product."""
+        """Return the datagram; its checksum is 0, as the product does not read it."""
         head = HEAD.pack(
             socket.inet_aton(self.source.host),
             self.source.port,
@@ -66,7 +67,7 @@
 
 
 def decode(datagram: bytes) -> Packet | None:
-    """Return the packet, None where it is not whole."""
+    """Return the packet, None where the datagram is truncated or has extra bytes."""
     if len(datagram) < HEAD.size:
         return None
     fields = HEAD.unpack_from(datagram)
@@ -84,12 +85,12 @@
 
 
 def bounced(datagram: bytes) -> bytes:
-    """Return a packet as a host hands it back."""
+    """Return a packet as a host returns it to its agent when it rejects it."""
     return datagram[:28] + bytes((datagram[28] | BOUNCED,)) + datagram[29:]
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A host's announcement; `cold_seconds` is how much longer it is slow from its start."""
+    """A host's announcement; `cold_seconds` is the rest of its slow start."""
 
     host_id: str
     service: str
@@ -124,7 +125,7 @@
         return json.dumps(self.document()).encode()
 
     def invalid_bodies(self) -> list[bytes]:
-        """Return bodies like this one that name no host to use: each has one fault."""
+        """Return invalid variants of this body, each with one fault, that name no usable host."""
         document, whole = self.document(), self.body()
         without = [{k: v for k, v in document.items() if k != name} for name in REQUIRED_FIELDS]
         changed = [{**document, name: value} for name, value in INVALID_VALUES]
@@ -144,7 +145,7 @@
 
 
 class SoakConfiguration(msgspec.Struct, frozen=True):
-    """A configuration as an operator writes it."""
+    """A configuration as an operator submits it."""
 
     version: int
     routes: tuple[SoakRoute, ...]
@@ -183,7 +184,7 @@
 
 
 def version_of(body: bytes) -> int:
-    """Return the version of a configuration that was read back, 0 where it is none."""
+    """Return the version of a configuration that was read back, 0 where the body is not one."""
     try:
         document = json.loads(body)
     except ValueError:
@@ -193,5 +194,5 @@
 
 
 def evacuation_path(zone: str) -> str:
-    """Return the path of the orders for a zone."""
+    """Return the path of the orders that drain or restore a zone."""
     return f"/evacuations/{zone}"
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -1,4 +1,4 @@
-"""The checks of refusals pass what is right and find what is not."""
+"""The checks on refusals accept valid histories and find violations."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 def history(openings, sent_at=REFUSED_AT - 0.1, refused=REFUSED, faults=()):
-    """A run in which each opening was first sent at one moment."""
+    """A run in which all flows were first requested at `sent_at`."""
     flows = {each.flow for each in openings}
     return SoakHistory(
         openings=list(openings),
--- a/tests/lab/soak/test_soak_checks.py
+++ b/tests/lab/soak/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Each check of a soak passes a clean history and finds the fault that it is there for."""
+"""Each check of a soak accepts a clean history and finds the violation that it guards against."""
 
 import pytest
 
@@ -52,7 +52,7 @@
 
 
 def history(**parts):
-    """A run without faults whose requests were answered, changed by `parts`."""
+    """A run without faults whose requests were answered, extended by `parts`."""
     requests = [
         RequestEnded(at / 2, at / 2 + 0.02, f"q{at}", ANSWERED, f"q{at}") for at in range(110)
     ]
@@ -184,7 +184,7 @@
 
 
 def test_either_of_two_racing_orders_may_take_effect_last():
-    """Soak, seed 315: a restore was repeated from 22.75 to 25.72 s, and a drain came at 23.21."""
+    """Soak seed 315: a restore was repeated from 22.75 to 25.72 s while a drain came at 23.21 s."""
     made = history(
         zones=[ZoneOrdered("north", False, 1.0, 3.0), ZoneOrdered("north", True, 1.5, 1.6)],
         openings=[opening(9.0)],
--- a/tests/lab/soak/test_soak_relays.py
+++ b/tests/lab/soak/test_soak_relays.py
@@ -1,4 +1,4 @@
-"""Relays carry bytes both ways, and spoil them as they are told."""
+"""Relays forward bytes both ways, and inject the faults of their condition."""
 
 import asyncio
 import contextlib
--- a/tests/lab/soak/test_soak_run.py
+++ b/tests/lab/soak/test_soak_run.py
@@ -1,7 +1,7 @@
-"""A soak of real processes with fixed seeds: every promise holds, and enough was struck.
+"""Soaks of real processes with fixed seeds: every promise holds under enough kinds of faults.
 
-Nothing is asserted of times near a moment in which the machine itself stood still: the run notes
-the lateness of its own event loop, which no process of the product can cause.
+Time limits are not asserted near a stall of the machine: the run records the lateness of its own
+event loop, which no process of the product can cause.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("seed", [101])
 def test_urgent_requests_come_first_under_overload_alone(tmp_path, seed):
-    """The shortest run has rushes and slow hosts, and no time for any other fault."""
+    """The shortest run has surges and slow hosts, and no time for any other fault."""
     run = run_soak(LAST_FAULT_BEFORE_END_SECONDS, seed, tmp_path, lambda _line: None)
     report = asyncio.run(run)
     assert without_stall_violations(report.violations, report.stalls) == []
--- a/tests/lab/soak/test_soak_schedule.py
+++ b/tests/lab/soak/test_soak_schedule.py
@@ -1,4 +1,4 @@
-"""What a soak's seed draws, and that every kind of fault can be brought about."""
+"""The schedule that a soak's seed draws, and that every kind of fault can be injected."""
 
 import pytest
 
--- a/tests/lab/soak/test_soak_surges.py
+++ b/tests/lab/soak/test_soak_surges.py
@@ -1,4 +1,4 @@
-"""Who rushes, and that rushes stay within their bounds."""
+"""Surges come from the callers of their scope and stay within their bounds."""
 
 import asyncio
 import random
