--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -26,15 +26,15 @@
 STEP_SECONDS = 0.02
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
-DOWN_SHARE_OF_FLAPPING = 0.5
+FLAPPING_DOWN_SHARE = 0.5
 """Hosts that go down and up by turns are down for half of the time."""
 MIN_REQUESTS = 1e-9
-SHOWN_BELOW = 0.995
+SHOWN_WORTH_BELOW = 0.995
 """Windows of less worth are printed."""
 BURST = "burst"
 
 
-class Kind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
     """A kind of request; seconds of a slot and of its caller, and its worth in time and late."""
 
     service: str
@@ -51,7 +51,7 @@
     traffic: float
     seconds: float
     slots: dict[str, float]
-    kinds: dict[str, Kind]
+    kinds: dict[str, RequestKind]
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
     zone: str = ""
     kind_of_request: str = ""
 
-    def holds(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether it holds at a time."""
         return self.at <= now < self.at + self.for_s
 
@@ -93,7 +93,7 @@
 class Cohort:
     """Requests of one kind that came in one step, and how many of them still wait."""
 
-    kind: Kind
+    kind: RequestKind
     arrived_at: float
     window: int
     name: str
@@ -136,7 +136,7 @@
     for fault in faults:
         is_of_kind = fault.kind_of_request in ("", stream.kind)
         is_of_zone = fault.zone in ("", stream.zone)
-        if fault.kind == BURST and fault.holds(now) and is_of_kind and is_of_zone:
+        if fault.kind == BURST and fault.is_active(now) and is_of_kind and is_of_zone:
             factor *= fault.x
     return stream.per_second * factor
 
@@ -144,7 +144,7 @@
 def lost_share(fault: Fault) -> float:
     """Return the part of a service's room that a fault of its hosts costs while it holds."""
     if fault.kind == "srv_flap":
-        return fault.share * DOWN_SHARE_OF_FLAPPING
+        return fault.share * FLAPPING_DOWN_SHARE
     if fault.kind == "srv_slow" or (fault.kind == "srv_grey" and fault.how == "slow"):
         return fault.share * (1.0 - 1.0 / fault.x)
     if fault.kind == "srv_grey":
@@ -155,7 +155,7 @@
 def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
     """Return the slots of a service that do useful work at a time."""
     for fault in faults:
-        if fault.holds(now) and fault.service in ("", service):
+        if fault.is_active(now) and fault.service in ("", service):
             slots *= 1.0 - lost_share(fault)
     return slots
 
@@ -169,7 +169,7 @@
         now = step * step_seconds
         if now < site.seconds:
             for cohort in _arrivals(day, site, now, step_seconds):
-                ledger.owe(cohort)
+                ledger.add_possible(cohort)
                 backlogs[cohort.kind.service].add(cohort)
         for service, backlog in backlogs.items():
             slots = available_slots(service, site.slots[service], day.faults, now)
@@ -189,27 +189,32 @@
     """What is owed and earned, by kind and by window."""
 
     def __init__(self) -> None:
-        self._owed: dict[tuple[str, int], float] = defaultdict(float)
+        self._possible: dict[tuple[str, int], float] = defaultdict(float)
         self._earned: dict[tuple[str, int], float] = defaultdict(float)
 
-    def owe(self, cohort: Cohort) -> None:
-        self._owed[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
+    def add_possible(self, cohort: Cohort) -> None:
+        self._possible[cohort.name, cohort.window] += cohort.waiting * cohort.kind.worth
 
-    def earn(self, cohort: Cohort, count: float, worth: float) -> None:
+    def add_earned(self, cohort: Cohort, count: float, worth: float) -> None:
         self._earned[cohort.name, cohort.window] += count * worth
 
     def ideal(self) -> Ideal:
-        names = dict.fromkeys(name for name, _ in self._owed)
-        windows = sorted({window for _, window in self._owed})
+        names = dict.fromkeys(name for name, _ in self._possible)
+        windows = sorted({window for _, window in self._possible})
         return Ideal(
-            self._part(list(self._owed)),
-            {name: self._part([key for key in self._owed if key[0] == name]) for name in names},
-            tuple(self._part([key for key in self._owed if key[1] == w]) for w in windows),
+            self._earned_share(list(self._possible)),
+            {
+                name: self._earned_share([key for key in self._possible if key[0] == name])
+                for name in names
+            },
+            tuple(
+                self._earned_share([key for key in self._possible if key[1] == w]) for w in windows
+            ),
         )
 
-    def _part(self, keys: Sequence[tuple[str, int]]) -> float:
-        owed = sum(self._owed[key] for key in keys)
-        return sum(self._earned[key] for key in keys) / owed if owed else 1.0
+    def _earned_share(self, keys: Sequence[tuple[str, int]]) -> float:
+        possible = sum(self._possible[key] for key in keys)
+        return sum(self._earned[key] for key in keys) / possible if possible else 1.0
 
 
 class _Backlog:
@@ -231,7 +236,7 @@
         ]
         queues.sort(key=lambda each: each[1] / each[0][0].kind.work, reverse=True)
         for queue, worth in queues:
-            slot_seconds = _spend(queue, worth, slot_seconds, ledger)
+            slot_seconds = _serve_queue(queue, worth, slot_seconds, ledger)
 
     def _expire(self, now: float) -> None:
         """Move on what would be late by now, and forget what would be over its limit."""
@@ -245,12 +250,12 @@
                 queue.popleft()
 
 
-def _spend(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
+def _serve_queue(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
     """Serve a queue from its oldest on; return what room is left."""
     while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
-        ledger.earn(cohort, count, worth)
+        ledger.add_earned(cohort, count, worth)
         cohort.waiting -= count
         slot_seconds -= count * cohort.kind.work
         if cohort.waiting > MIN_REQUESTS:
@@ -267,7 +272,7 @@
         f"worst two windows {best.worst_windows():.3f}"
     ]
     for number, worth in enumerate(best.windows):
-        if worth < SHOWN_BELOW:
+        if worth < SHOWN_WORTH_BELOW:
             begins_at = number * WINDOW_SECONDS
             lines.append(f"  {begins_at:5.1f} to {begins_at + WINDOW_SECONDS:5.1f} s  {worth:.3f}")
     return "\n".join(lines)
--- a/src/jasperwalk_lab/simulator/scenarios.py
+++ b/src/jasperwalk_lab/simulator/scenarios.py
@@ -85,11 +85,11 @@
     return [host for service in layout.services for host in service.hosts()]
 
 
-def _coin(random: Random) -> bool:
+def _random_bool(random: Random) -> bool:
     return bool(random.getrandbits(1))
 
 
-def _spread(random: Random, actions: list[FaultAction], seconds: float) -> list[Fault]:
+def _at_random_times(random: Random, actions: list[FaultAction], seconds: float) -> list[Fault]:
     faults = [Fault(random.uniform(0.5, seconds), action) for action in actions]
     return sorted(faults, key=lambda fault: fault.at)
 
@@ -97,10 +97,11 @@
 def _balancers_come_and_go(layout: Layout, random: Random) -> list[Fault]:
     names = _balancers(layout)
     actions: list[FaultAction] = [
-        Kill(random.choice(names), random.uniform(1.0, 5.0), power=_coin(random)) for _ in range(4)
+        Kill(random.choice(names), random.uniform(1.0, 5.0), power=_random_bool(random))
+        for _ in range(4)
     ]
     actions += [Freeze(random.choice(names), random.uniform(1.0, 4.0)), Burst(10)]
-    return _spread(random, actions, 12.0)
+    return _at_random_times(random, actions, 12.0)
 
 
 def _hosts_leave(layout: Layout, random: Random) -> list[Fault]:
@@ -111,7 +112,7 @@
         Leave(hosts[2], random.uniform(6.0, 8.0)),
         Drain(random.choice(layout.services[1].hosts()), random.uniform(2.0, 5.0), stop=True),
     ]
-    return _spread(random, actions, 4.0)
+    return _at_random_times(random, actions, 4.0)
 
 
 def _uneven_updates(layout: Layout, random: Random) -> list[Fault]:
@@ -132,7 +133,7 @@
     names = _controls(layout)
     first, second, third = random.sample(names, 3)
     return [
-        Fault(0.5, Cut((first,), random.uniform(12.0, 14.0), one_way=_coin(random))),
+        Fault(0.5, Cut((first,), random.uniform(12.0, 14.0), one_way=_random_bool(random))),
         Fault(random.uniform(5.0, 8.0), Kill(third, 1.0)),
         Fault(random.uniform(16.0, 17.0), Cut((second,), random.uniform(4.0, 6.0))),
         Fault(random.uniform(1.0, 9.0), Drain(random.choice(layout.services[0].hosts()), 6.0)),
@@ -170,7 +171,7 @@
         Freeze(random.choice(names), random.uniform(1.0, 4.0)),
         Burst(30),
     ]
-    return _spread(random, actions, 10.0)
+    return _at_random_times(random, actions, 10.0)
 
 
 def _second_loss(layout: Layout, random: Random) -> list[Fault]:
@@ -213,7 +214,7 @@
         Mood(random.choice(hosts), 6.0, shed_share=0.5),
         Mood(random.choice(layout.services[1].hosts()), 4.0, stalls=True),
     ]
-    return _spread(random, actions, 9.0)
+    return _at_random_times(random, actions, 9.0)
 
 
 def _hosts_lost(layout: Layout, random: Random) -> list[Fault]:
@@ -224,7 +225,7 @@
         Freeze(hosts[1], random.uniform(2.0, 7.0)),
         Weather(5.0, loss=0.05, duplication=0.1),
     ]
-    return _spread(random, actions, 11.0)
+    return _at_random_times(random, actions, 11.0)
 
 
 def _together(layout: Layout, random: Random) -> list[Fault]:
@@ -247,7 +248,7 @@
         Burst(40),
     ]
     # One wipe a run: a second one before the repair would lose a majority for good.
-    return _spread(random, random.sample(choices, 7), 12.0)
+    return _at_random_times(random, random.sample(choices, 7), 12.0)
 
 
 _FOUR_REPLICAS = dataclasses.replace(ZAGREB, replica_count=4)
--- a/src/jasperwalk_lab/soak/fleet.py
+++ b/src/jasperwalk_lab/soak/fleet.py
@@ -68,7 +68,7 @@
         self._balancer_hosts = self._hosts(3, size.balancers)
         self._agent_hosts = self._hosts(4, size.agents)
         self._agent_relays = self._hosts(5, size.agents)
-        every = [
+        claimed_hosts = [
             *self._control_hosts,
             *self._control_relays,
             *self._balancer_hosts,
@@ -86,7 +86,7 @@
             "packets",
             "app",
         )
-        self._ports = common_ports(port_names, every)
+        self._ports = common_ports(port_names, claimed_hosts)
         self.callers = Endpoint(self._host(9, 1), self._ports["callers"])
         self.supervisor = Supervisor(folder)
         self.processes: dict[str, SoakProcess] = {}
