--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -82,7 +82,7 @@
         self._caller = HttpCaller()
 
     async def run(self) -> None:
-        """Ask the balancers until cancelled."""
+        """Poll the balancers until cancelled."""
         while True:
             await asyncio.gather(*(self._send_request(each) for each in self.balancers))
             await asyncio.sleep(READY_POLL_SECONDS)
@@ -93,10 +93,10 @@
         self._misses[place.name] = 0 if is_ready else self._misses.get(place.name, 0) + 1
 
     def choose(self, key: bytes, last: BalancerPlace | None, zone: str = "") -> BalancerPlace:
-        """Return the balancer of a flow, out of those that answer polls, or of all if none does.
+        """Return the balancer of a flow, out of those that are ready, or of all if none is.
 
         `last` is the balancer of an open flow. Callers in a zone use its balancers, and others
-        only where none of the zone answers.
+        only where none of the zone is ready.
         """
         if last is not None and self.exists(last.name):
             return last
--- a/src/jasperwalk_lab/soak/hosts.py
+++ b/src/jasperwalk_lab/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts: they announce themselves, accept flows, run requests, drain, crash, reject."""
+"""Stand-in hosts: they announce themselves, accept or reject flows, run requests, drain, crash."""
 
 from __future__ import annotations
 
--- a/src/jasperwalk_lab/soak/relays.py
+++ b/src/jasperwalk_lab/soak/relays.py
@@ -36,7 +36,7 @@
 
 
 class TcpRelay:
-    """Forwards connections from `listen` to `target`; silence holds data back."""
+    """Forwards connections from `listen` to `target`; silence holds data back and closes none."""
 
     def __init__(self, listen: Endpoint, target: Endpoint) -> None:
         self._listen = listen
