--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -84,10 +84,10 @@
     async def run(self) -> None:
         """Poll the balancers until cancelled."""
         while True:
-            await asyncio.gather(*(self._send_request(each) for each in self.balancers))
+            await asyncio.gather(*(self._poll(each) for each in self.balancers))
             await asyncio.sleep(READY_POLL_SECONDS)
 
-    async def _send_request(self, place: BalancerPlace) -> None:
+    async def _poll(self, place: BalancerPlace) -> None:
         answer = await self._caller.call(place.ready, "GET", READY_PATH, seconds=READY_POLL_SECONDS)
         is_ready = answer.status == OK_STATUS
         self._misses[place.name] = 0 if is_ready else self._misses.get(place.name, 0) + 1
