--- a/src/jasperwalk_lab/soak/callers.py
+++ b/src/jasperwalk_lab/soak/callers.py
@@ -3,8 +3,7 @@
 The router polls the readiness of every balancer twice a second and takes it out after two missed
 polls. It picks a balancer by rendezvous hash of the flow, as the users' routers do: only the flows
 of a lost balancer move. An open flow stays on its balancer until that process is gone, also while
-it stops. Callers open flows, send requests and copies of lost packets, and record how each request
-ended.
+it stops. Callers open flows, repeat requests until they are answered, and record how each ended.
 """
 
 from __future__ import annotations
--- a/tests/lab/soak/test_refusal_checks.py
+++ b/tests/lab/soak/test_refusal_checks.py
@@ -54,12 +54,12 @@
 
 VALID_HISTORIES = {
     "it may have been refused at the other host": history(STARTED_AT_BOTH[:2]),
-    "the hosts owed them from before": history(STARTED_AT_BOTH[::2]),
-    "they were begun before": history(
+    "they were due from before": history(STARTED_AT_BOTH[::2]),
+    "they were started before": history(
         [opening(host, REFUSED_AT - at) for host in HOSTS for at in (0.05, 0.06)]
     ),
     "they were sent after": history(STARTED_AT_BOTH, sent_at=REFUSED_AT + 0.1),
-    "they began long after": history(
+    "they started long after": history(
         [opening(h, REFUSED_AT + MAX_OPENING_WAIT_SECONDS + at) for h in HOSTS for at in (0.1, 0.2)]
     ),
     "they are as urgent": history(
@@ -73,7 +73,7 @@
             for at in (REFUSED_AT - 0.05, REFUSED_AT + 0.2)
         ]
     ),
-    "its host turned it away": history(
+    "its host rejected it": history(
         STARTED_AT_BOTH,
         refused=RequestRefused(REFUSED_AT, "q1", "f", "web", URGENT, is_by_host=True),
     ),
