--- a/tests/lab/soak/test_soak_surges.py
+++ b/tests/lab/soak/test_soak_surges.py
@@ -1,4 +1,4 @@
-"""Who rushes, and that rushes stay within their bounds."""
+"""Surges come from the callers of their scope and stay within their bounds."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rush", "priorities", "zones"),
+    ("surge", "priorities", "zones"),
     [
         (Surge(SurgeScope.ALL), {0, 1}, {"north", "south"}),
         (Surge(SurgeScope.KIND, "0"), {0}, {"north", "south"}),
@@ -39,7 +39,7 @@
 
 
 def test_no_more_requests_wait_at_once_than_the_bound(monkeypatch):
-    monkeypatch.setattr(surges, "MOST_AT_ONCE", 3)
+    monkeypatch.setattr(surges, "MAX_OUTSTANDING_REQUESTS", 3)
     waiting, most = set(), 0
 
     async def request_once(listener, zone):
