--- a/tests/scripts/test_capacity.py
+++ b/tests/scripts/test_capacity.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("power", "carried"), [("0.45", 231.0), ("-1.0", 40.0), ("1.0", 1970.0), ("3.0", 96700.0)]
+    ("power", "extrapolated"), [("0.45", 231.0), ("-1.0", 40.0), ("1.0", 1970.0), ("3.0", 96700.0)]
 )
 def test_the_figures_of_a_site_without_a_target_are_carried_on_here(power, extrapolated):
     rows = [f"{name:<40}  1.5 / 2.5      3.0 / 40.0  {power}  -" for name in NAMES]
