--- a/src/jasperwalk_lab/simulator/faults.py
+++ b/src/jasperwalk_lab/simulator/faults.py
@@ -143,8 +143,8 @@
 
     async def run(self, faults: list[Fault]) -> None:
         """Carry out every fault at its time and return when the last one is over."""
-        began = self._world.now
-        await asyncio.gather(*(self._perform_at(began + fault.at, fault) for fault in faults))
+        started_at = self._world.now
+        await asyncio.gather(*(self._perform_at(started_at + fault.at, fault) for fault in faults))
 
     async def _perform_at(self, when: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, when - self._world.now))
@@ -169,9 +169,9 @@
             case Move():
                 await self._move(action)
             case Mood():
-                await self._mood(action)
+                await self._misbehave(action)
             case Weather():
-                await self._weather(action)
+                await self._degrade_network(action)
             case Burst():
                 await self._burst(action)
 
@@ -285,7 +285,7 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def _mood(self, action: Mood) -> None:
+    async def _misbehave(self, action: Mood) -> None:
         if action.stalls:
             self._disturb(action.host, action.seconds)
         behaviour = self._world.program(action.host).behaviour
@@ -299,7 +299,7 @@
             None,
         )
 
-    async def _weather(self, action: Weather) -> None:
+    async def _degrade_network(self, action: Weather) -> None:
         conditions = self._world.network.conditions
         conditions.loss, conditions.duplication = action.loss, action.duplication
         await asyncio.sleep(action.seconds)
--- a/src/jasperwalk_lab/simulator/linearizability.py
+++ b/src/jasperwalk_lab/simulator/linearizability.py
@@ -78,7 +78,7 @@
         self._known_revisions = {
             each.result.revision for each in operations if isinstance(each.result, AcceptedAt)
         }
-        self._seen: set[tuple[int, State]] = set()
+        self._visited: set[tuple[int, State]] = set()
         self._order: list[str] = []
         self._required = 0
         for position, each in enumerate(operations):
@@ -87,14 +87,14 @@
 
     def run(self, initial: int) -> list[str] | None:
         """Search from the initial revision."""
-        return self._order if self._extend(0, initial) else None
+        return self._order if self._search_from(0, initial) else None
 
-    def _extend(self, done: int, state: State) -> bool:
+    def _search_from(self, done: int, state: State) -> bool:
         if done & self._required == self._required:
             return True
-        if (done, state) in self._seen:
+        if (done, state) in self._visited:
             return False
-        self._seen.add((done, state))
+        self._visited.add((done, state))
         horizon = min(
             (
                 each.completed
@@ -106,16 +106,16 @@
         for position, each in enumerate(self._operations):
             if done >> position & 1 or each.invoked > horizon:
                 continue
-            following = self._effect(each, state)
-            if following is None:
+            next_state = self._state_after(each, state)
+            if next_state is None:
                 continue
             self._order.append(each.name)
-            if self._extend(done | 1 << position, following):
+            if self._search_from(done | 1 << position, next_state):
                 return True
             self._order.pop()
         return False
 
-    def _effect(self, operation: Operation, state: State) -> State | None:
+    def _state_after(self, operation: Operation, state: State) -> State | None:
         """Return the state after an operation; None where its result does not fit."""
         match operation.result:
             case AcceptedAt(revision=revision):
