--- a/bench/agent.py
+++ b/bench/agent.py
@@ -1,7 +1,7 @@
-"""Benchmark of a whole agent with its back end, beside aioquic's bare server, in alternation.
+"""Benchmark of a whole agent with its backend, beside aioquic's bare server, in alternation.
 
 Callers are stock clients in processes of their own; those of the agent route their packets
-with a balancer's core. Control and the back end share a process, and another carries answers
+with a balancer's core. Control and the backend share a process, and another carries answers
 from the agent to callers. Only the processor time of the agent's process counts as its own.
 """
 
--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -1,4 +1,4 @@
-"""The processes round a measured agent: control, back end, fabric, and a bare HTTP/3 server."""
+"""The processes round a measured agent: control, backend, fabric, and a bare HTTP/3 server."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def run_control_and_backend(control: Connection) -> None:
-    """Run control and a back end; send their end points, then that of the agent."""
+    """Run control and a backend; send their endpoints, then that of the agent."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_run_control_and_backend(control))
 
@@ -111,7 +111,7 @@
 
 
 def run_fabric(control: Connection) -> None:
-    """Carry the agent's answers to their callers; send the end point first."""
+    """Carry the agent's answers to their callers; send the endpoint first."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     listener.bind((ANY_PORT.host, ANY_PORT.port))
@@ -149,7 +149,7 @@
 
 
 class BareProtocol(QuicConnectionProtocol):
-    """Answers every request at once with the body that the back end gives."""
+    """Answers every request at once with the body that the backend gives."""
 
     _http: H3Connection | None = None
 
@@ -167,7 +167,7 @@
 
 
 def run_bare_server(control: Connection, files: CertificateFiles) -> None:
-    """Run aioquic's own server without a back end; send its end point first."""
+    """Run aioquic's own server without a backend; send its endpoint first."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve_bare(control, files))
 
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -44,7 +44,7 @@
     HANDSHAKES = "handshakes"
     REQUESTS = "requests"
     HTTP1_REQUESTS = "http1-requests"
-    """Requests straight to the back end."""
+    """Requests straight to the backend."""
     HOLD = "hold"
     """Opens connections in two batches and keeps them open."""
 
--- a/bench/forwarders.py
+++ b/bench/forwarders.py
@@ -63,7 +63,7 @@
 def run_bare(control: Connection, sink: Endpoint, count: int) -> None:
     """Forward `count` datagrams with nothing but recv and sendto, for each command.
 
-    Sends its end point, then a snapshot before and one after each such round.
+    Sends its endpoint, then a snapshot before and one after each such round.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
@@ -82,7 +82,7 @@
 
 
 def run_balancer_loop(control: Connection, sink: Endpoint, kind: ReaderKind) -> None:
-    """Run the balancer's core and socket; send its end point, then a snapshot a command."""
+    """Run the balancer's core and socket; send its endpoint, then a snapshot a command."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(control, sink, kind))
 
--- a/bench/running.py
+++ b/bench/running.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Forwarder:
-    """A running forwarder: its control connection and its end point."""
+    """A running forwarder: its control connection and its endpoint."""
 
     control: Connection
     endpoint: Endpoint
--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -76,7 +76,7 @@
     kind_of_request: str = ""
 
     def is_active(self, now: float) -> bool:
-        """Tell whether it holds at a time."""
+        """Return whether it holds at a time."""
         return self.at <= now < self.at + self.for_s
 
 
--- a/src/jasperwalk_lab/answers.py
+++ b/src/jasperwalk_lab/answers.py
@@ -1,4 +1,4 @@
-"""The answers that back ends give and callers check: a pure function of the request.
+"""The answers that backends give and callers check: a pure function of the request.
 
 Every answer names the service and the request's identity, so that a caller can tell its own
 whole answer from another caller's, another service's or a cut one.
@@ -9,13 +9,13 @@
 import hashlib
 
 REQUEST_HEADER = "x-lab-request"
-"""Header with the request's identity, set by callers, echoed by back ends."""
+"""Header with the request's identity, set by callers, echoed by backends."""
 SERVICE_HEADER = "x-lab-service"
-"""Header with the service's name, set by back ends."""
+"""Header with the service's name, set by backends."""
 HOST_HEADER = "x-lab-host"
-"""Header with the back end's host name, set by back ends."""
+"""Header with the backend's host name, set by backends."""
 NOT_RUN_HEADER = "jasperwalk-not-run"
-"""Header of a back end's 503 that says the request did not run."""
+"""Header of a backend's 503 that says the request did not run."""
 DEADLINE_HEADER = "jasperwalk-deadline-ms"
 """Header with the time that a request has left, in milliseconds."""
 
--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in of a service's back end: an HTTP/1.1 server with slots, as tenants run them.
+"""Stand-in of a service's backend: an HTTP/1.1 server with slots, as tenants run them.
 
 Paths: `GET /lookup?q=`, `GET /stream?seconds=&interval_ms=`, `POST /submit`,
 `GET /download?bytes=`, `GET /health`, `GET /load`; for the lab `GET /lab/journal`,
@@ -38,7 +38,7 @@
 
 
 class BackendSettings(BaseModel):
-    """Settings of one back end; times in the unit of their names."""
+    """Settings of one backend; times in the unit of their names."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -67,7 +67,7 @@
 
 
 class Backend:
-    """One back end: its state, its journal and its HTTP handlers."""
+    """One backend: its state, its journal and its HTTP handlers."""
 
     def __init__(self, settings: BackendSettings, now: float) -> None:
         self.settings = settings
@@ -255,7 +255,7 @@
 
 
 async def run_backend(settings: BackendSettings) -> None:
-    """Run one back end until SIGTERM or SIGINT."""
+    """Run one backend until SIGTERM or SIGINT."""
     stop = install_stop_event()
     backend = Backend(settings, _now())
     runner = await start_http(backend.application(), Endpoint.parse(settings.listen))
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -1,4 +1,4 @@
-"""State of the back-end stand-in, without sockets: slots, cold start, reports that lag or lie."""
+"""State of the backend stand-in, without sockets: slots, cold start, reports that lag or lie."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BackendStatus(enum.StrEnum):
-    """What a back end says of itself on `/health`."""
+    """What a backend says of itself on `/health`."""
 
     OK = "ok"
     DRAINING = "draining"
@@ -35,7 +35,7 @@
 
 @dataclass
 class BackendState:
-    """Slots, drain and cold start of one back end.
+    """Slots, drain and cold start of one backend.
 
     Service times are `cold_factor` times as long at the start and fall to their normal
     length over `cold_seconds`. At most `queue_length` requests wait for a slot.
@@ -55,7 +55,7 @@
     )
 
     def sheds_new_requests(self) -> bool:
-        """Tell whether a request that arrives now is refused without running."""
+        """Return whether a request that arrives now is refused without running."""
         return self.draining or (self.busy >= self.slots and self.waiting >= self.queue_length)
 
     def slowdown(self, now: float) -> float:
@@ -79,7 +79,7 @@
         self._reports.append((now, report))
 
     def report(self, now: float) -> LoadReport:
-        """Return what the back end says of itself at `now`, with its faults."""
+        """Return what the backend says of itself at `now`, with its faults."""
         true_report = self._true_report(now - self.faults.lag_seconds)
         return LoadReport(
             status=true_report.status
--- a/src/jasperwalk_lab/caller.py
+++ b/src/jasperwalk_lab/caller.py
@@ -78,7 +78,7 @@
 
     @property
     def alive(self) -> bool:
-        """Tell whether the connection has not ended."""
+        """Return whether the connection has not ended."""
         return not self._protocol.terminated
 
     def send_ping(self) -> None:
--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -2,7 +2,7 @@
 
 A request runs at another agent of its service where its own has no free slot or drains. When
 that one is killed, the flow lives on and only the request's stream is reset. That counts as
-the kill's work only where the back ends' journals show that the run was cut by it.
+the kill's work only where the backends' journals show that the run was cut by it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 CLOCK_TOLERANCE_SECONDS = 0.05
 """Clocks of two processes are read a little apart."""
 INTERRUPTED = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
-"""What a journal says of a run whose back end or agent was lost."""
+"""What a journal says of a run whose backend or agent was lost."""
 
 
 class FlowAttribution:
@@ -47,7 +47,7 @@
         return None
 
     def _held_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
-        """Tell whether the lost agent had the flow.
+        """Return whether the lost agent had the flow.
 
         The agent is judged by what the fabric saw, not by what the answer says of itself: a
         caller's port may belong to several flows, so only answers while it was open count.
@@ -61,7 +61,7 @@
         return loss.agent in agents and opened <= loss.at <= record.completed
 
     def _ran_request(self, loss: AgentLoss, record: CallRecord) -> bool:
-        """Tell whether the stream was reset because the lost agent was running its request."""
+        """Return whether the stream was reset because the lost agent was running its request."""
         broken = record.outcome
         if not isinstance(broken, Broken) or broken.reason is not BreakReason.STREAM_RESET:
             return False
@@ -71,9 +71,9 @@
 
 
 def _was_interrupted_by(loss: AgentLoss, run: JournalRecord) -> bool:
-    """Tell whether a run at the lost host was in progress when it was lost."""
+    """Return whether a run at the lost host was in progress when it was lost."""
     if run.host != loss.host or run.ran_at > loss.at:
         return False
     if run.outcome is RunOutcome.RUNNING:
-        return True  # its back end was lost with it
+        return True  # its backend was lost with it
     return run.ended_at >= loss.at - CLOCK_TOLERANCE_SECONDS
--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -90,7 +90,7 @@
 
 
 def _constrains_order(change: SubmittedChange) -> bool:
-    """Tell whether a change says anything about the tenant's order."""
+    """Return whether a change says anything about the tenant's order."""
     first = change.answers[0] if change.answers else None
     return not (isinstance(first, Refused) and first.kind != MISMATCH)
 
--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -100,7 +100,7 @@
         return ControlClient(self.control_apis())
 
     def control_apis(self) -> list[Endpoint]:
-        """Return the API end points of the replicas that are in their places now."""
+        """Return the API endpoints of the replicas that are in their places now."""
         return [place.api for place in self.control_slots.values()]
 
     def balancer(self, name: str) -> BalancerPlace:
@@ -128,7 +128,7 @@
         await self.supervisor.wait_ready([agent_name(self.member(host))], FLEET_READY_SECONDS)
 
     async def start_host(self, host: str) -> None:
-        """Start a lost host's back end and agent again."""
+        """Start a lost host's backend and agent again."""
         place = self.member(host)
         await self.supervisor.start(self.planner.backend(place))
         await self.supervisor.wait_ready([backend_name(place)], FLEET_READY_SECONDS)
@@ -170,11 +170,11 @@
         await _put(self.layout.platform_list, f"/lab/machines/{host}", StateChange(state))
 
     async def set_shedding(self, host: str, shedding: bool) -> None:
-        """Let a back end refuse, or take, whatever arrives."""
+        """Let a backend refuse, or take, whatever arrives."""
         await _put(self.member(host).backend, "/lab/drain", DrainBody(shedding))
 
     async def set_report_faults(self, host: str, faults: ReportFaults) -> None:
-        """Let a back end's reports mislead."""
+        """Let a backend's reports mislead."""
         await _put(self.member(host).backend, "/lab/faults", faults)
 
     async def flows(self) -> list[FlowView]:
@@ -184,7 +184,7 @@
             return msgspec.json.decode(await response.read(), type=FlowList).flows
 
     def read_journals(self) -> list[JournalRecord]:
-        """Read the journals of all back ends, killed ones too."""
+        """Read the journals of all backends, killed ones too."""
         files = self.planner.journal_files()
         return [record for path in files for record in read_journal_file(path)]
 
--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -51,7 +51,7 @@
         self._changed = asyncio.Event()
 
     def is_cut(self, source: str, destination: str) -> bool:
-        """Tell whether bytes from `source` to `destination` are held back."""
+        """Return whether bytes from `source` to `destination` are held back."""
         pairs = ((source, destination), (source, ANY_PROCESS), (ANY_PROCESS, destination))
         return any(Cut(*pair) in self._cuts for pair in pairs)
 
--- a/src/jasperwalk_lab/chaos/planner.py
+++ b/src/jasperwalk_lab/chaos/planner.py
@@ -27,7 +27,7 @@
 
 
 class ChaosPlanner(FleetPlanner):
-    """A planner whose replicas are reached by relays and whose back ends keep journals."""
+    """A planner whose replicas are reached by relays and whose backends keep journals."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         return self._product("control", place.name, settings, health_url(place.api))
 
     def journal_files(self) -> list[Path]:
-        """List the journals that back ends have written."""
+        """List the journals that backends have written."""
         return sorted(self._journal_folder.iterdir())
 
     def data_folder(self, place: ControlPlace) -> Path:
--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -180,7 +180,7 @@
         return loop.time() - since
 
     def _follower_admins(self) -> dict[str, Endpoint]:
-        """Return the admin end points of all balancers and agents, by process name."""
+        """Return the admin endpoints of all balancers and agents, by process name."""
         layout = self._fleet.layout
         balancers = (*layout.balancers, *layout.spare_balancers)
         admins = {place.name: place.admin for place in balancers}
--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -41,7 +41,7 @@
     type=click.FloatRange(min=0.1),
     default=100.0,
     show_default=True,
-    help="Mean service time of the back ends of a fleet started here; times vary.",
+    help="Mean service time of the backends of a fleet started here; times vary.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def load(
@@ -86,7 +86,7 @@
 
 
 async def _run(fleet_listeners: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
-    # A part of the name is drawn anew, as back ends remember the identities of earlier loads.
+    # A part of the name is drawn anew, as backends remember the identities of earlier loads.
     name = f"load{seed}-{random.SystemRandom().randrange(RUN_NAME_LIMIT):x}"
     caller = Caller(name, Path(fleet_listeners.ca_file), CallHistory())
     loop = OpenLoop(caller, fleet_listeners, profile, seed, _progress)
--- a/src/jasperwalk_lab/commands/stand_in.py
+++ b/src/jasperwalk_lab/commands/stand_in.py
@@ -45,7 +45,7 @@
 @stand_in.command("backend")
 @settings_option
 def backend(settings_file: Path) -> None:
-    """Serve as the back end of one host."""
+    """Serve as the backend of one host."""
     uvloop.run(run_backend(load_lab_settings(settings_file, BackendSettings)))
 
 
--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -2,7 +2,7 @@
 
 An example folder holds one template (`template.toml`) and a file `tenant-NAME.toml` for each
 tenant with `name`, `template` and a `values` table. Addresses in values are those of a
-real deployment; the fleet replaces each by a free loopback end point.
+real deployment; the fleet replaces each by a free loopback endpoint.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
         return replace(self, tenants=tenants)
 
     def relocated(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
-        """Return the same deployment with fresh end points for listeners and members."""
+        """Return the same deployment with fresh endpoints for listeners and members."""
         tenants = tuple(self._relocated_tenant(t, make_vip, make_member) for t in self.tenants)
         return self.with_tenants(tenants)
 
--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -2,7 +2,7 @@
 
 One UDP socket a listener (VIP and port). Each datagram of a caller goes to a balancer chosen
 at random, behind a PROXY protocol v2 header (source caller, destination VIP). Agents send
-answers to the return end point behind a header with source VIP and destination caller; the
+answers to the return endpoint behind a header with source VIP and destination caller; the
 fabric sends them on from the VIP's socket. Balancers are probed on their `/healthz` page.
 
 One-way delays: a balancer's `delay_ms` holds the way from the caller to it plus the way
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class FabricSockets:
-    """End points that a running fabric listens on."""
+    """Endpoints that a running fabric listens on."""
 
     listeners: list[Endpoint]
     return_endpoint: Endpoint
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -31,7 +31,7 @@
 
     @property
     def in_use(self) -> bool:
-        """Tell whether the last probes found the balancer healthy."""
+        """Return whether the last probes found the balancer healthy."""
         return self.failures < FAILURES_TO_REMOVE
 
 
--- a/src/jasperwalk_lab/fleet.py
+++ b/src/jasperwalk_lab/fleet.py
@@ -136,17 +136,17 @@
         await self._wait_sprayed({place.name})
 
     async def kill_host(self, place: MemberPlace) -> None:
-        """Kill an agent and its back end, as a machine that is lost."""
+        """Kill an agent and its backend, as a machine that is lost."""
         await self.supervisor.kill(agent_name(place))
         await self.supervisor.kill(backend_name(place))
 
     async def journals(self, lost_hosts: Collection[str] = ()) -> list[JournalRecord]:
-        """Collect the journals of all back ends but those of lost hosts."""
+        """Collect the journals of all backends but those of lost hosts."""
         places = [place for place in self.layout.members if place.host not in lost_hosts]
         return await self.journals_of(places)
 
     async def journals_of(self, places: Iterable[MemberPlace]) -> list[JournalRecord]:
-        """Collect the journals of some back ends."""
+        """Collect the journals of some backends."""
         async with aiohttp.ClientSession() as session:
             answers = await asyncio.gather(*(self._journal(session, place) for place in places))
         return [record for answer in answers for record in answer.records]
--- a/src/jasperwalk_lab/fleet_options.py
+++ b/src/jasperwalk_lab/fleet_options.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """Back ends' service time in milliseconds, and the ways of dispatching to compare.
+    """Backends' service time in milliseconds, and the ways of dispatching to compare.
 
     With `service_time_varies` the times are exponential about `service_time_ms`, drawn from
     each request's identity, so that runs with the same requests have the same work.
--- a/src/jasperwalk_lab/fleet_settings.py
+++ b/src/jasperwalk_lab/fleet_settings.py
@@ -123,7 +123,7 @@
         return self._product("agent", agent_name(place), settings, health_url(place.admin))
 
     def backend(self, place: MemberPlace) -> ProcessPlan:
-        """Plan the back end beside an agent."""
+        """Plan the backend beside an agent."""
         settings: dict[str, Any] = {
             "service": place.service,
             "host": place.host,
@@ -190,7 +190,7 @@
         return place.peer
 
     def _backend_extras(self, _place: MemberPlace) -> dict[str, Any]:
-        """Return further settings of a back end."""
+        """Return further settings of a backend."""
         return {}
 
     def _product(
@@ -219,5 +219,5 @@
 
 
 def backend_name(place: MemberPlace) -> str:
-    """Return the process name of a member's back end."""
+    """Return the process name of a member's backend."""
     return f"backend-{place.host}"
--- a/src/jasperwalk_lab/history.py
+++ b/src/jasperwalk_lab/history.py
@@ -1,6 +1,6 @@
-"""Checks what callers were told against what back ends ran.
+"""Checks what callers were told against what backends ran.
 
-Input: the record of every call and the journals of all back ends. Output: counts of how
+Input: the record of every call and the journals of all backends. Output: counts of how
 calls ended and one typed violation for each promise that was broken:
 
 - an answer is whole, right, the caller's own and of the service that was asked;
@@ -149,7 +149,7 @@
         if answer.request_id != record.request_id:
             return f"answer belongs to request {answer.request_id!r}"
         if not self._runs[record.request_id]:
-            return "no back end ran the request"
+            return "no backend ran the request"
         return _body_problem(record, answer)
 
     def _check_broken(self, record: CallRecord, broken: Broken) -> None:
--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -145,7 +145,7 @@
 
 
 def is_stateless_reset(data: bytes, tokens: Collection[bytes]) -> bool:
-    """Tell whether a datagram ends with one of the peer's tokens and has the look of a reset."""
+    """Return whether a datagram ends with one of the peer's tokens and has the look of a reset."""
     if len(data) < MIN_RESET_BYTES or data[0] & LONG_HEADER_BIT:
         return False
     return data[-RESET_TOKEN_LENGTH:] in tokens
--- a/src/jasperwalk_lab/journal.py
+++ b/src/jasperwalk_lab/journal.py
@@ -1,4 +1,4 @@
-"""A back end's record of every request that reached it, kept for the history checker."""
+"""A backend's record of every request that reached it, kept for the history checker."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RunOutcome(enum.StrEnum):
-    """What became of one arrival of a request at a back end."""
+    """What became of one arrival of a request at a backend."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -39,7 +39,7 @@
 
     @property
     def ran(self) -> bool:
-        """Tell whether the request began to run."""
+        """Return whether the request began to run."""
         return self.outcome is not RunOutcome.SHED
 
 
@@ -58,7 +58,7 @@
 
 
 class JournalFile:
-    """Appends each state of each record to a file, so that it outlives a killed back end."""
+    """Appends each state of each record to a file, so that it outlives a killed backend."""
 
     def __init__(self, path: Path) -> None:
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -70,7 +70,7 @@
 
 
 def read_journal_file(path: Path) -> list[JournalRecord]:
-    """Return the last state of every record in the file, of all starts of the back end."""
+    """Return the last state of every record in the file, of all starts of the backend."""
     newest: dict[tuple[int, int], JournalRecord] = {}
     for text in path.read_bytes().splitlines():
         line = msgspec.json.decode(text, type=JournalLine)
@@ -79,7 +79,7 @@
 
 
 class Journal:
-    """The records of one back end, in the order of arrival; `file` keeps them too if given."""
+    """The records of one backend, in the order of arrival; `file` keeps them too if given."""
 
     def __init__(
         self,
--- a/src/jasperwalk_lab/layout.py
+++ b/src/jasperwalk_lab/layout.py
@@ -1,4 +1,4 @@
-"""Which processes a fleet has and which loopback end point each of them uses."""
+"""Which processes a fleet has and which loopback endpoint each of them uses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class ControlPlace:
-    """End points of a control replica."""
+    """Endpoints of a control replica."""
 
     name: str
     replica_id: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class BalancerPlace:
-    """End points of a balancer; `delay_ms` is the one-way delay from callers to agents by it."""
+    """Endpoints of a balancer; `delay_ms` is the one-way delay from callers to agents by it."""
 
     name: str
     zone: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class MemberPlace:
-    """End points of an agent and of the back end beside it."""
+    """Endpoints of an agent and of the backend beside it."""
 
     host: str
     service: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """The whole fleet; `example` carries the end points of listeners and members."""
+    """The whole fleet; `example` carries the endpoints of listeners and members."""
 
     example: Example
     controls: tuple[ControlPlace, ...]
@@ -88,7 +88,7 @@
 
 
 def plan_layout(example: Example, reservations: PortReservations) -> Layout:
-    """Give every process of the example's fleet its end points."""
+    """Give every process of the example's fleet its endpoints."""
     hosts = LoopbackHosts(reservations)
     relocated = example.relocated(hosts.endpoint, hosts.endpoint)
     zones = relocated.zones()
--- a/src/jasperwalk_lab/machine.py
+++ b/src/jasperwalk_lab/machine.py
@@ -50,7 +50,7 @@
 
 
 def has_uncommitted_changes() -> bool:
-    """Tell whether files differ from the commit."""
+    """Return whether files differ from the commit."""
     return bool(_git("status", "--porcelain"))
 
 
--- a/src/jasperwalk_lab/platform_list.py
+++ b/src/jasperwalk_lab/platform_list.py
@@ -29,7 +29,7 @@
 
 
 class MachineSettings(BaseModel):
-    """One machine of the list; `address` is its agent's forwarding end point."""
+    """One machine of the list; `address` is its agent's forwarding endpoint."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -96,7 +96,7 @@
         self._version = 1
 
     def knows(self, host: str) -> bool:
-        """Tell whether `host` was ever a machine of the platform."""
+        """Return whether `host` was ever a machine of the platform."""
         return host in self._machines
 
     def set_state(self, host: str, state: MachineState, now: float) -> None:
--- a/src/jasperwalk_lab/serving.py
+++ b/src/jasperwalk_lab/serving.py
@@ -62,7 +62,7 @@
 
 
 def http_endpoint(runner: web.AppRunner) -> Endpoint:
-    """Return the end point that a runner listens on (useful after binding port 0)."""
+    """Return the endpoint that a runner listens on (useful after binding port 0)."""
     host, port = runner.addresses[0][:2]
     return Endpoint(host=host, port=port)
 
--- a/src/jasperwalk_lab/supervisor.py
+++ b/src/jasperwalk_lab/supervisor.py
@@ -117,11 +117,11 @@
         return None if process is None or process.returncode is not None else process.pid
 
     def exists(self, name: str) -> bool:
-        """Tell whether a process is there, also one that was told to end and has not yet."""
+        """Return whether a process is there, also one that was told to end and has not yet."""
         return name in self._stopping or self.process_id(name) is not None
 
     def runs(self, name: str) -> bool:
-        """Tell whether a process was started and not ended by this supervisor."""
+        """Return whether a process was started and not ended by this supervisor."""
         return name in self._processes
 
     async def stop(self, name: str, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
--- a/tests/lab/test_chaos_attribution.py
+++ b/tests/lab/test_chaos_attribution.py
@@ -34,7 +34,7 @@
 def test_the_loss_of_the_agent_that_ran_the_request_is_the_cause():
     assert cause() == "agent-killed"
     lost = msgspec.structs.replace(RUN, outcome=RunOutcome.RUNNING, ended_at=0.0)
-    assert cause(run=lost) == "agent-killed"  # its back end was lost with it
+    assert cause(run=lost) == "agent-killed"  # its backend was lost with it
 
 
 def _call(**outcome):
