--- a/src/jasperwalk_lab/answers.py
+++ b/src/jasperwalk_lab/answers.py
@@ -1,7 +1,7 @@
 """The answers that backends give and callers check: a pure function of the request.
 
-Every answer names the service and the request's identity, so that a caller can tell its own
-whole answer from another caller's, another service's or a cut one.
+Every answer contains the service and the request ID, so that a caller can distinguish its own
+complete answer from a truncated one and from that of another caller or service.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 import hashlib
 
 REQUEST_HEADER = "x-lab-request"
-"""Header with the request's identity, set by callers, echoed by backends."""
+"""Header with the request ID, set by callers, echoed by backends."""
 SERVICE_HEADER = "x-lab-service"
 """Header with the service's name, set by backends."""
 HOST_HEADER = "x-lab-host"
 """Header with the backend's host name, set by backends."""
 NOT_RUN_HEADER = "jasperwalk-not-run"
-"""Header of a backend's 503 that says the request did not run."""
+"""Header of a backend's 503 that states that the request did not run."""
 DEADLINE_HEADER = "jasperwalk-deadline-ms"
-"""Header with the time that a request has left, in milliseconds."""
+"""Header with the time left until a request's deadline, in milliseconds."""
 
 
 def lookup_body(service: str, request_id: str, query: str) -> bytes:
-    """Return the answer to a look-up of `query`."""
+    """Return the answer to a lookup of `query`."""
     digest = hashlib.sha256(query.encode()).hexdigest()
     return f"{service} {request_id} {digest}\n".encode()
 
@@ -38,7 +38,7 @@
 
 
 def stream_body(service: str, request_id: str, chunks: int) -> bytes:
-    """Return the whole body of a long stream of `chunks` chunks."""
+    """Return the complete body of a long stream of `chunks` chunks."""
     return b"".join(stream_chunk(service, request_id, number) for number in range(chunks))
 
 
--- a/src/jasperwalk_lab/backend.py
+++ b/src/jasperwalk_lab/backend.py
@@ -1,11 +1,11 @@
-"""Stand-in of a service's backend: an HTTP/1.1 server with slots, as tenants run them.
+"""Stand-in of a tenant's backend: an HTTP/1.1 server that runs a few requests at a time in slots.
 
 Paths: `GET /lookup?q=`, `GET /stream?seconds=&interval_ms=`, `POST /submit`,
 `GET /download?bytes=`, `GET /health`, `GET /load`; for the lab `GET /lab/journal`,
 `PUT /lab/drain`, `PUT /lab/pace` and `PUT /lab/faults`. A stream holds a slot only until its
-head is sent: a host has a few slots, but thousands of open streams. A connection closed by
-the agent cancels the work. `jasperwalk-deadline-ms` bounds waiting and running, of a stream
-the time until its head.
+response head is sent: a host has a few slots, but thousands of open streams. When the agent closes
+the connection, the request is cancelled. `jasperwalk-deadline-ms` limits the time for waiting and
+running; for a stream it limits the time until the response head.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class BackendSettings(BaseModel):
-    """Settings of one backend; times in the unit of their names."""
+    """Settings of one backend; the unit of a time is in its name."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -55,7 +55,7 @@
 
 
 class ServiceTimeFactorBody(msgspec.Struct, frozen=True):
-    """Body of `PUT /lab/pace`: service times are `factor` times as long from now on."""
+    """Body of `PUT /lab/pace`: multiplies all service times by `factor` from now on."""
 
     factor: float
 
@@ -100,14 +100,14 @@
         return application
 
     def _guarded(self, handler: Handler) -> Handler:
-        """Shed, journal and bound by its deadline whatever `handler` does."""
+        """Wrap `handler`: shed without capacity, journal each request, and apply its deadline."""
 
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = request.headers.get(answers.REQUEST_HEADER, "")
             if self.state.sheds_new_requests():
                 self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
                 return self._not_run_response(request_id)
-            # Until it holds a slot the request has not run.
+            # A request that never gets a slot has not run: SHED until then.
             record = self.journal.record_arrival(request_id, request.path, RunOutcome.SHED)
             return await self._within_deadline(handler, request, record)
 
@@ -135,7 +135,7 @@
 
     @contextlib.asynccontextmanager
     async def _slot(self, request: web.Request) -> AsyncIterator[None]:
-        """Wait for a slot, hold it, and journal that the request runs."""
+        """Wait for a slot, record in the journal that the request runs, and hold the slot."""
         self.state.waiting += 1
         try:
             await self._slots.acquire()
@@ -228,7 +228,7 @@
 
 
 def exponential_factor(request_id: str) -> float:
-    """Return a factor of mean 1, exponentially distributed, that depends on the identity alone."""
+    """Return a factor of mean 1, exponentially distributed, derived from the request ID."""
     digest = hashlib.sha256(request_id.encode()).digest()
     uniform = (int.from_bytes(digest[:8], "big") + 0.5) / 2**64
     return -math.log(uniform)
--- a/src/jasperwalk_lab/backend_core.py
+++ b/src/jasperwalk_lab/backend_core.py
@@ -1,4 +1,4 @@
-"""State of the backend stand-in, without sockets: slots, cold start, reports that lag or lie."""
+"""State of the backend stand-in, without sockets: slots, cold start, late or false reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BackendStatus(enum.StrEnum):
-    """What a backend says of itself on `/health`."""
+    """Status that a backend reports on `/health`."""
 
     OK = "ok"
     DRAINING = "draining"
@@ -26,7 +26,7 @@
 
 
 class ReportFaults(msgspec.Struct, frozen=True):
-    """How the reports mislead: seconds of lag, and values told in place of the true ones."""
+    """How reports are wrong: seconds of lag, and values reported instead of the true ones."""
 
     lag_seconds: float = 0.0
     false_status: BackendStatus | None = None
@@ -37,8 +37,8 @@
 class BackendState:
     """Slots, drain and cold start of one backend.
 
-    Service times are `cold_factor` times as long at the start and fall to their normal
-    length over `cold_seconds`. At most `queue_length` requests wait for a slot.
+    Service times are multiplied by `cold_factor` at the start, and fall linearly to their normal
+    length within `cold_seconds`. At most `queue_length` requests wait for a slot.
     """
 
     slots: int
@@ -55,7 +55,7 @@
     )
 
     def sheds_new_requests(self) -> bool:
-        """Return whether a request that arrives now is refused without running."""
+        """Return whether a request that arrives now is shed without running."""
         return self.draining or (self.busy >= self.slots and self.waiting >= self.queue_length)
 
     def slowdown(self, now: float) -> float:
@@ -74,12 +74,12 @@
         return BackendStatus.OK
 
     def record_report(self, now: float) -> None:
-        """Keep the true report of `now`, for reports that lag; call it after every change."""
+        """Record the true report of `now`, for delayed reports; call this after every change."""
         report = LoadReport(status=self.status(now), busy=self.busy, slots=self.slots)
         self._reports.append((now, report))
 
     def report(self, now: float) -> LoadReport:
-        """Return what the backend says of itself at `now`, with its faults."""
+        """Return the report that the backend gives at `now`, with its faults applied."""
         true_report = self._true_report(now - self.faults.lag_seconds)
         return LoadReport(
             status=true_report.status
@@ -96,7 +96,7 @@
         return LoadReport(status=BackendStatus.STARTING, busy=0, slots=self.slots)
 
     def _status_since(self, report: LoadReport, at: float) -> BackendStatus:
-        # Warming up is no event, so that a report noted while cold may be warm by `at`.
+        # The end of the cold start records no report: one recorded while cold may be warm by `at`.
         if report.status is BackendStatus.STARTING and at - self.started >= self.cold_seconds:
             return BackendStatus.OK
         return report.status
--- a/src/jasperwalk_lab/caller.py
+++ b/src/jasperwalk_lab/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in of a caller: a stock aioquic HTTP/3 client that records how every call ended."""
+"""Stand-in of a caller: an unmodified aioquic HTTP/3 client that records how every call ended."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class TicketAnswer(msgspec.Struct, frozen=True):
-    """Answer of the ticket page."""
+    """Answer to a request for a ticket."""
 
     ticket: str
     expires_in: float
 
 
 def classify(exchange: Exchange, broken: BreakReason | None) -> CallOutcome:
-    """Turn an exchange into what the caller knows of it."""
+    """Return the outcome of an exchange as the caller sees it."""
     headers = exchange.headers
     host = headers.get(MEMBER_HEADER, headers.get(answers.HOST_HEADER, ""))
     if broken is not None:
@@ -82,14 +82,14 @@
         return not self._protocol.terminated
 
     def send_ping(self) -> None:
-        """Send a PING if the connection has not ended."""
+        """Send a PING unless the connection has ended."""
         if self.alive:
             self._protocol.send_ping()
 
     async def call(
         self, operation: Operation, timeout: float, request_id: str | None = None
     ) -> CallRecord:
-        """Make one call with a time-out in seconds; a submission takes a ticket first."""
+        """Make one call with a time-out in seconds; a submission asks for a ticket first."""
         request_id = request_id or self._caller.next_request_id()
         invoked = asyncio.get_running_loop().time()
         ticket: str | None = None
@@ -103,7 +103,7 @@
         )
 
     async def ticket(self, timeout: float) -> tuple[str | None, CallOutcome | None]:
-        """Ask for a ticket; return it, or how the asking ended (nothing ran then)."""
+        """Ask for a ticket; return it, or the outcome without one (then nothing ran)."""
         headers = self._headers("POST", TICKET_PATH, "")
         exchange, broken = await self._protocol.exchange(headers, b"", timeout)
         outcome = classify(exchange, broken)
@@ -137,7 +137,7 @@
 
 
 class Caller:
-    """A caller with many connections; `name` makes its request identities unique."""
+    """A caller with many connections; `name` makes its request IDs unique."""
 
     def __init__(self, name: str, ca_file: Path, history: CallHistory) -> None:
         self._name = name
@@ -146,16 +146,16 @@
         self._numbers = itertools.count()
 
     def next_request_id(self) -> str:
-        """Return a request identity that this caller has not used."""
+        """Return a request ID that this caller has not used."""
         return f"{self._name}-{next(self._numbers)}"
 
     @contextlib.asynccontextmanager
     async def connect(
         self, service: str, listener: Endpoint, attempts: list[Flow] | None = None
     ) -> AsyncIterator[Connection | None]:
-        """Open a connection to a service's listener; None when it could not be opened.
+        """Open a connection to a service's listener; yield None when it could not be opened.
 
-        The flow of either is appended to `attempts`.
+        In both cases the flow is appended to `attempts`.
         """
         created: list[CallerProtocol] = []
 
@@ -200,7 +200,7 @@
         request_id: str | None = None,
         flow: Flow | None = None,
     ) -> CallRecord:
-        """Record a call that found no connection."""
+        """Record a call for which no connection could be opened."""
         outcome = Broken(reason=BreakReason.NOT_CONNECTED)
         request_id = request_id or self.next_request_id()
         return self.record(service, operation, request_id, invoked, outcome, flow)
@@ -214,7 +214,7 @@
         outcome: CallOutcome,
         flow: Flow | None = None,
     ) -> CallRecord:
-        """Record how a call ended just now."""
+        """Record the outcome of a call that has just ended."""
         record = CallRecord(
             request_id=request_id,
             service=service,
--- a/src/jasperwalk_lab/certificates.py
+++ b/src/jasperwalk_lab/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of the lab, made afresh for every fleet: for callers, and for internal links."""
+"""Certificates of the lab, created for every fleet: for callers, and for internal links."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from jasperwalk.transport.tls import TlsFiles
 
 SERVER_NAME = "portal.jasperwalk.test"
-"""Name that callers verify; every lab service answers to it."""
+"""Name that callers verify; every lab service has it in its certificate."""
 LIFETIME = datetime.timedelta(days=8)
 
 
@@ -34,7 +34,7 @@
 
 
 def write_certificates(folder: Path) -> CertificateFiles:
-    """Make a CA and a server certificate for callers, and write them as PEM files to `folder`."""
+    """Create a CA and a server certificate for callers, and write them as PEM files to `folder`."""
     authority = make_authority("jasperwalk lab CA", LIFETIME)
     files = TlsFiles(
         ca_file=folder / "ca.pem",
@@ -47,7 +47,7 @@
 
 
 class LinkCertificates:
-    """The CA of a fleet's internal links; `folder` holds it and what it signed."""
+    """The CA of a fleet's internal links; `folder` holds it and the certificates that it issued."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -56,7 +56,7 @@
         write_authority(self._authority, folder)
 
     def files(self, identity: Identity) -> TlsFiles:
-        """Return a process's files; its certificate is made when it is first asked for."""
+        """Return a process's files; its certificate is created on the first call."""
         files = tls_files_of(identity, self.folder)
         if not files.certificate_file.exists():
             issue_process_certificate(self._authority, identity, self.folder, LIFETIME)
--- a/src/jasperwalk_lab/chaos/__init__.py
+++ b/src/jasperwalk_lab/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""Chaos: seeded faults in a running fleet under traffic, and a check of what was recorded."""
+"""Chaos runs: seeded faults in a running fleet under traffic, and a check of the records."""
--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -1,4 +1,8 @@
-"""How each kind of fault is done and undone, as an asynchronous context a fault."""
+"""Injects and undoes each kind of fault: one asynchronous context per kind.
+
+A context takes the name of its target: a balancer, a control replica's place or a host. Entering
+it injects the fault, leaving it undoes the fault and waits until the target is healthy again.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,7 @@
 from jasperwalk_lab.platform_list import MachineState
 
 PLATFORM_LAG_SECONDS = 1.0
-"""The stand-in's own lag: a change of the truth shows that much later."""
+"""Default lag of the platform list: a change of a machine's state shows that much later."""
 IN_FORCE_SECONDS = 10.0
 SECOND_LOSS_SECONDS = 1.5
 MISLEADING_REPORTS = (
@@ -35,9 +39,9 @@
 
 Action = Callable[[str], AbstractAsyncContextManager[None]]
 MakeChanges = Callable[[], Awaitable[int]]
-"""Makes hundreds of changes and returns how many were accepted."""
+"""Submits hundreds of changes and returns how many were accepted."""
 WaitCurrent = Callable[[str, float], Awaitable[float]]
-"""Waits until a process is current; returns the seconds since the given time."""
+"""Waits until a process has the newest change; returns the seconds since the given time."""
 
 
 def _now() -> float:
@@ -45,7 +49,7 @@
 
 
 class FaultActions:
-    """The faults of one fleet; what later checks need goes to `observations`."""
+    """The faults of one fleet; data for the later checks is added to `observations`."""
 
     def __init__(
         self,
@@ -163,7 +167,7 @@
     async def _control_wiped(self, slot: str) -> AsyncIterator[None]:
         await lose_disk(self._fleet, slot)
         await replace_replica(self._fleet, slot)
-        # A second machine is lost right after the repair has finished.
+        # Right after the repair a second replica is lost: the replacement must count for the quorum.
         other = next(name for name in self._fleet.control_slots if name != slot)
         async with self._control_killed(other):
             await asyncio.sleep(SECOND_LOSS_SECONDS)
--- a/src/jasperwalk_lab/chaos/api.py
+++ b/src/jasperwalk_lab/chaos/api.py
@@ -1,4 +1,4 @@
-"""One request to one control replica, without any retry: callers decide what an answer means."""
+"""One request to one control replica, without retries: the calling code interprets the answer."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class ProblemContext(msgspec.Struct, frozen=True):
-    """Context of a refusal: of a revision mismatch, the tenant's present revision."""
+    """Context of a refusal; `current` is the tenant's revision in a revision mismatch."""
 
     current: int | None = None
 
 
 class ProblemView(msgspec.Struct, frozen=True):
-    """What the lab reads of a problem+json body."""
+    """The fields of a problem+json body that the lab reads."""
 
     kind: str
     context: ProblemContext | None = None
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The change is refused for good; `current` is the revision that a mismatch names."""
+    """The change is refused permanently; `current` is the revision that a mismatch names."""
 
     kind: str
     current: int | None
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class NotDecided:
-    """No answer, or one that asks to try again with the same change ID."""
+    """No answer, or one that asks to retry with the same change ID."""
 
     reason: str
 
@@ -55,7 +55,7 @@
 
 
 def parse_change_answer(status: int, body: bytes) -> ChangeAnswer:
-    """Read the answer to a change."""
+    """Decode the answer to a change."""
     if status == 200:  # noqa: PLR2004 - HTTP 200 OK
         view = msgspec.json.decode(body, type=ChangeView)
         return Accepted(view.revision, view.subject_revision)
@@ -70,7 +70,7 @@
 
 
 class ReplicaApi:
-    """The API of the replicas; every call names the replica to ask."""
+    """Client of the replicas' API; every call names the replica to ask."""
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
@@ -106,7 +106,7 @@
         return msgspec.json.decode(body, type=TenantView) if status == 200 else None  # noqa: PLR2004
 
     async def in_force(self, replica: Endpoint, change_id: str, wait_ms: int) -> InForceView | str:
-        """Ask where a change is in force; return the reason when the replica does not say."""
+        """Ask where a change is in force; return the reason when the replica does not know."""
         url = f"http://{replica}/v1/changes/{change_id}/in-force?wait_ms={wait_ms}"
         status, body = await self._get(url)
         if status == 200:  # noqa: PLR2004 - HTTP 200 OK
--- a/src/jasperwalk_lab/chaos/attribution.py
+++ b/src/jasperwalk_lab/chaos/attribution.py
@@ -1,8 +1,8 @@
-"""Names the fault that broke a flow: the loss of its agent, or of the agent that ran its request.
+"""Finds the fault that broke a flow: the loss of its agent, or of the agent that ran its request.
 
-A request runs at another agent of its service where its own has no free slot or drains. When
-that one is killed, the flow lives on and only the request's stream is reset. That counts as
-the kill's work only where the backends' journals show that the run was cut by it.
+A request runs at another agent of its service where its own agent has no free slot or drains. When
+that other agent is killed, the flow continues and only the request's stream is reset. Such a reset
+is attributed to the kill only where the backends' journals show that the kill interrupted the run.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from jasperwalk_lab.operations import BreakReason, Broken, CallRecord
 
 CLOCK_TOLERANCE_SECONDS = 0.05
-"""Clocks of two processes are read a little apart."""
+"""Two processes record the same event at slightly different times."""
 INTERRUPTED = frozenset({RunOutcome.RUNNING, RunOutcome.CANCELLED})
-"""What a journal says of a run whose backend or agent was lost."""
+"""Outcomes that a journal may have for a run whose backend or agent was lost."""
 
 
 class FlowAttribution:
-    """Knows which agents answered which flow, what ran where, and when agents were killed."""
+    """Attributes broken calls to losses, from the agents seen per flow, the runs and the losses."""
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         self._losses = list(losses)
 
     def cause_of(self, record: CallRecord) -> str | None:
-        """Return the fault's name; None when no agent that it needed was killed meanwhile."""
+        """Return the fault's name; None when no agent that the call needed was killed meanwhile."""
         for loss in self._losses:
             if self._held_flow(loss, record) or self._ran_request(loss, record):
                 return loss.cause
         return None
 
     def _held_flow(self, loss: AgentLoss, record: CallRecord) -> bool:
-        """Return whether the lost agent had the flow.
+        """Return whether the lost agent was the holder of the flow.
 
-        The agent is judged by what the fabric saw, not by what the answer says of itself: a
-        caller's port may belong to several flows, so only answers while it was open count.
+        The holder is known from the answers that the fabric saw, not from what an answer says of
+        itself. A caller's port may belong to several flows, so only answers during this one count.
         """
         flow = record.flow
         if flow is None:
--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -1,4 +1,8 @@
-"""Checks operators' changes: one outcome each, one winner a race, none lost, one order."""
+"""Checks operators' changes: one outcome each, one winner per race, none lost, one order.
+
+Input: each change with the definite answers that its operator got, and what the replicas hold at the
+end. Output: one violation for each broken promise.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 MISMATCH = "revision-mismatch"
 REPORT_LIMIT_SECONDS = 10.0
-"""Time within which control has to say that a change is in force everywhere."""
+"""Time within which control has to report that a change is in force everywhere."""
 
 
 def check_resends(changes: Iterable[SubmittedChange]) -> Iterator[ChaosViolation]:
@@ -35,7 +39,7 @@
 
 
 def check_winners(changes: Iterable[SubmittedChange]) -> Iterator[ChaosViolation]:
-    """Check that of all changes that expected one revision of a tenant, one won at most."""
+    """Check that at most one change that expected a given revision of a tenant was accepted."""
     winners = Counter(
         (change.tenant, change.expected)
         for change in changes
@@ -50,7 +54,7 @@
 def check_order(
     changes: Iterable[SubmittedChange], tenant: str, initial: int, final: int
 ) -> Iterator[ChaosViolation]:
-    """Check that one order explains all answers about a tenant and its `final` revision."""
+    """Check that a single order explains all answers about a tenant and its `final` revision."""
     operations = [_operation(c) for c in changes if c.tenant == tenant and _constrains_order(c)]
     ends = [o.invoked if math.isinf(o.completed) else o.completed for o in operations]
     end = max(ends, default=0.0) + 1.0
@@ -63,34 +67,34 @@
 def check_stored_outcomes(
     changes: Iterable[SubmittedChange], replica: str, found: Mapping[str, ChangeAnswer]
 ) -> Iterator[ChaosViolation]:
-    """Check after the run that a replica holds, of each change, the outcome that was told."""
+    """Check after the run that a replica holds, for each change, the outcome that was answered."""
     for change in changes:
         if change.answers and found.get(change.change_id) != change.answers[0]:
-            detail = f"{change.change_id} on {replica}: told {change.answers[0]}, "
-            detail += f"kept {found.get(change.change_id)}"
+            detail = f"{change.change_id} on {replica}: answered {change.answers[0]}, "
+            detail += f"stored {found.get(change.change_id)}"
             yield ChaosViolation(ChaosPromise.CHANGE_LOST, detail)
 
 
 def check_in_force(
     times: Iterable[InForceTime], happened: Iterable[FaultRecord]
 ) -> Iterator[ChaosViolation]:
-    """Check that control said in time, of every change that was watched, that it is in force.
+    """Check for every change that was waited for that control reported it in force in time.
 
-    While a replica is struck the others can't know of its subscribers, so the time counts from
-    the end of such a fault on. That the change was in force meanwhile is another check's job.
+    During a fault of a replica the others can't know the state of its subscribers, so the time
+    counts from the end of such a fault. `check_propagation` checks that the change was in force.
     """
     outages = control_outages(happened)
     for each in times:
         if each.ended <= deadline_after(each.accepted, REPORT_LIMIT_SECONDS, outages):
             continue
         words = "; ".join(each.last_words) or "no answer"
-        detail = f"{each.change_id} was not known to be in force after "
+        detail = f"{each.change_id} was not reported in force after "
         detail += f"{each.ended - each.accepted:.1f} s: {words}"
         yield ChaosViolation(ChaosPromise.NOT_KNOWN_IN_FORCE, detail)
 
 
 def _constrains_order(change: SubmittedChange) -> bool:
-    """Return whether a change says anything about the tenant's order."""
+    """Return whether a change's answers constrain the order of changes."""
     first = change.answers[0] if change.answers else None
     return not (isinstance(first, Refused) and first.kind != MISMATCH)
 
--- a/src/jasperwalk_lab/chaos/faults.py
+++ b/src/jasperwalk_lab/chaos/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a chaos run: what is planned, and what really took place."""
+"""The faults of a chaos run: their kinds, how they are planned, and which took place."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What happens to a process, a link or a disk."""
+    """Fault of a process, a link or a disk."""
 
     BALANCER_KILLED = "balancer-killed"
     BALANCER_STOPPED = "balancer-stopped"
@@ -37,7 +37,7 @@
 
 
 class TargetGroup(enum.StrEnum):
-    """What kind of thing a fault strikes."""
+    """Kind of target of a fault."""
 
     BALANCER = "balancer"
     SPARE = "spare"
@@ -47,15 +47,15 @@
 
 @dataclass(frozen=True)
 class FaultShape:
-    """How a kind of fault is planned: whom it strikes and for how long (seconds)."""
+    """How a kind of fault is planned: its targets and its duration (seconds)."""
 
     group: TargetGroup
     shortest: float
     longest: float
     impairs: bool = True
-    """Whether the target is out of service meanwhile, and counts against the limits."""
+    """Whether the target is out of service during the fault, and counts against the limits."""
     holds: bool = True
-    """Whether the fault is held for its seconds; otherwise it ends by itself before them."""
+    """Whether the fault is held for its planned seconds; otherwise it ends by itself earlier."""
 
 
 UNTIL_END = 1_000.0
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True)
 class PlannedFault:
-    """A fault that begins `at` seconds after the start and is undone `seconds` later."""
+    """A fault that starts `at` seconds after the start of the run and is undone `seconds` later."""
 
     at: float
     kind: FaultKind
@@ -101,7 +101,7 @@
 class FaultRecord(msgspec.Struct):
     """A fault that took place, in seconds of the machine's monotonic clock.
 
-    `ended` is when its undoing was done; `failure` names what did not go as it should.
+    `ended` is when it was undone completely; `failure` describes the error of injecting or undoing.
     """
 
     kind: FaultKind
--- a/src/jasperwalk_lab/chaos/fleet.py
+++ b/src/jasperwalk_lab/chaos/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose processes, links and disks can be struck."""
+"""A fleet into whose processes, links and disks faults can be injected."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 REPLACEMENTS = 2
 LINKS_READY_SECONDS = 10.0
 AGENT_STOP_SECONDS = 90.0
-"""Time that a planned stop may take: an agent waits for its open streams."""
+"""Maximum duration of a planned stop: an agent waits for its open streams."""
 
 
 class ChaosFleet(Fleet):
-    """A fleet with links before its control replicas, and the strikes that tests need."""
+    """A fleet with relays in front of its control replicas, and methods that cause faults."""
 
     def __init__(self, example: Example, run_folder: Path, seed: int) -> None:
         super().__init__(example, run_folder, seed)
         self.control_slots: dict[str, ControlPlace] = {
             place.name: place for place in self.layout.controls
         }
-        """The replica that holds each place now; a replaced one gives way to its successor."""
+        """The current replica of each place, by the name of the place's first replica."""
         self.unused_replacements = list(self.links.replacements)
         self._cuts: list[Cut] = []
         self._balancers = {
@@ -77,7 +77,7 @@
         return LinkLayout(admin=admin, relays=relays, replacements=replacements)
 
     def facts(self) -> FleetFacts:
-        """Return what a schedule has to know."""
+        """Return the names that the schedule needs."""
         hosts: dict[str, tuple[str, ...]] = {}
         for member in self.layout.members:
             hosts[member.service] = (*hosts.get(member.service, ()), member.host)
@@ -96,11 +96,11 @@
         await super().start()
 
     def control_client(self) -> ControlClient:
-        """Return a client of the replicas that are in their places now."""
+        """Return a client of the current replicas."""
         return ControlClient(self.control_apis())
 
     def control_apis(self) -> list[Endpoint]:
-        """Return the API endpoints of the replicas that are in their places now."""
+        """Return the API endpoints of the current replicas."""
         return [place.api for place in self.control_slots.values()]
 
     def balancer(self, name: str) -> BalancerPlace:
@@ -135,7 +135,7 @@
         await self.start_agent(host)
 
     async def stop_agent(self, host: str) -> int:
-        """Stop an agent as planned stops do; return its exit status."""
+        """Stop an agent as in a planned stop; return its exit status."""
         return await self.supervisor.stop(agent_name(self.member(host)), AGENT_STOP_SECONDS)
 
     def wipe(self, place: ControlPlace) -> None:
@@ -143,7 +143,7 @@
         shutil.rmtree(self.planner.data_folder(place))
 
     async def add_cuts(self, cuts: Iterable[Cut]) -> None:
-        """Add cuts to those that hold."""
+        """Add cuts to those in effect."""
         self._cuts.extend(cuts)
         await self._put_cuts()
 
@@ -157,24 +157,24 @@
         await _put(self.links.admin, "/lab/cuts", CutsBody(self._cuts))
 
     async def cut_balancer(self, name: str, cut: bool) -> None:
-        """Cut, or mend, the way from the fabric to a balancer."""
+        """Cut, or restore, the path from the fabric to a balancer."""
         await _put(self.layout.fabric_admin, f"/lab/balancers/{name}/cut", CutBody(cut))
 
     async def cut_answers(self, host: str, cut: bool) -> None:
-        """Cut, or mend, the way from an agent to the fabric."""
+        """Cut, or restore, the path from an agent to the fabric."""
         agent = self.member(host).listen
         await _put(self.layout.fabric_admin, f"/lab/agents/{agent}/cut", CutBody(cut))
 
     async def set_machine(self, host: str, state: MachineState) -> None:
-        """Change what the platform's list will say of a host."""
+        """Change the state of a host, which the platform's list shows after its lag."""
         await _put(self.layout.platform_list, f"/lab/machines/{host}", StateChange(state))
 
     async def set_shedding(self, host: str, shedding: bool) -> None:
-        """Let a backend refuse, or take, whatever arrives."""
+        """Make a backend shed all requests, or accept them again."""
         await _put(self.member(host).backend, "/lab/drain", DrainBody(shedding))
 
     async def set_report_faults(self, host: str, faults: ReportFaults) -> None:
-        """Let a backend's reports mislead."""
+        """Make a backend's reports wrong."""
         await _put(self.member(host).backend, "/lab/faults", faults)
 
     async def flows(self) -> list[FlowView]:
@@ -184,7 +184,7 @@
             return msgspec.json.decode(await response.read(), type=FlowList).flows
 
     def read_journals(self) -> list[JournalRecord]:
-        """Read the journals of all backends, killed ones too."""
+        """Read the journal files of all backends, including killed ones."""
         files = self.planner.journal_files()
         return [record for path in files for record in read_journal_file(path)]
 
--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -1,7 +1,7 @@
-"""Waits until a change is in force, asking every replica that is in its place.
+"""Waits until a change is in force, by asking all current replicas.
 
-A replica that is killed, frozen, cut off or behind says nothing of the others' word. The first
-that says that the change is in force everywhere ends the wait.
+The first replica that reports the change as in force everywhere ends the wait. A replica that is
+killed, frozen, cut off or behind does not answer so, and does not delay the others' answers.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 POLL_INTERVAL_SECONDS = 0.1
 WAIT_STEP_MS = 300
-"""Time that a replica may hold an answer back while the change is not in force."""
+"""Time that a replica may delay its answer while the change is not in force."""
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""Time after which a replica counts as silent in this round of questions."""
+"""Time after which a replica counts as silent in this round of queries."""
 
 
 class InForceApi(Protocol):
     """The part of the replicas' API that a wait needs."""
 
     async def in_force(self, replica: Endpoint, change_id: str, wait_ms: int) -> InForceView | str:
-        """Ask one replica where a change is in force; a string says why it does not tell."""
+        """Ask one replica where a change is in force; a string is the reason why it does not know."""
         ...
 
 
 @dataclass
 class InForceWait:
-    """Outcome of a wait: `complete`, or what each replica said last."""
+    """Outcome of a wait: whether it is `complete`, and each replica's last answer."""
 
     complete: bool = False
     last_words: dict[str, str] = field(default_factory=dict)
 
     def describe(self) -> tuple[str, ...]:
-        """Return what each replica said last."""
+        """Return each replica's last answer."""
         return tuple(f"{replica}: {word}" for replica, word in sorted(self.last_words.items()))
 
 
 async def wait_in_force(
     api: InForceApi, replicas: Callable[[], Iterable[Endpoint]], change_id: str, seconds: float
 ) -> InForceWait:
-    """Wait at most `seconds` until any replica calls the change in force everywhere."""
+    """Wait at most `seconds` until any replica reports the change in force everywhere."""
     wait = InForceWait()
     try:
         async with asyncio.timeout(seconds):
@@ -59,7 +59,7 @@
 async def _ask_all(
     api: InForceApi, replicas: list[Endpoint], change_id: str, wait: InForceWait
 ) -> bool:
-    """Ask all replicas at once; return True at the first that says yes."""
+    """Ask all replicas at once; return True as soon as one reports the change in force."""
     queries = [asyncio.create_task(_ask(api, each, change_id, wait)) for each in replicas]
     try:
         for answer in asyncio.as_completed(queries):
--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -1,4 +1,4 @@
-"""Strikes the planned faults at their times and notes which of them took place."""
+"""Injects the planned faults at their times and records which of them took place."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class Injector:
-    """Runs every fault as a task of its own; `happened` lists those that began.
+    """Runs every fault as a task of its own; `happened` lists those that started.
 
-    A fault waits while an earlier one of the same target is undone, which may take longer than
-    planned on a busy machine. Control replicas count as one target: two at once are too many.
+    A fault waits until an earlier one of the same target is undone, which may take longer than
+    planned on a busy machine. Control replicas count as one target: of three replicas, two at once
+    would lose the quorum.
     """
 
     def __init__(self, actions: FaultActions, progress: Progress) -> None:
@@ -29,9 +30,9 @@
         self.happened: list[FaultRecord] = []
 
     async def run(self, planned: Sequence[PlannedFault]) -> None:
-        """Strike and undo all faults; a failure is noted with its fault.
+        """Inject and undo all faults; an expected failure is recorded with its fault.
 
-        An unexpected error ends all of them: none may start processes while the fleet stops.
+        An unexpected error cancels all faults: none may start processes while the fleet stops.
         """
         start = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
@@ -60,6 +61,6 @@
 
 
 def _lock_name(fault: PlannedFault) -> str:
-    """Name what `fault` has for itself while it lasts."""
+    """Return the name of the lock that `fault` holds: its target, or the group of all replicas."""
     group = SHAPES[fault.kind].group
     return group.value if group is TargetGroup.CONTROL else fault.target
--- a/src/jasperwalk_lab/chaos/leaving.py
+++ b/src/jasperwalk_lab/chaos/leaving.py
@@ -1,4 +1,4 @@
-"""Measures when a leaving host got its last new work."""
+"""Measures how long a leaving host still gets new requests, and checks the limit."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from jasperwalk_lab.journal import JournalRecord
 
 LEAVING_LIMIT_SECONDS = 5.0
-"""The brief's "after a few seconds"."""
+"""Required: no new work "after a few seconds"."""
 
 
 @dataclass(frozen=True)
 class LeavingReport:
-    """Seconds from each order to leave until the host's last new work, and what was too late."""
+    """Seconds from each order to leave until the host's last new request, and the violations."""
 
     seconds: tuple[float, ...]
     violations: tuple[ChaosViolation, ...]
@@ -25,7 +25,7 @@
 def check_leaving(
     periods: Iterable[LeavingPeriod], journal: Iterable[JournalRecord]
 ) -> LeavingReport:
-    """Measure each period; runs that begin after the limit break the promise."""
+    """Measure each period; runs that start after the limit break the promise."""
     runs: dict[str, list[JournalRecord]] = defaultdict(list)
     for record in journal:
         if record.ran:
@@ -45,6 +45,6 @@
 def _late(period: LeavingPeriod, run: JournalRecord) -> ChaosViolation:
     after = run.ran_at - period.since
     detail = (
-        f"{run.path} {run.request_id} began at {period.host} {after:.1f} s after {period.cause}"
+        f"{run.path} {run.request_id} started at {period.host} {after:.1f} s after {period.cause}"
     )
     return ChaosViolation(ChaosPromise.WORK_ON_LEAVING_HOST, detail)
--- a/src/jasperwalk_lab/chaos/links.py
+++ b/src/jasperwalk_lab/chaos/links.py
@@ -1,10 +1,10 @@
-"""Control links that can be cut without notice: a TCP relay in front of each replica.
+"""Control links that can be cut silently: a TCP relay in front of each replica.
 
-Balancers, agents and other replicas reach a replica by its relay, which learns who calls from
-the caller's certificate. Links are protected by mutual TLS, so the relay ends it with the
-replica's certificate and goes on to the replica with the caller's. A cut holds the bytes of one
-direction back and closes nothing, as a network does that loses packets: neither side is told.
-What was held back goes on when the cut ends.
+Balancers, agents and other replicas connect to a replica through its relay, which identifies the
+caller by its certificate. Links use mutual TLS, so the relay terminates it with the replica's
+certificate and connects to the replica with the caller's. A cut holds back the bytes of one
+direction and closes nothing, like a network that loses packets: neither side is notified. The bytes
+are forwarded when the cut ends.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """Nothing gets from `source` to `destination`, by process names; `*` is anybody."""
+    """Nothing gets from `source` to `destination`: process names, or `*` for any process."""
 
     source: str
     destination: str
 
 
 class CutRules:
-    """The cuts that hold now."""
+    """The cuts in effect."""
 
     def __init__(self) -> None:
         self._cuts: frozenset[Cut] = frozenset()
         self._changed = asyncio.Event()
 
     def replace(self, cuts: Iterable[Cut]) -> None:
-        """Let these cuts hold, and no others."""
+        """Replace all cuts in effect by these."""
         self._cuts = frozenset(cuts)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -56,20 +56,20 @@
         return any(Cut(*pair) in self._cuts for pair in pairs)
 
     async def wait_open(self, source: str, destination: str) -> None:
-        """Wait until nothing cuts that direction."""
+        """Wait until that direction is not cut."""
         while self.is_cut(source, destination):
             await self._changed.wait()
 
 
 class LinkKeys:
-    """The certificates of all processes, from the folder that holds them."""
+    """TLS of all processes, loaded from the folder with their certificates when first used."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._loaded: dict[Identity, LinkTls] = {}
 
     def of(self, identity: Identity) -> LinkTls:
-        """Return a process's TLS; raises `UnusableCertificate`."""
+        """Return a process's TLS; raise `UnusableCertificate`."""
         if identity not in self._loaded:
             self._loaded[identity] = LinkTls(tls_files_of(identity, self._folder), identity)
         return self._loaded[identity]
@@ -77,7 +77,7 @@
 
 @dataclass
 class LinkRelay:
-    """The relay in front of the replica `identity`: listens at `listen`, calls `target`."""
+    """The relay in front of the replica `identity`: listens at `listen`, connects to `target`."""
 
     identity: Identity
     keys: LinkKeys
@@ -87,7 +87,7 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def start(self) -> asyncio.Server:
-        """Begin to listen."""
+        """Start to listen."""
         context = self.keys.of(self.identity).server_context()
         return await asyncio.start_server(
             self._accept, self.listen.host, self.listen.port, ssl=context
@@ -128,7 +128,7 @@
         source: str,
         destination: str,
     ) -> None:
-        """Carry bytes one way until that side closes; a cut hides the closing too."""
+        """Forward bytes in one direction until its source closes; a cut delays the closing too."""
         data = b"\0"
         while data:
             try:
--- a/src/jasperwalk_lab/chaos/links_process.py
+++ b/src/jasperwalk_lab/chaos/links_process.py
@@ -1,4 +1,6 @@
-"""The control links as a process: `PUT /lab/cuts` with `{"cuts": [...]}`, `GET /healthz`."""
+"""The relays of the control links as a process: `PUT /lab/cuts` with `{"cuts": [...]}`,
+`GET /healthz`.
+"""
 
 from __future__ import annotations
 
@@ -37,13 +39,13 @@
 
 
 class CutsBody(msgspec.Struct, frozen=True):
-    """Body of `PUT /lab/cuts`: all cuts that hold from now on."""
+    """Body of `PUT /lab/cuts`: all cuts in effect from now on."""
 
     cuts: list[Cut]
 
 
 def build_application(rules: CutRules) -> web.Application:
-    """Build the admin application."""
+    """Build the HTTP application that changes the cuts."""
 
     async def health(_request: web.Request) -> web.Response:
         return web.Response(text="ok")
--- a/src/jasperwalk_lab/chaos/observations.py
+++ b/src/jasperwalk_lab/chaos/observations.py
@@ -1,4 +1,4 @@
-"""What a chaos run notes while it strikes: killed agents, leaving hosts, recoveries."""
+"""What a chaos run records with its faults: killed agents, leaving hosts, recoveries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class LeavingPeriod:
-    """A host was to get no new work from `since` to `until` (seconds, None: to the end)."""
+    """The host must get no new work from `since` to `until` (seconds, None: the end of the run)."""
 
     host: str
     cause: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Recovery:
-    """A process that was away was current again `seconds` after its restart."""
+    """A restarted process had the newest change `seconds` after its restart."""
 
     process: str
     changes_missed: int
@@ -36,7 +36,7 @@
 
 @dataclass
 class Observations:
-    """Everything noted in one run."""
+    """All observations of one run."""
 
     agent_losses: list[AgentLoss] = field(default_factory=list)
     leaving: list[LeavingPeriod] = field(default_factory=list)
--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -1,4 +1,4 @@
-"""Operators who race each other, lose answers and resend; and bursts of hundreds of changes."""
+"""Operators who submit conflicting changes, lose answers and resend; and bursts of changes."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 RACED_PARAMETER = "queue_length"
 RACED_VALUES = itertools.cycle(range(64, 1024))
 OPERATORS_PER_RACE = (2, 3)
-"""Fewest and most operators of one race."""
+"""Minimum and maximum number of operators of one race."""
 PAUSE_SECONDS = (0.1, 0.4)
 LOST_ANSWER_SHARE = 0.3
 MAX_ANSWER_WAIT_SECONDS = 0.03
-"""An operator who loses the answer gives up waiting within this time."""
+"""An operator who loses the answer stops waiting for it within this time."""
 RESEND_SHARE = 0.3
 DECISION_TIMEOUT_SECONDS = 25.0
 RESEND_PAUSE_SECONDS = 0.2
 MAX_IN_FORCE_WAIT_SECONDS = 30.0
-"""An operator's wait; the verdict decides what is too long."""
+"""Maximum time that an operator waits; the verdict decides what is too long."""
 BURST_TENANT = "burst"
 BURST_CHANGES = 250
 BURST_OPERATORS = 8
@@ -36,7 +36,7 @@
 
 @dataclass
 class SubmittedChange:
-    """One change with every definite answer that its operator got, in order."""
+    """One change with every definite answer that its operator received, in order."""
 
     change_id: str
     tenant: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class InForceTime:
-    """Seconds until control said that a change is in force everywhere; None if it never did.
+    """Seconds until control reported a change in force everywhere; None if it never did.
 
     The wait lasted from `accepted` to `ended` (seconds).
     """
@@ -64,12 +64,12 @@
     accepted: float
     ended: float
     last_words: tuple[str, ...] = ()
-    """What each replica said last."""
+    """Each replica's last answer."""
 
 
 @dataclass
 class ChangeHistory:
-    """Everything that operators did in a run."""
+    """All changes of the operators of a run, and the waits for them."""
 
     changes: list[SubmittedChange] = field(default_factory=list)
     in_force: list[InForceTime] = field(default_factory=list)
@@ -81,7 +81,7 @@
 
 
 class Operators:
-    """The operators of a run; `apis` names the replicas that are in their places now."""
+    """The operators of a run; `apis` returns the endpoints of the current replicas."""
 
     def __init__(
         self, example: Example, apis: Callable[[], list[Endpoint]], generator: random.Random
@@ -98,20 +98,20 @@
 
     @property
     def raced_tenant(self) -> str:
-        """Name of the tenant that operators race for."""
+        """Name of the tenant that operators change concurrently."""
         return self._tenant.name
 
     async def close(self) -> None:
-        """Wait for what still waits, and close the connections."""
+        """Finish the pending waits, and close the connections."""
         await asyncio.gather(*self._waits)
         await self._api.close()
 
     def end(self) -> None:
-        """Let the race in hand be the last."""
+        """Stop after the current race."""
         self._stopping = True
 
     async def run_races(self) -> None:
-        """Race until `end`."""
+        """Run one race after the other until `end` is called."""
         while not self._stopping:
             seen = await self._api.tenant(self._any_replica(), self._tenant.name)
             if seen is not None:
@@ -119,7 +119,7 @@
             await asyncio.sleep(self._random.uniform(*PAUSE_SECONDS))
 
     async def make_changes(self) -> int:
-        """Make hundreds of changes, a few at a time; return how many were accepted."""
+        """Submit hundreds of changes, a few at a time; return how many were accepted."""
         before = len(self.history.changes)
         limit = asyncio.Semaphore(BURST_OPERATORS)
 
@@ -143,7 +143,7 @@
             wait.add_done_callback(self._waits.discard)
 
     async def _submit(self, tenant: Tenant, expected: int | None) -> SubmittedChange:
-        """Send a change until it is decided; sometimes lose the answer, sometimes send again."""
+        """Send a change until it is decided; sometimes lose the answer, sometimes resend it after."""
         value = next(RACED_VALUES)
         values = {**tenant.values, RACED_PARAMETER: value}
         body = TenantBody(template=tenant.template, values=values)
@@ -210,9 +210,9 @@
 
 
 def burst_tenant(example: Example) -> Tenant:
-    """Return a tenant of the example's template at addresses where nothing runs.
+    """Return a tenant of the example's template at addresses where nothing listens.
 
-    Addresses are of the network 127.255.255.0/24, which fleets do not use.
+    Addresses are in the network 127.255.255.0/24, which fleets do not use.
     """
     numbers = itertools.count(1)
     values = dict(example.tenants[0].values)
--- a/src/jasperwalk_lab/chaos/planner.py
+++ b/src/jasperwalk_lab/chaos/planner.py
@@ -1,4 +1,4 @@
-"""Plans the processes of a chaos fleet: control behind links, journals on disk."""
+"""Plans the processes of a chaos fleet: control behind relays, backend journals on disk."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @dataclass(frozen=True)
 class LinkLayout:
-    """Where the relays stand: the relay of each replica by its name, and their admin."""
+    """Endpoints of the relays: the relay of each replica by its name, and their admin interface."""
 
     admin: Endpoint
     relays: dict[str, Endpoint]
     replacements: tuple[ControlPlace, ...]
-    """Replicas that are started in place of lost ones."""
+    """Replicas that replace lost ones."""
 
 
 class ChaosPlanner(FleetPlanner):
-    """A planner whose replicas are reached by relays and whose backends keep journals."""
+    """A planner whose replicas are reached through relays and whose backends write journals."""
 
     def __init__(
         self,
@@ -63,16 +63,16 @@
         return self._stand_in(LINKS, LINKS, settings, health_url(self._links.admin))
 
     def joining_control(self, place: ControlPlace) -> ProcessPlan:
-        """Plan a replica that starts empty and waits to be taken in."""
+        """Plan a replica that starts empty and waits to be added to the group."""
         settings = self._control_settings(place) | {"join": True}
         return self._product("control", place.name, settings, health_url(place.api))
 
     def journal_files(self) -> list[Path]:
-        """List the journals that backends have written."""
+        """Return the paths of the journals that backends have written."""
         return sorted(self._journal_folder.iterdir())
 
     def data_folder(self, place: ControlPlace) -> Path:
-        """Return where a replica keeps its log."""
+        """Return the folder of a replica's log."""
         return self._run_folder / "data" / place.name
 
     def _control_endpoints(self) -> list[str]:
--- a/src/jasperwalk_lab/chaos/propagation.py
+++ b/src/jasperwalk_lab/chaos/propagation.py
@@ -1,7 +1,7 @@
 """Checks that every accepted change reached every balancer and agent in time.
 
-The processes' own health pages are the witnesses, not control's word. A process that a fault
-kept away from control, or down, has its time from the end of that fault on.
+The evidence is the processes' own health pages, not control's reports. Where a fault kept a process
+down or disconnected from control, its time counts from the end of that fault.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from jasperwalk_lab.chaos.violations import ChaosPromise, ChaosViolation
 
 PROPAGATION_LIMIT_SECONDS = 10.0
-"""The brief's "within seconds"."""
+"""Required: "within seconds"."""
 FAULTS_WITHOUT_OUTAGE = frozenset(
     {
         FaultKind.BALANCER_CUT,
@@ -28,12 +28,12 @@
         FaultKind.BACKEND_LIES,
     }
 )
-"""Faults under which a balancer or agent follows control as ever."""
+"""Faults during which a balancer or agent still follows control."""
 
 
 @dataclass(frozen=True)
 class Outage:
-    """A process was struck from `began` to `ended` (seconds)."""
+    """A process had a fault from `began` to `ended` (seconds)."""
 
     began: float
     ended: float
@@ -58,7 +58,7 @@
 
 
 def control_outages(happened: Iterable[FaultRecord]) -> list[Outage]:
-    """Return when any control replica was struck, in the order of the faults' beginning."""
+    """Return when any control replica had a fault, ordered by the start."""
     found = [
         Outage(fault.began, fault.ended)
         for fault in happened
@@ -81,7 +81,7 @@
     samples: Iterable[RevisionSample],
     happened: Iterable[FaultRecord],
 ) -> Iterator[ChaosViolation]:
-    """Check each accepted change on each process that was seen."""
+    """Check each accepted change on each process that was sampled."""
     by_process: dict[str, list[RevisionSample]] = defaultdict(list)
     for sample in sorted(samples, key=lambda each: each.at):
         by_process[sample.process].append(sample)
--- a/src/jasperwalk_lab/chaos/refusals.py
+++ b/src/jasperwalk_lab/chaos/refusals.py
@@ -1,4 +1,4 @@
-"""A refusal of a resend says that the request never ran, not only that this try did not."""
+"""Checks refusals of resends: "not run" must hold for the request, not only for this attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def check_resent_refusals(
     records: Iterable[CallRecord], journal: Iterable[JournalRecord]
 ) -> Iterator[ChaosViolation]:
-    """Check that no submission was refused as not run after it had begun to run."""
+    """Check that no submission was refused as not run after it had started to run."""
     ran_at = {record.request_id: record.ran_at for record in journal if record.ran}
     for record in records:
         if not isinstance(record.outcome, NotRun) or not isinstance(record.operation, Submission):
--- a/src/jasperwalk_lab/chaos/repair.py
+++ b/src/jasperwalk_lab/chaos/repair.py
@@ -1,4 +1,4 @@
-"""A control replica loses its disk, and an operator replaces it with the command line."""
+"""A control replica loses its disk, and is replaced with an operator's commands."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 @dataclass(eq=False)
 class RepairFailed(JasperwalkError):
-    """A step of the repair that did not come about."""
+    """A step of the repair failed."""
 
     kind: ClassVar[str] = "repair-failed"
     step: str
     detail: str
 
     def describe(self) -> str:
-        """Name the step and what was seen."""
+        """Name the step and what was observed."""
         return f"{self.step}: {self.detail}"
 
 
 async def lose_disk(fleet: ChaosFleet, slot: str) -> None:
-    """Kill a replica, remove its data, start it again, and see that it finds itself displaced."""
+    """Kill a replica, remove its data, restart it, and wait until it reports its identity as taken."""
     place = fleet.control_slots[slot]
     await fleet.supervisor.kill(place.name)
     fleet.wipe(place)
@@ -59,7 +59,7 @@
 
 
 async def _wait_displaced(place: ControlPlace) -> None:
-    """Wait until the replica with the empty disk says that its identity is taken."""
+    """Wait until the replica with the empty disk reports that its identity is taken (503)."""
     deadline = asyncio.get_running_loop().time() + DISPLACED_TIMEOUT_SECONDS
     timeout = aiohttp.ClientTimeout(total=1.0)
     async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -71,11 +71,11 @@
             except (aiohttp.ClientError, TimeoutError):
                 pass
             await asyncio.sleep(RETRY_SECONDS / 5)
-    raise RepairFailed("wiped replica", f"{place.name} never found itself displaced")
+    raise RepairFailed("wiped replica", f"{place.name} did not report itself as displaced")
 
 
 async def _run_member_command(fleet: ChaosFleet, lost: ControlPlace, *command: str) -> None:
-    """Run `jasperwalk member ...` until it succeeds; each try is a new process of the CLI."""
+    """Run `jasperwalk member ...` until it succeeds; each attempt is a new process of the CLI."""
     apis = [str(p.api) for p in fleet.control_slots.values() if p.name != lost.name]
     flags = [flag for api in apis for flag in ("--api", api)]
     arguments = [str(COMMANDS_FOLDER / "jasperwalk"), "member", *command, *flags]
--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -1,4 +1,4 @@
-"""The result of a chaos run as one JSON object, and as text for people."""
+"""The result of a chaos run as one JSON object, and as text."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """Seconds over the occasions of a run; null where there was none."""
+    """Summary of durations in seconds; null where there was none."""
 
     count: int
     median: float | None
@@ -26,7 +26,7 @@
 
 
 class RecoveryFigure(msgspec.Struct, frozen=True):
-    """A process that missed changes and was current again after `seconds`."""
+    """A process that missed changes and had the newest one `seconds` after its restart."""
 
     process: str
     changes_missed: int
@@ -34,7 +34,7 @@
 
 
 class ChangeFigures(msgspec.Struct, frozen=True):
-    """Operators' changes by what became of them."""
+    """Operators' changes by outcome."""
 
     submitted: int
     accepted: int
@@ -47,8 +47,8 @@
 class ChaosReport(msgspec.Struct, frozen=True):
     """Result of one run; times in seconds.
 
-    The load averages are the runnable processes of the machine over a minute, before the fleet
-    was started and after the run: times of a run on a busy machine say less.
+    The load averages are the machine's runnable processes over a minute, before the start of the
+    fleet and after the run: times of a run on a busy machine are less reliable.
     """
 
     example: str
@@ -66,7 +66,7 @@
     leaving_hosts: Spread
     in_force: Spread
     in_force_never_known: int
-    """Waits that ended without control's word, also those that faults excuse."""
+    """Waits that ended without control's report, including those that faults excuse."""
     changes: ChangeFigures
     recoveries: list[RecoveryFigure]
     processes: int
@@ -90,13 +90,13 @@
 
 
 def count_faults(happened: Sequence[FaultRecord]) -> dict[str, int]:
-    """Count the faults that really took place, by kind."""
+    """Count the faults that took place without a failure, by kind."""
     done = [fault.kind.value for fault in happened if fault.failure is None]
     return dict(sorted(Counter(done).items()))
 
 
 def check_size(requests: int, faults: dict[str, int]) -> list[ChaosViolation]:
-    """Check that the run was large enough to say anything."""
+    """Check that the run was large enough for a verdict."""
     found = []
     if requests < MIN_REQUESTS:
         detail = f"{requests} of at least {MIN_REQUESTS}"
@@ -108,7 +108,7 @@
 
 
 def describe(report: ChaosReport) -> str:
-    """Return the report for people, one fact a line."""
+    """Return the report as text, one fact per line."""
     faults = ", ".join(f"{kind} {count}" for kind, count in report.faults.items())
     broken = ", ".join(f"{k} {n}" for k, n in report.broken_flows_by_cause.items()) or "none"
     lines = [
--- a/src/jasperwalk_lab/chaos/revisions.py
+++ b/src/jasperwalk_lab/chaos/revisions.py
@@ -1,4 +1,4 @@
-"""Samples the revision in force on every process, and checks that none goes back."""
+"""Samples the revision in force on every process, and checks that none decreases."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class RevisionView(msgspec.Struct, frozen=True):
-    """What a sample reads of a health page; revision 0 is that of no table yet."""
+    """The field of a health page that is sampled; revision 0 means no table yet."""
 
     revision: int = 0
 
 
 @dataclass(frozen=True)
 class RevisionSample:
-    """The table revision of a process at `at` (seconds, when it was asked)."""
+    """The table revision of a process; `at` is when it was requested (seconds)."""
 
     process: str
     at: float
@@ -34,7 +34,7 @@
 
 
 class RevisionSampler:
-    """Asks every process for its revision again and again; one task each."""
+    """Requests the revision of every process periodically; one task each."""
 
     def __init__(self, admins: Mapping[str, Endpoint]) -> None:
         self._admins = admins
@@ -56,7 +56,7 @@
 
 
 async def read_revision(session: aiohttp.ClientSession, admin: Endpoint) -> int:
-    """Return the revision on a process's health page, 0 when there is none to be had."""
+    """Return the revision on a process's health page, 0 without an answer."""
     try:
         async with session.get(health_url(admin)) as response:
             return msgspec.json.decode(await response.read(), type=RevisionView).revision
@@ -65,7 +65,7 @@
 
 
 def check_revisions(samples: Iterable[RevisionSample]) -> Iterator[ChaosViolation]:
-    """Check that no process's revision ever went back, also not through a restart."""
+    """Check that no process's revision ever decreased, including over restarts."""
     newest: dict[str, int] = defaultdict(int)
     for sample in sorted(samples, key=lambda each: each.at):
         if sample.revision < newest[sample.process]:
--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -1,4 +1,4 @@
-"""One chaos run: a fleet, traffic, operators and faults together, then the verdict."""
+"""One chaos run: a fleet, traffic, operators and faults at the same time, then the verdict."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 from jasperwalk_lab.traffic import TrafficTarget
 
 QUIET_SECONDS = 2.0
-"""Traffic goes on for this long after the last fault was undone."""
+"""Time for which traffic continues after the last fault was undone."""
 CURRENT_TIMEOUT_SECONDS = 15.0
 CURRENT_POLL_SECONDS = 0.05
 FINAL_IN_FORCE_SECONDS = 15.0
 OUTCOME_ATTEMPTS = 40
 HISTORY_FILE = "history.json"
-"""Everything recorded, in the run's folder."""
+"""File in the run's folder with all records."""
 MAX_OVERTIME_SECONDS = 120.0
-"""What a run may take beyond its own length before it is given up."""
+"""Time that a run may take beyond its own length before it is aborted."""
 
 Progress = Callable[[str], None]
 
@@ -47,7 +47,7 @@
 async def run_chaos(
     example_name: str, seconds: float, seed: int, runs: Path, progress: Progress
 ) -> ChaosReport:
-    """Run one fleet under faults for `seconds`; logs and journals stay in a folder of `runs`."""
+    """Run one fleet under faults for `seconds`; logs and journals stay in a new folder in `runs`."""
     started_at = asyncio.get_running_loop().time()
     load_before = psutil.getloadavg()[0]
     run_folder = make_run_folder(runs, f"chaos-{example_name}")
@@ -83,7 +83,7 @@
 
 
 class ChaosRun:
-    """The parts of a run on a fleet that is up."""
+    """The parts of a run on a started fleet."""
 
     def __init__(self, fleet: ChaosFleet, seconds: float, seed: int, progress: Progress) -> None:
         self._fleet = fleet
@@ -119,7 +119,7 @@
         await asyncio.gather(sampling, return_exceptions=True)
 
     async def final_state(self) -> FinalState:
-        """Wait until all processes are current, and read what they and control hold."""
+        """Wait until all processes have the newest revision; return what they and control hold."""
         expected_revision = await self._newest_table_revision()
         final = FinalState(self.operators.raced_tenant, self._initial_revision)
         final.table_revision = expected_revision
@@ -146,7 +146,7 @@
         return 0 if view is None else view.revision
 
     async def _newest_table_revision(self) -> int:
-        """Return the newest revision that any replica holds."""
+        """Return the newest revision of any replica."""
         timeout = aiohttp.ClientTimeout(total=CURRENT_POLL_SECONDS * 20)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             apis = self._fleet.control_apis()
@@ -205,7 +205,7 @@
 
 
 async def _wait_decided(api: ReplicaApi, replica: Endpoint, change_id: str) -> ChangeAnswer:
-    """Ask for an outcome, a few times while the replica cannot say."""
+    """Return an outcome; ask again a limited number of times while the replica does not know it."""
     answer = await api.change(replica, change_id)
     for _ in range(OUTCOME_ATTEMPTS):
         if not isinstance(answer, NotDecided):
--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -1,4 +1,8 @@
-"""Draws the faults of a run from a seed: the same seed and fleet give the same faults."""
+"""Draws the faults of a run from a seed: the same seed and fleet give the same faults.
+
+Faults are drawn from a shuffled list of all kinds, so that each occurs about equally often. A fault
+is planned only where the number of processes out of service at a time keeps its limits.
+"""
 
 from __future__ import annotations
 
@@ -10,21 +14,21 @@
 FIRST_FAULT_SECONDS = 1.5
 LAST_FAULT_BEFORE_END_SECONDS = 6.0
 GAP_SECONDS = (0.8, 2.2)
-"""Shortest and longest time between two strikes."""
+"""Minimum and maximum time between two injections."""
 SIMULTANEOUS_SHARE = 0.35
-"""Share of strikes that are two faults at once."""
+"""Share of injections that are two faults at once."""
 REPEATED_SHARE = 0.15
-"""Share of faults that strike a second target of the same kind a moment later."""
+"""Share of faults that are repeated on a second target of the same group shortly after."""
 REPEAT_DELAY_SECONDS = 0.4
 SETTLE_SECONDS = 3.0
-"""Time after a fault before the same target is struck again."""
+"""Minimum time between two faults of the same target."""
 MIN_HEALTHY_BALANCERS = 2
 MAX_IMPAIRED_CONTROLS = 1
 
 
 @dataclass(frozen=True)
 class FleetFacts:
-    """What the schedule needs to know of a fleet: names, and hosts by service."""
+    """What the schedule needs of a fleet: names of processes, and hosts by service."""
 
     balancers: tuple[str, ...]
     spare_balancers: tuple[str, ...]
@@ -34,13 +38,13 @@
 
 @dataclass
 class _Draft:
-    """Faults planned so far and the limits that the next one must keep."""
+    """The faults planned so far, and the limits that the next one must keep."""
 
     facts: FleetFacts
     planned: list[PlannedFault] = field(default_factory=list)
 
     def free_targets(self, kind: FaultKind, at: float, seconds: float) -> list[str]:
-        """List the targets that `kind` may strike at `at`."""
+        """Return the targets that a fault of `kind` may have at `at`."""
         shape = SHAPES[kind]
         free = [t for t in self._targets(shape.group) if not self._is_targeted(t, at, seconds)]
         if not shape.impairs:
@@ -92,7 +96,7 @@
 
 
 def plan_faults(facts: FleetFacts, seconds: float, seed: int) -> list[PlannedFault]:
-    """Plan the faults of a run of `seconds`, in the order of their beginning."""
+    """Plan the faults of a run of `seconds`, ordered by their start."""
     generator = random.Random(seed)
     draft = _Draft(facts)
     remaining_kinds: list[FaultKind] = []
@@ -107,7 +111,7 @@
 def _plan_next(
     draft: _Draft, remaining_kinds: list[FaultKind], at: float, generator: random.Random
 ) -> None:
-    """Plan the next fault of the deck that fits at `at`, now and then twice."""
+    """Plan the first of the remaining kinds that fits at `at`; sometimes on two targets."""
     if not remaining_kinds:
         remaining_kinds.extend(FaultKind)
         generator.shuffle(remaining_kinds)
--- a/src/jasperwalk_lab/chaos/traffic.py
+++ b/src/jasperwalk_lab/chaos/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of a chaos run: long and short streams, short calls, submissions that are resent."""
+"""Traffic of a chaos run: long and short streams, short calls, and resent submissions."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 STREAM_CALLERS = 24
 SHORT_CALLERS = 14
 RESENDS = 3
-"""How often a caller sends a submission again whose outcome it does not know."""
+"""Maximum number of resends of a submission whose outcome the caller does not know."""
 NEEDLESS_RESEND_SHARE = 0.05
-"""Share of answered submissions that are sent again, as after an answer that was lost."""
+"""Share of answered submissions that are resent, as after a lost answer."""
 MAX_RETRY_SECONDS = 0.5
 
 
 class ChaosTraffic:
-    """Callers of several services; every call lands in the caller's history."""
+    """Callers of several services; every call is recorded in the caller's history."""
 
     def __init__(
         self, caller: Caller, targets: list[TrafficTarget], generator: random.Random, seconds: float
@@ -51,11 +51,11 @@
         self._stopping = False
 
     def end(self) -> None:
-        """Let every caller finish the call in hand and go."""
+        """Stop every caller after its current call."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Run all callers until `end`."""
+        """Run all callers until `end` is called."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(SHORT_CALLERS):
                 tasks.create_task(self._short_caller())
@@ -93,7 +93,7 @@
     async def _submit(
         self, connection: Connection, target: TrafficTarget, operation: Submission
     ) -> CallOutcome:
-        """Submit with a ticket; send again, elsewhere, what may have run."""
+        """Submit with a ticket; resend on another connection where the request may have run."""
         request_id = self._caller.next_request_id()
         invoked = _now()
         ticket, refused = await connection.ticket(CALL_TIMEOUT_SECONDS)
@@ -134,7 +134,7 @@
             await self._stream(self._random.uniform(*STREAM_SECONDS))
 
     async def _stream(self, seconds: float) -> None:
-        """Open one stream; a refused one is asked for again, on another connection."""
+        """Open one stream; a refused one is retried on another connection."""
         operation = LongStream(seconds=seconds, interval_ms=STREAM_INTERVAL_MS)
         target = self._choose_target()
         while not self._stopping:
--- a/src/jasperwalk_lab/chaos/verdict.py
+++ b/src/jasperwalk_lab/chaos/verdict.py
@@ -1,4 +1,4 @@
-"""Puts everything that a run recorded through the checks and makes the report."""
+"""Runs all checks on the records of a run and builds the report."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass
 class FinalState:
-    """What the fleet said when all faults were over."""
+    """State that the fleet reported after the end of all faults."""
 
     raced_tenant: str
     initial_revision: int
@@ -46,7 +46,7 @@
     tenant_revisions: dict[str, int] = field(default_factory=dict)
     """The raced tenant's revision on each replica, 0 without an answer."""
     outcomes: dict[str, dict[str, ChangeAnswer]] = field(default_factory=dict)
-    """By replica, the outcome of each change."""
+    """The outcome of each change, by replica."""
     table_revision: int = 0
     process_revisions: dict[str, int] = field(default_factory=dict)
     ended_processes: list[str] = field(default_factory=list)
@@ -75,7 +75,7 @@
 
 
 def judge(record: RunRecord) -> ChaosReport:
-    """Check the record against the promises."""
+    """Check the record against all promises."""
     losses = record.observations.agent_losses
     attribution = FlowAttribution(record.flows, losses, record.journal)
     calls = HistoryChecker(record.journal, cause_of=attribution.cause_of).check(
@@ -136,7 +136,7 @@
 
 
 def check_final(final: FinalState, changes: ChangeHistory) -> Iterator[ChaosViolation]:
-    """Check that all processes agree on the end, and that it holds every accepted change."""
+    """Check that all processes have the same final state, with every accepted change."""
     for replica, outcomes in final.outcomes.items():
         yield from check_stored_outcomes(changes.changes, replica, outcomes)
     for revision in set(final.tenant_revisions.values()):
@@ -146,7 +146,7 @@
     expected_revision = max(final.table_revision, changes.newest_revision())
     for process, revision in final.process_revisions.items():
         if revision < expected_revision:
-            detail = f"{process} stands at revision {revision}, not {expected_revision}, at the end"
+            detail = f"{process} is at revision {revision}, not {expected_revision}, at the end"
             yield ChaosViolation(ChaosPromise.NOT_IN_FORCE, detail)
 
 
--- a/src/jasperwalk_lab/chaos/violations.py
+++ b/src/jasperwalk_lab/chaos/violations.py
@@ -1,4 +1,4 @@
-"""One broken promise, as the report lists it."""
+"""The promises that a chaos run checks, and a broken one as the report lists it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ChaosPromise(enum.StrEnum):
-    """Promises beyond those of the callers' history."""
+    """Promises in addition to those of the callers' history (`ViolationKind`)."""
 
     NOT_RUN_BUT_RAN = "not-run-but-ran"
     WORK_ON_LEAVING_HOST = "work-on-leaving-host"
@@ -26,7 +26,7 @@
 
 
 class ChaosViolation(msgspec.Struct, frozen=True):
-    """One broken promise with what was seen; `kind` is a `ChaosPromise` or a history kind."""
+    """One broken promise with what was observed; `kind`: a `ChaosPromise` or a `ViolationKind`."""
 
     kind: str
     detail: str
--- a/src/jasperwalk_lab/cli.py
+++ b/src/jasperwalk_lab/cli.py
@@ -1,4 +1,4 @@
-"""The command line of the lab: one module a command under `jasperwalk_lab.commands`."""
+"""The command line of the lab: one module per command under `jasperwalk_lab.commands`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @click.group()
 def lab() -> None:
-    """Run fleets of jasperwalk on this machine, with stand-ins for all that surrounds it."""
+    """Run fleets of jasperwalk on this machine, with stand-ins for its surroundings."""
     configure_lab_logging()
 
 
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Run the command line; a typed failure gives one line and exit status 1."""
+    """Run the command line; a typed failure is printed as one line, with exit status 1."""
     try:
         lab()
     except JasperwalkError as error:
--- a/src/jasperwalk_lab/commands/chaos.py
+++ b/src/jasperwalk_lab/commands/chaos.py
@@ -24,13 +24,13 @@
     type=click.FloatRange(min=MIN_SECONDS),
     default=40.0,
     show_default=True,
-    help="Length of the run; faults begin until shortly before its end.",
+    help="Length of the run; the last fault starts shortly before its end.",
 )
 @seed_option
 @runs_option
 @click.option("--json", "as_json", is_flag=True, help="Print the report as one JSON object.")
 def chaos(example: str, seconds: float, seed: int, runs: Path, as_json: bool) -> None:
-    """Kill, freeze, cut, wipe and drain in a running fleet, and check the recorded history.
+    """Inject faults into a running fleet (kill, freeze, cut, wipe, drain) and check its history.
 
     Exit status 0 when every promise held, 1 when one was broken or the run was too small.
     """
--- a/src/jasperwalk_lab/commands/demo.py
+++ b/src/jasperwalk_lab/commands/demo.py
@@ -1,4 +1,4 @@
-"""`jasperwalk-lab demo`: the whole path under load on this machine, with a verdict."""
+"""`jasperwalk-lab demo`: all processes under load on this machine, with a verdict."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 @example_option
 @seed_option
 @runs_option
-@click.option("--plain-links", is_flag=True, help="Internal links without TLS, to compare.")
+@click.option("--plain-links", is_flag=True, help="Internal links without TLS, for comparison.")
 @click.option("--json", "as_json", is_flag=True, help="Print the summary as one JSON object.")
 def demo(example: str, seed: int, runs: Path, plain_links: bool, as_json: bool) -> None:
-    """Start a fleet, send traffic, kill a balancer, change a weight, and judge the run.
+    """Start a fleet, send traffic, kill a balancer, change a weight, and check the run.
 
     Exit status 0 when every promise held, 1 when one was broken.
     """
--- a/src/jasperwalk_lab/commands/experiment.py
+++ b/src/jasperwalk_lab/commands/experiment.py
@@ -23,7 +23,7 @@
 
 @contextlib.contextmanager
 def exit_on_unusable_file() -> Iterator[None]:
-    """End with one line and exit status 2 where a file can't be used."""
+    """Exit with one line and status 2 where a file can't be used."""
     try:
         yield
     except LabSettingsError as error:
@@ -43,7 +43,7 @@
     """Run the experiment FILE (TOML); print the result folder last.
 
     Exit status 0; 1 when a run of the product's balancers broke a promise or a process ended
-    by itself (baselines break flows by their nature); 2 when FILE can't be used.
+    unexpectedly (baselines break flows by design); 2 when FILE can't be used.
     """
     with exit_on_unusable_file():
         loaded = load_experiment(file)
@@ -60,6 +60,6 @@
 @click.command("report")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report(folder: Path) -> None:
-    """Write FOLDER/report.html, one page without outside parts, from an experiment's results."""
+    """Write FOLDER/report.html, one self-contained page, from an experiment's results."""
     with exit_on_unusable_file():
         click.echo(write_report(folder))
--- a/src/jasperwalk_lab/commands/fleet.py
+++ b/src/jasperwalk_lab/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`jasperwalk-lab fleet`: a fleet on loopback for trying things by hand."""
+"""`jasperwalk-lab fleet`: a fleet on loopback for manual tests."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         await running.start()
         write_listeners(running)
         _print_places(running)
-        with contextlib.suppress(asyncio.CancelledError):  # a signal ends the wait
+        with contextlib.suppress(asyncio.CancelledError):  # a signal cancels the wait
             await asyncio.Event().wait()
         click.echo("stopping the fleet", err=True)
 
--- a/src/jasperwalk_lab/commands/load.py
+++ b/src/jasperwalk_lab/commands/load.py
@@ -1,4 +1,4 @@
-"""`jasperwalk-lab load`: an open-loop load on a running fleet, or on one of its own."""
+"""`jasperwalk-lab load`: an open-loop load on a running fleet, or on one started for it."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     service_time_ms: float,
     as_json: bool,
 ) -> None:
-    """Send a deployment's mix in an open loop; arrivals depend on the seed alone."""
+    """Send a deployment's mix of requests in an open loop; arrivals depend only on the seed."""
     if (example is None) == (fleet_folder is None):
         raise click.UsageError("give either --example or --fleet")
     if fleet_folder is not None:
@@ -86,7 +86,7 @@
 
 
 async def _run(fleet_listeners: FleetListeners, profile: LoadProfile, seed: int) -> LoadResult:
-    # A part of the name is drawn anew, as backends remember the identities of earlier loads.
+    # Part of the name is random, as backends' journals still have the request IDs of earlier loads.
     name = f"load{seed}-{random.SystemRandom().randrange(RUN_NAME_LIMIT):x}"
     caller = Caller(name, Path(fleet_listeners.ca_file), CallHistory())
     loop = OpenLoop(caller, fleet_listeners, profile, seed, _progress)
@@ -102,7 +102,7 @@
 
 
 def describe(result: LoadResult) -> str:
-    """Describe a result for people."""
+    """Return a result as text."""
     lines = [
         f"seed {result.seed}: {result.due} arrivals in {result.seconds:.1f} s on "
         f"{result.flows_opened} flows",
--- a/src/jasperwalk_lab/commands/running.py
+++ b/src/jasperwalk_lab/commands/running.py
@@ -1,4 +1,4 @@
-"""Runs a command's coroutine so that a signal stops the fleet before the command ends."""
+"""Runs a command's coroutine so that a signal stops the fleet before the command exits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def run_stoppable(main: Coroutine[Any, Any, ResultType]) -> ResultType:
     """Run `main`; SIGINT or SIGTERM cancels it, and the command then aborts (status 1).
 
-    Cancelling lets every `async with` of `main` end what it started.
+    Cancellation lets every `async with` of `main` stop what it started.
     """
     try:
         return uvloop.run(_cancelled_by_signals(main))
--- a/src/jasperwalk_lab/commands/simulate.py
+++ b/src/jasperwalk_lab/commands/simulate.py
@@ -1,4 +1,4 @@
-"""`jasperwalk-lab simulate`: the product's processes on virtual time, under every failure."""
+"""`jasperwalk-lab simulate`: the product's processes on virtual time, under seeded failures."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 EXIT_PROMISE_BROKEN = 1
 ALL = "all"
 SHORTENED_RUNS = 3
-"""Failing runs of which a shortened list of events is printed."""
+"""Number of failing runs for which a minimised list of events is printed."""
 PROGRESS_RUNS = 50
-"""Runs between two lines of progress."""
+"""Number of runs between two lines of progress."""
 
 
 class ScenarioSummary(msgspec.Struct):
@@ -104,9 +104,9 @@
         try:
             seeds = range(int(first), int(last if dash else first) + 1)
         except ValueError:
-            self.fail(f"{value!r} is no range of seeds such as 1-20", param, ctx)
+            self.fail(f"{value!r} is not a range of seeds such as 1-20", param, ctx)
         if not seeds:
-            self.fail(f"{value!r} holds no seed", param, ctx)
+            self.fail(f"{value!r} contains no seed", param, ctx)
         return seeds
 
 
@@ -123,14 +123,14 @@
 @click.option(
     "--mutant",
     type=click.Choice([mutant.name for mutant in MUTANTS]),
-    help="Run with this deliberate defect, which a scenario has to catch.",
+    help="Run with this deliberate defect, which a scenario has to detect.",
 )
 @click.option(
     "--processes",
     type=click.IntRange(1),
     default=default_processes,
     show_default="one for each core",
-    help="Runs at the same time.",
+    help="Number of concurrent runs.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the report as one JSON object.")
 def simulate(
@@ -215,7 +215,7 @@
         replay += f" --mutant {mutant}"
     faults, events = summary.faults, list[str]()
     if shortened:
-        _print_progress(f"shortening {summary.scenario} seed {summary.seed}")
+        _print_progress(f"minimising the faults of {summary.scenario} seed {summary.seed}")
         short = minimize_faults(
             summary.scenario, summary.seed, mutant, kind_of(summary.violations[0])
         )
--- a/src/jasperwalk_lab/commands/soak.py
+++ b/src/jasperwalk_lab/commands/soak.py
@@ -1,4 +1,4 @@
-"""`jasperwalk-lab soak`: random faults in running processes, and the promises checked."""
+"""`jasperwalk-lab soak`: random faults in running processes, with a check of every promise."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 )
 @click.option("--seed", type=int, default=None, help="Seed of the schedule; drawn if left out.")
 @click.option("--plane", type=click.Choice(PLANES), default=PLANES[0], show_default=True)
-@click.option("--kept", is_flag=True, help="Play the seeds that once failed first.")
+@click.option("--kept", is_flag=True, help="First play the seeds that failed in the past.")
 @click.option(
     "--size",
     type=click.Choice(sorted(SIZES)),
     default="small",
     show_default=True,
-    help="How many processes run (datagram plane).",
+    help="Number of processes (datagram plane).",
 )
-@click.option("--seeds", type=click.IntRange(min=1), default=1, help="Seeds played, one by one.")
+@click.option("--seeds", type=click.IntRange(min=1), default=1, help="Number of seeds to play.")
 @example_option
 @runs_option
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as one JSON object.")
@@ -58,11 +58,11 @@
     runs: Path,
     as_json: bool,
 ) -> None:
-    """Kill, pause, cut, drain and wipe in running processes, and check every promise.
+    """Inject faults into running processes (kill, pause, cut, drain, wipe) and check every promise.
 
     The same seed gives the same schedule of faults. Exit status 0 when every promise held, 1 when
-    one was broken, 2 for wrong flags. The run's folder has the logs, the schedule as it took place
-    (history.json), the verdict and a page with plots.
+    one was broken, 2 for wrong flags. The run's folder has the logs, the faults as they took
+    place (history.json), the verdict and a page with plots.
     """
     drawn_seed = secrets.randbits(SEED_BITS) if seed is None else seed
     if plane == PLANES[1]:
--- a/src/jasperwalk_lab/commands/stand_in.py
+++ b/src/jasperwalk_lab/commands/stand_in.py
@@ -38,7 +38,7 @@
 @stand_in.command("platform-list")
 @settings_option
 def platform_list(settings_file: Path) -> None:
-    """Serve the lagging list of machines."""
+    """Serve the platform's delayed list of machines."""
     uvloop.run(run_platform_list(load_lab_settings(settings_file, PlatformListSettings)))
 
 
@@ -52,12 +52,12 @@
 @stand_in.command("balancer")
 @settings_option
 def balancer(settings_file: Path) -> None:
-    """Balance by a baseline's way of placing flows."""
+    """Run a balancer that places flows as a baseline does."""
     uvloop.run(run_baseline(load_lab_settings(settings_file, BaselineSettings)))
 
 
 @stand_in.command("links")
 @settings_option
 def links(settings_file: Path) -> None:
-    """Relay the links to control replicas, which can be cut."""
+    """Relay the links to control replicas; links can be cut."""
     uvloop.run(run_links(load_lab_settings(settings_file, LinksSettings)))
--- a/src/jasperwalk_lab/control_client.py
+++ b/src/jasperwalk_lab/control_client.py
@@ -1,4 +1,4 @@
-"""A small client of control's HTTP API, for the lab's own runs."""
+"""Client of control's HTTP API that retries until a replica has decided a request."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 HTTP_OK_RANGE = range(200, 300)
 HTTP_UNAVAILABLE = 503
 HTTP_OUTCOME_UNKNOWN = 504
-"""A resend with the same change ID learns the outcome."""
+"""A resend with the same change ID returns the outcome."""
 RETRIED_STATUSES = frozenset({0, HTTP_UNAVAILABLE, HTTP_OUTCOME_UNKNOWN})
-"""Answers after which a request is sent again; 0 stands for no answer."""
+"""Statuses after which a request is sent again; 0 means no answer."""
 
 
 class AcceptedChange(msgspec.Struct, frozen=True):
-    """What control says of a change that it accepted."""
+    """Control's answer to an accepted change."""
 
     change_id: str
     revision: int
@@ -46,7 +46,10 @@
 
 
 class ControlClient:
-    """Talks to any replica; a replica that is down or has no leader is tried again."""
+    """Sends each request to one replica, and to the next one where that gives no answer.
+
+    Requests that are not decided are resent for `retry_seconds`.
+    """
 
     def __init__(self, replicas: Sequence[Endpoint], retry_seconds: float = 20.0) -> None:
         self._replicas = list(replicas)
@@ -86,12 +89,12 @@
         return msgspec.json.decode(body, type=AcceptedChange)
 
     async def resume(self, host: str) -> AcceptedChange:
-        """Let a drained host take new work; raise `ControlRefused`."""
+        """Let a drained host accept new work again; raise `ControlRefused`."""
         body = await self._request("POST", f"/v1/hosts/{host}/resume")
         return msgspec.json.decode(body, type=AcceptedChange)
 
     async def in_force(self, change: AcceptedChange, wait_ms: int) -> InForceView:
-        """Ask where a change is in force, waiting at most `wait_ms` for everywhere."""
+        """Return where a change is in force, after at most `wait_ms` of waiting for everywhere."""
         path = f"/v1/changes/{change.change_id}/in-force?wait_ms={wait_ms}"
         return msgspec.json.decode(await self._request("GET", path), type=InForceView)
 
@@ -109,7 +112,7 @@
     ) -> bytes:
         headers = {}
         if body:
-            # The same change ID on every try: a resend gets the first outcome.
+            # The same change ID on every attempt: a resend returns the first outcome.
             headers = {"Idempotency-Key": str(uuid.uuid4()), "Content-Type": content_type}
         deadline = asyncio.get_running_loop().time() + self._retry_seconds
         while True:
--- a/src/jasperwalk_lab/demo.py
+++ b/src/jasperwalk_lab/demo.py
@@ -1,4 +1,7 @@
-"""The demo: a fleet under traffic loses a balancer, gains one, and changes a weight."""
+"""The demo: under traffic a balancer is killed, another one joins, and a weight changes.
+
+The calls are then checked against the backends' journals; the summary names each broken promise.
+"""
 
 from __future__ import annotations
 
@@ -89,7 +92,7 @@
 
 
 class Demo:
-    """The script of the demo on a fleet that is up."""
+    """The steps of the demo on a running fleet."""
 
     def __init__(self, fleet: Fleet, seed: int, progress: Progress) -> None:
         self.history = CallHistory()
@@ -104,7 +107,7 @@
         self._traffic = Traffic(caller, self.history, self._targets(), random.Random(seed))
 
     async def run(self) -> None:
-        """Run traffic, and change the fleet meanwhile; what fails lands in `failures`."""
+        """Run traffic and change the fleet meanwhile; failures are added to `failures`."""
         try:
             async with asyncio.timeout(TRAFFIC_TIMEOUT_SECONDS):
                 await self._run_traffic()
@@ -161,12 +164,12 @@
             await asyncio.sleep(0.1)
 
     def record_ended_processes(self) -> None:
-        """Note each process that ended though nobody stopped it."""
+        """Record each process that ended without being stopped."""
         for name in self._fleet.supervisor.ended_unexpectedly():
             self.failures.append(BrokenPromise(PromiseKind.PROCESS_ENDED, name))
 
     def imbalance(self, journal: list[JournalRecord]) -> float:
-        """Return the imbalance of the worst service, by runs of short calls."""
+        """Return the imbalance of the least balanced service, by runs of short calls."""
         runs_before = _short_runs(self._journal_at_change)
         runs_after = _short_runs(journal) - runs_before
         services = zip(self._example_before.services(), self._example_after.services(), strict=True)
--- a/src/jasperwalk_lab/errors.py
+++ b/src/jasperwalk_lab/errors.py
@@ -37,7 +37,7 @@
 
 @dataclass(eq=False)
 class FleetNotReady(JasperwalkError):
-    """A process of the fleet that ended early or did not become healthy in time."""
+    """A process of the fleet ended during the start or did not become healthy in time."""
 
     kind: ClassVar[str] = "fleet-not-ready"
     process: str
@@ -51,7 +51,7 @@
 
 @dataclass(eq=False)
 class ControlRefused(JasperwalkError):
-    """An answer of control's HTTP API other than the one that was needed."""
+    """Control's HTTP API did not answer with success."""
 
     kind: ClassVar[str] = "control-refused"
     path: str
--- a/src/jasperwalk_lab/example.py
+++ b/src/jasperwalk_lab/example.py
@@ -1,4 +1,4 @@
-"""Loads an example deployment and moves it onto addresses of this machine.
+"""Loads an example deployment and gives it addresses of this machine.
 
 An example folder holds one template (`template.toml`) and a file `tenant-NAME.toml` for each
 tenant with `name`, `template` and a `values` table. Addresses in values are those of a
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Example:
-    """A deployment: a template's text, the tenants that use it, and the delays of its places."""
+    """A deployment: a template with its text, the tenants that use it, and its network delays."""
 
     name: str
     template_text: str
@@ -63,7 +63,7 @@
         return replace(self, tenants=tenants)
 
     def relocated(self, make_vip: EndpointMaker, make_member: EndpointMaker) -> Example:
-        """Return the same deployment with fresh endpoints for listeners and members."""
+        """Return the same deployment with new endpoints for listeners and members."""
         tenants = tuple(self._relocated_tenant(t, make_vip, make_member) for t in self.tenants)
         return self.with_tenants(tenants)
 
@@ -87,7 +87,7 @@
 
 
 def load_example(name: str, folder: Path = EXAMPLES_FOLDER) -> Example:
-    """Read the example called `name`; raise `ExampleError` if it does not fit."""
+    """Read the example called `name`; raise `ExampleError` if it is unknown or incomplete."""
     if name not in DELAYS:
         raise ExampleError(example=name, reason=f"known examples are {', '.join(EXAMPLE_NAMES)}")
     try:
@@ -97,7 +97,7 @@
     except (OSError, tomllib.TOMLDecodeError, KeyError) as error:
         raise ExampleError(example=name, reason=f"{type(error).__name__}: {error}") from error
     if not tenants:
-        raise ExampleError(example=name, reason="it has no tenants")
+        raise ExampleError(example=name, reason="the folder has no tenant files")
     return Example(
         name=name,
         template_text=text,
--- a/src/jasperwalk_lab/fabric.py
+++ b/src/jasperwalk_lab/fabric.py
@@ -1,12 +1,13 @@
 """Stand-in of the platform's fabric: sprays callers' datagrams over the balancers.
 
-One UDP socket a listener (VIP and port). Each datagram of a caller goes to a balancer chosen
-at random, behind a PROXY protocol v2 header (source caller, destination VIP). Agents send
-answers to the return endpoint behind a header with source VIP and destination caller; the
-fabric sends them on from the VIP's socket. Balancers are probed on their `/healthz` page.
-
-One-way delays: a balancer's `delay_ms` holds the way from the caller to it plus the way
-between zones that follows; `return_delay_ms` the way of an answer to the caller.
+There is one UDP socket per listener (VIP and port). Each datagram of a caller goes to a healthy
+balancer chosen at random, prefixed with a PROXY protocol v2 header (source caller, destination
+VIP). Agents send answers to the return endpoint with a header of source VIP and destination
+caller; the fabric forwards them to the caller from the VIP's socket. Balancers are probed on their
+`/healthz` page.
+
+One-way delays: a balancer's `delay_ms` is the delay from the caller to it plus the delay between
+zones that follows; `return_delay_ms` is the delay of an answer to the caller.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 )
 
 BATCH = 64
-"""Datagrams read from one socket before the event loop serves the others."""
+"""Maximum of datagrams read from one socket before the event loop serves the others."""
 MAX_DATAGRAM_BYTES = 65_535
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 TIMER_RESOLUTION_SECONDS = 0.001
@@ -55,7 +56,7 @@
 
 
 class Fabric:
-    """The running fabric: sockets, delay line and probes around a `Sprayer`."""
+    """The running fabric: sockets, delayed datagrams and probes around a `Sprayer`."""
 
     def __init__(self, generator: random.Random, return_delay: float) -> None:
         self.sprayer = Sprayer(generator)
@@ -70,7 +71,7 @@
         self._headers: dict[tuple[int, tuple[str, int]], bytes] = {}
 
     def start(self, listeners: list[Endpoint], return_endpoint: Endpoint) -> FabricSockets:
-        """Bind all sockets and begin to read them."""
+        """Bind all sockets and start to read them."""
         loop = asyncio.get_running_loop()
         bound = [self._open(listener) for listener in listeners]
         for channel, listener in enumerate(bound):
@@ -143,7 +144,7 @@
             self._headers[(channel, caller)] = header
         self.counters.sprayed += 1
         balancer.sent += 1
-        # The return socket sends, so that a balancer's ICMP errors do not reach callers' reads.
+        # Sent from the return socket: a balancer's ICMP errors must not fail reads from callers.
         self._send_after(
             balancer.delay, len(self._sockets) - 1, balancer.endpoint, header + payload
         )
@@ -194,7 +195,7 @@
     def _send_due(self) -> None:
         self._timer = None
         self._timer_due = math.inf
-        # uvloop's timers have a resolution of 1 ms: take what is due within half of it.
+        # uvloop's timers have a resolution of 1 ms: also send what is due within half of that.
         latest = asyncio.get_running_loop().time() + TIMER_RESOLUTION_SECONDS / 2
         for datagram in self._delayed.take_due(latest):
             self._send(datagram.channel, datagram.destination, datagram.payload)
@@ -203,5 +204,5 @@
     def _send(self, channel: int, destination: Endpoint, payload: bytes) -> None:
         try:
             self._sockets[channel].sendto(payload, (destination.host, destination.port))
-        except OSError:  # a full buffer or a closed port loses the datagram, as a network does
+        except OSError:  # a full buffer or a closed port drops the datagram, as a network does
             return
--- a/src/jasperwalk_lab/fabric_core.py
+++ b/src/jasperwalk_lab/fabric_core.py
@@ -9,16 +9,17 @@
 from jasperwalk.addresses import Endpoint
 
 FAILURES_TO_REMOVE = 2
-"""Failed probes in a row after which a balancer gets no more datagrams."""
+"""Consecutive failed probes after which a balancer gets no more datagrams."""
 SIGHTING_GAP_SECONDS = 1.0
-"""Time without an answer after which the next one is a sighting of its own."""
+"""Time without an answer after which the next answer is a new sighting."""
 
 
 @dataclass
 class FabricBalancer:
     """One balancer that the fabric knows.
 
-    `delay` is the one-way delay to it in seconds, `sent` counts the datagrams sent to it.
+    `delay` is the one-way delay to it in seconds, `sent` counts the datagrams sent to it. Where
+    `cut` is set, its datagrams are dropped.
     """
 
     name: str
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Sighting:
-    """An answer that an agent sent to a caller's port after a pause, at `at` seconds."""
+    """An agent's first answer to a caller's port, or the first after a gap; `at` in seconds."""
 
     caller_port: int
     agent: str
@@ -51,9 +52,9 @@
 
 
 class AgentSightings:
-    """Which agent answered which flow, and the agents whose answers are lost.
+    """Which agents answered which callers' ports, and the agents whose answers are dropped.
 
-    An agent is the pair of host and port that its datagrams come from.
+    An agent is identified by the host and port that its datagrams come from.
     """
 
     def __init__(self) -> None:
@@ -61,9 +62,9 @@
         self._periods: dict[tuple[int, tuple[str, int]], _AnswerPeriods] = {}
 
     def record_answer(self, caller_port: int, agent: tuple[str, int], now: float) -> None:
-        """Note that an agent answered a caller.
+        """Record that an agent answered a caller.
 
-        A port may belong to one flow after another, so an answer after a pause counts anew.
+        A port may be used by one flow after another, so an answer after a gap is a new sighting.
         """
         periods = self._periods.get((caller_port, agent))
         if periods is None:
@@ -84,7 +85,7 @@
 
 @dataclass
 class FabricCounters:
-    """What the fabric did since it started, in datagrams."""
+    """Counts of datagrams since the fabric started."""
 
     sprayed: int = 0
     answered: int = 0
@@ -96,8 +97,8 @@
 class Sprayer:
     """Sprays datagrams uniformly at random over the balancers that probes found healthy.
 
-    A new balancer counts as unhealthy until its first probe succeeds. A cut balancer still
-    gets its share, which is lost: the fabric does not see the cut, its probes do not either.
+    A new balancer counts as unhealthy until its first probe succeeds. A cut balancer still gets
+    its share, which is dropped: neither the fabric nor its probes notice the cut.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -111,7 +112,7 @@
         self._update_in_use()
 
     def remove(self, name: str) -> bool:
-        """Forget a balancer; tell whether it was known."""
+        """Remove a balancer; return whether it was known."""
         known = self._balancers.pop(name, None) is not None
         self._update_in_use()
         return known
@@ -129,7 +130,7 @@
         return list(self._in_use)
 
     def record_probe(self, name: str, healthy: bool) -> None:
-        """Take the result of one probe of the balancer's health page."""
+        """Record the result of one probe of the balancer's health page."""
         balancer = self._balancers.get(name)
         if balancer is None:
             return
@@ -148,7 +149,7 @@
 
 @dataclass(order=True)
 class DelayedDatagram:
-    """A datagram on its way: due at `due` seconds, `sequence` keeps equal ones in order."""
+    """A datagram to be sent at `due` seconds; `sequence` orders those due at the same time."""
 
     due: float
     sequence: int
@@ -158,7 +159,7 @@
 
 
 class DelayQueue:
-    """Datagrams that wait for their one-way delay, by the time they are due."""
+    """Datagrams that wait for their one-way delay, ordered by the time at which they are due."""
 
     def __init__(self) -> None:
         self._waiting: list[DelayedDatagram] = []
@@ -178,5 +179,5 @@
         return due
 
     def next_due(self) -> float | None:
-        """Return when the next datagram is due; None when none waits."""
+        """Return when the next datagram is due; None when no datagram waits."""
         return self._waiting[0].due if self._waiting else None
--- a/src/jasperwalk_lab/fabric_process.py
+++ b/src/jasperwalk_lab/fabric_process.py
@@ -1,8 +1,8 @@
-"""The fabric stand-in as a process, with an HTTP admin for faults.
+"""The fabric stand-in as a process, with an HTTP admin interface for faults and observations.
 
 `GET /lab/balancers`, `PUT /lab/balancers/{name}` (`{"address", "admin", "delay_ms"}`),
 `DELETE /lab/balancers/{name}`, `PUT /lab/balancers/{name}/cut` (`{"cut": true}`),
-`PUT /lab/agents/{address}/cut` (answers of that agent are lost), `GET /lab/flows` (which
+`PUT /lab/agents/{address}/cut` (answers of that agent are dropped), `GET /lab/flows` (which
 agent answered which caller's port), `GET /lab/counters`, `GET /healthz`.
 """
 
@@ -26,7 +26,7 @@
 
 
 class FabricBalancerSettings(BaseModel):
-    """One balancer at the start; `delay_ms` is the one-way delay to it."""
+    """One of the initial balancers; `delay_ms` is the one-way delay to it."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -64,7 +64,7 @@
 
 
 class BalancerView(msgspec.Struct, frozen=True):
-    """One balancer as the admin shows it; `sent` counts datagrams."""
+    """One balancer as the admin interface shows it; `sent` counts datagrams."""
 
     name: str
     address: str
@@ -80,7 +80,7 @@
 
 
 class FlowView(msgspec.Struct, frozen=True):
-    """One agent that answered a flow; `at` in seconds of the machine's monotonic clock."""
+    """An agent that answered a caller's port; `at` in seconds of the machine's monotonic clock."""
 
     caller_port: int
     agent: str
--- a/src/jasperwalk_lab/fleet.py
+++ b/src/jasperwalk_lab/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback: control, balancers, agents and the stand-ins around them."""
+"""A complete fleet on loopback: control, balancers, agents and the stand-ins around them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_run_folder(parent: Path, name: str) -> Path:
-    """Make a new folder for the settings, data and logs of one run."""
+    """Create a new folder for the settings, data and logs of one run."""
     stamp = time.strftime("%Y%m%d-%H%M%S")
     number = 0
     while True:
@@ -66,7 +66,7 @@
         self._planner = self._make_planner(seed, options)
 
     def _make_planner(self, seed: int, options: FleetOptions) -> FleetPlanner:
-        """Make the planner of the fleet's processes."""
+        """Return the planner of the fleet's processes."""
         return FleetPlanner(self.layout, self.run_folder, self.certificates, seed, options)
 
     async def __aenter__(self) -> Self:
@@ -119,7 +119,7 @@
         return change
 
     async def kill_balancer(self, place: BalancerPlace) -> None:
-        """Kill a balancer without warning; the fabric finds out by its probes."""
+        """Kill a balancer; the fabric detects that only by its probes."""
         await self.supervisor.kill(place.name)
 
     async def join_balancer(self, place: BalancerPlace) -> None:
@@ -136,12 +136,12 @@
         await self._wait_sprayed({place.name})
 
     async def kill_host(self, place: MemberPlace) -> None:
-        """Kill an agent and its backend, as a machine that is lost."""
+        """Kill an agent and its backend, as the loss of their machine would."""
         await self.supervisor.kill(agent_name(place))
         await self.supervisor.kill(backend_name(place))
 
     async def journals(self, lost_hosts: Collection[str] = ()) -> list[JournalRecord]:
-        """Collect the journals of all backends but those of lost hosts."""
+        """Collect the journals of all backends except those of lost hosts."""
         places = [place for place in self.layout.members if place.host not in lost_hosts]
         return await self.journals_of(places)
 
--- a/src/jasperwalk_lab/fleet_options.py
+++ b/src/jasperwalk_lab/fleet_options.py
@@ -1,4 +1,4 @@
-"""What an experiment may set in a fleet beyond its example."""
+"""Options of a fleet that are not part of its example."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """Backends' service time in milliseconds, and the ways of dispatching to compare.
+    """Service time of backends in milliseconds, and the variants of dispatching to compare.
 
-    With `service_time_varies` the times are exponential about `service_time_ms`, drawn from
-    each request's identity, so that runs with the same requests have the same work.
+    With `service_time_varies` the times are exponentially distributed with mean `service_time_ms`,
+    derived from each request ID, so that runs with the same requests have the same work.
     `offline_ms` is the control replicas' setting of that name, None for its default.
     """
 
@@ -32,7 +32,7 @@
     hand_over_when_busy: bool = True
     offline_ms: int | None = None
     protect_links: bool = True
-    """Mutual TLS on internal links; the operators' API stays plain http."""
+    """Mutual TLS on internal links; the operators' API stays plain HTTP."""
 
 
 DEFAULT_OPTIONS = FleetOptions()
--- a/src/jasperwalk_lab/fleet_settings.py
+++ b/src/jasperwalk_lab/fleet_settings.py
@@ -1,4 +1,8 @@
-"""Writes the settings files of a fleet and plans the processes that read them."""
+"""Writes the settings file of each process of a fleet, and returns the command that runs it.
+
+Input: the layout of the fleet (names and endpoints) and its options. The product's processes
+start with `jasperwalk`, the stand-ins with `jasperwalk-lab stand-in`.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,8 @@
 
 CLUSTER_ID = "lab"
 AGENT_STOP_GRACE_MS = round(0.8 * 1000 * STOP_TIMEOUT_SECONDS)
-"""An agent ends its callers' flows itself before the supervisor kills it."""
+"""Shorter than the supervisor's time-out, so that an agent ends its callers' flows itself before it
+is killed."""
 COMMANDS_FOLDER = Path(sys.executable).parent
 PLATFORM_LIST = "platform-list"
 FABRIC = "fabric"
@@ -149,7 +154,7 @@
         return self._stand_in(PLATFORM_LIST, PLATFORM_LIST, settings, ready_url)
 
     def fabric(self) -> ProcessPlan:
-        """Plan the fabric, which sprays over the balancers that start with the fleet."""
+        """Plan the fabric; it sprays over the balancers that start with the fleet."""
         settings: dict[str, Any] = {
             "listeners": [str(each.listener) for each in self._layout.example.services()],
             "return_listen": str(self._layout.fabric_return),
@@ -169,7 +174,7 @@
         return self._stand_in(FABRIC, FABRIC, settings, health_url(self._layout.fabric_admin))
 
     def _tls(self, role: ProcessRole, name: str) -> dict[str, Any]:
-        """Return the settings that protect a process's internal links."""
+        """Return the TLS settings of a process's internal links, empty without protection."""
         if self._link_certificates is None:
             return {}
         files = self._link_certificates.files(Identity(CLUSTER_ID, role, name))
@@ -179,18 +184,18 @@
             "private_key_file": str(files.private_key_file),
         }
         if role is ProcessRole.CONTROL:
-            table["api"] = False  # the lab's own clients speak plain http
+            table["api"] = False  # the lab's own clients use plain HTTP
         return {"tls": table}
 
     def _control_endpoints(self) -> list[str]:
         return [str(self._peer_endpoint(each)) for each in self._layout.controls]
 
     def _peer_endpoint(self, place: ControlPlace) -> Endpoint:
-        """Return where others reach a replica."""
+        """Return the endpoint at which other processes reach a replica."""
         return place.peer
 
     def _backend_extras(self, _place: MemberPlace) -> dict[str, Any]:
-        """Return further settings of a backend."""
+        """Return additional settings of a backend."""
         return {}
 
     def _product(
--- a/src/jasperwalk_lab/history.py
+++ b/src/jasperwalk_lab/history.py
@@ -1,12 +1,12 @@
-"""Checks what callers were told against what backends ran.
+"""Checks the answers that callers got against what backends ran.
 
 Input: the record of every call and the journals of all backends. Output: counts of how
 calls ended and one typed violation for each promise that was broken:
 
-- an answer is whole, right, the caller's own and of the service that was asked;
+- an answer is complete and correct, and belongs to the request and the service it was sent to;
 - a request that was refused as not run did not run;
-- a request that may not be repeated ran at most once;
-- no flow ends without its answer, except on a host that was lost.
+- a request that must not be repeated ran at most once;
+- no flow ends without its answer, except on a host that was lost, or by a fault that excuses it.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 STATUS_OK = 200
 CauseOf = Callable[[CallRecord], str | None]
-"""Names the fault that may break a flow, such as the loss of its host; None where none may."""
+"""Returns the fault that excuses a broken flow, such as the loss of its host; None without one."""
 
 
 def _no_cause(_record: CallRecord) -> str | None:
@@ -76,8 +76,8 @@
 class HistoryChecker:
     """Checks one run.
 
-    `lost_hosts` are the members that were lost while it lasted; `cause_of` excuses a broken
-    flow by a finer look.
+    `lost_hosts` are the members that were lost during the run: any flow on them may break.
+    `cause_of` decides for each other broken flow whether a fault excuses it.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         self._report.streams_answered += isinstance(record.operation, LongStream)
 
     def _answer_problem(self, record: CallRecord, answer: Answered) -> str | None:
-        """Name what is wrong with an answer; None for a whole and right one."""
+        """Describe what is wrong with an answer; None for a complete and correct one."""
         if answer.status != STATUS_OK:
             return f"status {answer.status}"
         if answer.service != record.service:
@@ -167,7 +167,7 @@
 
     def _check_refusals(self, refused: Iterable[str], otherwise: Collection[str]) -> None:
         for request_id in refused:
-            # With another record of the same request (a resend), a run may be that one's.
+            # Where the same request was also resent, the run may belong to the resend.
             if request_id not in otherwise and self._runs[request_id]:
                 detail = f"ran at {self._runs[request_id][0].host}"
                 self._add_violation(ViolationKind.NOT_RUN_BUT_RAN, request_id, detail)
@@ -194,19 +194,19 @@
     expected = record.operation.expected(record.service, record.request_id)
     if len(answer.body) != len(expected):
         return f"{len(answer.body)} of {len(expected)} bytes"
-    return None if answer.body == expected else "body differs from the right answer"
+    return None if answer.body == expected else "body differs from the expected answer"
 
 
 @dataclass(frozen=True)
 class LoadPhase:
-    """A part of a run in which weights did not change: weight and runs by host."""
+    """A part of a run with constant weights: weights and numbers of requests run, by host."""
 
     weights: dict[str, int]
     runs: Counter[str]
 
 
 def imbalance(phases: Iterable[LoadPhase]) -> float:
-    """Return the busiest host's runs over its share by weight: 1.0 is perfectly balanced.
+    """Return the greatest ratio of a host's runs to its share by weight: 1.0 is perfectly balanced.
 
     A host's share is summed over the phases. 0.0 when nothing ran.
     """
--- a/src/jasperwalk_lab/http3_client.py
+++ b/src/jasperwalk_lab/http3_client.py
@@ -1,4 +1,8 @@
-"""HTTP/3 requests over one connection of the stock aioquic client."""
+"""HTTP/3 requests over one QUIC connection of the unmodified aioquic client.
+
+Beyond the library it recognises stateless resets, as browsers do, and reports for every request
+whether its answer is complete or why it broke off.
+"""
 
 from __future__ import annotations
 
@@ -15,20 +19,20 @@
 from jasperwalk_lab.operations import BreakReason
 
 MIN_FINAL_STATUS = 200
-"""Statuses below are interim (1xx)."""
+"""Lower statuses are interim (1xx)."""
 PING_IDENTITY = 0
-"""Nobody waits for the acknowledgement of these PINGs."""
+"""Shared by all PINGs: nothing waits for their acknowledgements."""
 LONG_HEADER_BIT = 0x80
 RESET_TOKEN_LENGTH = 16
 MIN_RESET_BYTES = 21
-"""Bytes of the shortest stateless reset (RFC 9000, section 10.3)."""
+"""Length of the shortest stateless reset (RFC 9000, section 10.3)."""
 
 
 @dataclass
 class Exchange:
-    """One request on its stream; `ended` gets None when the answer is whole.
+    """One request on its stream; the result of `ended` is None when the answer is complete.
 
-    `heard_at` is when the last part of the answer came (seconds), 0 if none did.
+    `heard_at` is when the last part of the answer arrived (seconds), 0 if none did.
     """
 
     ended: asyncio.Future[BreakReason | None]
@@ -39,7 +43,7 @@
 
 
 class CallerProtocol(QuicConnectionProtocol):
-    """HTTP/3 over one QUIC connection of the stock client."""
+    """HTTP/3 over one QUIC connection of the unmodified client."""
 
     def __init__(
         self, quic: QuicConnection, stream_handler: QuicStreamHandler | None = None
@@ -51,14 +55,14 @@
         self.caller_port = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the local UDP port, which names the flow."""
+        """Record the local UDP port, which identifies the flow."""
         super().connection_made(transport)
         self.caller_port = transport.get_extra_info("sockname")[1]
 
     async def wait_connected(self) -> None:
         """Wait until the handshake is complete.
 
-        When the caller gives up, the library's future is let go: closing the connection would
+        When the wait is cancelled, the library's future is dropped: closing the connection would
         set an exception on it that nobody retrieves.
         """
         try:
@@ -68,10 +72,10 @@
             raise
 
     def datagram_received(self, data: bytes | str, addr: NetworkAddress) -> None:
-        """Take one datagram; a stateless reset ends the connection at once.
+        """Handle one datagram; a stateless reset ends the connection at once.
 
-        The library drops resets as packets that it can't decrypt, and would learn of the loss
-        from its idle time-out; browsers know resets (RFC 9000, section 10.3.1).
+        The library drops resets as packets that it can't decrypt, and would notice the lost
+        connection only by its idle time-out; browsers detect resets (RFC 9000, section 10.3.1).
         """
         if isinstance(data, bytes) and is_stateless_reset(data, self._reset_tokens()):
             self._end_all(BreakReason.STATELESS_RESET)
@@ -79,7 +83,7 @@
         super().datagram_received(data, addr)
 
     def _reset_tokens(self) -> set[bytes]:
-        """Return the tokens that the server gave with its connection IDs."""
+        """Return the stateless reset tokens that the server sent with its connection IDs."""
         quic = self._quic
         connection_ids = (quic._peer_cid, *quic._peer_cid_available)
         return {each.stateless_reset_token for each in connection_ids}
@@ -90,7 +94,7 @@
             _end(exchange, reason)
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Take one event of the QUIC connection."""
+        """Handle one event of the QUIC connection."""
         if isinstance(event, ConnectionTerminated):
             self._end_all(BreakReason.CONNECTION_ENDED)
         elif isinstance(event, StreamReset) and event.stream_id in self._exchanges:
@@ -113,14 +117,14 @@
             _end(exchange, None)
 
     def send_ping(self) -> None:
-        """Send a PING, as clients do that look after an open connection."""
+        """Send a PING, as clients do to keep an open connection alive."""
         self._quic.send_ping(PING_IDENTITY)
         self.transmit()
 
     async def exchange(
         self, headers: list[tuple[bytes, bytes]], body: bytes, timeout: float
     ) -> tuple[Exchange, BreakReason | None]:
-        """Send a request; return what came and why it broke, None for a whole answer."""
+        """Send a request; return what arrived and why it broke off, None for a complete answer."""
         exchange = Exchange(ended=asyncio.get_running_loop().create_future())
         if self.terminated:
             return exchange, BreakReason.CONNECTION_ENDED
@@ -145,7 +149,7 @@
 
 
 def is_stateless_reset(data: bytes, tokens: Collection[bytes]) -> bool:
-    """Return whether a datagram ends with one of the peer's tokens and has the look of a reset."""
+    """Return whether a datagram ends with one of the peer's tokens and has a reset's form."""
     if len(data) < MIN_RESET_BYTES or data[0] & LONG_HEADER_BIT:
         return False
     return data[-RESET_TOKEN_LENGTH:] in tokens
--- a/src/jasperwalk_lab/journal.py
+++ b/src/jasperwalk_lab/journal.py
@@ -12,7 +12,7 @@
 
 
 class RunOutcome(enum.StrEnum):
-    """What became of one arrival of a request at a backend."""
+    """Outcome of one arrival of a request at a backend."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -24,7 +24,7 @@
 class JournalRecord(msgspec.Struct):
     """One arrival of a request; a shed one did not run, every other outcome did.
 
-    `ran_at` is when it began to run, `released_at` when it gave its slot back and `ended_at`
+    `ran_at` is when it started to run, `released_at` when it released its slot and `ended_at`
     when its run ended, in seconds of the machine's monotonic clock, 0 if it did not.
     """
 
@@ -39,7 +39,7 @@
 
     @property
     def ran(self) -> bool:
-        """Return whether the request began to run."""
+        """Return whether the request started to run."""
         return self.outcome is not RunOutcome.SHED
 
 
@@ -58,19 +58,19 @@
 
 
 class JournalFile:
-    """Appends each state of each record to a file, so that it outlives a killed backend."""
+    """Appends each state of each record to a file, so that the journal survives a kill."""
 
     def __init__(self, path: Path) -> None:
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def write(self, number: int, record: JournalRecord) -> None:
-        """Append one line in a single write, which a kill does not tear."""
+        """Append one line in a single write, so that a kill does not truncate it."""
         line = JournalLine(process=os.getpid(), number=number, record=record)
         os.write(self._descriptor, msgspec.json.encode(line) + b"\n")
 
 
 def read_journal_file(path: Path) -> list[JournalRecord]:
-    """Return the last state of every record in the file, of all starts of the backend."""
+    """Return the last state of every record in the file, over all restarts of the backend."""
     newest: dict[tuple[int, int], JournalRecord] = {}
     for text in path.read_bytes().splitlines():
         line = msgspec.json.decode(text, type=JournalLine)
@@ -79,7 +79,7 @@
 
 
 class Journal:
-    """The records of one backend, in the order of arrival; `file` keeps them too if given."""
+    """The records of one backend, in the order of arrival; also written to `file` if given."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self._numbers: dict[int, int] = {}
 
     def record_arrival(self, request_id: str, path: str, outcome: RunOutcome) -> JournalRecord:
-        """Record an arrival; `set_outcome` tells what became of it."""
+        """Record an arrival with its initial outcome; `set_outcome` changes it."""
         record = JournalRecord(
             request_id=request_id,
             service=self._service,
@@ -110,7 +110,7 @@
         return record
 
     def set_outcome(self, record: JournalRecord, outcome: RunOutcome) -> None:
-        """Change what became of an arrival."""
+        """Change the outcome of an arrival."""
         if outcome is RunOutcome.RUNNING:
             record.ran_at = self._clock()
         else:
--- a/src/jasperwalk_lab/layout.py
+++ b/src/jasperwalk_lab/layout.py
@@ -1,4 +1,8 @@
-"""Which processes a fleet has and which loopback endpoint each of them uses."""
+"""Assigns a loopback endpoint to every process of an example's fleet.
+
+The number of control replicas and balancers is fixed; agents and backends follow from the members
+of the example. Every endpoint is on a loopback address of its own.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 CONTROL_REPLICAS = 3
 BALANCERS = 3
 SPARE_BALANCERS = 1
-"""Balancers with settings that are not started with the fleet, but may join later."""
+"""Balancers that are planned but not started with the fleet; they may join later."""
 MIN_SECOND_OCTET = 16
 SECOND_OCTETS = 200
 HOSTS_PER_PREFIX = 250
@@ -31,7 +35,7 @@
 
 @dataclass(frozen=True)
 class BalancerPlace:
-    """Endpoints of a balancer; `delay_ms` is the one-way delay from callers to agents by it."""
+    """Endpoints of a balancer; `delay_ms`: one-way delay from callers to agents through it."""
 
     name: str
     zone: str
@@ -55,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """The whole fleet; `example` carries the endpoints of listeners and members."""
+    """The complete fleet; `example` has the endpoints of listeners and members."""
 
     example: Example
     controls: tuple[ControlPlace, ...]
@@ -72,7 +76,7 @@
 
 
 class LoopbackHosts:
-    """Hands out loopback addresses 127.x.y.1, .2, ... with x and y from the process ID."""
+    """Allocates loopback addresses 127.x.y.1, .2, ... with x and y from the process ID."""
 
     def __init__(self, reservations: PortReservations) -> None:
         process_id = os.getpid()
@@ -88,7 +92,7 @@
 
 
 def plan_layout(example: Example, reservations: PortReservations) -> Layout:
-    """Give every process of the example's fleet its endpoints."""
+    """Assign endpoints to every process of the example's fleet."""
     hosts = LoopbackHosts(reservations)
     relocated = example.relocated(hosts.endpoint, hosts.endpoint)
     zones = relocated.zones()
@@ -121,8 +125,9 @@
     number: int, zones: list[str], example: Example, hosts: LoopbackHosts
 ) -> BalancerPlace:
     zone = zones[number % len(zones)]
-    # The way from balancer to agent has no stand-in of its own: the fabric adds a hop between
-    # zones for every balancer outside the first zone, which also reorders a flow's packets.
+    # No stand-in delays packets between balancer and agent. Instead the fabric adds the delay
+    # between zones for every balancer outside the first zone, which also reorders a flow's
+    # packets.
     between_zones_ms = 0.0 if zone == zones[0] else example.delays.between_zones_ms
     return BalancerPlace(
         name=f"balancer-{number + 1}",
--- a/src/jasperwalk_lab/machine.py
+++ b/src/jasperwalk_lab/machine.py
@@ -1,4 +1,4 @@
-"""Facts about the machine and the checkout that figures belong to."""
+"""Facts about the machine and the checkout on which figures were measured."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class MachineFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """The machine and the versions that figures belong to.
+    """The machine and the versions with which figures were measured.
 
-    `load_average` is the number of runnable processes over the last minute when the facts
-    were taken, to tell whether others used the machine.
+    `load_average` is the number of runnable processes over the minute before: it shows whether
+    other programs used the machine.
     """
 
     processor: str
@@ -76,7 +76,7 @@
 
 
 def _git(*arguments: str) -> str:
-    """Return git's answer, "" outside a repository."""
+    """Return git's output, "" outside a repository."""
     try:
         result = subprocess.run(
             ["git", *arguments],
--- a/src/jasperwalk_lab/operations.py
+++ b/src/jasperwalk_lab/operations.py
@@ -1,4 +1,4 @@
-"""What callers ask of services, how each call ended, and the record that callers keep."""
+"""The operations that callers request of services, the outcomes of calls, and their record."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Lookup:
-    """A short, repeatable look-up."""
+    """A short, repeatable lookup."""
 
     query: str
 
@@ -20,16 +20,16 @@
 
     @property
     def path(self) -> str:
-        """Return the request's path."""
+        """Return the request path."""
         return f"/lookup?q={quote(self.query)}"
 
     @property
     def body(self) -> bytes:
-        """Return the request's body."""
+        """Return the request body."""
         return b""
 
     def expected(self, service: str, request_id: str) -> bytes:
-        """Return the right answer."""
+        """Return the expected body of the answer."""
         return answers.lookup_body(service, request_id, self.query)
 
 
@@ -44,7 +44,7 @@
     path = "/submit"
 
     def expected(self, service: str, request_id: str) -> bytes:
-        """Return the right answer."""
+        """Return the expected body of the answer."""
         return answers.submission_body(service, request_id, self.body)
 
 
@@ -60,16 +60,16 @@
 
     @property
     def path(self) -> str:
-        """Return the request's path."""
+        """Return the request path."""
         return f"/stream?seconds={self.seconds}&interval_ms={self.interval_ms}"
 
     @property
     def body(self) -> bytes:
-        """Return the request's body."""
+        """Return the request body."""
         return b""
 
     def expected(self, service: str, request_id: str) -> bytes:
-        """Return the right answer."""
+        """Return the expected body of the answer."""
         chunks = answers.stream_chunks(self.seconds, self.interval_ms)
         return answers.stream_body(service, request_id, chunks)
 
@@ -85,16 +85,16 @@
 
     @property
     def path(self) -> str:
-        """Return the request's path."""
+        """Return the request path."""
         return f"/download?bytes={self.length}"
 
     @property
     def body(self) -> bytes:
-        """Return the request's body."""
+        """Return the request body."""
         return b""
 
     def expected(self, service: str, request_id: str) -> bytes:
-        """Return the right answer."""
+        """Return the expected body of the answer."""
         return answers.download_body(service, request_id, self.length)
 
 
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """A whole answer of the service; `host` is the member that served it, if named."""
+    """A complete answer of the service; `host` is the member that served it, if named."""
 
     status: int
     service: str
@@ -114,14 +114,14 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The system's word that the request did not run, and when to come back."""
+    """The answer that the request did not run, with the time after which to retry."""
 
     retry_after_seconds: float
 
 
 @dataclass(frozen=True)
 class Unknown:
-    """The system's word that the request may have run."""
+    """The answer that the request may have run."""
 
     status: int
 
@@ -140,7 +140,7 @@
 class Broken:
     """A flow that ended without an answer; `host` is the member that served it, if known.
 
-    `heard_at` is when the last part of the answer came (seconds), 0 if none did.
+    `heard_at` is when the last part of the answer arrived (seconds), 0 if none did.
     """
 
     reason: BreakReason
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True)
 class CallRecord:
-    """One call: what was asked of whom, when (seconds), and how it ended.
+    """One call: service, operation, times of start and end (seconds), and outcome.
 
     A resend of a submission is a record of its own with the same `request_id`.
     """
@@ -177,7 +177,7 @@
 
 @dataclass
 class CallHistory:
-    """Every call of a run, in the order of completion."""
+    """All calls of a run, in the order of completion."""
 
     records: list[CallRecord] = field(default_factory=list)
 
--- a/src/jasperwalk_lab/platform_list.py
+++ b/src/jasperwalk_lab/platform_list.py
@@ -1,8 +1,8 @@
-"""Stand-in of the platform's machine list, which lags behind the truth.
+"""Stand-in of the platform's machine list, which shows changes of machines with a delay.
 
 `GET /machines` answers `{"version": n, "machines": [{"host", "address", "zone", "state"}]}`.
-`PUT /lab/machines/{host}` with `{"state": "live" | "leaving" | "absent"}` changes the truth,
-`PUT /lab/lag` with `{"seconds": s}` the time until a change shows.
+`PUT /lab/machines/{host}` with `{"state": "live" | "leaving" | "absent"}` changes the
+actual state, `PUT /lab/lag` with `{"seconds": s}` the delay until the list shows a change.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MachineState(enum.StrEnum):
-    """State of a machine; an absent one is not listed at all."""
+    """State of a machine; an absent one is not listed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class _PendingChange:
-    """A change of the truth that the list does not show before `due` (seconds)."""
+    """A change of a machine's state that the list does not show before `due` (seconds)."""
 
     due: float
     host: str
@@ -87,7 +87,7 @@
 
 
 class LaggingList:
-    """The machine list: changes of the truth show `lag_seconds` later, in order."""
+    """The machine list: shows changes of state `lag_seconds` later, in order."""
 
     def __init__(self, machines: list[ListedMachine], lag_seconds: float) -> None:
         self.lag_seconds = lag_seconds
@@ -96,11 +96,11 @@
         self._version = 1
 
     def knows(self, host: str) -> bool:
-        """Return whether `host` was ever a machine of the platform."""
+        """Return whether `host` is or was a machine of the platform."""
         return host in self._machines
 
     def set_state(self, host: str, state: MachineState, now: float) -> None:
-        """Change the truth about `host` (which must be known) at `now`."""
+        """Change the actual state of `host` (which must be known) at `now`."""
         change = _PendingChange(due=now + self.lag_seconds, host=host, state=state)
         self._pending.append(change)
 
--- a/src/jasperwalk_lab/ports.py
+++ b/src/jasperwalk_lab/ports.py
@@ -1,4 +1,4 @@
-"""Free loopback ports below those that the system hands out, held until processes take them."""
+"""Free loopback ports below the ephemeral range, reserved until processes bind them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from jasperwalk.addresses import Endpoint
 
 ATTEMPTS = 50
-"""Tries to find a port that is free for both TCP and UDP."""
+"""Attempts to find a port that is free for both TCP and UDP."""
 
 PORTS = range(15_000, 32_768)
-"""Below the ports of outgoing sockets (Linux: from 32768), which a wildcard socket of any
-program may get on every address in the moment between reservation and use."""
+"""Below the ephemeral ports (Linux: from 32768): between reservation and use, a wildcard socket of
+any program may get one of those on every address."""
 
 
 class PortReservations:
-    """Holds ports open so that no two reservations are alike; leaving the context frees them.
+    """Binds ports so that no two reservations are equal; leaving the context frees them.
 
-    Every process of a fleet gets a loopback address of its own, so two fleets that draw the
-    same number seldom meet.
+    Every process of a fleet has a loopback address of its own, so two fleets that draw the same
+    port number rarely conflict.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._random = random.SystemRandom()
 
     def __enter__(self) -> Self:
-        """Begin to hold ports."""
+        """Return the reservations, none yet."""
         return self
 
     def __exit__(
@@ -44,7 +44,7 @@
         self.release()
 
     def release(self) -> None:
-        """Free every port, for the processes that are about to bind them."""
+        """Free every port, just before the processes bind them."""
         for held in self._held:
             held.close()
         self._held.clear()
@@ -54,7 +54,7 @@
         for _ in range(ATTEMPTS - 1):
             try:
                 return self._try_reserve(host)
-            except OSError:  # the port is taken
+            except OSError:  # the port is in use
                 continue
         return self._try_reserve(host)
 
@@ -75,7 +75,7 @@
 
 
 def common_ports(names: Sequence[str], hosts: Sequence[str]) -> dict[str, int]:
-    """Return a port for each name, all different, free on each of these addresses."""
+    """Return a different port for each name, each free on all of these addresses."""
     generator = random.SystemRandom()
     ports: dict[str, int] = {}
     for name in names:
--- a/src/jasperwalk_lab/serving.py
+++ b/src/jasperwalk_lab/serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in process needs: settings from TOML, an HTTP server, a clean stop."""
+"""Shared parts of the stand-in processes: TOML settings, logs, HTTP server, stop on signals."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def configure_lab_logging() -> None:
-    """Log one line of key=value pairs an event to standard error."""
+    """Log each event as one line of key=value pairs to standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -52,7 +52,7 @@
 
 
 async def start_http(application: web.Application, endpoint: Endpoint) -> web.AppRunner:
-    """Serve `application` at `endpoint`; a caller that goes away cancels its handler."""
+    """Serve `application` at `endpoint`; a client that disconnects cancels its handler."""
     runner = web.AppRunner(
         application, handler_cancellation=True, access_log=None, shutdown_timeout=0.5
     )
@@ -62,7 +62,7 @@
 
 
 def http_endpoint(runner: web.AppRunner) -> Endpoint:
-    """Return the endpoint that a runner listens on (useful after binding port 0)."""
+    """Return the endpoint that a runner listens on, for a server bound to port 0."""
     host, port = runner.addresses[0][:2]
     return Endpoint(host=host, port=port)
 
--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -1,4 +1,4 @@
-"""What a run showed, which promises it broke, and how both are printed."""
+"""Summary of a demo run: its counts, the promises that it broke, and the printed form of both."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class BrokenPromise(msgspec.Struct, frozen=True):
-    """One broken promise with what was seen."""
+    """One broken promise with what was observed."""
 
     kind: PromiseKind
     detail: str
@@ -88,9 +88,9 @@
 def broken_promises(
     report: HistoryReport, in_force_seconds: float | None, failures: list[BrokenPromise]
 ) -> list[BrokenPromise]:
-    """Find each promise that a run broke; nothing answered is a broken promise too.
+    """Return each promise that a run broke; too few answers are a broken promise too.
 
-    `failures` are those that the run itself noted.
+    `failures` are those that the run itself recorded.
     """
     counts = Counter(violation.kind for violation in report.violations)
     broken = [
@@ -116,7 +116,7 @@
 
 def _slow_change(in_force_seconds: float | None) -> list[BrokenPromise]:
     if in_force_seconds is None:
-        return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, "it never was")]
+        return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, "never in force")]
     if in_force_seconds > MAX_IN_FORCE_SECONDS:
         detail = f"only after {in_force_seconds:.1f} s"
         return [BrokenPromise(PromiseKind.CHANGE_NOT_IN_FORCE, detail)]
@@ -124,7 +124,7 @@
 
 
 def describe(summary: DemoSummary, report: HistoryReport) -> str:
-    """Return the summary for people, one fact a line."""
+    """Return the summary as text, one fact per line."""
     in_force = "never"
     if summary.in_force_seconds is not None:
         in_force = f"{summary.in_force_seconds:.3f} s"
--- a/src/jasperwalk_lab/supervisor.py
+++ b/src/jasperwalk_lab/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a fleet, watches their health pages and stops them by process ID."""
+"""Starts the processes of a fleet, waits until they are healthy, and signals and stops them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from jasperwalk_lab.errors import FleetNotReady
 
 STOP_TIMEOUT_SECONDS = 5.0
-"""From SIGTERM to SIGKILL."""
+"""Time from SIGTERM to SIGKILL."""
 HEALTH_POLL_SECONDS = 0.1
 HEALTH_TIMEOUT_SECONDS = 2.0
 HTTP_OK = 200
@@ -32,7 +32,7 @@
     command: tuple[str, ...]
     health_url: str | None
     environment: Mapping[str, str] | None = None
-    """Its whole environment, or None for the one of this process."""
+    """The complete environment; None inherits the one of this process."""
 
 
 def health_url(admin: Endpoint, path: str = "/healthz") -> str:
@@ -41,7 +41,7 @@
 
 
 class Supervisor:
-    """Runs processes and writes what they print to `<name>.log` in `log_folder`."""
+    """Runs processes and writes their output to `<name>.log` in `log_folder`."""
 
     def __init__(self, log_folder: Path) -> None:
         self._log_folder = log_folder
@@ -102,26 +102,26 @@
         log.info("process_killed", process=name)
 
     def freeze(self, name: str) -> None:
-        """Stop a process in its tracks with SIGSTOP; its sockets stay open."""
+        """Suspend a process with SIGSTOP; its sockets stay open."""
         _signal(self._processes[name], signal.SIGSTOP)
         log.info("process_frozen", process=name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process with SIGCONT."""
         _signal(self._processes[name], signal.SIGCONT)
         log.info("process_thawed", process=name)
 
     def process_id(self, name: str) -> int | None:
-        """Return the ID of a process, None where it was not started or has ended."""
+        """Return the ID of a running process, None if it was not started or has ended."""
         process = self._processes.get(name)
         return None if process is None or process.returncode is not None else process.pid
 
     def exists(self, name: str) -> bool:
-        """Return whether a process is there, also one that was told to end and has not yet."""
+        """Return whether a process exists, which includes one that is being stopped."""
         return name in self._stopping or self.process_id(name) is not None
 
     def runs(self, name: str) -> bool:
-        """Return whether a process was started and not ended by this supervisor."""
+        """Return whether this supervisor started a process and has not stopped or killed it."""
         return name in self._processes
 
     async def stop(self, name: str, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
@@ -140,11 +140,11 @@
             del self._stopping[name]
 
     async def stop_all(self) -> None:
-        """Stop every process that still runs."""
+        """Stop every process."""
         await asyncio.gather(*(self.stop(name) for name in list(self._processes)))
 
     def ended_unexpectedly(self) -> list[str]:
-        """Return the names of processes that ended by themselves."""
+        """Return the names of processes that ended without being stopped or killed."""
         ended = self._processes.items()
         return [name for name, process in ended if process.returncode is not None]
 
@@ -153,5 +153,5 @@
 
 
 def _signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
-    with contextlib.suppress(ProcessLookupError):  # it ended in this very moment
+    with contextlib.suppress(ProcessLookupError):  # it has just ended
         process.send_signal(number)
--- a/src/jasperwalk_lab/traffic.py
+++ b/src/jasperwalk_lab/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of the demo: long streams, and short calls on connections that come and go."""
+"""Traffic of the demo: long streams, and short calls on connections of a few calls each."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 CALLS_PER_CONNECTION = 10
 PAUSE_SECONDS = (0.02, 0.06)
-"""Shortest and longest pause of a caller between two short calls."""
+"""Minimum and maximum pause of a caller between two short calls."""
 CALL_TIMEOUT_SECONDS = 10.0
 STREAM_ATTEMPTS = 20
 MAX_RETRY_SECONDS = 0.5
 STREAM_INTERVAL_MS = 100.0
 STREAM_EXTRA_SECONDS = 10.0
-"""What a stream may take beyond its own length."""
+"""Time that a stream may take beyond its own length."""
 SUBMISSION_SHARE = 0.15
 DOWNLOAD_SHARE = 0.05
 DOWNLOAD_BYTES = (1_000, 60_000)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class TrafficTarget:
-    """A service, its listener, and its part of the traffic."""
+    """A service, its listener, and its relative share of the traffic."""
 
     service: str
     listener: Endpoint
@@ -44,7 +44,7 @@
 
 
 class Traffic:
-    """Callers of several services; all calls land in one history."""
+    """Callers of several services; all calls are recorded in one history."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._stopping = False
 
     def end(self) -> None:
-        """Let callers of short calls finish the call in hand and go."""
+        """Stop callers of short calls after their current call."""
         self._stopping = True
 
     def short_calls(self) -> int:
@@ -71,7 +71,7 @@
         )
 
     async def run_short_calls(self, callers: int) -> None:
-        """Run `callers` callers of short calls until `end`."""
+        """Run `callers` callers of short calls until `end` is called."""
         await asyncio.gather(*(self._short_caller() for _ in range(callers)))
 
     async def run_streams(self, count: int, seconds: float) -> None:
@@ -100,7 +100,7 @@
             await asyncio.sleep(self._random.uniform(*PAUSE_SECONDS))
 
     async def _stream(self, seconds: float) -> None:
-        """Open one stream; a refused one is asked for again, on another connection."""
+        """Open one stream; a refused one is retried on another connection."""
         operation = LongStream(seconds=seconds, interval_ms=STREAM_INTERVAL_MS)
         target = self._choose_target()
         for _ in range(STREAM_ATTEMPTS):
@@ -127,7 +127,7 @@
 
 
 def short_operation(generator: random.Random) -> Operation:
-    """Draw a short call: mostly look-ups, some submissions, a few downloads."""
+    """Draw a short call: mostly lookups, some submissions, a few downloads."""
     drawn = generator.random()
     if drawn < SUBMISSION_SHARE:
         return Submission(body=generator.randbytes(generator.randint(*SUBMISSION_BYTES)))
