--- a/tests/lab/test_baselines.py
+++ b/tests/lab/test_baselines.py
@@ -61,7 +61,7 @@
     assert hosts(index, range(30)) == first
 
 
-def test_least_reported_believes_the_reports_by_weight():
+def test_least_reported_uses_the_reports_by_weight():
     loads = {member(1).address: 2.0, member(2).address: 3.0, member(3).address: 9.0}
     table = table_of(member(1), member(2, weight=200), member(3))
     index = LeastReportedIndex(table, random.Random(1), loads)
@@ -111,7 +111,7 @@
     assert sent(core, 5000)[0] == "127.0.0.2"
 
 
-def test_an_opening_packet_may_open_a_flow_and_no_packet_is_passed_on_by_agents():
+def test_an_opening_packet_may_open_a_flow_and_agents_forward_no_packet():
     core = flow_table(table_of(member(1)))
     agent, opening = sent(core, 5000, INITIAL)
     assert (opening.hops, opening.candidates) == (1, [Endpoint(agent, 7001).pack()])
