--- a/src/jasperwalk_lab/chaos/actions.py
+++ b/src/jasperwalk_lab/chaos/actions.py
@@ -1,7 +1,7 @@
 """Injects and undoes each kind of fault: one asynchronous context per kind.
 
 A context takes the name of its target: a balancer, a control replica's place or a host. Entering
-it injects the fault, leaving it undoes the fault and waits until the target is healthy again.
+it injects the fault, leaving it undoes the fault.
 """
 
 from __future__ import annotations
@@ -167,7 +167,7 @@
     async def _control_wiped(self, slot: str) -> AsyncIterator[None]:
         await lose_disk(self._fleet, slot)
         await replace_replica(self._fleet, slot)
-        # Right after the repair a second replica is lost: the replacement must count for the quorum.
+        # Right after the repair has finished, a second replica is lost.
         other = next(name for name in self._fleet.control_slots if name != slot)
         async with self._control_killed(other):
             await asyncio.sleep(SECOND_LOSS_SECONDS)
--- a/src/jasperwalk_lab/chaos/change_checks.py
+++ b/src/jasperwalk_lab/chaos/change_checks.py
@@ -1,7 +1,7 @@
 """Checks operators' changes: one outcome each, one winner per race, none lost, one order.
 
-Input: each change with the definite answers that its operator got, and what the replicas hold at the
-end. Output: one violation for each broken promise.
+Input: each change with the definite answers that its operator got, and what the replicas hold at
+the end. Output: one violation for each broken promise.
 """
 
 from __future__ import annotations
--- a/src/jasperwalk_lab/chaos/in_force.py
+++ b/src/jasperwalk_lab/chaos/in_force.py
@@ -25,13 +25,13 @@
     """The part of the replicas' API that a wait needs."""
 
     async def in_force(self, replica: Endpoint, change_id: str, wait_ms: int) -> InForceView | str:
-        """Ask one replica where a change is in force; a string is the reason why it does not know."""
+        """Ask one replica where a change is in force; a string says why it does not know."""
         ...
 
 
 @dataclass
 class InForceWait:
-    """Outcome of a wait: whether it is `complete`, and each replica's last answer."""
+    """Outcome of a wait: `complete`, and each replica's last answer."""
 
     complete: bool = False
     last_words: dict[str, str] = field(default_factory=dict)
--- a/src/jasperwalk_lab/chaos/injector.py
+++ b/src/jasperwalk_lab/chaos/injector.py
@@ -19,8 +19,8 @@
     """Runs every fault as a task of its own; `happened` lists those that started.
 
     A fault waits until an earlier one of the same target is undone, which may take longer than
-    planned on a busy machine. Control replicas count as one target: of three replicas, two at once
-    would lose the quorum.
+    planned on a busy machine. Control replicas count as one target: the group does not
+    tolerate faults of two at once.
     """
 
     def __init__(self, actions: FaultActions, progress: Progress) -> None:
--- a/src/jasperwalk_lab/chaos/links_process.py
+++ b/src/jasperwalk_lab/chaos/links_process.py
@@ -1,5 +1,6 @@
-"""The relays of the control links as a process: `PUT /lab/cuts` with `{"cuts": [...]}`,
-`GET /healthz`.
+"""The relays of the control links as a process, with an HTTP admin interface for cuts.
+
+`PUT /lab/cuts` with `{"cuts": [...]}`, `GET /healthz`.
 """
 
 from __future__ import annotations
--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -143,7 +143,7 @@
             wait.add_done_callback(self._waits.discard)
 
     async def _submit(self, tenant: Tenant, expected: int | None) -> SubmittedChange:
-        """Send a change until it is decided; sometimes lose the answer, sometimes resend it after."""
+        """Send a change until it is decided; sometimes lose the answer, sometimes resend."""
         value = next(RACED_VALUES)
         values = {**tenant.values, RACED_PARAMETER: value}
         body = TenantBody(template=tenant.template, values=values)
--- a/src/jasperwalk_lab/chaos/propagation.py
+++ b/src/jasperwalk_lab/chaos/propagation.py
@@ -68,7 +68,7 @@
 
 
 def deadline_after(since: float, limit: float, known_outages: Iterable[Outage]) -> float:
-    """Return `since` + `limit`, counted anew from the end of each absence that lies within."""
+    """Return `since` + `limit`, counted again from the end of each outage within that time."""
     deadline = since + limit
     for outage in known_outages:
         if outage.began <= deadline and outage.ended >= since:
--- a/src/jasperwalk_lab/chaos/refusals.py
+++ b/src/jasperwalk_lab/chaos/refusals.py
@@ -19,5 +19,8 @@
             continue
         run_started_at = ran_at.get(record.request_id)
         if run_started_at is not None and run_started_at < record.invoked:
-            detail = f"{record.request_id} ran {record.invoked - run_started_at:.3f} s before the refused try"
+            detail = (
+                f"{record.request_id} ran {record.invoked - run_started_at:.3f} s before "
+                "the refused attempt"
+            )
             yield ChaosViolation(ChaosPromise.NOT_RUN_BUT_RAN, detail)
--- a/src/jasperwalk_lab/chaos/repair.py
+++ b/src/jasperwalk_lab/chaos/repair.py
@@ -37,7 +37,7 @@
 
 
 async def lose_disk(fleet: ChaosFleet, slot: str) -> None:
-    """Kill a replica, remove its data, restart it, and wait until it reports its identity as taken."""
+    """Kill a replica, remove its data, restart it, and wait until it finds its identity taken."""
     place = fleet.control_slots[slot]
     await fleet.supervisor.kill(place.name)
     fleet.wipe(place)
--- a/src/jasperwalk_lab/chaos/run.py
+++ b/src/jasperwalk_lab/chaos/run.py
@@ -47,7 +47,7 @@
 async def run_chaos(
     example_name: str, seconds: float, seed: int, runs: Path, progress: Progress
 ) -> ChaosReport:
-    """Run one fleet under faults for `seconds`; logs and journals stay in a new folder in `runs`."""
+    """Run one fleet under faults for `seconds`; logs and journals stay in a folder of `runs`."""
     started_at = asyncio.get_running_loop().time()
     load_before = psutil.getloadavg()[0]
     run_folder = make_run_folder(runs, f"chaos-{example_name}")
@@ -153,7 +153,7 @@
             return max([await read_revision(session, api) for api in apis])
 
     async def _wait_all_current(self, expected_revision: int) -> dict[str, int]:
-        """Wait until every follower and replica has `expected_revision`; return what each has in the end."""
+        """Wait until each follower and replica has `expected_revision`; return their revisions."""
         admins = self._running_admins()
         deadline = asyncio.get_running_loop().time() + FINAL_IN_FORCE_SECONDS
         timeout = aiohttp.ClientTimeout(total=1.0)
--- a/src/jasperwalk_lab/chaos/schedule.py
+++ b/src/jasperwalk_lab/chaos/schedule.py
@@ -1,7 +1,7 @@
 """Draws the faults of a run from a seed: the same seed and fleet give the same faults.
 
-Faults are drawn from a shuffled list of all kinds, so that each occurs about equally often. A fault
-is planned only where the number of processes out of service at a time keeps its limits.
+Kinds of faults are taken from a shuffled list of all kinds, which is refilled when it is empty. A
+fault is planned only where the processes out of service at a time stay within their limits.
 """
 
 from __future__ import annotations
