--- a/src/jasperwalk_lab/chaos/operators.py
+++ b/src/jasperwalk_lab/chaos/operators.py
@@ -106,12 +106,12 @@
         await asyncio.gather(*self._waits)
         await self._api.close()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop after the current race."""
         self._stopping = True
 
     async def run_races(self) -> None:
-        """Run one race after the other until `end` is called."""
+        """Run one race after the other until `stop` is called."""
         while not self._stopping:
             seen = await self._api.tenant(self._any_replica(), self._tenant.name)
             if seen is not None:
