--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: `python -m bench` measures each figure beside its baseline in the same run."""
+"""Benchmarks: `python -m bench` measures each figure and its baseline in the same run."""
--- a/src/jasperwalk_lab/chaos/report.py
+++ b/src/jasperwalk_lab/chaos/report.py
@@ -115,7 +115,7 @@
         f"example              {report.example} (seed {report.seed}, {report.seconds:.0f} s)",
         f"faults               {faults}",
         f"requests             {report.requests}",
-        f"answered whole       {report.answered} (long streams: {report.streams_answered})",
+        f"answered completely  {report.answered} (long streams: {report.streams_answered})",
         f"refused as not run   {report.not_run}",
         f"unknown              {report.unknown}",
         f"broken, by cause     {broken}",
@@ -127,7 +127,7 @@
         f"{report.changes.undecided} undecided, {report.changes.resent} resent",
     ]
     lines += [
-        f"current again        {r.process}: {r.seconds:.3f} s after {r.changes_missed} changes"
+        f"up to date again     {r.process}: {r.seconds:.3f} s after {r.changes_missed} changes"
         for r in report.recoveries
     ]
     lines.append(
@@ -141,5 +141,5 @@
 
 def _describe_spread(figures: Spread) -> str:
     if figures.median is None or figures.maximum is None:
-        return "never measured"
+        return "not measured"
     return f"{figures.median:.3f} s median, {figures.maximum:.3f} s at most ({figures.count} times)"
--- a/src/jasperwalk_lab/summary.py
+++ b/src/jasperwalk_lab/summary.py
@@ -131,7 +131,7 @@
     lines = [
         f"example               {summary.example} (seed {summary.seed})",
         f"requests              {summary.requests}",
-        f"answered whole        {summary.answered} (of them long streams: {summary.streams})",
+        f"answered completely   {summary.answered} (of them long streams: {summary.streams})",
         f"refused as not run    {summary.not_run} (of them ran: {summary.not_run_but_ran})",
         f"unknown               {summary.unknown}",
         f"broken flows          {summary.broken_flows}",
@@ -140,7 +140,7 @@
         f"ran twice             {summary.ran_twice}",
         f"imbalance             {summary.imbalance:.3f} (busiest host over its share)",
         f"change in force after {in_force}",
-        f"took                  {summary.duration_seconds:.1f} s",
+        f"duration              {summary.duration_seconds:.1f} s",
     ]
     for violation in report.violations[:SHOWN_VIOLATIONS]:
         lines.append(f"  {violation.kind.value} {violation.request_id}: {violation.detail}")
