--- a/src/jasperwalk/cli/api_client.py
+++ b/src/jasperwalk/cli/api_client.py
@@ -23,14 +23,14 @@
 from jasperwalk.control.problem import Problem
 from jasperwalk.transport.certificates import CONTROL_HOST_NAME
 
-ATTEMPT_SECONDS = 5.0
+ATTEMPT_TIMEOUT_SECONDS = 5.0
 """How long one replica may take to answer, besides a wait that was asked for."""
 
-CONNECT_SECONDS = 2.0
-FIRST_PAUSE_SECONDS = 0.2
+CONNECT_TIMEOUT_SECONDS = 2.0
+INITIAL_PAUSE_SECONDS = 0.2
 """Pause after the first round over all replicas; it doubles with each round."""
 
-LONGEST_PAUSE_SECONDS = 2.0
+MAX_PAUSE_SECONDS = 2.0
 RETRY_AFTER = "Retry-After"
 
 AnswerType = TypeVar("AnswerType")
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class Answered:
+class DefiniteAnswer:
     """A replica's definite answer."""
 
     status: int
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class Failed:
+class FailedAttempt:
     """An attempt without a definite answer."""
 
     reason: str
@@ -108,41 +108,41 @@
         # Connections are not kept: aiohttp would resend by itself on one that has gone stale.
         connector = aiohttp.TCPConnector(force_close=True, ssl=self._tls or True)
         async with aiohttp.ClientSession(connector=connector) as session:
-            answered = await self._send_until_answered(session, request)
-        if answered.status >= HTTPStatus.BAD_REQUEST:
-            raise OperationRefused(problem=_decode_problem(answered))
+            answer = await self._send_until_answered(session, request)
+        if answer.status >= HTTPStatus.BAD_REQUEST:
+            raise OperationRefused(problem=_decode_problem(answer))
         try:
-            return msgspec.json.decode(answered.body, type=answer_type)
+            return msgspec.json.decode(answer.body, type=answer_type)
         except msgspec.DecodeError as error:
-            failed = Failed(f"answer not understood: {error}", may_have_run=True)
-            raise _give_up(request, [failed], may_have_run=True) from error
+            failed = FailedAttempt(f"answer not understood: {error}", may_have_run=True)
+            raise _unanswered_error(request, [failed], may_have_run=True) from error
 
     async def _send_until_answered(
         self, session: aiohttp.ClientSession, request: ApiRequest
-    ) -> Answered:
+    ) -> DefiniteAnswer:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._timeout_seconds + request.wait_seconds
-        pause_seconds = FIRST_PAUSE_SECONDS
+        pause_seconds = INITIAL_PAUSE_SECONDS
         may_have_run = False
         while True:
-            failures: list[Failed] = []
+            failures: list[FailedAttempt] = []
             for endpoint in self._endpoints:
                 remaining = deadline - loop.time()
                 if failures and remaining <= 0:
                     break
                 attempt = await self._attempt(session, endpoint, request, remaining)
-                if isinstance(attempt, Answered):
+                if isinstance(attempt, DefiniteAnswer):
                     return attempt
                 failures.append(attempt)
                 may_have_run = may_have_run or attempt.may_have_run
                 if may_have_run and not request.repeatable:
-                    raise _give_up(request, failures, may_have_run)
-            asked = min(failure.retry_after_seconds for failure in failures)
-            pause = max(asked, pause_seconds)
+                    raise _unanswered_error(request, failures, may_have_run)
+            requested_pause = min(failure.retry_after_seconds for failure in failures)
+            pause = max(requested_pause, pause_seconds)
             if loop.time() + pause >= deadline:
-                raise _give_up(request, failures, may_have_run)
+                raise _unanswered_error(request, failures, may_have_run)
             await asyncio.sleep(pause)
-            pause_seconds = min(2 * pause_seconds, LONGEST_PAUSE_SECONDS)
+            pause_seconds = min(2 * pause_seconds, MAX_PAUSE_SECONDS)
 
     async def _attempt(
         self,
@@ -150,10 +150,10 @@
         endpoint: Endpoint,
         request: ApiRequest,
         remaining: float,
-    ) -> Answered | Failed:
+    ) -> DefiniteAnswer | FailedAttempt:
         """Send the request to one replica, within `remaining` seconds."""
-        total = min(ATTEMPT_SECONDS + request.wait_seconds, remaining)
-        timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_SECONDS)
+        total = min(ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds, remaining)
+        timeout = aiohttp.ClientTimeout(total=total, sock_connect=CONNECT_TIMEOUT_SECONDS)
         try:
             async with session.request(
                 request.method,
@@ -168,27 +168,29 @@
                 body = await response.read()
                 return _classify(endpoint, response, body)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Failed(f"{endpoint}: cannot connect ({_reason(error)})", may_have_run=False)
+            return FailedAttempt(
+                f"{endpoint}: cannot connect ({_reason(error)})", may_have_run=False
+            )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Failed(f"{endpoint}: no answer ({_reason(error)})", may_have_run=True)
+            return FailedAttempt(f"{endpoint}: no answer ({_reason(error)})", may_have_run=True)
 
 
 def _classify(
     endpoint: Endpoint, response: aiohttp.ClientResponse, body: bytes
-) -> Answered | Failed:
+) -> DefiniteAnswer | FailedAttempt:
     """Tell definite answers from those that send the client to another replica."""
-    answered = Answered(status=response.status, body=body)
+    answer = DefiniteAnswer(status=response.status, body=body)
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-        return answered
-    reason = f"{endpoint}: {_decode_problem(answered).detail}"
+        return answer
+    reason = f"{endpoint}: {_decode_problem(answer).detail}"
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         retry_after = _parse_seconds(response.headers.get(RETRY_AFTER, "0"))
-        return Failed(reason, may_have_run=False, retry_after_seconds=retry_after)
-    return Failed(reason, may_have_run=True)
+        return FailedAttempt(reason, may_have_run=False, retry_after_seconds=retry_after)
+    return FailedAttempt(reason, may_have_run=True)
 
 
-def _give_up(
-    request: ApiRequest, failures: Sequence[Failed], may_have_run: bool
+def _unanswered_error(
+    request: ApiRequest, failures: Sequence[FailedAttempt], may_have_run: bool
 ) -> ControlUnreachable | ChangeOutcomeUnknown:
     attempts = tuple(failure.reason for failure in failures)
     if request.method == "GET" or not may_have_run:
@@ -196,12 +198,12 @@
     return ChangeOutcomeUnknown(change_id=request.change_id, attempts=attempts)
 
 
-def _decode_problem(answered: Answered) -> Problem:
+def _decode_problem(answer: DefiniteAnswer) -> Problem:
     try:
-        return msgspec.json.decode(answered.body, type=Problem)
+        return msgspec.json.decode(answer.body, type=Problem)
     except msgspec.DecodeError:
-        detail = f"HTTP status {answered.status} without a problem body"
-        return Problem("about:blank", "", answered.status, "unexpected-answer", detail)
+        detail = f"HTTP status {answer.status} without a problem body"
+        return Problem("about:blank", "", answer.status, "unexpected-answer", detail)
 
 
 def _parse_seconds(text: str) -> float:
--- a/src/jasperwalk/cli/tenants.py
+++ b/src/jasperwalk/cli/tenants.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from jasperwalk.cli import api_requests
-from jasperwalk.cli.changing import report_change, send_change
+from jasperwalk.cli.change_submission import report_change, send_change
 from jasperwalk.cli.documents import TenantChange, read_document, read_values
 from jasperwalk.cli.failures import InvalidInput, OperationRefused
 from jasperwalk.cli.operation import (
@@ -40,7 +40,7 @@
     single_values: tuple[str, ...]
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the present tenant need not be read first."""
         return self.template is not None and self.values is not None
 
@@ -119,25 +119,25 @@
 
 
 async def _set_tenant(operation: Operation, given: TenantInput, flags: ChangeFlags) -> None:
-    if given.is_whole:
+    if given.is_complete:
         await _send(operation, given, flags)
         return
     if flags.is_resend and await _report_if_known(operation, flags):
         # Read again, the present tenant may hold the change already: it would not be the
         # same change any more.
         return
-    present = await _read_present(operation, given.name)
-    if present is None and given.template is None:
+    current = await _read_current(operation, given.name)
+    if current is None and given.template is None:
         raise InvalidInput(
             source=f"tenant set {given.name}",
             problem="there is no such tenant yet",
             mend="give --template and --values",
         )
     revision = 0
-    if present is not None:
-        revision = present.revision
-        template = given.template or present.template
-        values = present.values if given.values is None else given.values
+    if current is not None:
+        revision = current.revision
+        template = given.template or current.template
+        values = current.values if given.values is None else given.values
         given = replace(given, template=template, values=values)
     if flags.expected_revision is None:
         flags = replace(flags, expected_revision=revision)
@@ -165,7 +165,7 @@
     return True
 
 
-async def _read_present(operation: Operation, name: str) -> TenantView | None:
+async def _read_current(operation: Operation, name: str) -> TenantView | None:
     request = api_requests.read("tenants", name)
     try:
         return await operation.client.call(request, TenantView)
--- a/src/jasperwalk/transport/http_connection.py
+++ b/src/jasperwalk/transport/http_connection.py
@@ -10,7 +10,7 @@
 
 from jasperwalk.transport.http_messages import HttpHandler, HttpRequest, HttpResponse
 
-MAXIMUM_BODY_BYTES = 2 * 1024 * 1024
+MAX_BODY_BYTES = 2 * 1024 * 1024
 IDLE_SECONDS = 20.0
 """A connection without a request for this long is closed."""
 
@@ -28,8 +28,8 @@
         self._body = bytearray()
         self._task: asyncio.Task[None] | None = None
         self._transport: asyncio.Transport | None = None
-        self._idle: asyncio.TimerHandle | None = None
-        self._has_ended = False
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self._client_closed = False
         """True once the caller has closed its side."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -43,11 +43,11 @@
         """Forget the connection; a handler at work ends by itself."""
         self._connections.discard(self)
         self._transport = None
-        if self._idle is not None:
-            self._idle.cancel()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
 
-    def _caller_waits(self) -> bool:
-        return self._transport is not None and not self._has_ended
+    def _client_connected(self) -> bool:
+        return self._transport is not None and not self._client_closed
 
     def abort(self) -> None:
         """Drop the connection."""
@@ -55,49 +55,49 @@
             self._transport.abort()
 
     def _restart_idle_timer(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        self._idle = asyncio.get_running_loop().call_later(IDLE_SECONDS, self.abort)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = asyncio.get_running_loop().call_later(IDLE_SECONDS, self.abort)
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
         self._restart_idle_timer()
         self._parser.receive_data(data)
-        self._advance()
+        self._process_events()
 
     def eof_received(self) -> bool:
         """Note that the caller sends no more."""
-        self._has_ended = True
+        self._client_closed = True
         self._parser.receive_data(b"")
-        self._advance()
+        self._process_events()
         return self._task is not None
 
-    def _advance(self) -> None:
+    def _process_events(self) -> None:
         while self._task is None and self._transport is not None:
             try:
                 event = self._parser.next_event()
             except h11.RemoteProtocolError:
-                self._refuse()
+                self._send_bad_request()
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.ConnectionClosed):
                 self._transport.close()
                 return
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
             self._request = event
             self._body.clear()
         elif isinstance(event, h11.Data):
             self._body += event.data
-            if len(self._body) > MAXIMUM_BODY_BYTES:
+            if len(self._body) > MAX_BODY_BYTES:
                 self.abort()
         elif isinstance(event, h11.EndOfMessage) and self._request is not None:
             path = self._request.target.decode("ascii").partition("?")[0]
             method = self._request.method.decode("ascii")
-            request = HttpRequest(method, path, bytes(self._body), self._caller_waits)
+            request = HttpRequest(method, path, bytes(self._body), self._client_connected)
             self._task = asyncio.ensure_future(self._answer(request))
 
     async def _answer(self, request: HttpRequest) -> None:
@@ -130,9 +130,9 @@
             self._transport.close()
             return
         self._parser.start_next_cycle()
-        self._advance()
+        self._process_events()
 
-    def _refuse(self) -> None:
+    def _send_bad_request(self) -> None:
         if self._transport is not None:
             self._transport.write(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n")
             self._transport.close()
