--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
 """Run the benchmarks: print the figures and write them, with machine and commit, as JSON.
 
-Every measured process imports this module again, so it loads the suites only when it is run.
+Every measured process imports this module again, so it loads the suites only when run as main.
 """
 
 from importlib import import_module
--- a/bench/agent.py
+++ b/bench/agent.py
@@ -1,8 +1,8 @@
-"""Benchmark of a whole agent with its backend, beside aioquic's bare server, in alternation.
+"""Benchmark of a complete agent with its backend against aioquic's bare server, in alternation.
 
-Callers are stock clients in processes of their own; those of the agent route their packets
-with a balancer's core. Control and the backend share a process, and another carries answers
-from the agent to callers. Only the processor time of the agent's process counts as its own.
+Callers are unmodified clients in processes of their own; callers of the agent route their packets
+with a balancer's core. Control and the backend share a process, and another process forwards
+answers from the agent to callers. Only the agent's own process is measured.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 ROUNDS = 3
 ROUND_SECONDS = 2.0
 CALLERS = 4
-"""Calling processes: a client's handshake costs about as much as the server's."""
+"""Calling processes: several, as a client's handshake costs about as much as the server's."""
 HANDSHAKES_AT_A_TIME = 4
 REQUESTS_AT_A_TIME = 8
-"""Requests on each connection; `HTTP1_REQUESTS_AT_A_TIME` makes up for the connections."""
+"""Concurrent requests per connection; `HTTP1_REQUESTS_AT_A_TIME` is per calling process."""
 HTTP1_REQUESTS_AT_A_TIME = 32
 HELD_BATCHES = (50, 400)
 MAX_REPLY_WAIT_SECONDS = 60.0
--- a/bench/agent_servers.py
+++ b/bench/agent_servers.py
@@ -1,4 +1,4 @@
-"""The processes round a measured agent: control, backend, fabric, and a bare HTTP/3 server."""
+"""The processes around a measured agent: control, backend, fabric, and a bare HTTP/3 server."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
 
 
 def run_fabric(control: Connection) -> None:
-    """Carry the agent's answers to their callers; send the endpoint first."""
+    """Forward the agent's answers to their callers; send the endpoint first."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     listener.bind((ANY_PORT.host, ANY_PORT.port))
@@ -125,7 +125,7 @@
 def run_measured_agent(
     replica: Endpoint, backend: Endpoint, fabric: Endpoint, files: CertificateFiles
 ) -> None:
-    """Run a whole agent until the process is ended."""
+    """Run a complete agent until the process is killed."""
     log_level = structlog.make_filtering_bound_logger(logging.WARNING)
     structlog.configure(wrapper_class=log_level)
     settings = AgentSettings(
@@ -149,12 +149,12 @@
 
 
 class BareProtocol(QuicConnectionProtocol):
-    """Answers every request at once with the body that the backend gives."""
+    """Answers every request immediately, with the same body as the backend."""
 
     _http: H3Connection | None = None
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Take one event of the connection."""
+        """Handle one event of the connection."""
         if isinstance(event, ProtocolNegotiated):
             self._http = H3Connection(self._quic)
         if self._http is None:
--- a/bench/balancer.py
+++ b/bench/balancer.py
@@ -1,7 +1,7 @@
 """Benchmark of the balancer against a bare Python UDP forwarder, in alternation.
 
 Every datagram goes over loopback to a socket that nobody reads, so that only the forwarder
-is measured. Two generators, each a process of its own, feed it; `busy` tells whether they
+is measured. Two generators, each a process of its own, send to it; `busy` shows whether they
 kept it busy. The bare forwarder reads with `recv` and sends with `sendto`, in a blocking loop.
 """
 
@@ -51,7 +51,7 @@
 
 
 def _measure_established(sink: Endpoint) -> list[Figure]:
-    """Alternate between the bare forwarder and the balancer's two ways to read its socket."""
+    """Alternate between the bare forwarder and the balancer with each of two socket readers."""
     bare: list[Rate] = []
     direct: list[Rate] = []
     protocol: list[Rate] = []
@@ -169,7 +169,7 @@
 
 
 def _cpu_ratio_figure(name: str, rates: list[Rate], baselines: list[Rate]) -> Figure:
-    """Compare processor times, which other work on the machine disturbs less than rates."""
+    """Compare processor times, which other load on the machine affects less than rates."""
     pairs = zip(rates, baselines, strict=True)
     samples = tuple(base.cpu_microseconds / rate.cpu_microseconds for rate, base in pairs)
     return Figure(name, statistics.median(samples), "of the bare forwarder", samples=samples)
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -29,7 +29,7 @@
 
 TIMEOUT_SECONDS = 10.0
 CONNECTIONS = 4
-"""Connections of one calling process that asks for answers."""
+"""Connections of one calling process with the workload of requests."""
 HEADERS = [
     (b":method", b"GET"),
     (b":scheme", b"https"),
@@ -39,7 +39,7 @@
 
 
 class Workload(enum.Enum):
-    """What a calling process does."""
+    """Workload of a calling process."""
 
     HANDSHAKES = "handshakes"
     REQUESTS = "requests"
@@ -53,8 +53,8 @@
 class CallerPlan:
     """The work of one calling process.
 
-    `through_balancer` has it route its packets to an agent with a balancer's core; otherwise
-    `target` is a server that it talks to.
+    With `through_balancer` it routes its packets to the agent `target` with a balancer's core;
+    otherwise it sends them to the server `target`.
     """
 
     workload: Workload
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class CallerResult:
-    """What a calling process did in how many seconds."""
+    """Result of a calling process: steps completed and failed, and seconds taken."""
 
     completed: int
     failed: int
@@ -75,7 +75,7 @@
 
 
 class _BalancedTransport(asyncio.DatagramTransport):
-    """Gives each datagram to a balancer's core and sends what it decides."""
+    """Passes each datagram to a balancer's core and sends it as the core decides."""
 
     def __init__(self, transport: asyncio.DatagramTransport, core: BalancerCore) -> None:
         self._transport = transport
@@ -95,7 +95,7 @@
 
 
 class _Caller(CallerProtocol):
-    """A stock client, whose packets a balancer's core routes where there is one."""
+    """An unmodified client, whose packets a balancer's core routes if there is one."""
 
     def __init__(
         self, quic: QuicConnection, core: BalancerCore | None, destination: Endpoint
@@ -112,8 +112,8 @@
         super().connection_made(transport)
 
     def datagram_received(self, data: bytes | str, addr: object) -> None:
-        # Whoever carried the answer, it comes from where the caller sent its packets to.
-        # Before the opening only packets of a flow that had this port before can come.
+        # The client expects answers from the address that it sends to, not from the forwarding
+        # process. Before `open`, only packets of an earlier flow with this port can arrive.
         if self._opened:
             super().datagram_received(data, self._destination)
 
@@ -130,7 +130,7 @@
 
 
 def run_caller(control: Connection, plan: CallerPlan) -> None:
-    """Tell that it is ready, wait for a word, work, and send the result."""
+    """Report readiness, wait for the start message, run the workload, and send the result."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_work(control, plan))
 
@@ -170,7 +170,7 @@
 
 
 async def _hold(control: Connection, plan: CallerPlan, opener: _ConnectionOpener) -> None:
-    """Open the batches, each at a word, and tell when one stands."""
+    """Open each batch on a message, and report when all its connections are open."""
     held: list[_Caller] = []
     control.send(None)
     for batch in plan.batches:
@@ -210,7 +210,7 @@
         return _Caller(quic, self._core, self._destination)
 
     async def complete_handshake(self) -> bool:
-        """Open one connection and end it; tell whether it came about."""
+        """Open one connection and end it; return whether it succeeded."""
         try:
             caller = await self.open()
         except (TimeoutError, ConnectionError):
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -1,4 +1,4 @@
-"""Consensus: commits a second of three cores in memory, and synced appends of the storage."""
+"""Benchmark of consensus: commits per second of three cores in memory, and synced appends."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def measure() -> list[Figure]:
-    """Measure the core alone, and the storage beside a bare write and fsync."""
+    """Measure the core alone, and the storage against a bare write and fsync."""
     baseline = _bare_commits()
     figures = [
         _measure_commits("consensus.commits.1-at-a-time", 1, baseline),
@@ -34,7 +34,7 @@
 
 
 def _bare_commits() -> float:
-    """Return commits a second where three lists take entries and count who has them."""
+    """Return commits per second of three plain lists that store entries and count the copies."""
     logs: list[list[LogEntry]] = [[], [], []]
     started = time.perf_counter()
     for index in range(COMMITS):
@@ -47,7 +47,7 @@
 
 
 def _measure_commits(name: str, at_a_time: int, baseline: float) -> Figure:
-    """Run three cores in one process; messages are handed over as objects, disks are free."""
+    """Run three cores in one process; messages are passed as objects, disk writes cost nothing."""
     ids = (1, 2, 3)
     config = RaftConfig(tuple(InitialMember(one) for one in ids))
     nodes = {one: RaftNode(config, DurableState(one, f"d{one}"), Random(one), 0.0) for one in ids}
@@ -86,7 +86,7 @@
 
 
 def _measure_storage(batch_size: int) -> Figure:
-    """Append batches through the storage, and the same bytes bare, in alternation."""
+    """Append batches through the storage, and the same bytes directly, in alternation."""
     with tempfile.TemporaryDirectory() as folder:
         storage = FileStorage(Path(folder) / "data", "bench", 1, "disk")
         storage.load()
--- a/bench/datagrams.py
+++ b/bench/datagrams.py
@@ -1,8 +1,8 @@
 """Benchmark of the datagram plane's balancer: packets, new flows, searches, memory, log lines.
 
-Sockets are real, on loopback. A batch of datagrams is put into the socket's buffer, untimed,
-and the time to work it off is taken; the bare forwarder reads and sends in the same way. The
-core runs with the codec of the users' platform.
+Sockets are real, on loopback. A batch of datagrams is sent into the socket's buffer first; only the
+time to process it is measured. The bare forwarder reads and sends in the same way. The core runs
+with the codec of the users' platform.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 ROUNDS = 15
 BATCH = 128
-"""Datagrams of a batch; they fit into the socket's buffer."""
+"""Datagrams per batch; they fit into the socket's buffer."""
 BATCHES = 40
 FLOWS = 10_000
 AGENTS = 45
-"""Agents of the service, as on the grown sites."""
+"""Agents of the service, as on the enlarged sites."""
 SEED = 20261202
 PAYLOAD = b"x" * 100
 LISTENER = Endpoint("198.18.0.1", 443)
@@ -95,7 +95,7 @@
 
 
 def open_flows(core: FlowBalancer, sent: list[tuple[bytes, SocketAddress]], count: int) -> None:
-    """Open flows and have them accepted by whom they were offered to."""
+    """Open flows, each accepted by the agent to which the opening packet was sent."""
     for number in range(count):
         sent.clear()
         core.receive(packet(number, SYN), 1.0)
@@ -114,7 +114,7 @@
 
 
 def _established() -> list[Figure]:
-    """Compare carrying packets of open flows with reading and sending them."""
+    """Compare the forwarding of packets of open flows with plain reading and sending."""
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sink,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
@@ -161,7 +161,7 @@
 def _timed(
     work: Callable[[], None], feeder: socket.socket, receiver: socket.socket, packets: list[bytes]
 ) -> float:
-    """Return the microseconds of a datagram, feeding left out."""
+    """Return the microseconds per datagram, without the time to send the batch."""
     seconds = 0.0
     for _ in range(BATCHES):
         for each in packets:
@@ -173,7 +173,7 @@
 
 
 def _new_flows() -> list[Figure]:
-    """Time a new flow, from its first packet to the agent's answer, without and with its line."""
+    """Time a new flow, from its opening packet to the agent's answer, without and with logging."""
     times = {}
     for name, log in (("silent", quiet_log()), ("logged", DecisionLog(time.monotonic, 1e9, 1e9))):
         sent: list[tuple[bytes, SocketAddress]] = []
@@ -188,7 +188,7 @@
 
 
 def _search() -> Figure:
-    """Time a search that begins and whose candidates all deny the flow."""
+    """Time the first round of a search in which no candidate holds the flow."""
     sent: list[tuple[bytes, SocketAddress]] = []
     core = make_core(lambda data, to: sent.append((data, to)), quiet_log())
     count = BATCH * 4
--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -1,9 +1,9 @@
-"""Distribution: a change flushed to subscribers, applied by a follower, and counted in force.
+"""Benchmark of distribution: sending a change, applying it, and counting where it is in force.
 
-One process plays the replica and, in turn, its subscribers. What the publisher sends goes
-through one UDP socket that nobody reads, so that each subscriber costs a system call. The
-bare loop encodes the same delta once and writes the same bytes as often, with no budgets, no
-outstanding updates and no scopes.
+One process acts as the replica and, in turn, as its subscribers. The publisher's messages go
+through one UDP socket that nobody reads, so that each subscriber costs a system call. The bare loop
+encodes the same delta once and writes the same bytes as often, without budgets, outstanding updates
+and scopes.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 APPLIED_CHANGES = 2_000
 MILLISECONDS = 1000.0
 SECONDS_PER_CHANGE = 60.0
-"""Pause between two changes, for the links' budgets; it passes on the cores' clock only."""
+"""Pause between two changes, which refills the links' budgets; only the cores' clock advances."""
 LEADER = 1
 REPLICA = 2
 TERM = 1
@@ -82,7 +82,7 @@
 
 
 def _flush_changes(write: Callable[[bytes], int], balancers: int) -> FlushTimes:
-    """Publish changes to `SUBSCRIBERS`, of which so many are balancers; time each part."""
+    """Publish changes to `SUBSCRIBERS`, of which `balancers` are balancers; time each part."""
     replica = _Replica(balancers)
     times = FlushTimes()
     ledger = InForceLedger(replica.now)
@@ -112,7 +112,7 @@
 def _count_in_force(
     replica: _Replica, reporter: SubscriberReporter, ledger: InForceLedger, times: FlushTimes
 ) -> None:
-    """Time a replica's report, its taking in by the leader, and the count there."""
+    """Time a replica's report, its merge by the leader, and the count there."""
     started = time.perf_counter()
     links = replica.core.links()
     report = reporter.report(links, LEADER, TERM, replica.revision, replica.now)
@@ -137,7 +137,7 @@
 
 
 class _Replica:
-    """A publisher core over a table, with its subscribers' side reduced to revisions."""
+    """A publisher core over a table; its subscribers are reduced to their revisions."""
 
     def __init__(self, balancers: int) -> None:
         self.now = 0.0
@@ -160,7 +160,7 @@
         assert self.core.subscriber_opened(subscriber_id, subscribe, self.now)
 
     def change(self, number: int) -> None:
-        """Change one member of one service, a while after the change before."""
+        """Change one member of one service, `SECONDS_PER_CHANGE` after the previous change."""
         self.now += SECONDS_PER_CHANGE
         self._tick_until_idle()
         self.revision += 1
@@ -168,7 +168,7 @@
         assert self._table.upsert(member, self.revision)
 
     def publish(self, write: Callable[[bytes], int]) -> list[bytes]:
-        """Write the change for every subscriber, slice by slice; return what was written."""
+        """Write the change for every subscriber, slice by slice; return the payloads."""
         payloads = _write(self.core.table_advanced(self.now), write)
         while self.core.next_deadline() <= self.now:
             payloads += _write(self.core.tick(self.now, 0.0), write)
@@ -180,7 +180,7 @@
             self.core.tick(self.now, 0.0)
 
     def last_delta(self) -> Delta:
-        """Return what a balancer is sent of the last change."""
+        """Return the delta of the last change as a balancer gets it."""
         changes = self._table.changes_since(self.revision - 1)
         assert isinstance(changes, Changes)
         return Delta(self.revision - 1, self.revision, changes.upserts, changes.removals)
@@ -195,7 +195,7 @@
 
 
 def _measure_follower() -> Figure:
-    """Apply deltas of one change each to a table of full size, beside decoding them only."""
+    """Apply deltas of one change each to a table of full size, against decoding them only."""
     table = _entries()
     core = _connected_follower()
     core.message(Snapshot(1, 0, 1, table), 0.0)
@@ -254,7 +254,7 @@
 
 
 def _bare_store() -> float:
-    """Store a revision for each subscriber in a dictionary, the least that accounting costs."""
+    """Store a revision for each subscriber in a dictionary: the minimum cost of accounting."""
     revisions: dict[int, int] = {}
     started = time.perf_counter()
     for subscriber_id in range(SUBSCRIBERS):
--- a/bench/fair_shares.py
+++ b/bench/fair_shares.py
@@ -1,4 +1,4 @@
-"""Fair shares of a host: the time of one decision, beside one without shares."""
+"""Benchmark of a host's fair shares: the time of one decision, against one without shares."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from jasperwalk.scheduling.fair_shares import FairShares
 
 GROUP_COUNTS = (4, 19)
-"""Groups with something waiting: a small deployment's zones, and those of the largest one."""
+"""Groups with waiting requests: as many as zones of a small and of the largest deployment."""
 WAITING_PER_GROUP = 3
 DECISIONS = 20_000
 REQUEST_SECONDS = 0.05
@@ -20,7 +20,7 @@
 
 
 def measure() -> list[Figure]:
-    """Measure whose request is next and whose is let go; takes a few seconds."""
+    """Measure the choice of the next request and of the one to shed; takes a few seconds."""
     return [figure for count in GROUP_COUNTS for figure in _measure(count)]
 
 
@@ -56,5 +56,5 @@
 
 
 def _median_time(decide: Decision) -> float:
-    """Return the microseconds of a decision."""
+    """Return the median microseconds of a decision."""
     return median_microseconds(lambda: lambda step: decide(1000.0 + 0.001 * step), DECISIONS)
--- a/bench/forwarders.py
+++ b/bench/forwarders.py
@@ -25,11 +25,11 @@
 ANY_PORT = Endpoint("127.0.0.1", 0)
 UNLIMITED_FLOWS_PER_SECOND = 1e9
 LIMITED_FLOWS_PER_SECOND = 5_000
-"""The product's default; its settings would take memory that the figures don't want."""
+"""The product's default; importing its settings would add memory to the figures."""
 
 
 class Command(enum.Enum):
-    """What the benchmark asks of a forwarder."""
+    """Commands of the benchmark to a forwarder."""
 
     SNAPSHOT = "snapshot"
     STOP = "stop"
@@ -48,7 +48,7 @@
 
 
 class ReaderKind(enum.Enum):
-    """Ways to take datagrams off the socket."""
+    """Ways to read datagrams from the socket."""
 
     DIRECT_SOCKET = "direct-socket"
     """The product's own: `loop.add_reader` and many reads for each wake-up."""
@@ -82,7 +82,7 @@
 
 
 def run_balancer_loop(control: Connection, sink: Endpoint, kind: ReaderKind) -> None:
-    """Run the balancer's core and socket; send its endpoint, then a snapshot a command."""
+    """Run the balancer's core and socket; send its endpoint, then a snapshot per command."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(control, sink, kind))
 
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: figures, the processes that they start and the report."""
+"""Shared parts of the benchmarks: figures, the start of processes, and the report."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Figure:
-    """One measured value; `baseline` is what the same run measured to set beside it."""
+    """One measured value; `baseline` is the value of the same run to compare it with."""
 
     name: str
     value: float
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Report:
-    """Everything that one run measured."""
+    """All figures of one run, with machine and commit."""
 
     commit: str
     uncommitted_changes: bool
@@ -61,7 +61,7 @@
 def median_microseconds(prepare: Callable[[], Callable[[int], object]], operations: int) -> float:
     """Return the processor time of an operation, the median of some rounds.
 
-    `prepare` makes what a round works on; the operation takes its number.
+    `prepare` creates the state of a round and returns the operation, which takes its number.
     """
     times = []
     for _ in range(TIMED_ROUNDS):
@@ -74,7 +74,7 @@
 
 
 def make_report(started_at: datetime, machine: MachineFacts, figures: Sequence[Figure]) -> Report:
-    """Put figures together with the facts of the machine at the start and the commit."""
+    """Combine figures with the commit and the facts of the machine at start and end."""
     return Report(
         commit=commit(),
         uncommitted_changes=has_uncommitted_changes(),
--- a/bench/host_service_times.py
+++ b/bench/host_service_times.py
@@ -1,4 +1,4 @@
-"""Benchmark of measuring a host's pace: each request, each judgement, each choice of an agent."""
+"""Benchmark of a host's service times: per request, per evaluation, per choice of an agent."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def _fastest_round(work: Callable[[], None]) -> float:
-    """Return the microseconds of the fastest round's step; other load only slows rounds down."""
+    """Return the microseconds per step of the fastest round; other load only slows rounds down."""
     times = []
     for _ in range(ROUNDS):
         started = time.process_time()
@@ -46,7 +46,7 @@
 
 
 def _requests(service_times: HostServiceTimes | None = None) -> None:
-    """Take requests and their answers."""
+    """Record requests and their answers."""
     service_times = service_times or HostServiceTimes()
     for number in range(COUNT):
         now = BETWEEN_SECONDS * number
@@ -55,7 +55,7 @@
 
 
 def _evaluation_time() -> float:
-    """Time a judgement that is worked out anew; an agent does so each `SLOWDOWN_CACHE_SECONDS`."""
+    """Time an evaluation that is computed again, as each `SLOWDOWN_CACHE_SECONDS` in an agent."""
     service_times = HostServiceTimes()
     _requests(service_times)
     slow_host = SlowHost(service_times)
@@ -70,7 +70,7 @@
 
 
 def _choice_time(weighs_slowdown: bool) -> float:
-    """Time the choice of an agent where hosts are equal."""
+    """Time the choice of an agent where all hosts are equally fast."""
     pool = TargetPool("a", random.Random(SEED), weighs_slowdown=weighs_slowdown)
     records = [_record(number) for number in range(AGENTS)]
     pool.update(FleetUpdate(True, records, []), 0.0)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,9 @@
-"""Overload: established datagrams that are forwarded beside a flood of new flows.
+"""Benchmark of overload: established datagrams that are forwarded during a flood of new flows.
 
-Established traffic comes at a steady rate that the balancer serves with ease. The flood is
-what several unbounded senders can do; `flood.offered` tells how much that was, beside what the
-balancer handles when it is alone with new flows. The balancer has its default limit on new
-flows. Three cases alternate: no flood, the balancer, and the balancer with one queue for all.
+Established traffic arrives at a constant rate, well below the balancer's capacity. The flood comes
+from several senders without a limit; `flood.offered` is its rate, against the rate that the
+balancer handles with new flows alone. The balancer has its default limit on new flows. Three cases:
+no flood, then in alternation the balancer, and the balancer with one queue for all packets.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class FloodRound:
-    """One round: share of established datagrams forwarded, and rates a second."""
+    """One round: share of established datagrams forwarded, and rates per second."""
 
     share: float
     new_flows: float
@@ -89,7 +89,7 @@
 
 
 def _run_round(loop: Forwarder, sink: Endpoint, senders: int) -> FloodRound:
-    """Send the established datagrams while so many senders flood."""
+    """Send the established datagrams while `senders` processes flood the balancer."""
     with _flood(sink, loop.endpoint, senders) as sent:
         if senders:
             wait_for_traffic(loop)
@@ -113,7 +113,7 @@
 
 @contextlib.contextmanager
 def _flood(sink: Endpoint, target: Endpoint, senders: int) -> Iterator[Callable[[], int]]:
-    """Run flooding processes; yield what tells how many datagrams they sent."""
+    """Run flooding processes; yield a function that returns how many datagrams they sent."""
     stop = spawning.Event()
     counts = [spawning.Value("Q", 0) for _ in range(senders)]
     processes = [
--- a/bench/request_scheduler.py
+++ b/bench/request_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of requests: time and memory of one that waits, beside one that is passed on."""
+"""Benchmark of the request scheduler: time and memory of a request that waits, or does not."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from jasperwalk.scheduling.request_scheduler import RequestScheduler
 
 WAITING_COUNTS = (4, 32)
-"""Requests that wait at a host of one slot: in an ordinary second, and in a crowd."""
+"""Requests that wait at a host with one slot: under typical load, and in an overload."""
 REQUESTS = 10_000
 WORK_SECONDS = 0.04
 PACKET = bytes(932)
@@ -59,7 +59,7 @@
 
 
 def _median_time(step: Callable[[RequestScheduler, int, float], None], count: int) -> float:
-    """Return the microseconds of a request."""
+    """Return the median microseconds of a request."""
 
     def prepare() -> Callable[[int], None]:
         scheduler = _scheduler(count)
@@ -69,7 +69,7 @@
 
 
 def _memory_bytes() -> float:
-    """Return the bytes of a request that waits, its packet included."""
+    """Return the bytes of a waiting request, including its packet."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     scheduler = RequestScheduler(PriorityOrder(FairShares()))
--- a/bench/running.py
+++ b/bench/running.py
@@ -1,4 +1,4 @@
-"""Running forwarders and the traffic towards them, and the rates of a window."""
+"""Starts forwarders and the traffic towards them, and computes the rates of a window."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 GENERATORS = 2
 """Sending processes: one alone does not keep the bare forwarder busy."""
 MAX_DATAGRAMS = 2_000_000
-"""Bound on what one generator sends."""
+"""Maximum of datagrams from one generator."""
 MAX_CASE_SECONDS = 20.0
 
 
 @dataclass(frozen=True)
 class Rate:
-    """Datagrams of one window, a second and in processor time."""
+    """Datagrams of one window: per second, and processor time per datagram."""
 
     per_second: float
     cpu_microseconds: float
     busy: float
-    """Processor time over wall time: below about 0.95 the generators were the limit."""
+    """Processor time over wall time: below about 0.95 the generators were the bottleneck."""
 
     @classmethod
     def between(cls, before: Snapshot, after: Snapshot) -> Rate:
@@ -76,7 +76,7 @@
 
 
 def wait_for_traffic(forwarder: Forwarder) -> None:
-    """Wait until the generator, which takes a while to start, is heard."""
+    """Wait until datagrams arrive: the generator takes a while to start."""
     deadline = time.monotonic() + MAX_CASE_SECONDS
     waiting = forwarder.snapshot().handled
     while forwarder.snapshot().handled == waiting:
@@ -87,7 +87,7 @@
 
 @contextlib.contextmanager
 def running_sink() -> Iterator[Endpoint]:
-    """Open the sockets that stand for the agents, all on one port; nobody reads them."""
+    """Open the sockets that take the agents' place, all on one port; nobody reads them."""
     with contextlib.ExitStack() as stack:
         port = 0
         for host in reversed(AGENT_HOSTS):
--- a/bench/suites.py
+++ b/bench/suites.py
@@ -44,7 +44,7 @@
     help="File for the report; build/bench.json unless given.",
 )
 def main(only: tuple[str, ...], output: Path) -> None:
-    """Measure each figure beside its baseline in the same run."""
+    """Measure each figure and its baseline in the same run."""
     started_at = datetime.now(UTC)
     machine = machine_facts()
     figures: list[Figure] = []
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -42,11 +42,11 @@
 
 PAYLOAD_BYTES = 1200
 POOL_SIZE = 4096
-"""Datagrams that a generator prepares and repeats."""
+"""Number of datagrams that a generator prepares and repeats."""
 FLOOD_BURST_LENGTH = 500
 MAX_FLOOD_DATAGRAMS = 10_000_000
 BURST_LENGTH = 20
-"""Datagrams that an even generator sends between two sleeps."""
+"""Datagrams that `generate_evenly` sends between two sleeps."""
 
 ADDRESS_BLOCK = (
     CALLER.pack()[:4]
@@ -64,7 +64,7 @@
     """Established flows, each datagram of another one."""
     NEW = "new"
     HANDED_ON = "handed-on"
-    """Packets of flows whose agent is offline: they go to another one."""
+    """Packets of flows whose agent is offline: they are forwarded to another one."""
     REJECTED = "rejected"
 
 
@@ -124,7 +124,7 @@
 
 
 def rejected_datagram(number: int) -> bytes:
-    """Return a packet with a forged connection ID: it decodes into another service."""
+    """Return a packet with a forged connection ID, which decodes to another service."""
     packet = b"\x40\x30" + number.to_bytes(16, "big")
     return HEADER_PREFIX + ADDRESS_BLOCK + packet.ljust(PAYLOAD_BYTES, b"\x55")
 
@@ -180,7 +180,7 @@
 
 
 def flood(agent: Endpoint, target: Endpoint, stop: ProcessEvent, sent: Synchronized[int]) -> None:
-    """Send Initials of new flows until `stop` is set; keep count in `sent`."""
+    """Send Initials of new flows until `stop` is set; count them in `sent`."""
     send = _sender(target)
     source = datagrams(TrafficClass.NEW, agent, 0)
     for _ in range(MAX_FLOOD_DATAGRAMS // FLOOD_BURST_LENGTH):
--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -1,8 +1,8 @@
 """Play days with each mechanism switched off: `python -m scripts.ablation --bench B SITE...`.
 
-Each switch of the table `[policies]` is turned off in a copy of the work tree, and the days are
-played there by the users' bench. Prints a Markdown table: worth of each day, and rules broken.
-Copies stay for their journals; they must lie where programs on the bench may read.
+Each switch of the table `[policies]` is turned off in a copy of the work tree, and the users' test
+bench plays the days there. Prints a Markdown table: worth of each day, and rules broken. The copies
+are kept for their journals; they must be in a folder that programs on the bench may read.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class PlayedDay:
-    """What the bench printed of one day: its worth, and the rules broken."""
+    """The bench's result of one day: its worth, and the rules broken."""
 
     worth: float
     broken: str
@@ -46,7 +46,7 @@
 
 
 def read_day(output: str, day: str) -> PlayedDay | None:
-    """Read a day's line from the bench's output; None where the day was not played."""
+    """Parse a day's line of the bench's output; None where the day was not played."""
     for line in output.splitlines():
         found = DAY_LINE.match(line)
         if found is not None and line.split()[0] == day:
@@ -56,7 +56,7 @@
 
 
 def copy_tree(target: Path) -> None:
-    """Copy the files that git tracks, and what the last build made."""
+    """Copy the files that git tracks, and the output of the last build."""
     listed = subprocess.run(
         ["git", "ls-files", "-z"], cwd=ROOT, capture_output=True, text=True, check=True
     )
@@ -69,7 +69,7 @@
 
 
 def play(bench: Path, tree: Path, site: Path, day: str, seed: int | None, why: str) -> str:
-    """Play one day in a tree; return what the bench printed."""
+    """Play one day in a tree; return the bench's output."""
     arguments = [str(bench), "run", str(site), day, "--why", why]
     if seed is not None:
         arguments += ["--seed", str(seed)]
@@ -98,7 +98,7 @@
     seeds: Sequence[int],
     chosen: Sequence[str],
 ) -> None:
-    """Play SITES with each mechanism on, and then with one after the other off."""
+    """Play SITES with all mechanisms on, and then with each one switched off."""
     plays = [
         (site.resolve(), day, seed) for site in sites for day in days for seed in seeds or [None]
     ]
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,7 +1,7 @@
-"""Write docs/CAPACITY.md from the bench's sweeps in `journal/`, or check that it is what they give.
+"""Write docs/CAPACITY.md from the bench's sweeps in `journal/`, or check that it is up to date.
 
 `python -m scripts.capacity` writes the page from the newest sweep of each site; with `--check` it
-writes nothing, and ends with status 1 where the page differs.
+writes nothing, and exits with status 1 where the page differs.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 )
 TARGET = re.compile(r"power +at (?P<machines>\d+|null)$", re.MULTILINE)
 NO_TARGET = "null"
-"""What a sweep prints of a site that names no target."""
+"""Printed by a sweep of a site that names no target size."""
 TARGET_MACHINES = 14_750
-"""Own machines at letter 1's size, as the sites name them that do."""
+"""Number of own machines at the target size, as in the sites that name one."""
 MIN_POWER, MAX_POWER = 0.0, 2.0
-"""Powers with which a figure is carried on, as the bench does it."""
+"""Limits of the exponent for an extrapolation, the same as the bench's."""
 SIGNIFICANT_DIGITS = 3
 BROKEN = "BROKEN"
 
 
 @dataclass(frozen=True)
 class SweptFigure:
-    """One line of a sweep: the busiest process at each size, and where that leads."""
+    """One line of a sweep: the busiest process at each size, and the figure at the target size."""
 
     name: str
     busiest: tuple[float, ...]
     power: float
-    """Exponent with which the busiest grows as machines do."""
+    """Exponent with which the figure of the busiest process grows with the number of machines."""
     at_target: float
 
 
 @dataclass(frozen=True)
 class SweptDay:
-    """How the day of one size went."""
+    """Result of the day of one size."""
 
     machines: int
     worth: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Sweep:
-    """One sweep as the bench printed it."""
+    """One sweep, parsed from the bench's output."""
 
     entry: str
     site: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """What letter 1 allows, against a figure of the sweep at the target size."""
+    """A limit of the requirements for a figure of the sweep at the target size."""
 
     figure: str
     limit: float
@@ -130,11 +130,11 @@
 
 
 class UnreadableSweep(click.ClickException):
-    """An entry of the journal that does not have what a sweep prints."""
+    """An entry of the journal without the output of a sweep."""
 
 
 def read_sweep(entry: str, site: str, digest: str) -> Sweep:
-    """Read what a sweep printed; raises `UnreadableSweep`."""
+    """Parse the output of a sweep; raise `UnreadableSweep`."""
     target = TARGET.search(digest)
     days = sorted(_days(digest.splitlines()), key=lambda day: day.machines)
     if target is None or not days:
@@ -148,7 +148,7 @@
 
 
 def extrapolate(busiest: float, power: float, machines: int) -> float:
-    """Return a figure at the target's size from the one at the largest size played."""
+    """Return a figure at the target size, extrapolated from the largest size played."""
     bounded_power = min(max(power, MIN_POWER), MAX_POWER)
     extrapolated = busiest * (TARGET_MACHINES / machines) ** bounded_power
     return float(f"{extrapolated:.{SIGNIFICANT_DIGITS}g}")
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,9 +1,9 @@
-"""A pytest plugin that passes over the tests listed in KNOWN-RED.txt, and prints them.
+"""A pytest plugin that deselects the tests listed in KNOWN-RED.txt, and prints them.
 
-The list holds tests that fail for a real fault which is not mended yet: one line each,
-`test | cause | issue`, at most three. Lines that begin with # are comments. Only exact test
-IDs are passed over. Load the plugin with `python -m pytest -p scripts.known_red`; without
-it, as when a developer runs one test to mend it, every test runs.
+The list contains tests that fail for a real fault that is not fixed yet: one line each,
+`test | cause | issue`, at most three. Lines that start with # are comments. Only exact test IDs
+are deselected. Load the plugin with `python -m pytest -p scripts.known_red`; without it, as when a
+developer runs one test to fix it, every test runs.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class KnownRedListError(pytest.UsageError):
-    """The list breaks its own rules."""
+    """The list is malformed or too long."""
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
 
 def parse_list(text: str) -> list[KnownRed]:
-    """Parse the list; raise `KnownRedListError` for a malformed or overlong one."""
+    """Parse the list; raise `KnownRedListError` for a malformed or too long one."""
     lines = [line.strip() for line in text.splitlines()]
     entries = [_parse_line(line) for line in lines if line and not line.startswith("#")]
     if len(entries) > MAX_ENTRIES:
@@ -57,12 +57,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list before any test is collected, so that a bad list stops the run."""
+    """Read the list before any test is collected, so that a malformed list stops the run."""
     config.stash[ENTRIES] = read_list(LIST_PATH)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Leave the listed tests out of the run."""
+    """Deselect the listed tests."""
     listed = {entry.test for entry in config.stash[ENTRIES]}
     deselected = [item for item in items if item.nodeid in listed]
     if not deselected:
--- a/scripts/platform_days.py
+++ b/scripts/platform_days.py
@@ -1,9 +1,10 @@
-"""Plays the scenarios of `experiments/platform` on sites of the users' bench.
+"""Runs the scenarios of `experiments/platform` on sites of the users' test bench.
 
     python -m scripts.platform_days --bench FLEETBENCH SITE... [--only NAME] [--jobs N]
 
-Each scenario becomes a day with the traffic of one of the site's own days. Prints a table with
-one line a day: what was served and which rules were broken. The status is 1 if any was.
+Each scenario becomes a day with the traffic of one of the site's own days. Prints a table with one
+line per day: the share of requests served and the rules broken. The exit status is 1 if any rule
+was broken.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 DAY_LINE = re.compile(r"^\S+ +\S+ +(?P<score>-?[\d.]+) +(?P<worth>-?[\d.]+) +(?P<served>[\d.]+)")
 BROKEN = re.compile(r"BROKEN: (?P<rules>.*)$")
 NOT_OPEN = "is not open"
-"""What the bench says of a kind of trouble that a site does not know."""
+"""Text in the bench's output for a kind of fault that a site does not support."""
 MAX_RUN_SECONDS = 550
 SEED = 20261202
 
@@ -62,7 +63,7 @@
 
 
 def play(bench: str, site_path: Path, scenario: dict[str, Any], base: str) -> PlayedDay:
-    """Play one scenario and read its sheet."""
+    """Play one scenario and parse the bench's output."""
     site = tomllib.loads(site_path.read_text(encoding="utf-8"))
     folder = WORK_FOLDER / site_path.stem
     folder.mkdir(parents=True, exist_ok=True)
@@ -86,7 +87,7 @@
 
 
 def read_sheet(site: str, scenario: str, sheet: str) -> PlayedDay:
-    """Read worth, share served and broken rules from what the bench printed."""
+    """Parse worth, share served and broken rules from the bench's output."""
     worth, served, broken = "-", "-", "no sheet"
     if NOT_OPEN in sheet:
         return PlayedDay(site, scenario, "-", "not open on this site", "")
--- a/scripts/rush_ideal.py
+++ b/scripts/rush_ideal.py
@@ -1,11 +1,11 @@
-"""Work out the best that any system could do on a day of rushes (`python -m scripts.rush_ideal`).
-
-A fluid model: requests are a quantity of work, a host's slot does one second of it a second, and no
-time is lost on the way. In each step room goes to what is worth most for each second of a slot:
-requests that would still be in time count their worth, others their late worth; of one kind the
-oldest come first, and a request waits until its limit. Slow hosts, hosts that lose answers and
-hosts that are down count as lost room. The order does not look ahead: one that knew when a rush
-ends could gain a little more.
+"""Compute the best possible result of a day of rushes (`python -m scripts.rush_ideal`).
+
+A fluid model: requests are a quantity of work, each slot of a host does one second of work per
+second, and nothing is lost on the network. In each step capacity goes to the requests with the
+greatest worth per second of a slot: requests that would still finish in time count their worth,
+others their late worth. Within one kind the oldest come first, and a request waits until its limit.
+Slow hosts, hosts that lose answers and hosts that are down count as lost capacity. The order does
+not look ahead: one that knew when a rush ends could gain a little more.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
 FLAPPING_DOWN_SHARE = 0.5
-"""Hosts that go down and up by turns are down for half of the time."""
+"""Hosts that repeatedly go down and up are down for half of the time."""
 MIN_REQUESTS = 1e-9
 SHOWN_WORTH_BELOW = 0.995
-"""Windows of less worth are printed."""
+"""Windows with less worth are printed."""
 BURST = "burst"
 
 
 class RequestKind(msgspec.Struct, frozen=True):
-    """A kind of request; seconds of a slot and of its caller, and its worth in time and late."""
+    """A kind of request: service time (`work`), the caller's time limits (seconds), and worth."""
 
     service: str
     work: float
@@ -46,7 +46,7 @@
 
 
 class Site(msgspec.Struct, frozen=True):
-    """What a day's hosts bear; `traffic` is the part of the day's traffic that is played."""
+    """Capacity of a day's hosts; `traffic` is the part of the day's traffic that is played."""
 
     traffic: float
     seconds: float
@@ -63,7 +63,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, rename={"kind_of_request": "class"}):
-    """A fault of a day file; fields of other kinds of faults are not read."""
+    """A fault of a day file; fields that only other kinds of faults have are ignored."""
 
     kind: str
     at: float = 0.0
@@ -76,7 +76,7 @@
     kind_of_request: str = ""
 
     def is_active(self, now: float) -> bool:
-        """Return whether it holds at a time."""
+        """Return whether the fault is active at `now`."""
         return self.at <= now < self.at + self.for_s
 
 
@@ -91,7 +91,7 @@
 
 @dataclass
 class Cohort:
-    """Requests of one kind that came in one step, and how many of them still wait."""
+    """Requests of one kind that arrived in one step, and how many of them still wait."""
 
     kind: RequestKind
     arrived_at: float
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Ideal:
-    """Worth earned as a part of what is owed: of the day, by kind, and by window."""
+    """Share of the possible worth that was earned: of the day, by kind, and by window."""
 
     day: float
     kinds: dict[str, float]
@@ -131,7 +131,7 @@
 
 
 def rate(stream: Stream, faults: Iterable[Fault], now: float) -> float:
-    """Return the requests a second of a stream at a time: bursts multiply each other."""
+    """Return a stream's requests per second at `now`: concurrent bursts multiply each other."""
     factor = 1.0
     for fault in faults:
         is_of_kind = fault.kind_of_request in ("", stream.kind)
@@ -142,7 +142,7 @@
 
 
 def lost_share(fault: Fault) -> float:
-    """Return the part of a service's room that a fault of its hosts costs while it holds."""
+    """Return the share of a service's capacity that a fault of its hosts costs while active."""
     if fault.kind == "srv_flap":
         return fault.share * FLAPPING_DOWN_SHARE
     if fault.kind == "srv_slow" or (fault.kind == "srv_grey" and fault.how == "slow"):
@@ -153,7 +153,7 @@
 
 
 def available_slots(service: str, slots: float, faults: Iterable[Fault], now: float) -> float:
-    """Return the slots of a service that do useful work at a time."""
+    """Return the slots of a service that do useful work at `now`."""
     for fault in faults:
         if fault.is_active(now) and fault.service in ("", service):
             slots *= 1.0 - lost_share(fault)
@@ -161,7 +161,7 @@
 
 
 def ideal(day: Day, site: Site, step_seconds: float = STEP_SECONDS) -> Ideal:
-    """Play a day; the requests that wait at its end are served as room comes."""
+    """Play a day; the requests that wait at its end are served afterwards, up to their limits."""
     ledger = _Ledger()
     backlogs = {service: _Backlog() for service in site.slots}
     longest_limit = max(kind.limit for kind in site.kinds.values())
@@ -186,7 +186,7 @@
 
 
 class _Ledger:
-    """What is owed and earned, by kind and by window."""
+    """Possible and earned worth, by kind and by window."""
 
     def __init__(self) -> None:
         self._owed: dict[tuple[str, int], float] = defaultdict(float)
@@ -213,7 +213,7 @@
 
 
 class _Backlog:
-    """What waits at a service, by kind, oldest first: in time still, and late."""
+    """Waiting requests of a service, by kind, oldest first: those still in time, and late ones."""
 
     def __init__(self) -> None:
         self._in_time: dict[str, deque[Cohort]] = defaultdict(deque)
@@ -223,7 +223,7 @@
         self._in_time[cohort.name].append(cohort)
 
     def serve(self, slot_seconds: float, now: float, ledger: _Ledger) -> None:
-        """Spend the room of one step on what is worth most."""
+        """Spend the capacity of one step on the requests with the most worth per slot second."""
         self._expire(now)
         queues = [
             *((queue, queue[0].kind.worth) for queue in self._in_time.values() if queue),
@@ -234,7 +234,7 @@
             slot_seconds = _serve_queue(queue, worth, slot_seconds, ledger)
 
     def _expire(self, now: float) -> None:
-        """Move on what would be late by now, and forget what would be over its limit."""
+        """Move requests that would be late to the late queues; remove those beyond their limit."""
         for name, queue in self._in_time.items():
             while (
                 queue and now + queue[0].kind.work > queue[0].arrived_at + queue[0].kind.objective
@@ -246,7 +246,7 @@
 
 
 def _serve_queue(queue: deque[Cohort], worth: float, slot_seconds: float, ledger: _Ledger) -> float:
-    """Serve a queue from its oldest on; return what room is left."""
+    """Serve a queue from the oldest on; return the slot seconds that are left."""
     while queue and slot_seconds > MIN_REQUESTS:
         cohort = queue[0]
         count = min(cohort.waiting, slot_seconds / cohort.kind.work)
@@ -260,7 +260,7 @@
 
 
 def describe(name: str, best: Ideal) -> str:
-    """Return the result for people, one fact a line."""
+    """Return the result as text, one fact per line."""
     kind = best.worst_kind()
     lines = [
         f"{name}: whole day {best.day:.3f}, worst class {kind} {best.kinds[kind]:.3f}, "
@@ -278,10 +278,10 @@
 @click.option(
     "--hosts",
     type=click.Path(exists=True, path_type=Path),
-    help=f"Figures of the hosts; {HOSTS_FILE} beside the day where left out.",
+    help=f"Figures of the hosts; by default {HOSTS_FILE} beside the day.",
 )
 def main(days: tuple[Path, ...], hosts: Path | None) -> None:
-    """Print the best that any system could earn on days of rushes."""
+    """Print the best possible result of days of rushes."""
     for path in days:
         day = read_day(tomllib.loads(path.read_text()))
         sites = tomllib.loads((hosts or path.with_name(HOSTS_FILE)).read_text())
--- a/tests/frame/test_documentation.py
+++ b/tests/frame/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages name what runs: settings, commands, exit codes, statuses and metrics."""
+"""The documentation covers every setting, command, exit code, problem, operation and reason."""
 
 from pathlib import Path
 
--- a/tests/lab/test_backend.py
+++ b/tests/lab/test_backend.py
@@ -1,4 +1,4 @@
-"""Contract tests of the backend stand-in over real HTTP."""
+"""Contract tests of the backend stand-in over real HTTP connections."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_caller.py
+++ b/tests/lab/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller against a stock HTTP/3 server that ends requests in every way."""
+"""The caller against an HTTP/3 server that ends requests in every possible way."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ScriptedServer(QuicConnectionProtocol):
-    """Answers tickets, and everything else as `behaviour` says; counts `requests` by path."""
+    """Issues tickets, and answers other requests by `behaviour`; counts `requests` by path."""
 
     behaviour = "answer"
     requests: Counter
--- a/tests/lab/test_chaos_attribution.py
+++ b/tests/lab/test_chaos_attribution.py
@@ -1,4 +1,4 @@
-"""A broken flow is laid to the loss of the agent that had it, or that ran its request."""
+"""A broken flow is attributed to the loss of its holder, or of the agent that ran its request."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_chaos_in_force.py
+++ b/tests/lab/test_chaos_in_force.py
@@ -1,4 +1,4 @@
-"""Waiting until a change is in force, whatever single replicas say or fail to say."""
+"""Waiting until a change is in force, with replicas that are down, frozen or behind."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Replicas:
-    """Replicas by their answers; the frozen one gives none, the good one says yes at last."""
+    """Replicas by their answers; the frozen one never answers, the healthy one confirms late."""
 
     def __init__(self, good_after):
         self.good_after = good_after
--- a/tests/lab/test_chaos_injector.py
+++ b/tests/lab/test_chaos_injector.py
@@ -1,4 +1,4 @@
-"""Faults of one target, and of all control replicas, follow one another; a failed run ends all."""
+"""Faults of one target, and of all control replicas, don't overlap; an unknown error ends all."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Actions:
-    """Notes what is struck and undone; each undoing takes longer than planned."""
+    """Records which faults are injected and undone; undoing takes longer than planned."""
 
     def __init__(self, error=None):
         self.log = []
--- a/tests/lab/test_chaos_links.py
+++ b/tests/lab/test_chaos_links.py
@@ -1,4 +1,4 @@
-"""A relay before a replica: it knows its callers, and a cut holds one direction back."""
+"""A relay in front of a replica identifies its callers, and a cut holds back one direction."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 CALLER = Identity("lab", ProcessRole.BALANCER, "balancer-1")
 LOOPBACK = "127.0.0.1"
 HELD_SECONDS = 0.2
-"""Time in which bytes that are not held back would long have arrived."""
+"""Longer than bytes that are not held back take to arrive."""
 
 
 class Echo:
-    """The replica: sends back what comes, and notes who called and what came."""
+    """The replica: echoes what it receives, and records its callers and the bytes."""
 
     def __init__(self):
         self.received = bytearray()
@@ -35,7 +35,7 @@
 
 
 async def relayed(folder, cuts):
-    """Send through a relay while `cuts` hold, then after; return what came when."""
+    """Send through a relay during `cuts`, and after; return callers, and what arrived meanwhile."""
     certificates = LinkCertificates(folder / "keys")
     for identity in (REPLICA, CALLER):
         certificates.files(identity)
--- a/tests/lab/test_chaos_schedule.py
+++ b/tests/lab/test_chaos_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a run: the same from the same seed, and never more than a fleet can bear."""
+"""The faults of a run: the same from the same seed, and within the limits of the fleet."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_chaos_verdict.py
+++ b/tests/lab/test_chaos_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a run: nothing in a good record, and each broken promise by its name."""
+"""The verdict of a run: no violation in a good record, and each kind of broken promise found."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
 
 def with_changes(*changes):
-    """Let changes be submitted whose first answers control keeps."""
+    """Add changes whose first answers control has stored."""
 
     def spoil(record):
         record.changes.changes.extend(changes)
@@ -118,7 +118,7 @@
     words = ("127.0.0.1:1: no answer",)
     fault = FaultRecord(FaultKind.CONTROL_KILLED, "control-1", 8.0, 9.0)
     record.happened.append(fault)
-    waits = {"c-1": 18.5, "c-2": 19.5}  # ten seconds from the end of the fault on
+    waits = {"c-1": 18.5, "c-2": 19.5}  # the limit is ten seconds after the end of the fault
     for change_id, ended in waits.items():
         record.changes.in_force.append(InForceTime(change_id, None, 2.0, ended, words))
 
@@ -162,7 +162,7 @@
 
 
 def spoil_loss(record):
-    """Break a flow whose agent was lost after the flow had ended: that excuses nothing."""
+    """Break a flow whose agent was lost only after the flow had ended: no excuse."""
     record.calls.add(call("b", BROKEN))
     record.observations.agent_losses.append(AgentLoss(AGENT, HOST, 30.0, "agent-killed"))
 
--- a/tests/lab/test_common_ports.py
+++ b/tests/lab/test_common_ports.py
@@ -1,4 +1,4 @@
-"""Ports that several addresses share, for fleets whose processes take them a moment later."""
+"""Ports that are free on several addresses, for fleets whose processes bind them later."""
 
 import socket
 
@@ -9,7 +9,7 @@
 
 
 def test_no_outgoing_socket_of_another_program_can_take_them():
-    """Soak, seed 312: no agent started, "address already in use" at a port of 47871."""
+    """With an ephemeral port (47871) no agent started: "address already in use"."""
     assert all(common_port(HOSTS) in PORTS for _ in range(20))
 
 
--- a/tests/lab/test_experiment_definition.py
+++ b/tests/lab/test_experiment_definition.py
@@ -1,4 +1,4 @@
-"""Experiment files: what is refused, with which words, and the order of the runs."""
+"""Experiment files: which are refused, with which message, and the order of the runs."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_experiment_measures.py
+++ b/tests/lab/test_experiment_measures.py
@@ -1,4 +1,4 @@
-"""The measures of an experiment, against cases worked out by hand."""
+"""The measures of an experiment, against cases computed by hand."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     [
         ((2, 2), (1, 1), 1.0),
         ((3, 1), (1, 1), 1.5),  # greatest 3, mean 2
-        ((3, 1), (3, 1), 1.0),  # the heavier host has just its share
+        ((3, 1), (3, 1), 1.0),  # the host of greater weight has just its share
         ((3, 1), (1, 3), 3.0),  # greatest 3 per weight, mean 4 / 4
         ((4, 0), (1, 1), 2.0),  # an idle host counts
         ((1, 0), (1, 0), 1.0),  # a host without weight does not
@@ -162,7 +162,7 @@
         ([broken(BreakReason.TIMED_OUT, 9.0, FLOW, 4.0)] * 2, {}, {"set-weight": 1}),
         ([broken(BreakReason.STREAM_RESET, 9.0, FLOW, 7.0)], {}, {"drain-host": 1}),
         ([broken(BreakReason.TIMED_OUT, 9.0, FLOW, 2.0)], {}, {NO_EVENT: 1}),
-        # Only the flow that the lost host held is put down to the loss.
+        # Only the flow that the lost host held is attributed to the loss.
         (
             [
                 broken(BreakReason.TIMED_OUT, 9.0, FLOW, 4.0),
@@ -171,7 +171,7 @@
             {"a": 5.0},
             {HOST_LOST: 1, "set-weight": 1},
         ),
-        # A flow that was silent for long before the host was lost did not break by the loss.
+        # A flow that was silent long before the host was lost did not break by the loss.
         ([broken(BreakReason.TIMED_OUT, 9.0, FLOW, 3.5)], {"a": 6.5}, {"set-weight": 1}),
         # A flow that broke before the host was lost did not break by the loss.
         ([broken(BreakReason.STREAM_RESET, 4.5, FLOW, 4.0)], {"a": 5.0}, {"set-weight": 1}),
--- a/tests/lab/test_experiment_run.py
+++ b/tests/lab/test_experiment_run.py
@@ -1,4 +1,4 @@
-"""A fleet that does not come up is tried again; a failure after that is not."""
+"""A fleet that does not start is retried; a failure after the start is not."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def started(tmp_path, monkeypatch, failures, body_fails=False):
-    """Return how many fleets were started, and what was said."""
+    """Return the number of fleets started, the messages, and how the run ended."""
     starts, messages = [], []
 
     class StandInFleet:
--- a/tests/lab/test_fleet_plan.py
+++ b/tests/lab/test_fleet_plan.py
@@ -1,4 +1,4 @@
-"""The fleet's plan: every example gives settings that the product and the stand-ins accept."""
+"""The fleet's plan: settings from every example are valid for the product and the stand-ins."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_history.py
@@ -1,4 +1,4 @@
-"""The history checker must find each kind of broken promise, and nothing in a good history."""
+"""The history checker finds each kind of broken promise, and nothing in a good history."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_http3_client.py
+++ b/tests/lab/test_http3_client.py
@@ -1,4 +1,4 @@
-"""The caller takes a stateless reset for one, and nothing else."""
+"""The caller recognises stateless resets, and no other packets as such."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_platform_list.py
+++ b/tests/lab/test_platform_list.py
@@ -1,4 +1,4 @@
-"""The lagging machine list."""
+"""The platform list shows changes of machines after its lag."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_summary.py
+++ b/tests/lab/test_summary.py
@@ -1,4 +1,4 @@
-"""The verdict of a run: each broken promise must show, and a good run must show none."""
+"""The summary of a demo names each broken promise, and none in a good run."""
 
 from __future__ import annotations
 
--- a/tests/scripts/test_ablation.py
+++ b/tests/scripts/test_ablation.py
@@ -1,4 +1,4 @@
-"""What the ablation does without the bench: switches in templates, and reading a day's line."""
+"""The parts of the ablation without the bench: switches in templates, parsing a day's line."""
 
 import shutil
 import tomllib
--- a/tests/scripts/test_capacity.py
+++ b/tests/scripts/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page is made from what the bench printed of its sweeps."""
+"""The capacity page is generated from the bench's output of its sweeps."""
 
 import json
 
--- a/tests/scripts/test_rush_ideal.py
+++ b/tests/scripts/test_rush_ideal.py
@@ -1,4 +1,4 @@
-"""The best that any system could do on a day of rushes, in cases small enough for work by hand."""
+"""The best possible result of a day of rushes, in cases small enough to compute by hand."""
 
 import msgspec
 import pytest
@@ -49,7 +49,7 @@
 
 
 def test_in_a_lasting_overload_capacity_serves_requests_that_are_in_time():
-    """Twice the room for the whole day: half in time, and at its end some late ones more."""
+    """Load of twice the capacity all day: half is served in time, and some late at the end."""
     best = ideal(day(), site(slots=5.0))
     assert best.windows[1:-1] == pytest.approx((0.5,) * 8, abs=0.02)
     assert best.windows[-1] > 0.55
@@ -77,7 +77,7 @@
     rates = {"look-up": 50.0}
     served = ideal(day(burst(4.0), **rates), site(**{"look-up": patient}))
     lost = ideal(day(burst(4.0), **rates), site(**{"look-up": impatient}))
-    # Of 800 requests of the rush 400 have room in it and 25 after it within the objective.
+    # Of 800 requests of the rush 400 are served during it and 25 after it within the objective.
     assert lost.day == pytest.approx(1 - 375 / 1600, abs=0.02)
     assert served.day == pytest.approx(1 - 0.75 * 375 / 1600, abs=0.02)
 
